--- a/tests/query/test_unrepeatable.py
+++ b/tests/query/test_unrepeatable.py
@@ -23,7 +23,7 @@
 from wingquay.ports.peer import NodeIdentity
 from wingquay.query.answer_codec import encode_answer
 from wingquay.query.coordinator import Coordinator
-from wingquay.query.owner_links import OwnerLinks
+from wingquay.query.owner_selector import OwnerSelector
 from wingquay.query.settings import QuerySettings
 
 REQUEST_ID = RequestId("edit-again")
@@ -48,7 +48,7 @@
     def setUp(self) -> None:
         super().setUp()
         identity = NodeIdentity(NodeId("n"), DeploymentName("ro-nord"), ZONES[0], "127.0.0.1", 7000)
-        links = OwnerLinks(identity, 0, random.Random(1))
+        links = OwnerSelector(identity, 0, random.Random(1))
         self.coordinator = Coordinator(identity, QuerySettings(), links)
 
     def ask_while_stopping(self) -> list[Action]:
--- a/wingquay/orchestration/load_machine.py
+++ b/wingquay/orchestration/load_machine.py
@@ -30,7 +30,7 @@
     def handle(self, event: Event, now: float) -> list[Action]:
         """Take in one event."""
         again = Schedule(now + REPORT_SECONDS, LoadReportDue())
-        kinds = self._coordinator.kind_statistics.take(now)
+        kinds = self._coordinator.kind_statistics.collect_and_reset(now)
         if isinstance(event, Start):
             return [again]
         return [again, Notify(LoadObserved(kinds, self._owner.service_loads()))]
--- a/wingquay/orchestration/node_machine.py
+++ b/wingquay/orchestration/node_machine.py
@@ -21,7 +21,7 @@
 from ..ports.machine import Action, Event
 from ..ports.peer import NodeIdentity, PeerMessage, PeerReceived, SendToPeer
 from ..query.coordinator import Coordinator
-from ..query.owner_links import OwnerLinks
+from ..query.owner_selector import OwnerSelector
 from .caller_access import CallerAccess
 from .load_machine import LoadMachine
 from .settings import NodeMachineSettings
@@ -69,7 +69,7 @@
         self._owner = OwnerMachine(
             identity, settings.routing, settings.admission, _child(random_source), settings.disabled
         )
-        links = OwnerLinks(identity, settings.routing.owners_per_shard, _child(random_source))
+        links = OwnerSelector(identity, settings.routing.owners_per_shard, _child(random_source))
         self._coordinator = Coordinator(identity, settings.query, links, settings.disabled)
         self._configuration = ConfigurationMachine(
             identity, _child(random_source), settings.disabled
--- a/wingquay/query/coordinator.py
+++ b/wingquay/query/coordinator.py
@@ -34,7 +34,7 @@
 from .conclusion import invalid, refusal, unknown
 from .coordinator_events import AnswerDue, OwnerCheckDue, PieceRetryDue, PromiseDue
 from .merge import AnswerMerge
-from .owner_links import OwnerLinks
+from .owner_selector import OwnerSelector
 from .owner_watch import OwnerWatch
 from .piece_sender import PieceSender
 from .query_ending import QueryEnding
@@ -76,7 +76,7 @@
         self,
         identity: NodeIdentity,
         settings: QuerySettings,
-        links: OwnerLinks,
+        links: OwnerSelector,
         disabled: frozenset[Mechanism] = frozenset(),
     ) -> None:
         self._settings = settings
--- a/wingquay/query/kind_statistics.py
+++ b/wingquay/query/kind_statistics.py
@@ -26,7 +26,7 @@
         tracker.record(latency_seconds, now)
         self._counts[key] = self._counts.get(key, 0) + 1
 
-    def take(self, now: float) -> tuple[KindLoad, ...]:
+    def collect_and_reset(self, now: float) -> tuple[KindLoad, ...]:
         """Return the loads since the last call and count anew."""
         elapsed = max(1e-9, now - self._counted_from)
         self._counted_from = now
--- a/wingquay/query/owner_links.py
+++ b/wingquay/query/owner_selector.py
@@ -15,7 +15,7 @@
 """The time doubles with each silence in a row, up to this."""
 
 
-class OwnerLinks:
+class OwnerSelector:
     """The owners of shards as one coordinator sees them.
 
     Parameters
--- a/wingquay/query/owner_watch.py
+++ b/wingquay/query/owner_watch.py
@@ -5,7 +5,7 @@
 from ..ports.machine import Action, Count, Schedule
 from ..ports.peer import NodeIdentity
 from .coordinator_events import OwnerCheckDue
-from .owner_links import OwnerLinks
+from .owner_selector import OwnerSelector
 from .piece_sender import PieceSender
 from .query_ending import QueryEnding
 from .query_table import QueryTable
@@ -26,7 +26,7 @@
         self,
         identity: NodeIdentity,
         table: QueryTable,
-        links: OwnerLinks,
+        links: OwnerSelector,
         sender: PieceSender,
         ending: QueryEnding,
         silence_seconds: float,
--- a/wingquay/query/piece_sender.py
+++ b/wingquay/query/piece_sender.py
@@ -9,7 +9,7 @@
 from ..model.request import SubRequest
 from ..ports.machine import Action
 from ..ports.peer import NodeIdentity, SendToPeer, SubRequestBatch
-from .owner_links import OwnerLinks
+from .owner_selector import OwnerSelector
 from .plan import ShardIndex, ShardPiece, ShardPlan
 from .query_state import Piece, QueryState
 from .query_table import QueryTable
@@ -27,7 +27,7 @@
         The coordinator's open sub-requests; kept up to date here.
     """
 
-    def __init__(self, links: OwnerLinks, table: QueryTable) -> None:
+    def __init__(self, links: OwnerSelector, table: QueryTable) -> None:
         self._links = links
         self._table = table
         self._indexes: dict[str, ShardIndex] = {}
