--- a/benchmarks/waiting_ways.py
+++ b/benchmarks/waiting_ways.py
@@ -69,8 +69,7 @@
         }
         count = load.nodes
         self._nodes = [
-            OneNode(number, waiting, fewest_nodes=count, most_nodes=count)
-            for number in range(count)
+            OneNode(number, waiting, min_nodes=count, max_nodes=count) for number in range(count)
         ]
         route = single_route(
             objective_seconds=load.objective_seconds, timeout_seconds=load.deadline_seconds
--- a/tests/forwarding/choice/test_bytes_between_zones.py
+++ b/tests/forwarding/choice/test_bytes_between_zones.py
@@ -8,7 +8,7 @@
 from tests.forwarding.choice.replayed_nodes import ReplayedLoad, replayed_route
 from tests.forwarding.choice.replayed_replicas import ReplayedReplica, VirtualClock
 from tests.forwarding.one_node import replica, table
-from wingquay.forwarding.settings import ChoiceWay
+from wingquay.forwarding.settings import ChoiceStrategy
 from wingquay.ports.forwarding import ReplyFailure
 
 SHARDS = 90
@@ -34,7 +34,7 @@
         return sum(self.bytes_by_purpose.values())
 
 
-def played(way: ChoiceWay, seed: int = 1) -> Played:
+def played(way: ChoiceStrategy, seed: int = 1) -> Played:
     """Let requests over 90 shards of 1,000 bytes each pass through nodes of four zones."""
     source = random.Random(seed)
     clock = VirtualClock()
@@ -59,7 +59,7 @@
         merged_records=50,
     )
     load = ReplayedLoad(replicas, clock, {"/wide/": 0.0112}, source, body_bytes={"/wide/": 1000})
-    load.add_nodes(NODES, "abcd", table(1, route), retry_slack=180.0, choice_way=way)
+    load.add_nodes(NODES, "abcd", table(1, route), retry_slack=180.0, choice_strategy=way)
     load.join_nodes(SHARDS)
     load.requests("/wide/", PER_SECOND, 0.0, SETTLING_SECONDS + SECONDS)
     load.clock.run(SETTLING_SECONDS)
@@ -79,12 +79,12 @@
 
 class BytesBetweenZonesTest(TestCase):
     def test_near_replicas_that_are_early_enough_keep_bytes_within_the_zone(self) -> None:
-        product = played(ChoiceWay.PRODUCT)
-        completion = played(ChoiceWay.COMPLETION)
+        product = played(ChoiceStrategy.PRODUCT)
+        completion = played(ChoiceStrategy.COMPLETION)
         self.assertLess(completion.bytes_per_second, 0.5 * product.bytes_per_second)
         self.assertGreaterEqual(completion.served_in_time, product.served_in_time - 0.01)
 
     def test_direct_answers_of_far_replicas_are_the_greatest_purpose(self) -> None:
-        found = played(ChoiceWay.COMPLETION, seed=2).bytes_by_purpose
+        found = played(ChoiceStrategy.COMPLETION, seed=2).bytes_by_purpose
         self.assertEqual("replicas", max(found, key=lambda purpose: found[purpose]))
         self.assertLess(found["DelegatedRequest"], 0.5 * found["DelegatedAnswer"])
--- a/tests/forwarding/choice/test_single_replica_loads.py
+++ b/tests/forwarding/choice/test_single_replica_loads.py
@@ -8,7 +8,7 @@
 from tests.forwarding.choice.replayed_nodes import ReplayedLoad, replayed_route
 from tests.forwarding.choice.replayed_replicas import ReplayedReplica, VirtualClock
 from tests.forwarding.one_node import replica, table
-from wingquay.forwarding.settings import ChoiceWay
+from wingquay.forwarding.settings import ChoiceStrategy
 from wingquay.model.routing_table import WeightedService
 from wingquay.ports.forwarding import ReplyFailure
 
@@ -33,7 +33,7 @@
 
 
 def played(
-    load: Load, way: ChoiceWay, seed: int, lost_share: float = 0.0, is_repeatable: bool = True
+    load: Load, way: ChoiceStrategy, seed: int, lost_share: float = 0.0, is_repeatable: bool = True
 ) -> ReplayedLoad:
     """Return what became of ten usual seconds, fifteen of a burst and five usual ones."""
     source = random.Random(seed)
@@ -59,7 +59,7 @@
     work = {"/one/": load.work_seconds}
     retries = 1 if is_repeatable else 0
     result = ReplayedLoad(replicas, clock, work, source, spread=0.5, retries=retries)
-    result.add_nodes(load.nodes, "abcd", table(1, route), retry_slack=180.0, choice_way=way)
+    result.add_nodes(load.nodes, "abcd", table(1, route), retry_slack=180.0, choice_strategy=way)
     result.requests("/one/", load.per_second, 0.0, 10.0)
     result.requests("/one/", load.per_second * BURST, 10.0, 15.0)
     result.requests("/one/", load.per_second, 25.0, 5.0)
@@ -75,7 +75,7 @@
 class EvenLoadTest(TestCase):
     def test_a_burst_is_served_within_the_objective_and_evenly(self) -> None:
         for load in (MANY_NODES, FEWER_NODES):
-            for way in ChoiceWay:
+            for way in ChoiceStrategy:
                 loads = [played(load, way, seed) for seed in SEEDS]
                 self.assertLess(mean_quantile(loads, 0.99), load.objective_seconds, load)
                 busiest = sum(item.busiest() for item in loads) / len(loads)
@@ -83,14 +83,14 @@
 
     def test_answers_that_are_lost_leave_the_rest_within_the_objective(self) -> None:
         for load in (MANY_NODES, FEWER_NODES):
-            loads = [played(load, ChoiceWay.COMPLETION, seed, 0.08) for seed in SEEDS]
+            loads = [played(load, ChoiceStrategy.COMPLETION, seed, 0.08) for seed in SEEDS]
             self.assertLess(mean_quantile(loads, 0.95), load.objective_seconds, load)
             self.assertEqual([], [item for one in loads for item in one.ended if item.failure])
 
 
 class OnceOnlyTest(TestCase):
     def test_what_may_have_run_is_not_sent_again(self) -> None:
-        load = played(MANY_NODES, ChoiceWay.COMPLETION, 1, 0.4, is_repeatable=False)
+        load = played(MANY_NODES, ChoiceStrategy.COMPLETION, 1, 0.4, is_repeatable=False)
         self.assertEqual(len(load.ended), load.sent)
         lost = [item for item in load.ended if item.kind is ReplyFailure]
         self.assertGreater(len(lost), 0)
--- a/tests/forwarding/crashing/test_suspects.py
+++ b/tests/forwarding/crashing/test_suspects.py
@@ -14,7 +14,7 @@
     MOST_HOLD_SECONDS,
     MOST_SUSPECTS,
     Suspects,
-    Verdict,
+    SuspicionLevel,
 )
 
 IDENTITY = b"i" * 16
@@ -52,8 +52,8 @@
         super().setUp()
         self.suspects = Suspects()
 
-    def verdict(self, now: float) -> Verdict:
-        return self.suspects.verdict(IDENTITY, now)
+    def verdict(self, now: float) -> SuspicionLevel:
+        return self.suspects.suspicion_level(IDENTITY, now)
 
     def test_a_request_is_suspect_after_one_end_and_held_after_three_in_a_row(self) -> None:
         verdicts = []
@@ -61,38 +61,38 @@
             verdicts.append(self.verdict(item.sent_at))
             self.suspects.add(IDENTITY, [item], item.ended_at)
         verdicts.append(self.verdict(3.0))
-        usual, suspect, held = Verdict.USUAL, Verdict.SUSPECT, Verdict.HELD
+        usual, suspect, held = SuspicionLevel.NORMAL, SuspicionLevel.SUSPECT, SuspicionLevel.HELD
         self.assertEqual([usual, suspect, suspect, held], verdicts)
 
     def test_many_ends_at_once_hold_nothing(self) -> None:
         ends = [end(f"r{place}", 0.001 * place) for place in range(20)]
         self.suspects.add(IDENTITY, ends, 0.1)
-        self.assertEqual(Verdict.SUSPECT, self.verdict(1.0))
+        self.assertEqual(SuspicionLevel.SUSPECT, self.verdict(1.0))
 
     def test_the_same_end_told_by_two_nodes_counts_once(self) -> None:
         told = [end("r0", 0.0), end("r0", 1.0, "n2"), end("r0", 2.0, "n3")]
         for item in told:
             self.suspects.add(IDENTITY, [item], 3.0)
-        self.assertEqual(Verdict.SUSPECT, self.verdict(3.0))
+        self.assertEqual(SuspicionLevel.SUSPECT, self.verdict(3.0))
         self.assertFalse(self.suspects.add(IDENTITY, told, 3.0))
 
     def test_ends_of_several_nodes_add_up(self) -> None:
         for place in range(3):
             self.suspects.add(IDENTITY, [end(f"r{place}", place, f"n{place}")], 3.0)
-        self.assertEqual(Verdict.HELD, self.verdict(3.0))
+        self.assertEqual(SuspicionLevel.HELD, self.verdict(3.0))
 
     def test_an_answer_clears_it_also_of_older_ends_that_are_told_later(self) -> None:
         self.suspects.add(IDENTITY, ends_in_row(2), 2.0)
         self.assertTrue(self.suspects.clear(IDENTITY, 2.5))
-        self.assertEqual(Verdict.USUAL, self.verdict(2.5))
+        self.assertEqual(SuspicionLevel.NORMAL, self.verdict(2.5))
         self.assertFalse(self.suspects.add(IDENTITY, ends_in_row(3), 3.0))
         self.assertTrue(self.suspects.add(IDENTITY, [end("later", 2.6)], 3.0))
 
     def test_a_hold_ends_with_a_try_and_another_end_holds_it_longer(self) -> None:
         self.suspects.add(IDENTITY, ends_in_row(3), 3.0)
         over_at = 3.0 + HOLD_SECONDS
-        self.assertEqual(Verdict.HELD, self.verdict(over_at - 0.1))
-        self.assertEqual(Verdict.SUSPECT, self.verdict(over_at))
+        self.assertEqual(SuspicionLevel.HELD, self.verdict(over_at - 0.1))
+        self.assertEqual(SuspicionLevel.SUSPECT, self.verdict(over_at))
         self.suspects.add(IDENTITY, [end("again", over_at + 1.0)], over_at + 2.0)
         self.assertEqual(MOST_HOLD_SECONDS, self.suspects.held_seconds(IDENTITY, over_at + 2.0))
 
@@ -100,19 +100,19 @@
         self.suspects.add(IDENTITY, ends_in_row(3), 3.0)
         self.assertTrue(self.suspects.lift(IDENTITY, 4.0))
         self.assertFalse(self.suspects.lift(IDENTITY, 4.0))
-        self.assertEqual(Verdict.SUSPECT, self.verdict(4.0))
+        self.assertEqual(SuspicionLevel.SUSPECT, self.verdict(4.0))
 
     def test_what_does_not_come_again_is_forgotten(self) -> None:
         self.suspects.add(IDENTITY, ends_in_row(1), 1.0)
-        self.assertEqual(Verdict.SUSPECT, self.verdict(1.0 + FORGET_SECONDS))
-        self.assertEqual(Verdict.USUAL, self.verdict(1.1 + FORGET_SECONDS))
+        self.assertEqual(SuspicionLevel.SUSPECT, self.verdict(1.0 + FORGET_SECONDS))
+        self.assertEqual(SuspicionLevel.NORMAL, self.verdict(1.1 + FORGET_SECONDS))
 
     def test_the_table_has_a_bound_and_keeps_what_is_held(self) -> None:
         self.suspects.add(IDENTITY, ends_in_row(3), 3.0)
         for number in range(2 * MOST_SUSPECTS):
             self.suspects.add(number.to_bytes(16), ends_in_row(1), 4.0)
         self.assertEqual(MOST_SUSPECTS, len(self.suspects))
-        self.assertEqual(Verdict.HELD, self.verdict(4.0))
+        self.assertEqual(SuspicionLevel.HELD, self.verdict(4.0))
 
     def test_so_has_the_memory_of_those_that_were_cleared(self) -> None:
         for number in range(2 * MOST_SUSPECTS):
--- a/tests/forwarding/limits/test_limit_parts.py
+++ b/tests/forwarding/limits/test_limit_parts.py
@@ -15,7 +15,7 @@
 from wingquay.forwarding.arrival.limits.sliding_count import GRAIN_SECONDS, SlidingCount
 from wingquay.forwarding.knowledge.node_groups import GroupNode, NodeGroups
 from wingquay.forwarding.settings import ForwardingSettings
-from wingquay.forwarding.timers import LimitOwnerDue
+from wingquay.forwarding.timers import LimitRefreshDue
 from wingquay.ports.peer_link import NodeRecord
 
 TIMES = st.lists(st.floats(0.0, 20.0), min_size=1, max_size=60)
@@ -109,9 +109,9 @@
         limited = tenant()
         work.set_tenants({limited.name: limited}, 100.0)
         work.open(own, groups, lambda _: listed[0], lambda: has_stood, 103.0)
-        work.handle(LimitOwnerDue(), 103.0)
+        work.handle(LimitRefreshDue(), 103.0)
         listed[0] = True
-        work.handle(LimitOwnerDue(), 103.5)
+        work.handle(LimitRefreshDue(), 103.5)
         answers = [work.admit(limited, number, at) for number in range(100)]
         return sum(isinstance(answer, Admitted) for answer in answers)
 
--- a/tests/forwarding/linked_nodes.py
+++ b/tests/forwarding/linked_nodes.py
@@ -23,7 +23,7 @@
 
 def node_in_group(**route: object) -> OneNode:
     """Return a node whose link is open, with two others in its zone and two replicas a shard."""
-    node = OneNode(delegate_least_shards=10)
+    node = OneNode(delegate_min_shards=10)
     records = [
         replica(f"r{number}-{copy}", f"s{number}") for number in range(SHARDS) for copy in "abc"
     ]
@@ -67,7 +67,7 @@
 
 def node_apart_from_owners(shards: int = SHARDS) -> OneNode:
     """Return a node whose shards all have their replicas in another zone, with nodes there."""
-    node = OneNode(delegate_least_shards=10)
+    node = OneNode(delegate_min_shards=10)
     records = [replica(f"r{number}", f"s{number}", "b") for number in range(shards)]
     node.start(table(1, sharded_route(shards)), *records)
     node.emit(PeerLinkOpened(OWN))
--- a/tests/forwarding/proof_fleet.py
+++ b/tests/forwarding/proof_fleet.py
@@ -211,7 +211,7 @@
     def tell_copy(self, node: FleetNode) -> None:
         """Let a neighbour tell what it knows of the store, however old that is."""
         neighbour = self.nodes[(node.number + 1) % len(self.nodes)]
-        known = neighbour.machine.known_of_store() if neighbour.is_awake else None
+        known = neighbour.machine.store_snapshot() if neighbour.is_awake else None
         if known is not None and neighbour is not node:
             copy = PeerSnapshot(known.values, known.store_revision)
             self.clock.after(LINK_SECONDS, node.take, copy)
--- a/tests/forwarding/readiness/zone_fleet.py
+++ b/tests/forwarding/readiness/zone_fleet.py
@@ -113,7 +113,7 @@
         seed = sum(name.encode())
         self.machine = ForwardingNode(
             name,
-            ForwardingSettings(zone=zone, delegate_least_shards=10, **settings),  # type: ignore[arg-type]
+            ForwardingSettings(zone=zone, delegate_min_shards=10, **settings),  # type: ignore[arg-type]
             FollowerSettings(),
             formats,
             random.Random(seed),
--- a/tests/forwarding/test_cold_share.py
+++ b/tests/forwarding/test_cold_share.py
@@ -75,7 +75,7 @@
 
 class ChoiceTest(TestCase):
     def node(self, per_second: float, *cold: str) -> OneNode:
-        node = OneNode(cold_overage=1.0, cold_slack=0.0, fewest_nodes=1, most_nodes=1)
+        node = OneNode(cold_overage=1.0, cold_slack=0.0, min_nodes=1, max_nodes=1)
         route = single_route()
         made = table(1, route)
         services = {
--- a/tests/forwarding/test_connections_ahead.py
+++ b/tests/forwarding/test_connections_ahead.py
@@ -29,7 +29,7 @@
 
     def setUp(self) -> None:
         super().setUp()
-        self.node = OneNode(delegate_least_shards=10)
+        self.node = OneNode(delegate_min_shards=10)
         records = [replica(f"r{number}", f"s{number}") for number in range(SHARDS)]
         self.node.start(table(1, sharded_route(SHARDS)), *records)
         self.node.emit(PeerLinkOpened(OWN))
--- a/tests/forwarding/test_delegation.py
+++ b/tests/forwarding/test_delegation.py
@@ -216,7 +216,7 @@
 
 class NearReplicaTest(TestCase):
     def test_an_owner_stays_in_its_zone_while_a_near_replica_has_a_free_slot(self) -> None:
-        node = OneNode(delegate_least_shards=10)
+        node = OneNode(delegate_min_shards=10)
         records = [
             replica(f"r{number}-{zone}", f"s{number}", zone)
             for number in range(SHARDS)
--- a/tests/forwarding/test_evacuation.py
+++ b/tests/forwarding/test_evacuation.py
@@ -93,7 +93,7 @@
         self.assertEqual([], node.all_sends)
 
     def test_parts_asked_for_by_other_nodes_stay_away(self) -> None:
-        node = OneNode(delegate_least_shards=10)
+        node = OneNode(delegate_min_shards=10)
         shards = tuple(f"s{number}" for number in range(12))
         records = [replica(f"{zone}{name}", name, zone) for name in shards for zone in "ab"]
         node.start(table(1, sharded_route(12)), *records)
--- a/tests/forwarding/test_extra_turns.py
+++ b/tests/forwarding/test_extra_turns.py
@@ -59,8 +59,8 @@
             retry_ratio=0.0,
             retry_slack=2.5,
             retry_window_seconds=1.0,
-            fewest_nodes=1,
-            most_nodes=1,
+            min_nodes=1,
+            max_nodes=1,
         )
         directory = ReplicaDirectory(settings, random.Random(1))
         self.shares = SendingShares(settings, directory, NodeCount(settings), "", DEFAULT_WAITING)
--- a/tests/forwarding/test_far_owners.py
+++ b/tests/forwarding/test_far_owners.py
@@ -149,7 +149,7 @@
     def test_numbers_of_two_lives_differ(self) -> None:
         numbers = set()
         for seed in range(3):
-            node = OneNode(seed=seed, delegate_least_shards=10)
+            node = OneNode(seed=seed, delegate_min_shards=10)
             records = [replica(f"r{number}", f"s{number}", "b") for number in range(SHARDS)]
             node.start(table(1, sharded_route(SHARDS)), *records)
             node.emit(PeerLinkOpened(OWN))
--- a/tests/forwarding/test_line_properties.py
+++ b/tests/forwarding/test_line_properties.py
@@ -33,7 +33,7 @@
 
     def __init__(self) -> None:
         in_force = WaitingSettings(WaitingRule.ESTIMATE, LinePlace.NODE)
-        self.node = OneNode(waiting=in_force, fewest_nodes=1)
+        self.node = OneNode(waiting=in_force, min_nodes=1)
         objective = {"objective_seconds": 0.5, "timeout_seconds": DEADLINE_SECONDS}
         routes = (
             single_route("/urgent/", priority=0, **objective),
--- a/tests/forwarding/test_loop_lag.py
+++ b/tests/forwarding/test_loop_lag.py
@@ -31,7 +31,7 @@
         self.assertAlmostEqual(0.98, node.sends[-1].remaining_seconds)
 
     def test_a_node_that_is_asked_gives_replicas_less_time(self) -> None:
-        node = OneNode(delegate_least_shards=4)
+        node = OneNode(delegate_min_shards=4)
         node.start(table(1, sharded_route(4)), *(replica(f"r{n}", f"s{n}") for n in range(4)))
         node.emit(PeerLinkOpened(OWN))
         node.stall(0.6)
--- a/tests/forwarding/test_node_groups.py
+++ b/tests/forwarding/test_node_groups.py
@@ -103,7 +103,7 @@
     """The cluster's key, the link and the node's own key, one after the other."""
 
     def started(self, route_shards: int, *values: StoredValue) -> OneNode:
-        node = OneNode(delegate_least_shards=4)
+        node = OneNode(delegate_min_shards=4)
         records = [replica(f"r{number}", f"s{number}") for number in range(route_shards)]
         node.start(table(1, sharded_route(route_shards)), *records, values=values)
         return node
@@ -141,7 +141,7 @@
         self.assertEqual(1, len(self.opened(far)))
 
     def test_a_configuration_that_comes_late_is_waited_for(self) -> None:
-        node = OneNode(delegate_least_shards=4)
+        node = OneNode(delegate_min_shards=4)
         node.start(None, values=(StoredValue(CLUSTER_KEY, b"known", 5),))
         node.advance(1.0)
         records = [replica(f"r{number}", f"s{number}") for number in range(4)]
--- a/tests/forwarding/test_presence.py
+++ b/tests/forwarding/test_presence.py
@@ -129,7 +129,7 @@
 
 class NodeCountTest(TestCase):
     def test_many_are_reckoned_with_while_nothing_is_known(self) -> None:
-        self.assertEqual(SETTINGS.most_nodes, NodeCount(SETTINGS).get(0.0))
+        self.assertEqual(SETTINGS.max_nodes, NodeCount(SETTINGS).get(0.0))
 
     def test_a_greater_number_is_remembered_for_a_while(self) -> None:
         nodes = NodeCount(SETTINGS)
--- a/tests/forwarding/test_replica_lives.py
+++ b/tests/forwarding/test_replica_lives.py
@@ -312,7 +312,7 @@
         """Return how many of forty requests at once a cold replica gets."""
         routes = (single_route(max_attempts=1),)
         service = UpstreamService("s", 24, cold_requests_per_second=10.0)
-        node = OneNode(cold_overage=1.0, cold_slack=0.0, fewest_nodes=1, most_nodes=1)
+        node = OneNode(cold_overage=1.0, cold_slack=0.0, min_nodes=1, max_nodes=1)
         cold = replica("r0", "s", born=born, cold_seconds=60.0)
         node.start(RoutingTable(1, routes, {"s": service}, CallerLimits()), cold)
         for _ in range(40):
@@ -450,7 +450,7 @@
             else:
                 node.end_replica(first)
             exchange = node.machine._forwarding._settlement.get(number)
-            self.assertEqual(1, exchange.unexplained_ends)
+            self.assertEqual(1, exchange.unexplained_disconnects)
 
     def test_the_end_of_one_that_was_leaving_is_held_against_no_request(self) -> None:
         node = started(max_attempts=1)
--- a/tests/forwarding/test_sharded_service.py
+++ b/tests/forwarding/test_sharded_service.py
@@ -5,7 +5,7 @@
 from tests.forwarding.one_node import OneNode, replica, sharded_route, table
 from wingquay.forwarding.settings import ForwardingSettings
 from wingquay.forwarding.settling.cutoff import in_time_seconds
-from wingquay.forwarding.settling.merging import RECORD_BYTES, merge_greatest
+from wingquay.forwarding.settling.merging import RECORD_BYTES, merge_top_records
 from wingquay.ports.forwarding import (
     ForwardFailureKind,
     ReplyFailure,
@@ -34,10 +34,10 @@
 class MergeTest(TestCase):
     def test_the_greatest_records_come_first_and_equal_ones_all_count(self) -> None:
         bodies = [record(5) + record(9), record(9) + record(1), b""]
-        self.assertEqual(record(9) + record(9) + record(5), merge_greatest(bodies, 3))
+        self.assertEqual(record(9) + record(9) + record(5), merge_top_records(bodies, 3))
 
     def test_remaining_bytes_form_no_record(self) -> None:
-        self.assertEqual(record(2), merge_greatest([record(2) + b"\xff" * 15], 3))
+        self.assertEqual(record(2), merge_top_records([record(2) + b"\xff" * 15], 3))
 
 
 class GatherTest(TestCase):
--- a/tests/forwarding/test_store_following.py
+++ b/tests/forwarding/test_store_following.py
@@ -275,7 +275,7 @@
         node.emit(StoreResponse(read.operation_id, Failure(StoreFailureKind.UNREACHABLE, "down")))
         self.assertIsNotNone(node.last(AskPeers))
         teacher = started()
-        known = teacher.machine.known_of_store()
+        known = teacher.machine.store_snapshot()
         assert known is not None
         node.learn_formats_of(teacher)
         node.emit(PeerSnapshot(known.values, known.store_revision))
--- a/tests/forwarding/test_tenants_at_other_nodes.py
+++ b/tests/forwarding/test_tenants_at_other_nodes.py
@@ -50,7 +50,7 @@
 
 def linked_node(configuration: RoutingTable, zone: str = "a") -> OneNode:
     """Return a node whose link is open, with shards and single replicas in a zone."""
-    node = OneNode(delegate_least_shards=10)
+    node = OneNode(delegate_min_shards=10)
     shards = [
         replica(f"r{number}-{copy}", f"s{number}", zone)
         for number in range(SHARDS)
--- a/tests/forwarding/test_waiting_loads.py
+++ b/tests/forwarding/test_waiting_loads.py
@@ -30,7 +30,7 @@
 
 def settled(*routes: Route, replicas: int = 1, **settings: object) -> OneNode:
     """Return a node that is one of many and knows all records."""
-    node = OneNode(waiting=IN_FORCE, fewest_nodes=NODES, most_nodes=NODES, **settings)
+    node = OneNode(waiting=IN_FORCE, min_nodes=NODES, max_nodes=NODES, **settings)
     records = [replica(f"r{number}", "s") for number in range(replicas)]
     node.start(table(1, *(routes or (check_route(),)), connections=NODES * 8), *records)
     node.advance(10.0)
--- a/tests/platform_adapter/test_node.py
+++ b/tests/platform_adapter/test_node.py
@@ -265,4 +265,4 @@
 
     def test_a_short_time_of_grace_is_shared_evenly(self) -> None:
         self.assertEqual(0.5, most_stop_seconds(1.0))
-        self.assertEqual(ForwardingSettings(zone="z").most_stop_seconds, most_stop_seconds(6.0))
+        self.assertEqual(ForwardingSettings(zone="z").max_stop_seconds, most_stop_seconds(6.0))
--- a/tests/simulation/forwarding/test_crashing_request.py
+++ b/tests/simulation/forwarding/test_crashing_request.py
@@ -23,7 +23,7 @@
 
 from testtools import TestCase
 
-from wingquay.forwarding.crashing.suspects import Verdict
+from wingquay.forwarding.crashing.suspects import SuspicionLevel
 from wingquay.forwarding.settling.ending import HELD_REASON
 from wingquay.ports.forwarding import OpaqueRequest, ReplyFailure
 from wingquay.simulation.forwarding.callers import LEAD_SECONDS, PATHS
@@ -79,7 +79,7 @@
         self.assertLessEqual(len(did.ended_at), most_ends, seed)
 
     def test_one_over_shards_ends_one_send_to_all_and_three_replicas_more(self) -> None:
-        for chosen in (settings(), settings(delegate_least_shards=4, shards=10)):
+        for chosen in (settings(), settings(delegate_min_shards=4, shards=10)):
             for seed in (1, 2, 3):
                 # Hedges that went out before the first replica ended come on top.
                 most_ends = chosen.shards * 3 // 2 + SINGLE_SEND_ENDS
@@ -114,7 +114,7 @@
         def count_refusing(nodes: list[SimulatedForwardingNode]) -> None:
             request = OpaqueRequest(b"GET", b"/fetch/crash", ())
             verdicts = [node.verdict(request) for node in nodes]
-            refusing.append(verdicts.count(Verdict.HELD))
+            refusing.append(verdicts.count(SuspicionLevel.HELD))
 
         def watch() -> None:
             ended = simulation.oracle.crashes.requests.get(b"/fetch/crash")
@@ -142,7 +142,7 @@
                 for node in simulation.nodes
                 for path in PATHS
             )
-            self.assertNotIn(Verdict.HELD, verdicts, seed)
+            self.assertNotIn(SuspicionLevel.HELD, verdicts, seed)
             reasons = {
                 request.reply.reason
                 for request in simulation.oracle.requests.values()
--- a/tests/simulation/forwarding/test_forwarding_simulation.py
+++ b/tests/simulation/forwarding/test_forwarding_simulation.py
@@ -41,14 +41,14 @@
 
 SHORT = SimulationSettings(seconds=6.0, requests_per_second=50.0)
 SHARED = SimulationSettings(
-    nodes=6, copies=3, seconds=6.0, requests_per_second=50.0, delegate_least_shards=4
+    nodes=6, copies=3, seconds=6.0, requests_per_second=50.0, delegate_min_shards=4
 )
 """Nodes ask each other for most shards."""
 APART = SimulationSettings(nodes=6, zones=3, seconds=6.0, requests_per_second=50.0)
 """A third of the nodes have no replica in their zone and ask nodes of the other zones."""
 
 SPREAD = SimulationSettings(
-    nodes=9, zones=3, seconds=6.0, requests_per_second=50.0, delegate_least_shards=4
+    nodes=9, zones=3, seconds=6.0, requests_per_second=50.0, delegate_min_shards=4
 )
 """Owners of shards are in other zones than a third of the nodes that ask them."""
 
--- a/tests/simulation/forwarding/test_replica_lives.py
+++ b/tests/simulation/forwarding/test_replica_lives.py
@@ -24,7 +24,7 @@
 
 SHORT = SimulationSettings(seconds=18.0)
 ALONE = SimulationSettings(seconds=60.0, single_replicas=1)
-SHARED = SimulationSettings(seconds=18.0, shards=6, copies=3, delegate_least_shards=4)
+SHARED = SimulationSettings(seconds=18.0, shards=6, copies=3, delegate_min_shards=4)
 
 
 class ReplicaLivesTest(TestCase):
--- a/tests/simulation/forwarding/test_soak.py
+++ b/tests/simulation/forwarding/test_soak.py
@@ -18,7 +18,7 @@
     shards=10,
     seconds=60.0,
     requests_per_second=40.0,
-    delegate_least_shards=4,
+    delegate_min_shards=4,
 )
 FAULTS_OF_A_SOAK = 20
 LEAST_SERVED_SHARE = 0.9
--- a/tests/simulation/forwarding/test_suspension.py
+++ b/tests/simulation/forwarding/test_suspension.py
@@ -15,7 +15,7 @@
 from wingquay.simulation.forwarding.simulation import ForwardingSimulation, SimulatedFault
 
 SETTINGS = SimulationSettings(
-    nodes=6, copies=3, shards=8, seconds=40.0, requests_per_second=30.0, delegate_least_shards=4
+    nodes=6, copies=3, shards=8, seconds=40.0, requests_per_second=30.0, delegate_min_shards=4
 )
 WITH_EACH: tuple[tuple[SimulatedFault, ...], ...] = (
     (),
--- a/tests/simulation/forwarding/test_tenants.py
+++ b/tests/simulation/forwarding/test_tenants.py
@@ -18,7 +18,7 @@
     shards=8,
     seconds=20.0,
     requests_per_second=60.0,
-    delegate_least_shards=4,
+    delegate_min_shards=4,
     tenants=5,
 )
 FAULTS_OF_A_RUN = 8
--- a/wingquay/forwarding/arrival/limits/contacts.py
+++ b/wingquay/forwarding/arrival/limits/contacts.py
@@ -5,7 +5,7 @@
 from ....ports.limit_messages import LimitAcknowledgement
 from ....ports.machine import Action, Count, Log, LogLevel
 from ....ports.peer_link import NodeIdentity
-from ...timers import LimitProbeDue, LimitSilenceDue, LimitTellDue
+from ...timers import LimitAckDue, LimitProbeDue, LimitReportDue
 from .owner_contact import OwnerContact
 from .owner_role import OwnerRole
 from .owners import Owners
@@ -89,19 +89,17 @@
             contact.hear_hot(name, seconds, now)
         return contact.acknowledged(message.sequence, now) if message.sequence else []
 
-    def due(
-        self, event: LimitTellDue | LimitSilenceDue | LimitProbeDue, now: float
-    ) -> list[Action]:
+    def due(self, event: LimitReportDue | LimitAckDue | LimitProbeDue, now: float) -> list[Action]:
         """Tell, look whether an owner is silent, or try to reach it again."""
         contact = self._contacts.get(event.node_id)
         if contact is None:
             return []
         match event:
-            case LimitTellDue():
+            case LimitReportDue():
                 return contact.tell(now)
             case LimitProbeDue():
                 return contact.probe(now)
-            case LimitSilenceDue():
+            case LimitAckDue():
                 return self.lose(event.node_id, now) if contact.is_silent(event.sequence) else []
 
     def lose(self, node_id: str, now: float, is_broken: bool = False) -> list[Action]:
--- a/wingquay/forwarding/arrival/limits/limit_keeper.py
+++ b/wingquay/forwarding/arrival/limits/limit_keeper.py
@@ -10,11 +10,11 @@
 from ....ports.peer_link import NodeIdentity, PeerLinkBroken, PeerLinkOpened, PeerReceived
 from ...knowledge.node_membership import NodeMembership
 from ...timers import (
-    LimitAskDue,
-    LimitOwnerDue,
+    LimitAckDue,
     LimitProbeDue,
-    LimitSilenceDue,
-    LimitTellDue,
+    LimitRefreshDue,
+    LimitReportDue,
+    LimitRequestDue,
 )
 from ..admission import Admitted, Rejected
 from ..arrival_admission import ArrivalAdmission
@@ -26,11 +26,11 @@
 _TAKEN = (
     PeerReceived,
     PeerLinkBroken,
-    LimitAskDue,
-    LimitOwnerDue,
+    LimitRequestDue,
+    LimitRefreshDue,
     LimitProbeDue,
-    LimitSilenceDue,
-    LimitTellDue,
+    LimitAckDue,
+    LimitReportDue,
 )
 
 
--- a/wingquay/forwarding/arrival/limits/limit_work.py
+++ b/wingquay/forwarding/arrival/limits/limit_work.py
@@ -16,11 +16,11 @@
 from ....ports.peer_link import NodeIdentity, PeerLinkBroken, PeerMessage, PeerReceived
 from ...knowledge.node_groups import NodeGroups
 from ...timers import (
-    LimitAskDue,
-    LimitOwnerDue,
+    LimitAckDue,
     LimitProbeDue,
-    LimitSilenceDue,
-    LimitTellDue,
+    LimitRefreshDue,
+    LimitReportDue,
+    LimitRequestDue,
 )
 from ..admission import Admitted, AwaitsLimit, Rejected
 from .contacts import Contacts
@@ -31,7 +31,7 @@
 from .owners import Owners
 from .reserve import Reserve
 
-OWN_EVENTS = (LimitTellDue, LimitSilenceDue, LimitProbeDue, LimitAskDue, LimitOwnerDue)
+OWN_EVENTS = (LimitReportDue, LimitAckDue, LimitProbeDue, LimitRequestDue, LimitRefreshDue)
 """Events by which this part wakes itself."""
 OWN_MESSAGES = (
     LimitTell,
@@ -43,11 +43,11 @@
 )
 """Messages of other nodes that this part takes."""
 LimitEvent = (
-    LimitTellDue
-    | LimitSilenceDue
+    LimitReportDue
+    | LimitAckDue
     | LimitProbeDue
-    | LimitAskDue
-    | LimitOwnerDue
+    | LimitRequestDue
+    | LimitRefreshDue
     | PeerReceived
     | PeerLinkBroken
 )
@@ -161,9 +161,9 @@
             case PeerLinkBroken():
                 actions += self._contacts.lose(event.node_id, now, True)
                 actions += self._node.lost(event.node_id, now)
-            case LimitAskDue():
+            case LimitRequestDue():
                 actions += self._node.ask_due(event, now)
-            case LimitOwnerDue():
+            case LimitRefreshDue():
                 actions += self._owner_due(now)
             case _:
                 actions += self._contacts.due(event, now)
@@ -199,7 +199,7 @@
         if self._is_due or role is None or not role.is_owner:
             return []
         self._is_due = True
-        return [Schedule(now + EXCHANGE_SECONDS, LimitOwnerDue())]
+        return [Schedule(now + EXCHANGE_SECONDS, LimitRefreshDue())]
 
     def _node_ids(self) -> list[str]:
         groups = self._groups
--- a/wingquay/forwarding/arrival/limits/node_role.py
+++ b/wingquay/forwarding/arrival/limits/node_role.py
@@ -13,7 +13,7 @@
 )
 from ....ports.machine import Action, Count, Schedule
 from ....ports.peer_link import NodeIdentity, SendToPeer
-from ...timers import LimitAskDue
+from ...timers import LimitRequestDue
 from ..admission import Admitted, AwaitsLimit, Rejected
 from .contacts import Contacts
 from .limit_settings import LimitSettings
@@ -123,7 +123,7 @@
         self._asks[ask_id] = ask
         self._waiting[exchange_id] = ask_id
         for seconds in (SECOND_ASK_SECONDS, SILENCE_SECONDS):
-            self._outbox.append(Schedule(now + seconds, LimitAskDue(ask_id)))
+            self._outbox.append(Schedule(now + seconds, LimitRequestDue(ask_id)))
         return AwaitsLimit()
 
     def give_back(self, tenant: Tenant, exchange_id: int, now: float) -> None:
@@ -207,7 +207,7 @@
         )
         return actions + self._go_on(message.ask_id, ask, answer, now)
 
-    def ask_due(self, event: LimitAskDue, now: float) -> list[Action]:
+    def ask_due(self, event: LimitRequestDue, now: float) -> list[Action]:
         """Ask another owner besides one that says nothing, and give up in the end."""
         ask = self._asks.get(event.ask_id) or self._late.get(event.ask_id)
         if ask is None:
--- a/wingquay/forwarding/arrival/limits/owner_contact.py
+++ b/wingquay/forwarding/arrival/limits/owner_contact.py
@@ -6,7 +6,7 @@
 from ....ports.limit_messages import LimitTell
 from ....ports.machine import Action, Log, LogLevel, Schedule
 from ....ports.peer_link import NodeIdentity, SendToPeer
-from ...timers import LimitProbeDue, LimitSilenceDue, LimitTellDue
+from ...timers import LimitAckDue, LimitProbeDue, LimitReportDue
 
 TELL_SECONDS = 0.015
 """Time for which what was begun is gathered before the owner is told. A tenant that sends 800
@@ -111,7 +111,7 @@
             return []
         self._is_due = True
         due_at = max(now + TELL_SECONDS, self._told_at + TELL_PAUSE_SECONDS)
-        return [Schedule(due_at, LimitTellDue(self.owner.node_id))]
+        return [Schedule(due_at, LimitReportDue(self.owner.node_id))]
 
     def tell(self, now: float, is_probe: bool = False) -> list[Action]:
         """Send what is to be told; a probe is sent although there is nothing."""
@@ -136,7 +136,7 @@
             tuple(counts.values()),
             tuple(charged.get(name, 0) for name in names),
         )
-        look = LimitSilenceDue(self.owner.node_id, self._sequence)
+        look = LimitAckDue(self.owner.node_id, self._sequence)
         return [SendToPeer(self.owner, message), Schedule(now + SILENCE_SECONDS, look)]
 
     def acknowledged(self, sequence: int, now: float) -> list[Action]:
--- a/wingquay/forwarding/choice/best_replica.py
+++ b/wingquay/forwarding/choice/best_replica.py
@@ -3,7 +3,7 @@
 import random
 from collections.abc import Iterable
 
-from ..settings import ChoiceWay, ForwardingSettings
+from ..settings import ChoiceStrategy, ForwardingSettings
 from .completion import Task, expected_seconds
 from .prospects import prospect_of
 from .replica_state import ReplicaState
@@ -46,7 +46,7 @@
             What of the request matters; without it replicas are compared by factors.
         """
         zone = self._settings.zone
-        by_completion = self._settings.choice_way is ChoiceWay.COMPLETION
+        by_completion = self._settings.choice_strategy is ChoiceStrategy.COMPLETION
 
         def rank(state: ReplicaState) -> tuple[float, float]:
             may_try = self._trials.is_allowed(state, now)
--- a/wingquay/forwarding/choice/replica_directory.py
+++ b/wingquay/forwarding/choice/replica_directory.py
@@ -104,7 +104,7 @@
 
     def is_contradicted(self, now: float) -> bool:
         """Whether a replica has just shown that records are old."""
-        return now - self._contradicted_at < self._settings.contradiction_seconds
+        return now - self._contradicted_at < self._settings.stale_record_seconds
 
     def note_outage(self, now: float) -> None:
         """Take in that the directory is out of reach now."""
--- a/wingquay/forwarding/choice/replica_state.py
+++ b/wingquay/forwarding/choice/replica_state.py
@@ -119,7 +119,7 @@
         if self.is_out_of_reach:
             return True
         return any(
-            self.is_silent_since(sent_at) and now - sent_at >= settings.silent_seconds
+            self.is_silent_since(sent_at) and now - sent_at >= settings.unreachable_after_seconds
             for sent_at, _ in self.in_flight.values()
         )
 
@@ -260,7 +260,7 @@
             return 0.0
         doublings = min(self.failures_in_row - first, MOST_DOUBLINGS)
         seconds = settings.connect_backoff_seconds * 2.0**doublings
-        seconds = min(seconds, settings.connect_backoff_most_seconds)
+        seconds = min(seconds, settings.connect_backoff_max_seconds)
         self.blocked_until = now + seconds
         return seconds
 
--- a/wingquay/forwarding/crashing/guard.py
+++ b/wingquay/forwarding/crashing/guard.py
@@ -19,7 +19,7 @@
 from ..timers import CrashNewsDue
 from .end_watch import EndWatch, LostAttempt
 from .evidence import ReplicaEnd
-from .suspects import Suspects, Verdict
+from .suspects import Suspects, SuspicionLevel
 
 NEWS_PEERS = 8
 """Nodes that are told what is new; each tells as many others when it first hears it. That reaches
@@ -65,11 +65,13 @@
         self.write: Callable[[bytes, HeldRequest, float], list[Action]] = _nothing_written
         """Lets nodes that start later know of a request that is held back."""
 
-    def verdict(self, request: OpaqueRequest, now: float, tenant: str = "") -> Verdict:
+    def suspicion_level(
+        self, request: OpaqueRequest, now: float, tenant: str = ""
+    ) -> SuspicionLevel:
         """Return how a request that has arrived, of a tenant if it is known, is to be treated."""
         if not len(self._suspects):
-            return Verdict.USUAL
-        return self._suspects.verdict(identity_of(request, tenant), now)
+            return SuspicionLevel.NORMAL
+        return self._suspects.suspicion_level(identity_of(request, tenant), now)
 
     def held_seconds(self, identity: bytes, now: float) -> float:
         """Return how much longer a request is held back."""
@@ -86,7 +88,7 @@
         exchange = attempt.call.exchange
         if exchange.is_cleared:
             return []
-        exchange.unexplained_ends += 1
+        exchange.unexplained_disconnects += 1
         if exchange.origin is not None:
             # The node that asked looks into it: it knows of all parts of the request.
             return []
@@ -108,7 +110,7 @@
             if event.is_refused or lost.replica.is_over:
                 actions += self._ended(lost, now)
             elif event.is_open:
-                lost.exchange.unexplained_ends -= 1
+                lost.exchange.unexplained_disconnects -= 1
         return actions, [lost.exchange for lost in found]
 
     def _ended(self, lost: LostAttempt, now: float) -> list[Action]:
@@ -244,7 +246,7 @@
         return self._news_count <= MOST_NEWS_PER_SECOND
 
     def _is_held(self, identity: bytes, now: float) -> bool:
-        return self._suspects.verdict(identity, now) is Verdict.HELD
+        return self._suspects.suspicion_level(identity, now) is SuspicionLevel.HELD
 
     def _ends_known(self, identity: bytes) -> int:
         suspect = self._suspects.get(identity)
--- a/wingquay/forwarding/crashing/careful_sending.py
+++ b/wingquay/forwarding/crashing/sequential_sending.py
@@ -7,7 +7,7 @@
 from ..sending.call_starter import CallStarter
 
 
-class CarefulSending:
+class SequentialSending:
     """Takes the calls of a request one by one, and all that are left once it is cleared."""
 
     def __init__(self, starter: CallStarter) -> None:
@@ -18,7 +18,7 @@
     def step(self, exchange: Exchange, now: float) -> list[Action]:
         """Ask one replica, unless one that may still answer is asked already."""
         actions: list[Action] = []
-        if exchange.is_under_way(now):
+        if exchange.has_recent_attempt(now):
             return actions
         for call in _open_calls(exchange):
             actions += self._start(call, now)
--- a/wingquay/forwarding/crashing/suspects.py
+++ b/wingquay/forwarding/crashing/suspects.py
@@ -27,10 +27,10 @@
 """Ends that are remembered of a request; further ones change nothing."""
 
 
-class Verdict(Enum):
+class SuspicionLevel(Enum):
     """How a request is to be treated."""
 
-    USUAL = "usual"
+    NORMAL = "usual"
     SUSPECT = "suspect"
     """Replicas ended under it, and none has answered it since: one replica is asked at a time."""
     HELD = "held"
@@ -75,12 +75,12 @@
         """Return what is known of a request."""
         return self._by_identity.get(identity)
 
-    def verdict(self, identity: bytes, now: float) -> Verdict:
+    def suspicion_level(self, identity: bytes, now: float) -> SuspicionLevel:
         """Return how a request is to be treated."""
         suspect = self._by_identity.get(identity)
         if suspect is None or self._is_over(suspect, now):
-            return Verdict.USUAL
-        return Verdict.HELD if now < suspect.held_until else Verdict.SUSPECT
+            return SuspicionLevel.NORMAL
+        return SuspicionLevel.HELD if now < suspect.held_until else SuspicionLevel.SUSPECT
 
     def held_seconds(self, identity: bytes, now: float) -> float:
         """Return how much longer a request is held back; 0: it is not."""
--- a/wingquay/forwarding/exchange.py
+++ b/wingquay/forwarding/exchange.py
@@ -24,7 +24,7 @@
         ...
 
     @property
-    def is_allowed(self) -> bool:
+    def may_retry(self) -> bool:
         """Whether further attempts are left to this node."""
         ...
 
@@ -36,11 +36,11 @@
         """Leave the calls that are not under way to that node; return the message that says so."""
         ...
 
-    def tell_exhausted(self, calls: "list[ServiceCall]") -> list[Action]:
+    def report_exhausted(self, calls: "list[ServiceCall]") -> list[Action]:
         """Return the message that nothing comes of calls any more, if that has not been told."""
         ...
 
-    def refuse_held(self, held_seconds: float) -> list[Action]:
+    def report_held(self, held_seconds: float) -> list[Action]:
         """Return the message that the request is held back."""
         ...
 
@@ -54,7 +54,7 @@
     replica: ReplicaState
     sent_at: float
     is_hedge: bool
-    ahead: int = 0
+    outstanding_before: int = 0
     """Attempts of this node that were under way there before it."""
     was_suspended: bool = False
     """This node's machine was suspended meanwhile: that no answer came says nothing."""
@@ -70,9 +70,9 @@
     service: str
     attempts: dict[int, Attempt] = field(default_factory=dict)
     """Attempts under way, by id."""
-    asked: set[str] = field(default_factory=set)
+    tried_incarnations: set[str] = field(default_factory=set)
     """Lives of replicas that the request was sent to and that may have run it."""
-    refused: set[str] = field(default_factory=set)
+    refused_incarnations: set[str] = field(default_factory=set)
     """Lives that could not be reached or did not run it, since the last pause."""
     arrivals: int = 0
     """Sendings that may have arrived."""
@@ -103,9 +103,9 @@
     @property
     def may_have_run(self) -> bool:
         """Whether a replica may have run the request, or may yet for a node that was lost."""
-        return bool(self.asked) or self.delegated_attempts > 0 or self.is_delegate_lost
+        return bool(self.tried_incarnations) or self.delegated_attempts > 0 or self.is_delegate_lost
 
-    def take_answer(self, answer: ReplicaAnswer, now: float) -> None:
+    def record_answer(self, answer: ReplicaAnswer, now: float) -> None:
         """Take in the shard's answer, or a better one than before."""
         if self.answer is None:
             self.exchange.shards_in += 1
@@ -115,7 +115,11 @@
     @property
     def attempts_left(self) -> int:
         """How many more replicas this node may send the request to."""
-        return self.exchange.route.max_attempts - len(self.asked) - self.delegated_attempts
+        return (
+            self.exchange.route.max_attempts
+            - len(self.tried_incarnations)
+            - self.delegated_attempts
+        )
 
     @property
     def is_exhausted(self) -> bool:
@@ -139,7 +143,7 @@
     route: Route
     """Its priority is the tenant's, where the tenant has one."""
     arrived_at: float
-    in_time_at: float
+    cutoff_at: float
     """Last moment at which an answer still reaches the caller within the objective."""
     ends_at: float
     """When it is given up on."""
@@ -149,12 +153,12 @@
     """Calls whose answer is in."""
     failures: int = 0
     """Attempts and nodes that brought nothing: no more calls than that can be exhausted."""
-    is_retry_due: bool = False
+    is_retry_scheduled: bool = False
     origin: Origin | None = None
     """The node that waits for it; ``None``: a caller does."""
     tenant: Tenant | None = None
     """Who calls; ``None``: replicas are told nobody."""
-    unexplained_ends: int = 0
+    unexplained_disconnects: int = 0
     """Connections that ended without an answer, as far as their replicas may have ended."""
     is_suspect: bool = False
     """Whether replicas ended under an earlier attempt of its caller."""
@@ -192,12 +196,12 @@
         return self.route.is_repeatable
 
     @property
-    def is_careful(self) -> bool:
+    def is_sequential(self) -> bool:
         """Whether one replica is asked at a time: it may end those that run it."""
-        is_doubtful = self.is_suspect or self.unexplained_ends >= CAREFUL_ENDS
+        is_doubtful = self.is_suspect or self.unexplained_disconnects >= CAREFUL_ENDS
         return is_doubtful and not self.is_cleared
 
-    def is_under_way(self, now: float) -> bool:
+    def has_recent_attempt(self, now: float) -> bool:
         """Whether an attempt is open that was sent within the time that an answer should take.
 
         So is one whose replica may have ended, until that is known.
--- a/wingquay/forwarding/exchange_opening.py
+++ b/wingquay/forwarding/exchange_opening.py
@@ -7,7 +7,7 @@
 from ..ports.machine import Action, Schedule
 from .arrival.kept_arrivals import Arrival
 from .choice.weighted_choice import WeightedChoice
-from .crashing.careful_sending import CarefulSending
+from .crashing.sequential_sending import SequentialSending
 from .exchange import Exchange, ServiceCall
 from .sending.call_starter import CallStarter
 from .sending.decision import Reject
@@ -37,7 +37,7 @@
         latencies: RouteLatencies,
         settlement: Settlement,
         starter: CallStarter,
-        careful: CarefulSending,
+        sequential: SequentialSending,
         random_source: random.Random,
     ) -> None:
         self._settings = settings
@@ -45,7 +45,7 @@
         self._latencies = latencies
         self._settlement = settlement
         self._starter = starter
-        self._careful = careful
+        self._sequential = sequential
         self._weights = WeightedChoice(random_source)
         self._held: set[int] = set()
         self.ask_nodes: Callable[[Exchange, list[ServiceCall], float], list[Action]] | None = None
@@ -72,8 +72,8 @@
         route = arrival.route
         ends_at = max(self.ends_at(arrival), now)
         in_time = in_time_seconds(route, event.transit_seconds, self._settings)
-        in_time_at = min(arrival.arrived_at + in_time, ends_at)
-        exchange = Exchange(event, arrival.table, route, arrival.arrived_at, in_time_at, ends_at)
+        cutoff_at = min(arrival.arrived_at + in_time, ends_at)
+        exchange = Exchange(event, arrival.table, route, arrival.arrived_at, cutoff_at, ends_at)
         exchange.tenant = arrival.tenant
         exchange.is_suspect = is_suspect
         self._settlement.add(exchange)
@@ -101,16 +101,16 @@
         route = exchange.route
         self._held.discard(exchange.exchange_id)
         actions: list[Action] = []
-        if exchange.is_careful and exchange.origin is None:
-            actions += self._careful.step(exchange, now)
+        if exchange.is_sequential and exchange.origin is None:
+            actions += self._sequential.step(exchange, now)
         elif self.ask_nodes is not None and route.shards and exchange.origin is None:
             actions += self.ask_nodes(exchange, exchange.calls, now)
         else:
             actions += self._starter.begin_all(exchange.calls, now)
         actions.append(Schedule(exchange.ends_at, ExchangeEndDue(event.exchange_id)))
         if route.shards:
-            actions.append(Schedule(exchange.in_time_at, CutoffDue(event.exchange_id)))
-        if route.is_repeatable and (route.max_attempts > 1 or exchange.is_careful):
+            actions.append(Schedule(exchange.cutoff_at, CutoffDue(event.exchange_id)))
+        if route.is_repeatable and (route.max_attempts > 1 or exchange.is_sequential):
             hedge_at = now + self._latencies.hedge_seconds(route)
             actions.append(Schedule(hedge_at, HedgeDue(event.exchange_id)))
         return actions + self._settlement.settle(exchange, now)
--- a/wingquay/forwarding/forwarding_machine.py
+++ b/wingquay/forwarding/forwarding_machine.py
@@ -17,8 +17,8 @@
 from .arrival.admission import Admitted, Rejected
 from .choice.replica_directory import ReplicaDirectory
 from .choice.replica_state import ReplicaState
-from .crashing.careful_sending import CarefulSending
 from .crashing.guard import CrashGuard
+from .crashing.sequential_sending import SequentialSending
 from .exchange import Exchange
 from .exchange_opening import ExchangeOpening
 from .knowledge.loop_lag import LoopLag
@@ -44,9 +44,9 @@
     CutoffDue,
     DelegationDue,
     ExchangeEndDue,
-    GreetingDue,
     HedgeDue,
-    ReachDue,
+    PeerConnectDue,
+    ReconnectDue,
     ReportDue,
     RetryDue,
 )
@@ -106,9 +106,9 @@
         self.guard = CrashGuard(name, random_source, self.lag)
         """Keeps requests that end replicas from replicas."""
         self.guard.on_held = self._end_held
-        careful = CarefulSending(self._starter)
-        self._careful = careful
-        self._hedging = Hedging(self._latencies, self._sender, self._settlement, careful)
+        sequential = SequentialSending(self._starter)
+        self._sequential = sequential
+        self._hedging = Hedging(self._latencies, self._sender, self._settlement, sequential)
         self._outcomes = ReplicaOutcomes(
             settings,
             directory,
@@ -116,7 +116,7 @@
             self._starter,
             self._settlement,
             self.guard,
-            careful,
+            sequential,
         )
         self._opening = ExchangeOpening(
             settings,
@@ -124,7 +124,7 @@
             self._latencies,
             self._settlement,
             self._starter,
-            careful,
+            sequential,
             random_source,
         )
         self._arrival = RequestArrival(
@@ -169,7 +169,7 @@
             self._starter,
             self._settlement,
             self.guard,
-            self._careful,
+            self._sequential,
             self._random.getrandbits(DELEGATION_ID_BITS),
         )
         self._peers = PeerWork(
@@ -181,7 +181,7 @@
             self.guard,
         )
         self._limits.placement = delegations.placement
-        self._careful.begin_all = delegations.start
+        self._sequential.begin_all = delegations.start
         self._opening.ask_nodes = delegations.start
         self.guard.peers = groups.reachable
         groups.evidence = self._sender.evidence
@@ -205,7 +205,7 @@
                 return self._hedging.due(event, now)
             case SendFailed():
                 return self._outcomes.send_failed(event, now)
-            case AbandonDue() | ReachDue() | ConnectionTried():
+            case AbandonDue() | ReconnectDue() | ConnectionTried():
                 return self._replica_event(event, now)
             case (
                 BeginDue()
@@ -217,7 +217,11 @@
             ):
                 return self._exchange_event(event, now)
             case (
-                GreetingDue() | DelegationDue() | CrashNewsDue() | PeerReceived() | PeerLinkBroken()
+                PeerConnectDue()
+                | DelegationDue()
+                | CrashNewsDue()
+                | PeerReceived()
+                | PeerLinkBroken()
             ):
                 return self._peer_event(event, now)
         return self._arrival.kept_event(event, now)
@@ -240,7 +244,7 @@
 
     def _peer_event(
         self,
-        event: GreetingDue | DelegationDue | CrashNewsDue | PeerReceived | PeerLinkBroken,
+        event: PeerConnectDue | DelegationDue | CrashNewsDue | PeerReceived | PeerLinkBroken,
         now: float,
     ) -> list[Action]:
         match event:
@@ -256,12 +260,12 @@
     # Time
 
     def _replica_event(
-        self, event: AbandonDue | ReachDue | ConnectionTried, now: float
+        self, event: AbandonDue | ReconnectDue | ConnectionTried, now: float
     ) -> list[Action]:
         match event:
             case AbandonDue():
                 return self._abandon_due(event, now)
-            case ReachDue():
+            case ReconnectDue():
                 return self._sender.reach_due(event, now)
             case ConnectionTried():
                 return self._outcomes.connection_tried(event, now)
@@ -312,10 +316,10 @@
     def _retry_due(self, exchange: Exchange, now: float) -> list[Action]:
         if self._opening.is_held(exchange):
             return self._opening.begin_or_hold(exchange, now)
-        exchange.is_retry_due = False
+        exchange.is_retry_scheduled = False
         actions: list[Action] = []
         for call in exchange.calls:
             if call.is_waiting and call.answer is None and not call.attempts:
-                call.refused.clear()
+                call.refused_incarnations.clear()
                 actions += self._starter.start(call, now)
         return actions + self._settlement.settle(exchange, now)
--- a/wingquay/forwarding/forwarding_node.py
+++ b/wingquay/forwarding/forwarding_node.py
@@ -30,7 +30,7 @@
 from .arrival.limits.limit_settings import LimitSettings
 from .choice.replica_directory import ReplicaDirectory
 from .crashing.held_keys import HeldKeys
-from .crashing.suspects import Verdict
+from .crashing.suspects import SuspicionLevel
 from .forwarding_machine import ForwardingMachine
 from .knowledge.news_exchange import NewsExchange
 from .knowledge.node_lateness import NodeLateness
@@ -91,7 +91,7 @@
         self._presence = Presence(key, settings, random_source)
         self._keeper = ProofKeeper(
             follower.proving,
-            lambda: self._members.rank() * settings.news_rank_seconds,
+            lambda: self._members.rank() * settings.poll_rank_delay_seconds,
             lambda now: self._follower.next_answer_at(now),
             random_source.getrandbits(ASK_NUMBER_BITS) if follower.proving else 0,
         )
@@ -174,7 +174,7 @@
             actions = actions + self._reach.handle(event, now) + self._callers.changes(now)
         return self._lines.admit(actions, now)
 
-    def known_of_store(self) -> ReadResult | None:
+    def store_snapshot(self) -> ReadResult | None:
         """Return what this node knows of the store, for a node that cannot reach it."""
         return self._follower.known()
 
@@ -183,9 +183,9 @@
         """Whether the configuration is proven to be the one in force."""
         return self._keeper.proof
 
-    def verdict(self, request: OpaqueRequest, now: float) -> Verdict:
+    def suspicion_level(self, request: OpaqueRequest, now: float) -> SuspicionLevel:
         """Return how this node treats a request that may end replicas."""
-        return self._forwarding.guard.verdict(request, now)
+        return self._forwarding.guard.suspicion_level(request, now)
 
     def _decide(self, event: Event, now: float) -> list[Action]:
         match event:
--- a/wingquay/forwarding/knowledge/news_exchange.py
+++ b/wingquay/forwarding/knowledge/news_exchange.py
@@ -73,7 +73,7 @@
         """
         taken_seconds = news.age_seconds + self._lateness.seconds(now)
         pause_seconds = self._usual_pause_seconds - taken_seconds
-        if news.may_have_more or taken_seconds >= self._settings.news_late_seconds:
+        if news.may_have_more or taken_seconds >= self._settings.max_update_age_seconds:
             pause_seconds = 0.0
         actions = self._follower.absorb(news, pause_seconds, now)
         is_put_off = any(isinstance(action, StartWatch) for action in actions)
@@ -97,5 +97,5 @@
 
         Each node looks a little later than the one before it in its group.
         """
-        rank_seconds = self._settings.news_rank_seconds * self._members.rank()
+        rank_seconds = self._settings.poll_rank_delay_seconds * self._members.rank()
         return self._follower.usual_gather_seconds + rank_seconds
--- a/wingquay/forwarding/knowledge/node_groups.py
+++ b/wingquay/forwarding/knowledge/node_groups.py
@@ -103,7 +103,7 @@
         member = self._members.pop(name, None)
         if member is not None:
             self._departed[name] = member.record.identity
-            if len(self._departed) > self._settings.news_most_nodes:
+            if len(self._departed) > self._settings.update_max_recipients:
                 del self._departed[next(iter(self._departed))]
             self._changed()
 
@@ -132,7 +132,7 @@
                 settings = self._settings
                 first = settings.node_absent_seconds if is_absent else settings.node_suspect_seconds
                 seconds = first * 2.0**member.failures
-                seconds = min(seconds, self._settings.node_suspect_most_seconds)
+                seconds = min(seconds, self._settings.node_suspect_max_seconds)
                 member.suspect_until = now + seconds
                 member.failures += 1
                 self._valid_until = min(self._valid_until, member.suspect_until)
@@ -203,12 +203,12 @@
     def _news_names(self) -> list[str]:
         """Return the names of the group, or of all nodes while the group is small."""
         names = self._group_names()
-        if len(names) >= self._settings.news_least_nodes or self._name not in self._members:
+        if len(names) >= self._settings.update_group_min_nodes or self._name not in self._members:
             return names
         names = sorted(self._members)
         place = names.index(self._name)
         around = names[place:] + names[:place]
-        return sorted(around[: self._settings.news_most_nodes])
+        return sorted(around[: self._settings.update_max_recipients])
 
     def _group_names(self) -> list[str]:
         """Return the sorted names of this node's group; empty while it cannot be reached."""
--- a/wingquay/forwarding/knowledge/node_membership.py
+++ b/wingquay/forwarding/knowledge/node_membership.py
@@ -156,7 +156,7 @@
         Where enough keys stood there already, nodes know each other by these: a node keeps its id
         and its address when it starts again.
         """
-        if self._known_at_opening >= self._settings.news_least_nodes:
+        if self._known_at_opening >= self._settings.update_group_min_nodes:
             return False
         return now - self._opened_at < self._settings.join_seconds
 
--- a/wingquay/forwarding/knowledge/peer_setup.py
+++ b/wingquay/forwarding/knowledge/peer_setup.py
@@ -50,7 +50,7 @@
         """Whether requests need other nodes: for most of their shards, or for a tenant's limit."""
         if table.tenants is not None and table.tenants.is_limited:
             return True
-        return widest_route(table) >= self._settings.delegate_least_shards
+        return widest_route(table) >= self._settings.delegate_min_shards
 
     def learn(self, cluster_key: bytes) -> None:
         """Take in the key that stands in the store."""
--- a/wingquay/forwarding/knowledge/presence.py
+++ b/wingquay/forwarding/knowledge/presence.py
@@ -227,5 +227,5 @@
             self._greatest = present
             self._greatest_at = now
         # Nodes that have just started have no key yet.
-        fewest = self._settings.fewest_nodes if present else self._settings.most_nodes
+        fewest = self._settings.min_nodes if present else self._settings.max_nodes
         return max(self._greatest, fewest)
--- a/wingquay/forwarding/own_time.py
+++ b/wingquay/forwarding/own_time.py
@@ -9,7 +9,7 @@
 from .knowledge.proof_keeper import ProofKeeper
 from .knowledge.store_follower import StoreFollower
 from .settings import ForwardingSettings
-from .timers import GreetingDue
+from .timers import PeerConnectDue
 
 SWEEP_SECONDS = 0.5
 """Time between two looks for replicas whose time of grace is over."""
@@ -85,7 +85,7 @@
                 self._lateness.timer_seconds = max(now - event.due_at, 0.0)
                 self._directory.forget_vanished(now)
                 due_at = now + SWEEP_SECONDS
-                greetings = self._forwarding.handle(GreetingDue(), now)
+                greetings = self._forwarding.handle(PeerConnectDue(), now)
                 proving = self._keeper.sweep(self._members.listeners, now)
                 sweep = Schedule(due_at, SweepDue(due_at))
                 return [*greetings, *proving, *self.pace(now), sweep]
@@ -98,11 +98,11 @@
         """Look at the store more often while records of replicas or nodes are missing."""
         is_old = self._directory.is_contradicted(now)
         if is_old or self._forwarding.held_exchanges > 0:
-            return self._follower.gather(self._settings.settle_gather_seconds, now)
+            return self._follower.gather(self._settings.settle_poll_seconds, now)
         if self._members.is_joining(now):
-            seconds = self._settings.join_idle_gather_seconds
+            seconds = self._settings.join_idle_poll_seconds
             if self._forwarding.is_asked:
-                seconds = self._settings.join_gather_seconds
+                seconds = self._settings.join_poll_seconds
             return self._follower.gather(seconds, now)
         return self._follower.gather(None, now)
 
--- a/wingquay/forwarding/peers/connections_ahead.py
+++ b/wingquay/forwarding/peers/connections_ahead.py
@@ -54,7 +54,7 @@
         shard_sets.add(self._coming())
         wanted: list[ReplicaState] = []
         for shards in sorted(shard_sets):
-            if len(shards) >= self._settings.delegate_least_shards:
+            if len(shards) >= self._settings.delegate_min_shards:
                 wanted += self._wanted(shards, now)
         chosen = wanted[:MOST_OPENED]
         self._opened.update(state.life for state in chosen)
--- a/wingquay/forwarding/peers/delegated_work.py
+++ b/wingquay/forwarding/peers/delegated_work.py
@@ -16,7 +16,7 @@
 from ..choice.replica_directory import ReplicaDirectory
 from ..exchange import Exchange, ServiceCall
 from ..knowledge.loop_lag import LoopLag
-from ..settling.merging import merge_greatest
+from ..settling.merging import merge_top_records
 from ..settling.settlement import Settlement
 from ..timers import HedgeDue
 
@@ -29,7 +29,7 @@
     delegation_id: int
     positions: dict[str, int]
     """Where each shard stands in the node's request."""
-    is_allowed: bool = False
+    may_retry: bool = False
     """Whether further attempts are left to this node: before, the other one may still make them."""
     _reported: set[str] = field(default_factory=set)
 
@@ -53,7 +53,7 @@
             self.delegation_id,
             tuple(position for position, _ in fresh),
             tuple(str(answer.signature) for answer in answers),
-            merge_greatest([answer.body for answer in answers], exchange.route.merged_records),
+            merge_top_records([answer.body for answer in answers], exchange.route.merged_records),
         )
         return [SendToPeer(self.node, message)]
 
@@ -70,16 +70,16 @@
         )
         return [SendToPeer(self.node, message)] if given else []
 
-    def tell_exhausted(self, calls: list[ServiceCall]) -> list[Action]:
+    def report_exhausted(self, calls: list[ServiceCall]) -> list[Action]:
         """Return the message that nothing comes of calls any more, if that has not been told."""
         fresh = [call.service for call in calls if call.service not in self._reported]
-        if not fresh or not self.is_allowed:
+        if not fresh or not self.may_retry:
             return []
         self._reported.update(fresh)
         positions = tuple(self.positions[service] for service in fresh)
         return [SendToPeer(self.node, DelegatedAnswer(self.delegation_id, exhausted=positions))]
 
-    def refuse_held(self, held_seconds: float) -> list[Action]:
+    def report_held(self, held_seconds: float) -> list[Action]:
         """Return the message that the request is held back."""
         message = DelegatedAnswer(self.delegation_id, held_seconds=held_seconds)
         return [SendToPeer(self.node, message)]
@@ -159,7 +159,7 @@
             return []
         exchange.route = replace(exchange.route, max_attempts=message.max_attempts)
         if isinstance(exchange.origin, NodeOrigin):
-            exchange.origin.is_allowed = True
+            exchange.origin.may_retry = True
         return [Schedule(now, HedgeDue(exchange.exchange_id))]
 
     def cancelled(
--- a/wingquay/forwarding/peers/delegation.py
+++ b/wingquay/forwarding/peers/delegation.py
@@ -14,8 +14,8 @@
 from ...ports.machine import Action, Schedule
 from ...ports.peer_link import NodeIdentity, PeerLinkBroken, SendToPeer
 from ..choice.replica_directory import ReplicaDirectory
-from ..crashing.careful_sending import CarefulSending
 from ..crashing.guard import CrashGuard
+from ..crashing.sequential_sending import SequentialSending
 from ..exchange import Exchange, ServiceCall
 from ..knowledge.node_groups import NodeGroups
 from ..sending.call_starter import CallStarter
@@ -51,7 +51,7 @@
         starter: CallStarter,
         settlement: Settlement,
         guard: CrashGuard,
-        careful: CarefulSending,
+        sequential: SequentialSending,
         first_id: int,
     ) -> None:
         self._guard = guard
@@ -62,7 +62,7 @@
         takeover = TakeoverTime(settings)
         self._asking = DelegationAsking(settings, groups, directory, self._open, takeover)
         self.placement = self._asking.placement
-        self._reports = DelegationReports(groups, starter, guard, careful, takeover)
+        self._reports = DelegationReports(groups, starter, guard, sequential, takeover)
         self._stepping_in = SteppingIn(
             groups, directory, starter, settlement, self._open, self._asking, takeover
         )
--- a/wingquay/forwarding/peers/delegation_asking.py
+++ b/wingquay/forwarding/peers/delegation_asking.py
@@ -46,7 +46,7 @@
 
     def is_wide(self, shards: tuple[str, ...]) -> bool:
         """Whether a route has so many shards that their owners are asked."""
-        return len(shards) >= self._settings.delegate_least_shards
+        return len(shards) >= self._settings.delegate_min_shards
 
     def count(self, shards: tuple[str, ...], now: float) -> None:
         """Take in a request: the rate of wide ones decides how many nodes own a shard."""
@@ -97,7 +97,7 @@
             call.delegated_attempts = 1
             call.arrivals += 1
             call.history.append(f"asked through {node.node_id}")
-        in_time_seconds = exchange.in_time_at - now - settings.delegate_return_seconds
+        in_time_seconds = exchange.cutoff_at - now - settings.delegate_return_seconds
         message = DelegatedRequest(
             delegation_id=delegation.delegation_id,
             request_id=exchange.event.request_id,
--- a/wingquay/forwarding/peers/delegation_reports.py
+++ b/wingquay/forwarding/peers/delegation_reports.py
@@ -4,8 +4,8 @@
 from ...ports.forwarding import ReplicaAnswer
 from ...ports.machine import Action
 from ...ports.peer_link import SendToPeer
-from ..crashing.careful_sending import CarefulSending
 from ..crashing.guard import CrashGuard
+from ..crashing.sequential_sending import SequentialSending
 from ..knowledge.node_groups import NodeGroups
 from ..sending.call_starter import CallStarter
 from .open_delegations import Delegation
@@ -28,13 +28,13 @@
         groups: NodeGroups,
         starter: CallStarter,
         guard: CrashGuard,
-        careful: CarefulSending,
+        sequential: SequentialSending,
         takeover: TakeoverTime,
     ) -> None:
         self._groups = groups
         self._starter = starter
         self._guard = guard
-        self._careful = careful
+        self._sequential = sequential
         self._takeover = takeover
 
     def take(self, delegation: Delegation, message: DelegatedAnswer, now: float) -> list[Action]:
@@ -87,7 +87,7 @@
             call.delegated_attempts = arrivals
             call.is_delegate_lost = arrivals > 0
             call.history.append(f"given back after {arrivals}")
-            exchange.unexplained_ends += arrivals
+            exchange.unexplained_disconnects += arrivals
         exchange.failures += len(calls)
         return self._starter.start_all([call for call in calls if call.attempts_left > 0], now)
 
@@ -108,17 +108,17 @@
     ) -> list[Action]:
         """Take in merged records: they stand with the first shard that they came from."""
         exchange = delegation.exchange
-        was_careful = exchange.is_careful
+        was_sequential = exchange.is_sequential
         body = message.body
         for position, signature in zip(message.shards, message.signatures, strict=True):
             call = delegation.calls[position]
             if call.answer is not None:
                 # Asked directly as well: its records are also among the merged ones.
                 exchange.signatures.discard(str(call.answer.signature))
-            call.take_answer(ReplicaAnswer(MERGED_STATUS, (), body, signature), now)
+            call.record_answer(ReplicaAnswer(MERGED_STATUS, (), body, signature), now)
             exchange.signatures.add(signature)
             body = b""
         if not message.shards:
             return []
         actions = self._guard.answered(exchange, now)
-        return actions + (self._careful.go_on(exchange, now) if was_careful else [])
+        return actions + (self._sequential.go_on(exchange, now) if was_sequential else [])
--- a/wingquay/forwarding/peers/peer_work.py
+++ b/wingquay/forwarding/peers/peer_work.py
@@ -15,11 +15,11 @@
 from ..arrival.request_identity import identity_of
 from ..choice.replica_directory import ReplicaDirectory
 from ..crashing.guard import CrashGuard
-from ..crashing.suspects import Verdict
+from ..crashing.suspects import SuspicionLevel
 from ..knowledge.loop_lag import LoopLag
 from ..settings import ForwardingSettings
 from ..settling.settlement import Settlement
-from ..timers import BeginDue, DelegationDue, GreetingDue, ReportDue
+from ..timers import BeginDue, DelegationDue, PeerConnectDue, ReportDue
 from .connections_ahead import ConnectionsAhead
 from .delegated_work import DelegatedWork
 from .delegation import Delegations
@@ -52,7 +52,7 @@
 
     def handle(
         self,
-        event: GreetingDue | DelegationDue | PeerReceived | PeerLinkBroken,
+        event: PeerConnectDue | DelegationDue | PeerReceived | PeerLinkBroken,
         table: RoutingTable | None,
         now: float,
     ) -> list[Action]:
@@ -64,7 +64,7 @@
             The configuration for work of other nodes; ``None``: none is taken.
         """
         match event:
-            case GreetingDue():
+            case PeerConnectDue():
                 return [] if table is None else self._prepare(table, now)
             case DelegationDue():
                 return self.delegations.due(event, now)
@@ -102,7 +102,7 @@
     ) -> list[Action]:
         if table is None:
             return self._work.reject(sender, message)
-        if self._guard.verdict(message.request, now, message.tenant) is Verdict.HELD:
+        if self._guard.suspicion_level(message.request, now, message.tenant) is SuspicionLevel.HELD:
             identity = identity_of(message.request, message.tenant)
             held_seconds = self._guard.held_seconds(identity, now)
             return self._work.refuse_held(sender, message, held_seconds)
--- a/wingquay/forwarding/peers/relays.py
+++ b/wingquay/forwarding/peers/relays.py
@@ -63,10 +63,10 @@
         far = dict(self._far_zones(shards, now))
         owners: dict[str, NodeIdentity] = {}
         nodes = self._groups.reachable(now) if far else []
-        while nodes and len(far) >= self._settings.relay_least_shards:
+        while nodes and len(far) >= self._settings.relay_min_shards:
             relay = self._best(nodes, far)
             near = [shard for shard, zones in far.items() if relay.zone in zones]
-            if len(near) < self._settings.relay_least_shards:
+            if len(near) < self._settings.relay_min_shards:
                 break
             for shard in near:
                 owners[shard] = relay
--- a/wingquay/forwarding/peers/shard_placement.py
+++ b/wingquay/forwarding/peers/shard_placement.py
@@ -102,7 +102,7 @@
 
     def _place(self, shards: tuple[str, ...], now: float) -> dict[str, NodeIdentity | None]:
         nodes = self._groups.usable_by_zone(now)
-        if sum(map(len, nodes.values())) < self._settings.delegate_least_nodes:
+        if sum(map(len, nodes.values())) < self._settings.delegate_min_nodes:
             return {}
         held = {shard: self._directory.zones_of(shard, now) & nodes.keys() for shard in shards}
         few = choose_zones(self._settings.zone, sorted(nodes), held)
--- a/wingquay/forwarding/peers/takeover_time.py
+++ b/wingquay/forwarding/peers/takeover_time.py
@@ -34,4 +34,4 @@
         objective = route.objective_seconds
         usual = objective * settings.delegate_takeover_ratio
         slow = self._usual_seconds * settings.delegate_takeover_factor
-        return max(usual, min(slow, objective * settings.delegate_takeover_most_ratio))
+        return max(usual, min(slow, objective * settings.delegate_takeover_max_ratio))
--- a/wingquay/forwarding/readiness/taking_callers.py
+++ b/wingquay/forwarding/readiness/taking_callers.py
@@ -159,9 +159,9 @@
         assert self._stopping_since is not None
         elapsed = now - self._stopping_since
         open_requests = self._requests.open_exchanges
-        most_seconds = self._settings.most_stop_seconds
+        most_seconds = self._settings.max_stop_seconds
         is_over = elapsed >= most_seconds
-        if elapsed >= self._settings.unready_stop_seconds and not open_requests:
+        if elapsed >= self._settings.idle_close_seconds and not open_requests:
             is_over = True
         if is_over:
             return [Exit(open_requests, grace_seconds=max(most_seconds - elapsed, 0.0))]
--- a/wingquay/forwarding/request_arrival.py
+++ b/wingquay/forwarding/request_arrival.py
@@ -11,7 +11,7 @@
 from .arrival.tenant_counts import TenantCounts
 from .arrival.tenant_ranks import TenantRanks
 from .crashing.guard import CrashGuard
-from .crashing.suspects import Verdict
+from .crashing.suspects import SuspicionLevel
 from .exchange import Exchange
 from .exchange_opening import ExchangeOpening
 from .knowledge.loop_lag import LoopLag
@@ -108,7 +108,7 @@
     def _count(self, arrival: Arrival, now: float) -> list[Action]:
         """Count a request that nothing else keeps from running, and open it."""
         verdict = self._verdict(arrival, now)
-        if verdict is Verdict.HELD:
+        if verdict is SuspicionLevel.HELD:
             return self._refuse_held(arrival, now)
         tenant = arrival.tenant
         if tenant is None:
@@ -122,11 +122,11 @@
                 allowed = self._counts.count(tenant.name, "allowed")
                 return [allowed, *self._open(arrival, verdict, now)]
 
-    def _open(self, arrival: Arrival, verdict: Verdict, now: float) -> list[Action]:
-        return self._opening.open(arrival, verdict is Verdict.SUSPECT, now)
+    def _open(self, arrival: Arrival, verdict: SuspicionLevel, now: float) -> list[Action]:
+        return self._opening.open(arrival, verdict is SuspicionLevel.SUSPECT, now)
 
-    def _verdict(self, arrival: Arrival, now: float) -> Verdict:
-        return self._guard.verdict(arrival.event.request, now, _name(arrival))
+    def _verdict(self, arrival: Arrival, now: float) -> SuspicionLevel:
+        return self._guard.suspicion_level(arrival.event.request, now, _name(arrival))
 
     def _refuse_held(self, arrival: Arrival, now: float) -> list[Action]:
         """Refuse a request under which replicas have ended, and say when it may come back."""
@@ -162,7 +162,7 @@
         if isinstance(answer, Rejected):
             return self._reject(arrival.event, answer, arrival.tenant.name)
         verdict = self._verdict(arrival, now)
-        if verdict is Verdict.HELD:
+        if verdict is SuspicionLevel.HELD:
             self.admission.give_back(arrival.tenant, exchange_id, now)
             return self._refuse_held(arrival, now)
         opened = self._open(arrival, verdict, now)
--- a/wingquay/forwarding/sending/attempts.py
+++ b/wingquay/forwarding/sending/attempts.py
@@ -16,7 +16,7 @@
 from ..exchange import Attempt, ServiceCall
 from ..knowledge.reach_evidence import ReachEvidence
 from ..settings import ForwardingSettings
-from ..timers import AbandonDue, ReachDue
+from ..timers import AbandonDue, ReconnectDue
 from .latencies import RouteLatencies
 from .shares import SendingShares
 
@@ -70,9 +70,11 @@
         route = exchange.route
         if call.attempts_left <= 0:
             return []
-        if exchange.is_careful and exchange.is_under_way(now):
+        if exchange.is_sequential and exchange.has_recent_attempt(now):
             return []
-        excluded = call.asked | call.refused | self._limits.too_cold(call, now)
+        excluded = (
+            call.tried_incarnations | call.refused_incarnations | self._limits.too_cold(call, now)
+        )
         if not route.shards:
             excluded |= self._limits.full(call, now)
         limit = self._limits.connections(call, now)
@@ -89,7 +91,7 @@
         attempt_id = next(self._ids)
         attempt = Attempt(attempt_id, call, replica, now, is_hedge, len(replica.in_flight))
         call.attempts[attempt_id] = attempt
-        call.asked.add(replica.life)
+        call.tried_incarnations.add(replica.life)
         call.arrivals += 1
         call.is_waiting = False
         if replica.is_cold(now):
@@ -187,16 +189,16 @@
         if replica.is_reach_due:
             return actions
         replica.is_reach_due = True
-        return [*actions, Schedule(replica.blocked_until, ReachDue(replica.life))]
+        return [*actions, Schedule(replica.blocked_until, ReconnectDue(replica.life))]
 
-    def reach_due(self, event: ReachDue, now: float) -> list[Action]:
+    def reach_due(self, event: ReconnectDue, now: float) -> list[Action]:
         """Try whether a replica is in reach again, as long as it may get work."""
-        replica = self._directory.of_life(event.life)
+        replica = self._directory.of_life(event.incarnation)
         if replica is None:
             return []
         is_usable = replica in self._directory.usable(replica.record.service, now)
         if replica.is_out_of_reach and not is_usable:
-            due_at = now + self._settings.connect_backoff_most_seconds
+            due_at = now + self._settings.connect_backoff_max_seconds
             return [Schedule(due_at, event)]
         replica.is_reach_due = False
         return [OpenConnection(replica.record)] if replica.is_out_of_reach else []
@@ -229,15 +231,17 @@
         self._latencies.record(route, seconds, now)
         if not route.shards:
             slots = attempt.replica.known_slots
-            self._latencies.record_work(route, seconds * slots / max(slots, attempt.ahead + 1))
+            self._latencies.record_work(
+                route, seconds * slots / max(slots, attempt.outstanding_before + 1)
+            )
         median = self._latencies.median_seconds(route)
         if median is not None:
             attempt.replica.on_latency(seconds / median, attempt.sent_at, now)
 
     def _not_run(self, attempt: Attempt) -> None:
         call = attempt.call
-        call.asked.discard(attempt.replica.life)
-        call.refused.add(attempt.replica.life)
+        call.tried_incarnations.discard(attempt.replica.life)
+        call.refused_incarnations.add(attempt.replica.life)
 
     def _send_action(self, attempt: Attempt, now: float) -> SendToReplica:
         exchange = attempt.call.exchange
--- a/wingquay/forwarding/sending/call_line.py
+++ b/wingquay/forwarding/sending/call_line.py
@@ -89,7 +89,7 @@
 
     def _can_be_in_time(self, call: ServiceCall, now: float) -> bool:
         exchange = call.exchange
-        return now + self._latencies.work_seconds(exchange.route) <= exchange.in_time_at
+        return now + self._latencies.work_seconds(exchange.route) <= exchange.cutoff_at
 
     def _line(self, service: str) -> FairLine[ServiceCall]:
         line = self._lines.get(service)
--- a/wingquay/forwarding/sending/call_starter.py
+++ b/wingquay/forwarding/sending/call_starter.py
@@ -73,16 +73,16 @@
         can be in time.
         """
         exchange = call.exchange
-        return not exchange.route.shards or now >= exchange.in_time_at
+        return not exchange.route.shards or now >= exchange.cutoff_at
 
     def _wait(self, call: ServiceCall, now: float) -> list[Action]:
         exchange = call.exchange
         call.is_waiting = True
         self._line.add(call, now)
         actions = self._tell(call, now)
-        if exchange.is_retry_due:
+        if exchange.is_retry_scheduled:
             return actions
-        exchange.is_retry_due = True
+        exchange.is_retry_scheduled = True
         due_at = self._waiting.look_at(exchange, now)
         return [*actions, Schedule(due_at, RetryDue(exchange.exchange_id))]
 
--- a/wingquay/forwarding/sending/decision.py
+++ b/wingquay/forwarding/sending/decision.py
@@ -22,7 +22,7 @@
 
     Parameters
     ----------
-    arrived_at, in_time_at, ends_at
+    arrived_at, cutoff_at, ends_at
         When it came, until when an answer is in time for the caller, and when it is given up on.
     objective_seconds
         Time within which an answer is worth its full price.
@@ -41,7 +41,7 @@
     """
 
     arrived_at: float
-    in_time_at: float
+    cutoff_at: float
     ends_at: float
     objective_seconds: float
     has_usable: bool
@@ -123,7 +123,7 @@
         ratio = settings.hold_ratio
         if settings.rule is WaitingRule.ESTIMATE and not request.is_merged:
             ratio = settings.line_ratio
-        return max(request.in_time_at, request.arrived_at + whole_seconds * ratio)
+        return max(request.cutoff_at, request.arrived_at + whole_seconds * ratio)
     if request.may_records_come_back:
         return held_until
     return request.arrived_at + request.objective_seconds * settings.offer_ratio
--- a/wingquay/forwarding/sending/latencies.py
+++ b/wingquay/forwarding/sending/latencies.py
@@ -59,8 +59,8 @@
             return route.objective_seconds * settings.hedge_initial_ratio
         tracker = self._trackers[route.name]
         slow = tracker.quantile_seconds(settings.hedge_quantile, FEWEST_SAMPLES) or median
-        delay = max(slow, median * settings.hedge_least_factor)
-        return min(delay, route.objective_seconds * settings.hedge_greatest_ratio)
+        delay = max(slow, median * settings.hedge_min_factor)
+        return min(delay, route.objective_seconds * settings.hedge_max_ratio)
 
     def keep_only(self, routes: tuple[Route, ...]) -> None:
         """Forget routes that a new configuration does not have."""
--- a/wingquay/forwarding/sending/shares.py
+++ b/wingquay/forwarding/sending/shares.py
@@ -148,7 +148,7 @@
         if call.is_owned:
             owners = self.placement.sharing_nodes(call.service, now)
             return min(nodes, owners * OWNERS_RESERVE), 1.0
-        is_wide = len(call.exchange.route.shards) >= self._settings.delegate_least_shards
+        is_wide = len(call.exchange.route.shards) >= self._settings.delegate_min_shards
         return nodes, STEP_IN_PACE if is_wide else 1.0
 
     def _budget(self, service: str) -> ArrivalBudget:
--- a/wingquay/forwarding/sending/waiting.py
+++ b/wingquay/forwarding/sending/waiting.py
@@ -51,7 +51,7 @@
         room = expected_room((room for _, room in rooms), self._line.ahead_of(call, now), now)
         request = WaitingRequest(
             exchange.arrived_at,
-            exchange.in_time_at,
+            exchange.cutoff_at,
             exchange.ends_at,
             exchange.route.objective_seconds,
             has_usable,
@@ -82,7 +82,7 @@
         )
         request = WaitingRequest(
             exchange.arrived_at,
-            exchange.in_time_at,
+            exchange.cutoff_at,
             exchange.ends_at,
             exchange.route.objective_seconds,
             has_usable,
@@ -97,11 +97,11 @@
 
     def _rooms(self, call: ServiceCall, now: float) -> list[tuple[ReplicaState, ReplicaRoom]]:
         """Return what is known of the replicas that a call may still be sent to."""
-        later = call.refused | self._limits.too_cold(call, now)
+        later = call.refused_incarnations | self._limits.too_cold(call, now)
         return [
             (state, self._room(call, state, state.life in later, now))
             for state in self._directory.usable(call.service, now)
-            if state.life not in call.asked
+            if state.life not in call.tried_incarnations
         ]
 
     def _room(
--- a/wingquay/forwarding/settling/ending.py
+++ b/wingquay/forwarding/settling/ending.py
@@ -16,7 +16,7 @@
 from ..exchange import Exchange, ServiceCall
 from ..sending.decision import Reject
 from ..sending.return_time import LEAST_RETURN_SECONDS, return_seconds
-from .merging import merge_greatest
+from .merging import merge_top_records
 
 MILLISECONDS_PER_SECOND = 1000.0
 MOST_CALLS_TOLD = 4
@@ -72,20 +72,20 @@
 
     def unchanged(self, exchange: Exchange, answer: ReplicaAnswer, now: float) -> list[Action]:
         """Pass on a replica's answer."""
-        outcome = "late" if now > exchange.in_time_at else "served"
+        outcome = "late" if now > exchange.cutoff_at else "served"
         return [ReplyUnchanged(exchange.exchange_id, answer), *_end(exchange, outcome, "", now)]
 
     def merged(self, exchange: Exchange, answered: list[ServiceCall], now: float) -> list[Action]:
         """Answer with what the shards brought."""
         answers = [call.answer for call in answered if call.answer is not None]
-        body = merge_greatest([answer.body for answer in answers], exchange.route.merged_records)
+        body = merge_top_records([answer.body for answer in answers], exchange.route.merged_records)
         signatures = tuple(str(answer.signature) for answer in answers)
         missing = len(exchange.calls) - len(answers)
         reply = ReplyMerged(exchange.exchange_id, body, signatures, missing)
         outcome = "served"
         if missing:
             outcome = "partial"
-        elif now > exchange.in_time_at + 0.001:
+        elif now > exchange.cutoff_at + 0.001:
             outcome = "late"
         return [reply, *_end(exchange, outcome, "", now)]
 
--- a/wingquay/forwarding/settling/hedging.py
+++ b/wingquay/forwarding/settling/hedging.py
@@ -1,7 +1,7 @@
 """When a second replica is asked because the first one takes too long."""
 
 from ...ports.machine import Action, Schedule
-from ..crashing.careful_sending import CarefulSending
+from ..crashing.sequential_sending import SequentialSending
 from ..exchange import Exchange, ServiceCall
 from ..sending.attempts import AttemptSender
 from ..sending.latencies import RouteLatencies
@@ -39,9 +39,9 @@
         latencies: RouteLatencies,
         sender: AttemptSender,
         settlement: Settlement,
-        careful: CarefulSending,
+        sequential: SequentialSending,
     ) -> None:
-        self._careful = careful
+        self._sequential = sequential
         self._latencies = latencies
         self._sender = sender
         self._settlement = settlement
@@ -52,7 +52,7 @@
         if exchange is None:
             return []
         delay = self._latencies.hedge_seconds(exchange.route)
-        actions = self._careful.step(exchange, now) if exchange.is_careful else []
+        actions = self._sequential.step(exchange, now) if exchange.is_sequential else []
         waits_for_first = _waits_for_first_answer(exchange, now)
         may_need_more = False
         for call in exchange.calls:
--- a/wingquay/forwarding/settling/merging.py
+++ b/wingquay/forwarding/settling/merging.py
@@ -12,7 +12,7 @@
     return [body[start : start + RECORD_BYTES] for start in range(0, end, RECORD_BYTES)]
 
 
-def merge_greatest(bodies: Iterable[bytes], most_records: int) -> bytes:
+def merge_top_records(bodies: Iterable[bytes], most_records: int) -> bytes:
     """Return the greatest records of all bodies, greatest first; equal ones all count."""
     records: list[bytes] = []
     for body in bodies:
--- a/wingquay/forwarding/settling/replica_outcomes.py
+++ b/wingquay/forwarding/settling/replica_outcomes.py
@@ -11,8 +11,8 @@
 from ...ports.machine import Action
 from ..choice.replica_directory import ReplicaDirectory
 from ..choice.replica_state import ReplicaState
-from ..crashing.careful_sending import CarefulSending
 from ..crashing.guard import CrashGuard
+from ..crashing.sequential_sending import SequentialSending
 from ..exchange import Attempt, Exchange, ServiceCall
 from ..sending.attempts import AttemptSender
 from ..sending.call_starter import CallStarter
@@ -34,10 +34,10 @@
         starter: CallStarter,
         settlement: Settlement,
         guard: CrashGuard,
-        careful: CarefulSending,
+        sequential: SequentialSending,
     ) -> None:
         self._guard = guard
-        self._careful = careful
+        self._sequential = sequential
         self._settings = settings
         self._directory = directory
         self._sender = sender
@@ -51,7 +51,7 @@
             return []
         answer = event.answer
         exchange = attempt.call.exchange
-        was_careful = exchange.is_careful
+        was_sequential = exchange.is_sequential
         actions: list[Action] = []
         self._sender.finish(attempt)
         if answer.is_other_replica:
@@ -65,8 +65,8 @@
                 attempt.replica.on_trouble(now)
         self._note(attempt, f"{answer.status}{' not run' if answer.not_run else ''}", now)
         actions += self._take_answer(attempt, answer, now)
-        if was_careful and not exchange.is_careful and self._settlement.is_open(exchange):
-            actions += self._careful.go_on(exchange, now)
+        if was_sequential and not exchange.is_sequential and self._settlement.is_open(exchange):
+            actions += self._sequential.go_on(exchange, now)
         return actions + self._starter.serve_waiting(attempt.call.service, now)
 
     def _take_answer(self, attempt: Attempt, answer: ReplicaAnswer, now: float) -> list[Action]:
@@ -81,7 +81,7 @@
             exchange.failures += 1
             return self._retry(call, now)
         if answer.is_success and answer.signature not in exchange.signatures:
-            call.take_answer(answer, now)
+            call.record_answer(answer, now)
             exchange.signatures.add(str(answer.signature))
             return self._sender.abandon(call, now) + self._settlement.settle(exchange, now)
         exchange.failures += 1
@@ -139,7 +139,7 @@
         if self._settlement.is_open(call.exchange) and call.answer is None:
             if was_sent and not call.exchange.is_repeatable:
                 actions += self._settlement.settle(call.exchange, now)
-            elif call.exchange.is_careful and call.exchange.origin is not None:
+            elif call.exchange.is_sequential and call.exchange.origin is not None:
                 actions += self._settlement.give_back(call.exchange, now)
             else:
                 actions += self._retry(call, now)
@@ -161,9 +161,9 @@
         """Send what waited until it was known whether replicas had ended under a request."""
         if not self._settlement.is_open(exchange) or exchange.origin is not None:
             return []
-        if exchange.is_careful:
-            return self._careful.step(exchange, now)
-        return self._careful.go_on(exchange, now)
+        if exchange.is_sequential:
+            return self._sequential.step(exchange, now)
+        return self._sequential.go_on(exchange, now)
 
     def _retry(self, call: ServiceCall, now: float) -> list[Action]:
         """Ask another replica, unless an attempt of the call is still under way."""
--- a/wingquay/forwarding/settling/settlement.py
+++ b/wingquay/forwarding/settling/settlement.py
@@ -103,7 +103,7 @@
         for attempt in [item for call in exchange.calls for item in call.attempts.values()]:
             actions += self._sender.cancel(attempt, now)
         if exchange.origin is not None:
-            return self._close(exchange, actions + exchange.origin.refuse_held(held_seconds), now)
+            return self._close(exchange, actions + exchange.origin.report_held(held_seconds), now)
         ended = self._ending.held(exchange, held_seconds, now)
         return self._close(exchange, actions + ended, now)
 
@@ -132,11 +132,11 @@
         """
         assert exchange.origin is not None
         exhausted = [call for call in exchange.calls if call.is_exhausted]
-        told = exchange.origin.tell_exhausted(exhausted) if exchange.failures else []
+        told = exchange.origin.report_exhausted(exhausted) if exchange.failures else []
         is_over = exchange.shards_in + len(exhausted) == len(exchange.calls)
-        if exhausted and not exchange.origin.is_allowed:
+        if exhausted and not exchange.origin.may_retry:
             is_over = False
-        if not is_over and now < exchange.in_time_at - TIME_TOLERANCE_SECONDS:
+        if not is_over and now < exchange.cutoff_at - TIME_TOLERANCE_SECONDS:
             return told
         actions = exchange.origin.report(exchange) + told
         if not is_over:
@@ -147,7 +147,7 @@
         enough = is_enough(exchange.route, exchange.shards_in)
         is_over = exchange.shards_in == len(exchange.calls)
         if not is_over and enough:
-            is_over = now >= exchange.in_time_at - TIME_TOLERANCE_SECONDS or all(
+            is_over = now >= exchange.cutoff_at - TIME_TOLERANCE_SECONDS or all(
                 self._is_hopeless(call, now) for call in exchange.calls if call.answer is None
             )
         if not is_over:
--- a/wingquay/forwarding/timers.py
+++ b/wingquay/forwarding/timers.py
@@ -54,7 +54,7 @@
 
 
 @value
-class GreetingDue(Event):
+class PeerConnectDue(Event):
     """Open connections to other nodes that requests will need."""
 
 
@@ -66,10 +66,10 @@
 
 
 @value
-class ReachDue(Event):
+class ReconnectDue(Event):
     """Try whether a connection to a life of a replica that was out of reach comes up."""
 
-    life: str
+    incarnation: str
 
 
 @value
@@ -91,14 +91,14 @@
 
 
 @value
-class LimitTellDue(Event):
+class LimitReportDue(Event):
     """Tell an owner of tenants which requests were begun."""
 
     node_id: str
 
 
 @value
-class LimitSilenceDue(Event):
+class LimitAckDue(Event):
     """Look whether an owner of tenants has acknowledged what it was told."""
 
     node_id: str
@@ -113,12 +113,12 @@
 
 
 @value
-class LimitAskDue(Event):
+class LimitRequestDue(Event):
     """Look whether the owner that was asked for a request has answered."""
 
     ask_id: int
 
 
 @value
-class LimitOwnerDue(Event):
+class LimitRefreshDue(Event):
     """Borrow again what tenants near their limits need, and forget what is over."""
--- a/wingquay/platform/node.py
+++ b/wingquay/platform/node.py
@@ -122,8 +122,8 @@
                 vanished_outage_grace_seconds=lapse_grace_seconds(
                     gather_seconds, settings.drain_seconds
                 ),
-                unready_stop_seconds=settings.grace_seconds * UNREADY_STOP_SHARE,
-                most_stop_seconds=most_stop_seconds(settings.grace_seconds),
+                idle_close_seconds=settings.grace_seconds * UNREADY_STOP_SHARE,
+                max_stop_seconds=most_stop_seconds(settings.grace_seconds),
             ),
             _follower_settings(settings, gather_seconds),
             _store_formats(),
@@ -138,7 +138,7 @@
         self._readiness = HttpServer(self._answer_readiness)
         self._page = HttpServer(self._answer_metrics)
         seeds = [(seed.host, seed.port) for seed in settings.seeds if seed != settings.peers]
-        self.peers = PeerSnapshots(seeds, machine.known_of_store, self.emit)
+        self.peers = PeerSnapshots(seeds, machine.store_snapshot, self.emit)
         self._peer_server = HttpServer(self.peers.answer)
         self._link = self._peer_link()
         count = self._metrics.count
--- a/wingquay/simulation/forwarding/settings.py
+++ b/wingquay/simulation/forwarding/settings.py
@@ -34,7 +34,7 @@
         Share of the shards without which an answer to a sweep is no success.
     leaves_when_cut_off
         Whether nodes that have lost all other zones leave callers to those.
-    delegate_least_shards
+    delegate_min_shards
         Shards of a route from which on nodes ask each other for some of them.
     tenants
         Tenants of the configuration, whose keys change with it; 0: callers are not told apart.
@@ -58,7 +58,7 @@
     replica_zones: int = 2
     sweep_least_share: float = 0.66
     leaves_when_cut_off: bool = True
-    delegate_least_shards: int = 40
+    delegate_min_shards: int = 40
     drain_bound_seconds: float = 3.0
     evacuation_bound_seconds: float = 3.0
     configuration_bound_seconds: float = 3.0
--- a/wingquay/simulation/forwarding/simulated_node.py
+++ b/wingquay/simulation/forwarding/simulated_node.py
@@ -6,7 +6,7 @@
 
 from ...adapters.held_record import held_value, parse_held
 from ...adapters.node_record import node_value, parse_node
-from ...forwarding.crashing.suspects import Verdict
+from ...forwarding.crashing.suspects import SuspicionLevel
 from ...forwarding.forwarding_node import FormatFailureKind, ForwardingNode, StoreFormats
 from ...forwarding.knowledge.look_times import look_times_within
 from ...forwarding.knowledge.store_follower import FollowerSettings
@@ -113,7 +113,7 @@
             zone=self.zone,
             zones=tuple(f"zone-{number}" for number in range(settings.zones)),
             presence_delay_seconds=PRESENCE_DELAY_SECONDS,
-            delegate_least_shards=settings.delegate_least_shards,
+            delegate_min_shards=settings.delegate_min_shards,
             leaves_when_cut_off=settings.leaves_when_cut_off,
         )
 
@@ -142,9 +142,9 @@
         for action in self._machine.handle(event, self._clock.now):
             self._perform(action)
 
-    def verdict(self, request: OpaqueRequest) -> Verdict:
+    def verdict(self, request: OpaqueRequest) -> SuspicionLevel:
         """Return how the node treats a request that may end replicas."""
-        return self._machine.verdict(request, self._clock.now)
+        return self._machine.suspicion_level(request, self._clock.now)
 
     def kill(self) -> None:
         """End at once; replicas see the connections close."""
