--- a/tests/forwarding/test_arrival_budget.py
+++ b/tests/forwarding/test_arrival_budget.py
@@ -2,10 +2,10 @@
 
 from testtools import TestCase
 
-from wingquay.forwarding.sending.arrival_budget import (
+from wingquay.forwarding.sending.extra_request_budget import (
     OWNERS_RESERVE,
     STEP_IN_PACE,
-    ArrivalBudget,
+    ExtraRequestBudget,
 )
 
 WINDOW_SECONDS = 10.0
@@ -14,7 +14,7 @@
 
 def most_in_a_window(slack: float, nodes: float, pace: float) -> int:
     """Return what one node gets that has saved up all it may and takes all it can."""
-    budget = ArrivalBudget(0.18, slack, WINDOW_SECONDS)
+    budget = ExtraRequestBudget(0.18, slack, WINDOW_SECONDS)
     budget.spend(nodes, 0.0, pace)
     begun_at = 1000.0
     return sum(
@@ -39,7 +39,7 @@
         self.assertGreaterEqual(owned, 4 / 3 * most_in_a_window(180.0, 3 * 2, 1.0))
 
     def test_one_that_steps_in_now_and_then_finds_an_arrival(self) -> None:
-        budget = ArrivalBudget(0.18, 180.0, WINDOW_SECONDS)
+        budget = ExtraRequestBudget(0.18, 180.0, WINDOW_SECONDS)
         self.assertTrue(budget.spend(70, 0.0, STEP_IN_PACE))
         self.assertFalse(budget.spend(70, 1.0, STEP_IN_PACE))
         self.assertTrue(budget.spend(70, 60.0, STEP_IN_PACE))
--- a/tests/forwarding/test_extra_turns.py
+++ b/tests/forwarding/test_extra_turns.py
@@ -9,7 +9,7 @@
 from wingquay.forwarding.exchange import Exchange, ServiceCall
 from wingquay.forwarding.knowledge.presence import NodeCount
 from wingquay.forwarding.sending.extra_turns import WANT_SECONDS, ExtraTurns
-from wingquay.forwarding.sending.shares import SendingShares
+from wingquay.forwarding.sending.sending_quotas import SendingQuotas
 from wingquay.forwarding.sending.waiting_settings import DEFAULT_WAITING
 from wingquay.forwarding.settings import ForwardingSettings
 from wingquay.model.tenants import Tenant
@@ -63,7 +63,7 @@
             max_nodes=1,
         )
         directory = ReplicaDirectory(settings, random.Random(1))
-        self.shares = SendingShares(settings, directory, NodeCount(settings), "", DEFAULT_WAITING)
+        self.shares = SendingQuotas(settings, directory, NodeCount(settings), "", DEFAULT_WAITING)
 
     def call(self, tenant: Tenant | None) -> ServiceCall:
         request = OpaqueRequest(b"GET", b"/one/x", ())
--- a/tests/forwarding/test_presence.py
+++ b/tests/forwarding/test_presence.py
@@ -5,7 +5,7 @@
 from testtools import TestCase
 
 from wingquay.forwarding.knowledge.presence import NodeCount, Presence, PresenceDue
-from wingquay.forwarding.sending.arrival_budget import ArrivalBudget
+from wingquay.forwarding.sending.extra_request_budget import ExtraRequestBudget
 from wingquay.forwarding.settings import ForwardingSettings
 from wingquay.model.failure import Failure
 from wingquay.ports.machine import Action, Schedule, Start
@@ -144,7 +144,7 @@
 class ArrivalBudgetTest(TestCase):
     def test_all_nodes_together_keep_within_the_slack_at_any_number(self) -> None:
         for count in (1, 8, 12, 60, 300):
-            budgets = [ArrivalBudget(0.0, 56.0, 10.0) for _ in range(count)]
+            budgets = [ExtraRequestBudget(0.0, 56.0, 10.0) for _ in range(count)]
             spent: list[float] = []
             for tenth in range(400):
                 now = tenth / 10
@@ -156,7 +156,7 @@
                 self.assertLessEqual(in_window, 56, count)
 
     def test_a_node_whose_part_of_the_slack_is_below_one_saves_one_up(self) -> None:
-        budget = ArrivalBudget(0.0, 168.0, 10.0)
+        budget = ExtraRequestBudget(0.0, 168.0, 10.0)
         nodes = 80
         self.assertFalse(budget.spend(nodes, 0.0))
         self.assertTrue(budget.spend(nodes, 10.0))
@@ -174,14 +174,14 @@
         }
         foretold = {}
         for name, (slack, ratio, requests, _) in rows.items():
-            budget = ArrivalBudget(ratio, slack, 10.0)
+            budget = ExtraRequestBudget(ratio, slack, 10.0)
             for _ in range(requests):
                 budget.earn(0.0)
             foretold[name] = round(budget.next_at(70, 0.0), 1)
         self.assertEqual({name: row[3] for name, row in rows.items()}, foretold)
 
     def test_requests_earn_their_ratio(self) -> None:
-        budget = ArrivalBudget(0.2, 0.0, 10.0)
+        budget = ExtraRequestBudget(0.2, 0.0, 10.0)
         spent = 0
         for _ in range(100):
             budget.earn(0.0)
--- a/tests/forwarding/test_replica_lives.py
+++ b/tests/forwarding/test_replica_lives.py
@@ -93,7 +93,7 @@
             self.assertEqual(expected, record_of(known), what)
             self.assertEqual(
                 [expected],
-                [item.record for item in known.usable("s", 2.0)]
+                [item.record for item in known.candidates("s", 2.0)]
                 or [item for item in (record_of(known),) if item is not None and item.is_draining],
                 what,
             )
@@ -118,7 +118,7 @@
     def test_a_replica_whose_entry_is_gone_is_not_brought_back_by_an_older_entry(self) -> None:
         known = directory()
         known.put(OLD, 1.0, 5)
-        known.vanish("r0", 2.0, 8)
+        known.mark_vanished("r0", 2.0, 8)
         known.put(OLD, 2.5, 7)
         self.assertEqual(2.0, known.get("r0").vanished_at)
         known.put(OLD, 3.0, 9)
@@ -127,7 +127,7 @@
     def test_an_older_word_that_it_is_gone_does_not_count(self) -> None:
         known = directory()
         known.put(NEW, 1.0, 9)
-        known.vanish("r0", 2.0, 8)
+        known.mark_vanished("r0", 2.0, 8)
         known.keep_only((), 2.0, 8)
         self.assertIsNone(known.get("r0").vanished_at)
         known.keep_only((), 3.0, 9)
@@ -138,15 +138,15 @@
         known.put(OLD, 1.0, 5)
         moved = ReplicaRecord("r0", "t", "10.0.0.9", 81, "b", 4, born=BORN + 1)
         known.put(moved, 2.0, 6)
-        self.assertEqual([], known.usable("s", 2.0))
-        self.assertEqual([moved], [state.record for state in known.usable("t", 2.0)])
+        self.assertEqual([], known.candidates("s", 2.0))
+        self.assertEqual([moved], [state.record for state in known.candidates("t", 2.0)])
 
     def test_a_life_that_names_another_service_is_found_there_only(self) -> None:
         known = directory()
         known.put(OLD, 1.0, 5)
         known.put(replica("r0", "t", born=BORN), 2.0, 6)
-        self.assertEqual([], known.usable("s", 2.0))
-        self.assertEqual(["t"], [state.record.service for state in known.usable("t", 2.0)])
+        self.assertEqual([], known.candidates("s", 2.0))
+        self.assertEqual(["t"], [state.record.service for state in known.candidates("t", 2.0)])
         known.remove("r0")
         self.assertEqual(set(), known.services())
 
@@ -155,10 +155,10 @@
         known.put(OLD, 1.0, 5)
         old = known.get("r0")
         known.put(NEW, 2.0, 6)
-        known.contradict(old, 2.5)
+        known.mark_stale(old, 2.5)
         self.assertEqual(NEW, record_of(known))
-        self.assertIsNone(known.of_life(OLD.life))
-        self.assertIs(known.get("r0"), known.of_life(NEW.life))
+        self.assertIsNone(known.get_incarnation(OLD.life))
+        self.assertIs(known.get("r0"), known.get_incarnation(NEW.life))
 
 
 class EntriesAtTheNodeTest(TestCase):
@@ -242,7 +242,7 @@
         self.assertEqual(4, old.sent_since(node.now - 2.0))
         node.change(replica("r0", "s", born=BORN + 1, cold_seconds=60.0))
         new = node.machine._directory.get("r0")
-        self.assertTrue(new.is_untouched)
+        self.assertTrue(new.is_unused)
         self.assertEqual(
             (0.0, 1.0, 0, 0, True),
             (
--- a/tests/forwarding/test_waiting_decision.py
+++ b/tests/forwarding/test_waiting_decision.py
@@ -16,12 +16,12 @@
     WaitUntil,
     decide,
 )
-from wingquay.forwarding.sending.return_time import (
-    LEAST_RETURN_SECONDS,
+from wingquay.forwarding.sending.retry_after import (
+    MIN_RETRY_AFTER_SECONDS,
     MOST_RETURN_SECONDS,
     SPREAD_RATIO,
     UNKNOWN_RETURN_SECONDS,
-    return_seconds,
+    jittered_retry_after,
 )
 from wingquay.forwarding.sending.room import (
     NEVER,
@@ -196,8 +196,8 @@
     def test_nobody_comes_back_before_there_is_room_nor_far_too_late(
         self, room: float, draw: float
     ) -> None:
-        seconds = return_seconds(room, draw)
+        seconds = jittered_retry_after(room, draw)
         known = UNKNOWN_RETURN_SECONDS if room == NEVER else room
         self.assertGreaterEqual(seconds, min(known, MOST_RETURN_SECONDS))
-        self.assertGreaterEqual(seconds, LEAST_RETURN_SECONDS)
+        self.assertGreaterEqual(seconds, MIN_RETRY_AFTER_SECONDS)
         self.assertLessEqual(seconds, MOST_RETURN_SECONDS * (1.0 + SPREAD_RATIO))
--- a/tests/routing/test_fair_line.py
+++ b/tests/routing/test_fair_line.py
@@ -6,8 +6,8 @@
 from hypothesis import strategies as st
 from testtools import TestCase
 
-from wingquay.routing.fair_line import FairLine
-from wingquay.routing.line_place import Place
+from wingquay.routing.fair_queue import FairQueue
+from wingquay.routing.queue_placement import QueuePlacement
 
 
 @dataclass(eq=False)
@@ -20,11 +20,11 @@
     is_queued: bool = False
 
 
-def new_line(memory_seconds: float | None = None) -> FairLine[Waiting]:
-    return FairLine(lambda item: Place(item.rank, item.flow), memory_seconds)
+def new_line(memory_seconds: float | None = None) -> FairQueue[Waiting]:
+    return FairQueue(lambda item: QueuePlacement(item.rank, item.flow), memory_seconds)
 
 
-def served(line: FairLine[Waiting], now: float = 0.0) -> list[str]:
+def served(line: FairQueue[Waiting], now: float = 0.0) -> list[str]:
     """Return the names of all that waits, in the order in which it is served."""
     names = []
     while (item := line.pop(lambda _: True, now, lambda other: not other.is_late)) is not None:
--- a/tests/simulation/forwarding/test_forwarding_simulation.py
+++ b/tests/simulation/forwarding/test_forwarding_simulation.py
@@ -9,9 +9,9 @@
 from wingquay.forwarding.forwarding_machine import ForwardingMachine
 from wingquay.forwarding.peers.delegated_work import DelegatedWork
 from wingquay.forwarding.peers.delegation import Delegations
-from wingquay.forwarding.sending.arrival_budget import ArrivalBudget
 from wingquay.forwarding.sending.attempts import AttemptSender
 from wingquay.forwarding.sending.call_starter import CallStarter
+from wingquay.forwarding.sending.extra_request_budget import ExtraRequestBudget
 from wingquay.forwarding.sending.latencies import RouteLatencies
 from wingquay.forwarding.settling import ending
 from wingquay.forwarding.settling.ending import ExchangeEnding
@@ -149,12 +149,12 @@
         self.addCleanup(setattr, owner, name, original)
 
     def test_work_for_a_draining_replica_is_caught(self) -> None:
-        self.replace(ReplicaDirectory, "vanish", lambda *_: None)
+        self.replace(ReplicaDirectory, "mark_vanished", lambda *_: None)
         self.replace(ReplicaDirectory, "put", _put_without_drain)
         self.assertIn("after it drained", self.violations(replica_drains))
 
     def test_work_in_an_evacuated_zone_is_caught(self) -> None:
-        self.replace(ReplicaDirectory, "evacuate", lambda *_: None)
+        self.replace(ReplicaDirectory, "set_evacuated_zones", lambda *_: None)
         self.assertIn("which is evacuated", self.violations(zone_evacuated))
 
     def test_work_for_a_caller_that_left_is_caught(self) -> None:
@@ -192,13 +192,13 @@
         self.assertIn("not the greatest records", self.violations(replica_slow))
 
     def test_extra_arrivals_beyond_the_budget_are_caught(self) -> None:
-        self.replace(ArrivalBudget, "spend", lambda *_: True)
+        self.replace(ExtraRequestBudget, "spend", lambda *_: True)
         self.replace(RouteLatencies, "hedge_seconds", lambda *_: 0.001)
         self.assertIn("extra arrivals", self.violations(replica_slow))
 
     def test_a_request_without_a_reply_is_caught(self) -> None:
         self.replace(Settlement, "out_of_time", lambda *_: [])
-        self.replace(CallStarter, "start", lambda *_: [])
+        self.replace(CallStarter, "send_or_queue", lambda *_: [])
         self.assertIn("no reply by its time limit", self.violations(replica_slow))
 
     def test_an_old_configuration_is_caught(self) -> None:
--- a/wingquay/admission/class_line.py
+++ b/wingquay/admission/class_line.py
@@ -1,12 +1,12 @@
 """The line of one shard: sub-requests wait by class, each weighted by its price."""
 
 from ..model.request import SubRequest
-from ..routing.fair_line import FairLine
-from ..routing.line_place import Place
+from ..routing.fair_queue import FairQueue
+from ..routing.queue_placement import QueuePlacement
 from .work import Work
 
 
-class ClassLine(FairLine[Work]):
+class ClassLine(FairQueue[Work]):
     """Waiting sub-requests of one shard.
 
     Parameters
@@ -23,10 +23,10 @@
         """Return how long a newcomer of a class would wait for one of ``parallelism`` slots."""
         return self.delay_seconds(self._place_of_class(sub_request, 1.0), parallelism, now)
 
-    def _place(self, work: Work) -> Place:
+    def _place(self, work: Work) -> QueuePlacement:
         return self._place_of_class(work.sub_request, work.cost_seconds)
 
-    def _place_of_class(self, sub_request: SubRequest, cost_seconds: float) -> Place:
+    def _place_of_class(self, sub_request: SubRequest, cost_seconds: float) -> QueuePlacement:
         if not self._by_class:
-            return Place(0, "", 1.0, cost_seconds)
-        return Place(0, sub_request.class_name, sub_request.price, cost_seconds)
+            return QueuePlacement(0, "", 1.0, cost_seconds)
+        return QueuePlacement(0, sub_request.class_name, sub_request.price, cost_seconds)
--- a/wingquay/forwarding/choice/evacuations.py
+++ b/wingquay/forwarding/choice/evacuations.py
@@ -21,7 +21,7 @@
         self._prefix = prefix
         self._directory = directory
 
-    def is_mine(self, key: str) -> bool:
+    def handles(self, key: str) -> bool:
         """Whether a key tells of an evacuation."""
         return key.startswith(self._prefix)
 
@@ -43,7 +43,7 @@
     def _set(self, zones: frozenset[str], zone: str, message: str) -> list[Action]:
         if zones == self._directory.evacuated_zones:
             return []
-        self._directory.evacuate(zones)
+        self._directory.set_evacuated_zones(zones)
         return [
             Log(message, LogLevel.WARNING, (("zone", zone), ("zones", len(zones)))),
             Count("zone_evacuations_total", labels=(("change", message),)),
--- a/wingquay/forwarding/choice/known_lives.py
+++ b/wingquay/forwarding/choice/known_lives.py
@@ -28,10 +28,10 @@
         """Return the state of a replica."""
         return self._states.get(replica_id)
 
-    def of_life(self, life: str) -> ReplicaState | None:
+    def get_incarnation(self, life: str) -> ReplicaState | None:
         """Return the state of a life of a replica; ``None``: it is not known, or over."""
         state = self._states.get(life.partition(" ")[0])
-        return state if state is not None and state.life == life else None
+        return state if state is not None and state.incarnation == life else None
 
     def services(self) -> Collection[str]:
         """Return the services of which a replica is known."""
@@ -42,7 +42,7 @@
         found = self._by_service.get(service)
         return () if found is None else found.values()
 
-    def is_renewed_since(self, service: str, moment: float) -> bool:
+    def has_restarted_since(self, service: str, moment: float) -> bool:
         """Whether a replica of the service has started again since a moment."""
         return self._renewed_at.get(service, float("-inf")) >= moment
 
@@ -61,9 +61,9 @@
         if record.born is None and state.record.born is not None:
             # It says nothing of lives: the one that is known goes on.
             record = replace(record, born=state.record.born)
-        if state.life != record.life:
+        if state.incarnation != record.life:
             self.remove(state)
-            state.is_over = True
+            state.is_superseded = True
             self._renewed_at[state.record.service] = now
             self._begin(record, now, revision)
             return state
@@ -71,7 +71,7 @@
         state.revision = revision
         return None
 
-    def vanish(self, replica_id: str, now: float, revision: int | None) -> None:
+    def mark_vanished(self, replica_id: str, now: float, revision: int | None) -> None:
         """Take in that a record is gone; ``revision`` ``None``: it is gone now."""
         state = self._states.get(replica_id)
         if state is None or (revision is not None and revision < state.revision):
--- a/wingquay/forwarding/choice/replica_directory.py
+++ b/wingquay/forwarding/choice/replica_directory.py
@@ -44,11 +44,11 @@
         """Return the state of a replica."""
         return self._known.get(replica_id)
 
-    def of_life(self, life: str) -> ReplicaState | None:
+    def get_incarnation(self, life: str) -> ReplicaState | None:
         """Return the state of a life of a replica; ``None``: it is not known, or over."""
-        return self._known.of_life(life)
+        return self._known.get_incarnation(life)
 
-    def holds(self, record: ReplicaRecord) -> bool:
+    def is_current(self, record: ReplicaRecord) -> bool:
         """Whether just this is known of a replica, and its record is there."""
         state = self._known.get(record.replica_id)
         return state is not None and state.vanished_at is None and state.record == record
@@ -67,7 +67,7 @@
         """
         return self._known.put(record, now, revision)
 
-    def vanish(self, replica_id: str, now: float, revision: int | None = None) -> None:
+    def mark_vanished(self, replica_id: str, now: float, revision: int | None = None) -> None:
         """Take in that a record is gone.
 
         Parameters
@@ -75,7 +75,7 @@
         revision
             The store's revision by which it was; ``None``: it is gone now.
         """
-        self._known.vanish(replica_id, now, revision)
+        self._known.mark_vanished(replica_id, now, revision)
 
     def keep_only(
         self, replica_ids: Container[str], now: float, revision: int | None = None
@@ -85,7 +85,7 @@
             self._listed_at = now
         for state in self._known:
             if state.record.replica_id not in replica_ids:
-                self.vanish(state.record.replica_id, now, revision)
+                self.mark_vanished(state.record.replica_id, now, revision)
 
     def remove(self, replica_id: str) -> None:
         """Forget a replica that certainly is gone."""
@@ -93,20 +93,20 @@
         if state is not None:
             self._known.remove(state)
 
-    def evacuate(self, zones: frozenset[str]) -> None:
+    def set_evacuated_zones(self, zones: frozenset[str]) -> None:
         """Take in the zones whose replicas must get nothing, until they are taken back."""
         self._evacuated = zones
 
-    def contradict(self, state: ReplicaState, now: float) -> None:
+    def mark_stale(self, state: ReplicaState, now: float) -> None:
         """Take in that another replica answers at a replica's address: its record is old."""
         self._contradicted_at = now
         self._known.remove(state)
 
-    def is_contradicted(self, now: float) -> bool:
+    def found_stale_recently(self, now: float) -> bool:
         """Whether a replica has just shown that records are old."""
         return now - self._contradicted_at < self._settings.stale_record_seconds
 
-    def note_outage(self, now: float) -> None:
+    def on_outage(self, now: float) -> None:
         """Take in that the directory is out of reach now."""
         self._outage_ended_at = now
 
@@ -117,16 +117,16 @@
             begun_at = max(begun_at, self._listed_at)
         return now - begun_at < self._settings.settle_seconds
 
-    def has_any(self, service: str, now: float) -> bool:
+    def has_candidates(self, service: str, now: float) -> bool:
         """Whether the service has a replica that may get work."""
         return bool(self._candidates(service, now))
 
-    def has_other(self, service: str, excluded: Container[str], now: float) -> bool:
+    def has_other_candidates(self, service: str, excluded: Container[str], now: float) -> bool:
         """Whether the service has a replica that may get work; ``excluded`` are lives."""
         candidates = self._candidates(service, now)
-        return any(state.life not in excluded for state in candidates)
+        return any(state.incarnation not in excluded for state in candidates)
 
-    def has_present(self, service: str) -> bool:
+    def has_record(self, service: str) -> bool:
         """Whether a record of a replica of the service is there."""
         states = self._known.of_service(service)
         return any(state.vanished_at is None for state in states)
@@ -149,31 +149,31 @@
         """Return the services of which a replica is known."""
         return set(self._known.services())
 
-    def usable(self, service: str, now: float) -> list[ReplicaState]:
+    def candidates(self, service: str, now: float) -> list[ReplicaState]:
         """Return the replicas of a service that may get work."""
         return self._candidates(service, now)
 
-    def replicas_of(self, service: str) -> int:
+    def replica_count(self, service: str) -> int:
         """Return how many replicas of the service are known, whether they may get work or not."""
         return len(self._known.of_service(service))
 
-    def is_renewed_since(self, service: str, moment: float) -> bool:
+    def has_restarted_since(self, service: str, moment: float) -> bool:
         """Whether a replica of the service has started again since a moment."""
-        return self._known.is_renewed_since(service, moment)
+        return self._known.has_restarted_since(service, moment)
 
-    def forget_vanished(self, now: float) -> None:
+    def remove_expired(self, now: float) -> None:
         """Forget the replicas whose time of grace is over."""
         for state in self._known:
             if state.vanished_at is not None and not self._has_grace(state, now):
                 self._known.remove(state)
 
-    def has_usable(self, service: str, now: float) -> bool:
+    def has_unblocked(self, service: str, now: float) -> bool:
         """Whether a replica of the service may be asked and was not just out of reach."""
         return any(
             not state.is_blocked(self._settings, now) for state in self._candidates(service, now)
         )
 
-    def usable_at(self, service: str, now: float) -> float:
+    def unblocked_at(self, service: str, now: float) -> float:
         """Return when a replica of the service may next be asked; infinity if there is none."""
         return min(
             [max(now, state.blocked_until) for state in self._candidates(service, now)],
@@ -211,7 +211,7 @@
         free = [
             state
             for state in self._candidates(service, now)
-            if state.life not in excluded and len(state.in_flight) < limit
+            if state.incarnation not in excluded and len(state.in_flight) < limit
         ]
         unblocked = [state for state in free if not state.is_blocked(self._settings, now)]
         if unblocked:
--- a/wingquay/forwarding/choice/replica_state.py
+++ b/wingquay/forwarding/choice/replica_state.py
@@ -80,9 +80,9 @@
     """Whether no connection to it came up the last time: it gets work once one does."""
     is_reach_due: bool = False
     """Whether a connection to it will be tried by itself."""
-    is_over: bool = False
+    is_superseded: bool = False
     """Whether its replica is known to have started again."""
-    life: str = field(init=False)
+    incarnation: str = field(init=False)
     """The name of this life."""
     _sent_cold: list[float] = field(default_factory=list)
     """When requests were sent lately while it was cold."""
@@ -100,7 +100,7 @@
 
     def __post_init__(self) -> None:
         """Name the life once: choices compare the names of all replicas of a service."""
-        self.life = self.record.life
+        self.incarnation = self.record.life
 
     @property
     def known_slots(self) -> int:
@@ -124,7 +124,7 @@
         )
 
     @property
-    def is_untouched(self) -> bool:
+    def is_unused(self) -> bool:
         """Whether nothing was ever sent to it or heard of it."""
         return not self.in_flight and not self.failures_in_row and self.answered_at < 0.0
 
@@ -254,7 +254,7 @@
         self.failures_in_row += 1
         if not self.is_out_of_reach:
             # That it is out of reach is found out by connections, and forgotten when one comes up.
-            self.on_trouble(now)
+            self.on_failed_attempt(now)
         first = 1 if is_certain else BREAKS
         if self.failures_in_row < first:
             return 0.0
@@ -273,10 +273,10 @@
     def on_shed(self, settings: ForwardingSettings, now: float) -> None:
         """Take in that it refused work for its load."""
         self.answered_at = now
-        self.on_trouble(now)
+        self.on_failed_attempt(now)
         self.blocked_until = max(self.blocked_until, now + settings.shed_backoff_seconds)
 
-    def on_trouble(self, now: float) -> None:
+    def on_failed_attempt(self, now: float) -> None:
         """Take in that an attempt failed there."""
         self._move_trouble(1.0, TROUBLE_WEIGHT, now)
 
--- a/wingquay/forwarding/choice/weighted_choice.py
+++ b/wingquay/forwarding/choice/weighted_round_robin.py
@@ -16,7 +16,7 @@
     credits: list[float]
 
 
-class WeightedChoice:
+class WeightedRoundRobin:
     """Keeps each route's place in its round.
 
     Parameters
--- a/wingquay/forwarding/crashing/end_watch.py
+++ b/wingquay/forwarding/crashing/end_watch.py
@@ -48,7 +48,7 @@
         lost = self.known(attempt, now)
         if lost is None or exchange.open_looks >= MOST_PER_EXCHANGE:
             return []
-        life = attempt.replica.life
+        life = attempt.replica.incarnation
         known = self._lost.get(life)
         if known is None and len(self._lost) >= MOST_REPLICAS:
             return []
@@ -64,7 +64,7 @@
         replica = attempt.replica
         if replica.record.is_draining or replica.vanished_at is not None:
             return None
-        end = ReplicaEnd(replica.life, self._node_id, attempt.sent_at, now)
+        end = ReplicaEnd(replica.incarnation, self._node_id, attempt.sent_at, now)
         return LostAttempt(attempt.call.exchange, replica, end)
 
     def tried(self, event: ConnectionTried) -> list[LostAttempt]:
--- a/wingquay/forwarding/crashing/guard.py
+++ b/wingquay/forwarding/crashing/guard.py
@@ -92,7 +92,7 @@
         if exchange.origin is not None:
             # The node that asked looks into it: it knows of all parts of the request.
             return []
-        if attempt.replica.is_over:
+        if attempt.replica.is_superseded:
             known = self._ends.known(attempt, now)
             return [] if known is None else self._ended(known, now)
         return self._ends.lost(attempt, now)
@@ -107,7 +107,7 @@
         actions: list[Action] = []
         found = self._ends.tried(event)
         for lost in found:
-            if event.is_refused or lost.replica.is_over:
+            if event.is_refused or lost.replica.is_superseded:
                 actions += self._ended(lost, now)
             elif event.is_open:
                 lost.exchange.unexplained_disconnects -= 1
--- a/wingquay/forwarding/crashing/sequential_sending.py
+++ b/wingquay/forwarding/crashing/sequential_sending.py
@@ -32,11 +32,11 @@
         waiting = [call for call in open_calls if call.is_begun]
         fresh = [call for call in open_calls if not call.is_begun]
         actions = self.begin_all(exchange, fresh, now) if fresh else []
-        return actions + self._starter.start_all(waiting, now)
+        return actions + self._starter.send_or_queue_all(waiting, now)
 
     def _start(self, call: ServiceCall, now: float) -> list[Action]:
         if call.is_begun:
-            return self._starter.start(call, now)
+            return self._starter.send_or_queue(call, now)
         return self._starter.begin(call, now)
 
     def _begin(self, _exchange: Exchange, calls: list[ServiceCall], now: float) -> list[Action]:
--- a/wingquay/forwarding/exchange_opening.py
+++ b/wingquay/forwarding/exchange_opening.py
@@ -6,13 +6,13 @@
 from ..model.routing_table import RoutingTable
 from ..ports.machine import Action, Schedule
 from .arrival.kept_arrivals import Arrival
-from .choice.weighted_choice import WeightedChoice
+from .choice.weighted_round_robin import WeightedRoundRobin
 from .crashing.sequential_sending import SequentialSending
 from .exchange import Exchange, ServiceCall
 from .sending.call_starter import CallStarter
 from .sending.decision import Reject
 from .sending.latencies import RouteLatencies
-from .sending.waiting import Waiting
+from .sending.waiting_policy import WaitingPolicy
 from .settings import ForwardingSettings
 from .settling.cutoff import in_time_seconds
 from .settling.settlement import Settlement
@@ -33,7 +33,7 @@
     def __init__(
         self,
         settings: ForwardingSettings,
-        waiting: Waiting,
+        waiting: WaitingPolicy,
         latencies: RouteLatencies,
         settlement: Settlement,
         starter: CallStarter,
@@ -46,7 +46,7 @@
         self._settlement = settlement
         self._starter = starter
         self._sequential = sequential
-        self._weights = WeightedChoice(random_source)
+        self._weights = WeightedRoundRobin(random_source)
         self._held: set[int] = set()
         self.ask_nodes: Callable[[Exchange, list[ServiceCall], float], list[Action]] | None = None
         """Asks other nodes for shards, once the link to them is open."""
@@ -122,7 +122,7 @@
                 self._held.discard(exchange.exchange_id)
                 return self._settlement.reject(exchange, rejection, now)
         self._held.add(exchange.exchange_id)
-        due_at = self._waiting.look_at(exchange, now)
+        due_at = self._waiting.recheck_at(exchange, now)
         return [Schedule(due_at, RetryDue(exchange.exchange_id))]
 
     def is_held(self, exchange: Exchange) -> bool:
--- a/wingquay/forwarding/forwarding_machine.py
+++ b/wingquay/forwarding/forwarding_machine.py
@@ -26,11 +26,11 @@
 from .knowledge.reach_evidence import ReachEvidence
 from .request_arrival import RequestArrival
 from .sending.attempts import AttemptSender
-from .sending.call_line import CallLine
+from .sending.call_queue import CallQueue
 from .sending.call_starter import CallStarter
 from .sending.latencies import RouteLatencies
-from .sending.shares import SendingShares
-from .sending.waiting import Waiting
+from .sending.sending_quotas import SendingQuotas
+from .sending.waiting_policy import WaitingPolicy
 from .sending.waiting_settings import DEFAULT_WAITING, WaitingSettings
 from .settings import ForwardingSettings
 from .settling.ending import ExchangeEnding
@@ -91,12 +91,12 @@
         self._settings = settings
         self._directory = directory
         self._latencies = RouteLatencies(settings)
-        self._limits = SendingShares(settings, directory, nodes, key, waiting)
+        self._limits = SendingQuotas(settings, directory, nodes, key, waiting)
         self._sender = AttemptSender(settings, directory, self._latencies, self._limits)
         self._random = random_source
         ending = ExchangeEnding(random_source)
-        self._line = CallLine(self._latencies)
-        self._waiting = Waiting(
+        self._line = CallQueue(self._latencies)
+        self._waiting = WaitingPolicy(
             waiting, settings, directory, self._latencies, self._limits, self._line
         )
         self._settlement = Settlement(self._waiting, directory, self._sender, ending)
@@ -229,7 +229,7 @@
     def woken(self, event: Woken, now: float) -> list[Action]:
         """End what is too late after a suspension; attempts are as old as before it."""
         self.lag.seconds = event.seconds
-        self._sender.suspended(event.seconds)
+        self._sender.on_suspended(event.seconds)
         return self._settlement.end_overdue(now)
 
     def limit_answered(
@@ -266,7 +266,7 @@
             case AbandonDue():
                 return self._abandon_due(event, now)
             case ReconnectDue():
-                return self._sender.reach_due(event, now)
+                return self._sender.on_reconnect_due(event, now)
             case ConnectionTried():
                 return self._outcomes.connection_tried(event, now)
 
@@ -279,7 +279,7 @@
         if attempt is None:
             return []
         actions = self._sender.cancel(attempt, now)
-        return actions + self._starter.serve_waiting(attempt.call.service, now)
+        return actions + self._starter.send_queued(attempt.call.service, now)
 
     def _exchange_event(
         self,
@@ -321,5 +321,5 @@
         for call in exchange.calls:
             if call.is_waiting and call.answer is None and not call.attempts:
                 call.refused_incarnations.clear()
-                actions += self._starter.start(call, now)
+                actions += self._starter.send_or_queue(call, now)
         return actions + self._settlement.settle(exchange, now)
--- a/wingquay/forwarding/forwarding_node.py
+++ b/wingquay/forwarding/forwarding_node.py
@@ -113,7 +113,7 @@
             lambda written, deleted, now: (
                 self._contents.changed(written, deleted, now) + self._callers.changes(now)
             ),
-            self._directory.note_outage,
+            self._directory.on_outage,
             lambda news, now: self._news.told(news, now),
             lambda: bool(self._members.listeners()),
             lambda: self._members.rank() == 0,
--- a/wingquay/forwarding/own_time.py
+++ b/wingquay/forwarding/own_time.py
@@ -83,7 +83,7 @@
         match event:
             case SweepDue():
                 self._lateness.timer_seconds = max(now - event.due_at, 0.0)
-                self._directory.forget_vanished(now)
+                self._directory.remove_expired(now)
                 due_at = now + SWEEP_SECONDS
                 greetings = self._forwarding.handle(PeerConnectDue(), now)
                 proving = self._keeper.sweep(self._members.listeners, now)
@@ -96,7 +96,7 @@
 
     def pace(self, now: float) -> list[Action]:
         """Look at the store more often while records of replicas or nodes are missing."""
-        is_old = self._directory.is_contradicted(now)
+        is_old = self._directory.found_stale_recently(now)
         if is_old or self._forwarding.held_exchanges > 0:
             return self._follower.gather(self._settings.settle_poll_seconds, now)
         if self._members.is_joining(now):
@@ -108,7 +108,7 @@
 
     def _woken(self, event: Woken, now: float) -> list[Action]:
         """Behave as a node whose store was away for as long, and give up what is too late."""
-        self._directory.note_outage(now)
+        self._directory.on_outage(now)
         self._lateness.timer_seconds = event.seconds
         self._keeper.failed("suspended")
         open_requests = self._forwarding.open_exchanges
--- a/wingquay/forwarding/peers/connections_ahead.py
+++ b/wingquay/forwarding/peers/connections_ahead.py
@@ -57,7 +57,7 @@
             if len(shards) >= self._settings.delegate_min_shards:
                 wanted += self._wanted(shards, now)
         chosen = wanted[:MOST_OPENED]
-        self._opened.update(state.life for state in chosen)
+        self._opened.update(state.incarnation for state in chosen)
         return [OpenConnection(state.record) for state in chosen]
 
     def _coming(self) -> tuple[str, ...]:
@@ -72,6 +72,8 @@
         return [
             state
             for shard in own
-            for state in self._directory.usable(shard, now)
-            if state.record.zone == zone and state.is_untouched and state.life not in self._opened
+            for state in self._directory.candidates(shard, now)
+            if state.record.zone == zone
+            and state.is_unused
+            and state.incarnation not in self._opened
         ]
--- a/wingquay/forwarding/peers/delegated_work.py
+++ b/wingquay/forwarding/peers/delegated_work.py
@@ -103,7 +103,7 @@
         return tuple(
             position
             for position, shard in enumerate(message.shards)
-            if not self._directory.has_any(shard, now)
+            if not self._directory.has_candidates(shard, now)
         )
 
     def accept(
--- a/wingquay/forwarding/peers/delegation_reports.py
+++ b/wingquay/forwarding/peers/delegation_reports.py
@@ -71,7 +71,7 @@
             call.delegated_attempts = 0
             call.arrivals -= 1
             call.history.append("declined")
-        return self._starter.start_all(calls, now)
+        return self._starter.send_or_queue_all(calls, now)
 
     def _given_back(
         self, delegation: Delegation, message: DelegatedAnswer, now: float
@@ -89,7 +89,9 @@
             call.history.append(f"given back after {arrivals}")
             exchange.unexplained_disconnects += arrivals
         exchange.failures += len(calls)
-        return self._starter.start_all([call for call in calls if call.attempts_left > 0], now)
+        return self._starter.send_or_queue_all(
+            [call for call in calls if call.attempts_left > 0], now
+        )
 
     def _exhausted(self, delegation: Delegation, message: DelegatedAnswer) -> None:
         """Take in that nothing comes of shards any more."""
--- a/wingquay/forwarding/peers/stepping_in.py
+++ b/wingquay/forwarding/peers/stepping_in.py
@@ -56,7 +56,7 @@
             return self._step_in(delegation, calls, reason, now)
         lost = self._pass_over(delegation, calls, reason, is_absent=True, now=now)
         own, divided = self._asking.divide(exchange, calls, now)
-        return [*lost, *divided, *self._starter.start_all(own, now)]
+        return [*lost, *divided, *self._starter.send_or_queue_all(own, now)]
 
     def lost(self, delegation: Delegation, reason: str, now: float) -> list[Action]:
         """Ask for the shards of a node that is silent or whose connection broke."""
@@ -77,10 +77,10 @@
     def _can_ask_again(self, call: ServiceCall) -> bool:
         """Whether no replica is left that would be one too many, whomever the lost node asked."""
         exchange = call.exchange
-        if self._directory.is_renewed_since(call.service, exchange.arrived_at):
+        if self._directory.has_restarted_since(call.service, exchange.arrived_at):
             # The lost node may have asked the life before, which is one more.
             return False
-        return self._directory.replicas_of(call.service) <= exchange.route.max_attempts
+        return self._directory.replica_count(call.service) <= exchange.route.max_attempts
 
     def _step_in(
         self, delegation: Delegation, calls: list[ServiceCall], reason: str, now: float
@@ -93,7 +93,7 @@
         exchange.failures += len(calls)
         lost = self._pass_over(delegation, calls, reason, is_absent=False, now=now)
         startable = [call for call in calls if call.attempts_left > 0]
-        started = self._starter.start_all(startable, now)
+        started = self._starter.send_or_queue_all(startable, now)
         return [*lost, *started, *self._settlement.settle(exchange, now)]
 
     def _pass_over(
--- a/wingquay/forwarding/request_arrival.py
+++ b/wingquay/forwarding/request_arrival.py
@@ -15,7 +15,7 @@
 from .exchange import Exchange
 from .exchange_opening import ExchangeOpening
 from .knowledge.loop_lag import LoopLag
-from .sending.return_time import LEAST_RETURN_SECONDS
+from .sending.retry_after import MIN_RETRY_AFTER_SECONDS
 from .settling.ending import HELD_REASON, ExchangeEnding
 from .settling.settlement import Settlement
 from .timers import LimitAnswerDue
@@ -84,7 +84,7 @@
         if route is None:
             return self._ending.no_route(bare, table.version)
         if self._is_too_late(event):
-            return self._ending.refuse_arrival(bare, LATE_REASON, LEAST_RETURN_SECONDS)
+            return self._ending.refuse_arrival(bare, LATE_REASON, MIN_RETRY_AFTER_SECONDS)
         tenant = self.admission.caller(event.key, table, route, now)
         if isinstance(tenant, Rejected):
             return self._reject(bare, tenant, "")
@@ -183,7 +183,7 @@
 
     def _refuse_unanswered(self, arrival: Arrival, reason: str, now: float) -> list[Action]:
         self._give_back_arrival(arrival, now)
-        rejected = Rejected(ForwardFailureKind.NOT_RUN, reason, LEAST_RETURN_SECONDS)
+        rejected = Rejected(ForwardFailureKind.NOT_RUN, reason, MIN_RETRY_AFTER_SECONDS)
         return self._reject(arrival.event, rejected, _name(arrival))
 
     def _left(self, arrival: Arrival, now: float) -> list[Action]:
--- a/wingquay/forwarding/sending/attempts.py
+++ b/wingquay/forwarding/sending/attempts.py
@@ -18,7 +18,7 @@
 from ..settings import ForwardingSettings
 from ..timers import AbandonDue, ReconnectDue
 from .latencies import RouteLatencies
-from .shares import SendingShares
+from .sending_quotas import SendingQuotas
 
 SLOW_PACE = 2.0
 """Usual times that work takes at a replica from which on its choice is counted as one of a slow
@@ -33,7 +33,7 @@
         settings: ForwardingSettings,
         directory: ReplicaDirectory,
         latencies: RouteLatencies,
-        limits: SendingShares,
+        limits: SendingQuotas,
     ) -> None:
         self._settings = settings
         self._directory = directory
@@ -91,7 +91,7 @@
         attempt_id = next(self._ids)
         attempt = Attempt(attempt_id, call, replica, now, is_hedge, len(replica.in_flight))
         call.attempts[attempt_id] = attempt
-        call.tried_incarnations.add(replica.life)
+        call.tried_incarnations.add(replica.incarnation)
         call.arrivals += 1
         call.is_waiting = False
         if replica.is_cold(now):
@@ -112,7 +112,7 @@
         )
         return Count("replica_choices_total", labels=labels)
 
-    def not_arrived(self, attempt: Attempt) -> None:
+    def on_not_arrived(self, attempt: Attempt) -> None:
         """Take back that a replica may have got the request: no byte of it left."""
         call = attempt.call
         call.arrivals -= 1
@@ -120,11 +120,11 @@
         if call.arrivals:
             self._limits.give_back(call.service)
 
-    def not_run(self, attempt: Attempt) -> None:
+    def on_not_run(self, attempt: Attempt) -> None:
         """Take in that a replica did not run the request."""
         self._not_run(attempt)
 
-    def suspended(self, seconds: float) -> None:
+    def on_suspended(self, seconds: float) -> None:
         """Take in that this node was suspended: its attempts are no older by that.
 
         Replicas whose answers wait to be read would count as silent and slow, all at once: nothing
@@ -163,10 +163,10 @@
             and not attempt.was_suspended
             and attempt.replica.is_silent_since(attempt.sent_at)
         ):
-            actions += self.failed(attempt, "silent", True, now)
+            actions += self.on_failed(attempt, "silent", True, now)
         return actions
 
-    def answered(self, attempt: Attempt, load: ReportedLoad | None, now: float) -> list[Action]:
+    def on_answered(self, attempt: Attempt, load: ReportedLoad | None, now: float) -> list[Action]:
         """Take in that a replica answered an attempt."""
         was_left_out = attempt.replica.on_answer(load, now)
         self.evidence.answered(attempt.replica.record.zone)
@@ -175,11 +175,13 @@
         self.record_latency(attempt, now)
         return [replica_line("replica_back", attempt.replica)] if was_left_out else []
 
-    def failed(self, attempt: Attempt, reason: str, is_certain: bool, now: float) -> list[Action]:
+    def on_failed(
+        self, attempt: Attempt, reason: str, is_certain: bool, now: float
+    ) -> list[Action]:
         """Take in that a replica failed an attempt without an answer."""
         return self._left_out(attempt.replica, reason, is_certain, now)
 
-    def out_of_reach(self, replica: ReplicaState, reason: str, now: float) -> list[Action]:
+    def on_unreachable(self, replica: ReplicaState, reason: str, now: float) -> list[Action]:
         """Take in that no connection to a replica came up; try again by itself later.
 
         Trying by a request costs that request its part for as long as the connection may take.
@@ -189,27 +191,27 @@
         if replica.is_reach_due:
             return actions
         replica.is_reach_due = True
-        return [*actions, Schedule(replica.blocked_until, ReconnectDue(replica.life))]
+        return [*actions, Schedule(replica.blocked_until, ReconnectDue(replica.incarnation))]
 
-    def reach_due(self, event: ReconnectDue, now: float) -> list[Action]:
+    def on_reconnect_due(self, event: ReconnectDue, now: float) -> list[Action]:
         """Try whether a replica is in reach again, as long as it may get work."""
-        replica = self._directory.of_life(event.incarnation)
+        replica = self._directory.get_incarnation(event.incarnation)
         if replica is None:
             return []
-        is_usable = replica in self._directory.usable(replica.record.service, now)
+        is_usable = replica in self._directory.candidates(replica.record.service, now)
         if replica.is_out_of_reach and not is_usable:
             due_at = now + self._settings.connect_backoff_max_seconds
             return [Schedule(due_at, event)]
         replica.is_reach_due = False
         return [OpenConnection(replica.record)] if replica.is_out_of_reach else []
 
-    def connection_tried(self, event: ConnectionTried, now: float) -> list[Action]:
+    def on_connection_tried(self, event: ConnectionTried, now: float) -> list[Action]:
         """Take in whether a connection that no request needed came up."""
-        replica = self._directory.of_life(event.life)
+        replica = self._directory.get_incarnation(event.life)
         if replica is None:
             return []
         if not event.is_open:
-            return self.out_of_reach(replica, event.reason, now)
+            return self.on_unreachable(replica, event.reason, now)
         was_out = replica.is_out_of_reach
         replica.on_reached()
         return [replica_line("replica_in_reach", replica)] if was_out else []
@@ -240,8 +242,8 @@
 
     def _not_run(self, attempt: Attempt) -> None:
         call = attempt.call
-        call.tried_incarnations.discard(attempt.replica.life)
-        call.refused_incarnations.add(attempt.replica.life)
+        call.tried_incarnations.discard(attempt.replica.incarnation)
+        call.refused_incarnations.add(attempt.replica.incarnation)
 
     def _send_action(self, attempt: Attempt, now: float) -> SendToReplica:
         exchange = attempt.call.exchange
--- a/wingquay/forwarding/sending/call_line.py
+++ b/wingquay/forwarding/sending/call_queue.py
@@ -6,8 +6,8 @@
 
 from collections.abc import Callable, Container
 
-from ...routing.fair_line import FairLine
-from ...routing.line_place import Place
+from ...routing.fair_queue import FairQueue
+from ...routing.queue_placement import QueuePlacement
 from ..exchange import ServiceCall
 from .latencies import RouteLatencies
 
@@ -21,7 +21,7 @@
 some ten times a second, and the answers of replicas must not wait for that."""
 
 
-class CallLine:
+class CallQueue:
     """Calls that wait.
 
     Parameters
@@ -32,7 +32,7 @@
 
     def __init__(self, latencies: RouteLatencies) -> None:
         self._latencies = latencies
-        self._lines: dict[str, FairLine[ServiceCall]] = {}
+        self._lines: dict[str, FairQueue[ServiceCall]] = {}
 
     def __len__(self) -> int:
         """Return how many calls wait, at all services."""
@@ -91,14 +91,14 @@
         exchange = call.exchange
         return now + self._latencies.work_seconds(exchange.route) <= exchange.cutoff_at
 
-    def _line(self, service: str) -> FairLine[ServiceCall]:
+    def _line(self, service: str) -> FairQueue[ServiceCall]:
         line = self._lines.get(service)
         if line is None:
-            line = FairLine(self._place_of, MEMORY_SECONDS)
+            line = FairQueue(self._place_of, MEMORY_SECONDS)
             self._lines[service] = line
         return line
 
-    def _place_of(self, call: ServiceCall) -> Place:
+    def _place_of(self, call: ServiceCall) -> QueuePlacement:
         exchange = call.exchange
         cost = self._latencies.work_seconds(exchange.route)
-        return Place(exchange.route.priority, exchange.tenant_name, cost=cost)
+        return QueuePlacement(exchange.route.priority, exchange.tenant_name, cost=cost)
--- a/wingquay/forwarding/sending/call_starter.py
+++ b/wingquay/forwarding/sending/call_starter.py
@@ -6,8 +6,8 @@
 from ..exchange import ServiceCall
 from ..timers import RetryDue
 from .attempts import AttemptSender
-from .call_line import CallLine
-from .waiting import Waiting
+from .call_queue import CallQueue
+from .waiting_policy import WaitingPolicy
 
 TELL_SECONDS = 1.0
 """Seconds between two lines about what waits: callers of a node wait a few seconds at most, and an
@@ -18,7 +18,7 @@
 class CallStarter:
     """Starts calls, in the order of their line where they have to wait."""
 
-    def __init__(self, sender: AttemptSender, waiting: Waiting, line: CallLine) -> None:
+    def __init__(self, sender: AttemptSender, waiting: WaitingPolicy, line: CallQueue) -> None:
         self._sender = sender
         self._waiting = waiting
         self._line = line
@@ -28,19 +28,19 @@
         """Start a call for the first time: the request earns extra arrivals at its service."""
         self._sender.earn(call.service, now)
         call.is_begun = True
-        return self.start(call, now)
+        return self.send_or_queue(call, now)
 
-    def start(self, call: ServiceCall, now: float) -> list[Action]:
+    def send_or_queue(self, call: ServiceCall, now: float) -> list[Action]:
         """Send the call, or let it wait; those that wait already go by their order."""
         if self._line.has_any(call.service):
-            return self._wait(call, now) + self.serve_waiting(call.service, now)
+            return self._wait(call, now) + self.send_queued(call.service, now)
         actions = self._try_send(call, now)
         if not actions:
             return self._wait(call, now)
         self._line.charge(call, now)
         return actions
 
-    def serve_waiting(self, service: str, now: float) -> list[Action]:
+    def send_queued(self, service: str, now: float) -> list[Action]:
         """Send calls that wait for a replica of the service, in their order, while they can be."""
         actions: list[Action] = []
 
@@ -62,9 +62,9 @@
         """Start calls for the first time."""
         return [action for call in calls for action in self.begin(call, now)]
 
-    def start_all(self, calls: Iterable[ServiceCall], now: float) -> list[Action]:
+    def send_or_queue_all(self, calls: Iterable[ServiceCall], now: float) -> list[Action]:
         """Send calls, or let them wait for replicas."""
-        return [action for call in calls for action in self.start(call, now)]
+        return [action for call in calls for action in self.send_or_queue(call, now)]
 
     def _may_ask_blocked(self, call: ServiceCall, now: float) -> bool:
         """Whether replicas that just failed are better than none.
@@ -83,7 +83,7 @@
         if exchange.is_retry_scheduled:
             return actions
         exchange.is_retry_scheduled = True
-        due_at = self._waiting.look_at(exchange, now)
+        due_at = self._waiting.recheck_at(exchange, now)
         return [*actions, Schedule(due_at, RetryDue(exchange.exchange_id))]
 
     def _tell(self, call: ServiceCall, now: float) -> list[Action]:
--- a/wingquay/forwarding/sending/arrival_budget.py
+++ b/wingquay/forwarding/sending/extra_request_budget.py
@@ -30,7 +30,7 @@
 
 
 @dataclass(slots=True)
-class ArrivalBudget:
+class ExtraRequestBudget:
     """Extra arrivals at one service that one node may cause.
 
     Parameters
--- a/wingquay/forwarding/sending/return_time.py
+++ b/wingquay/forwarding/sending/retry_after.py
@@ -2,7 +2,7 @@
 
 from .room import NEVER
 
-LEAST_RETURN_SECONDS = 0.1
+MIN_RETRY_AFTER_SECONDS = 0.1
 """Seconds after which a caller comes back at the earliest: sooner, a node that has no room is asked
 again before anything can have changed, and the caller has few tries."""
 UNKNOWN_RETURN_SECONDS = 1.0
@@ -16,7 +16,7 @@
 that is rejected again."""
 
 
-def return_seconds(room_seconds: float, draw: float) -> float:
+def jittered_retry_after(room_seconds: float, draw: float) -> float:
     """Return after which time a caller may come back.
 
     Parameters
@@ -28,5 +28,5 @@
     """
     if room_seconds == NEVER:
         room_seconds = UNKNOWN_RETURN_SECONDS
-    seconds = min(max(LEAST_RETURN_SECONDS, room_seconds), MOST_RETURN_SECONDS)
+    seconds = min(max(MIN_RETRY_AFTER_SECONDS, room_seconds), MOST_RETURN_SECONDS)
     return seconds * (1.0 + SPREAD_RATIO * draw)
--- a/wingquay/forwarding/sending/shares.py
+++ b/wingquay/forwarding/sending/sending_quotas.py
@@ -7,8 +7,8 @@
 from ..exchange import ServiceCall
 from ..knowledge.presence import NodeCount
 from ..settings import ForwardingSettings
-from .arrival_budget import OWNERS_RESERVE, STEP_IN_PACE, ArrivalBudget
 from .cold_share import ColdShare
+from .extra_request_budget import OWNERS_RESERVE, STEP_IN_PACE, ExtraRequestBudget
 from .extra_turns import ExtraTurns
 from .waiting_settings import LinePlace, WaitingSettings
 
@@ -27,7 +27,7 @@
         ...
 
 
-class SendingShares:
+class SendingQuotas:
     """Its own parts of connections, of extra arrivals and of what cold replicas bear.
 
     Parameters
@@ -51,7 +51,7 @@
         self._waiting = waiting
         self._directory = directory
         self._nodes = nodes
-        self._budgets: dict[str, ArrivalBudget] = {}
+        self._budgets: dict[str, ExtraRequestBudget] = {}
         self._turns: dict[str, ExtraTurns] = {}
         self._first_sent_at: float | None = None
         self.placement: SharesShards | None = None
@@ -91,8 +91,8 @@
             return set()
         sharing = self._sharing_nodes(call, now)
         return {
-            state.life
-            for state in self._directory.usable(call.service, now)
+            state.incarnation
+            for state in self._directory.candidates(call.service, now)
             if not self._cold_share.may_send(state, per_second, sharing, now)
         }
 
@@ -108,8 +108,8 @@
         if not self._waits_here(call):
             return set()
         return {
-            state.life
-            for state in self._directory.usable(call.service, now)
+            state.incarnation
+            for state in self._directory.candidates(call.service, now)
             if len(state.in_flight) >= self._filled(state)
         }
 
@@ -151,11 +151,11 @@
         is_wide = len(call.exchange.route.shards) >= self._settings.delegate_min_shards
         return nodes, STEP_IN_PACE if is_wide else 1.0
 
-    def _budget(self, service: str) -> ArrivalBudget:
+    def _budget(self, service: str) -> ExtraRequestBudget:
         budget = self._budgets.get(service)
         if budget is None:
             settings = self._settings
-            budget = ArrivalBudget(
+            budget = ExtraRequestBudget(
                 settings.retry_ratio, settings.retry_slack, settings.retry_window_seconds
             )
             self._budgets[service] = budget
--- a/wingquay/forwarding/sending/waiting.py
+++ b/wingquay/forwarding/sending/waiting_policy.py
@@ -4,15 +4,15 @@
 from ..choice.replica_state import ReplicaState
 from ..exchange import Exchange, ServiceCall
 from ..settings import ForwardingSettings
-from .call_line import CallLine
+from .call_queue import CallQueue
 from .decision import Decision, WaitingRequest, WaitUntil, decide
 from .latencies import RouteLatencies
 from .room import NEVER, NO_ROOM, ReplicaRoom, expected_room, room_for_share
-from .shares import SendingShares
+from .sending_quotas import SendingQuotas
 from .waiting_settings import WaitingSettings
 
 
-class Waiting:
+class WaitingPolicy:
     """Decides on requests that are not under way.
 
     Parameters
@@ -31,8 +31,8 @@
         forwarding: ForwardingSettings,
         directory: ReplicaDirectory,
         latencies: RouteLatencies,
-        limits: SendingShares,
-        line: CallLine,
+        limits: SendingQuotas,
+        line: CallQueue,
     ) -> None:
         self._settings = settings
         self._forwarding = forwarding
@@ -62,7 +62,7 @@
         )
         return decide(request, room, self._settings, now)
 
-    def look_at(self, exchange: Exchange, now: float) -> float:
+    def recheck_at(self, exchange: Exchange, now: float) -> float:
         """Return when a request that waits is to be looked at again."""
         if not exchange.route.shards:
             match self.decide(exchange, now):
@@ -78,7 +78,7 @@
             moments = (self._usable_at(call.service, later, now) for call in exchange.calls)
             room = room_for_share(moments, exchange.route.least_share)
         has_usable = room.at < NEVER and any(
-            self._directory.has_usable(call.service, now) for call in exchange.calls
+            self._directory.has_unblocked(call.service, now) for call in exchange.calls
         )
         request = WaitingRequest(
             exchange.arrived_at,
@@ -93,15 +93,15 @@
 
     def _usable_at(self, service: str, later: float, now: float) -> float:
         """Return when a shard may be asked; ``later``: it may be now, but just was not."""
-        return max(later, self._directory.usable_at(service, now))
+        return max(later, self._directory.unblocked_at(service, now))
 
     def _rooms(self, call: ServiceCall, now: float) -> list[tuple[ReplicaState, ReplicaRoom]]:
         """Return what is known of the replicas that a call may still be sent to."""
         later = call.refused_incarnations | self._limits.too_cold(call, now)
         return [
-            (state, self._room(call, state, state.life in later, now))
-            for state in self._directory.usable(call.service, now)
-            if state.life not in call.tried_incarnations
+            (state, self._room(call, state, state.incarnation in later, now))
+            for state in self._directory.candidates(call.service, now)
+            if state.incarnation not in call.tried_incarnations
         ]
 
     def _room(
@@ -115,7 +115,7 @@
         if is_later:
             askable_at = max(now + self._settings.look_seconds, state.blocked_until)
         return ReplicaRoom(
-            state.life,
+            state.incarnation,
             askable_at,
             state.known_slots,
             self._limits.most(call, state, now),
--- a/wingquay/forwarding/settling/ending.py
+++ b/wingquay/forwarding/settling/ending.py
@@ -15,7 +15,7 @@
 from ..arrival.request_identity import identity_of
 from ..exchange import Exchange, ServiceCall
 from ..sending.decision import Reject
-from ..sending.return_time import LEAST_RETURN_SECONDS, return_seconds
+from ..sending.retry_after import MIN_RETRY_AFTER_SECONDS, jittered_retry_after
 from .merging import merge_top_records
 
 MILLISECONDS_PER_SECOND = 1000.0
@@ -114,7 +114,7 @@
         usable_after_seconds
             When replicas may next be asked, from now.
         """
-        seconds = return_seconds(usable_after_seconds, self._random.random())
+        seconds = jittered_retry_after(usable_after_seconds, self._random.random())
         reply = ReplyFailure(exchange.exchange_id, ForwardFailureKind.NOT_RUN, reason, seconds)
         return [reply, *_end(exchange, "refused", reason, now)]
 
@@ -138,7 +138,7 @@
         """Answer when the time of the exchange is over."""
         reason = "no answer within the time allowed"
         if not exchange.may_have_run:
-            return self.refuse(exchange, reason, LEAST_RETURN_SECONDS, now)
+            return self.refuse(exchange, reason, MIN_RETRY_AFTER_SECONDS, now)
         if len(exchange.calls) == 1 and exchange.calls[0].failure is not None:
             return self.failed(exchange, exchange.calls[0], now)
         reply = ReplyFailure(exchange.exchange_id, ForwardFailureKind.TIMED_OUT, reason)
--- a/wingquay/forwarding/settling/replica_outcomes.py
+++ b/wingquay/forwarding/settling/replica_outcomes.py
@@ -55,26 +55,26 @@
         actions: list[Action] = []
         self._sender.finish(attempt)
         if answer.is_other_replica:
-            self._directory.contradict(attempt.replica, now)
+            self._directory.mark_stale(attempt.replica, now)
         elif answer.not_run:
             attempt.replica.on_shed(self._settings, now)
         else:
-            actions += self._sender.answered(attempt, event.load, now)
+            actions += self._sender.on_answered(attempt, event.load, now)
             actions += self._guard.answered(exchange, now)
             if not answer.is_success and answer.status >= FIRST_SERVER_ERROR_STATUS:
-                attempt.replica.on_trouble(now)
+                attempt.replica.on_failed_attempt(now)
         self._note(attempt, f"{answer.status}{' not run' if answer.not_run else ''}", now)
         actions += self._take_answer(attempt, answer, now)
         if was_sequential and not exchange.is_sequential and self._settlement.is_open(exchange):
             actions += self._sequential.go_on(exchange, now)
-        return actions + self._starter.serve_waiting(attempt.call.service, now)
+        return actions + self._starter.send_queued(attempt.call.service, now)
 
     def _take_answer(self, attempt: Attempt, answer: ReplicaAnswer, now: float) -> list[Action]:
         call = attempt.call
         exchange = call.exchange
         not_run = answer.not_run or answer.is_other_replica
         if not_run:
-            self._sender.not_run(attempt)
+            self._sender.on_not_run(attempt)
         if not self._settlement.is_open(exchange) or call.answer is not None:
             return []
         if not_run:
@@ -103,13 +103,13 @@
         was_sent = event.kind is not SendFailureKind.NOT_SENT
         actions: list[Action] = []
         if not was_sent:
-            actions += self._sender.out_of_reach(attempt.replica, event.reason, now)
+            actions += self._sender.on_unreachable(attempt.replica, event.reason, now)
         elif event.kind is not SendFailureKind.MALFORMED:
-            actions += self._sender.failed(attempt, event.reason, False, now)
+            actions += self._sender.on_failed(attempt, event.reason, False, now)
         else:
-            attempt.replica.on_trouble(now)
+            attempt.replica.on_failed_attempt(now)
         if not was_sent:
-            self._sender.not_arrived(attempt)
+            self._sender.on_not_arrived(attempt)
         if event.is_unanswered:
             actions += self._guard.lost(attempt, now)
         return actions + self._after_failure(attempt, was_sent, now)
@@ -121,7 +121,7 @@
             attempt = self._sender.get(attempt_id)
             if attempt is not None:
                 actions += self._given_up(attempt, now)
-        return actions + self._starter.serve_waiting(replica.record.service, now)
+        return actions + self._starter.send_queued(replica.record.service, now)
 
     def _given_up(self, attempt: Attempt, now: float) -> list[Action]:
         """End an attempt at a life that is over; the life may have run it."""
@@ -143,19 +143,19 @@
                 actions += self._settlement.give_back(call.exchange, now)
             else:
                 actions += self._retry(call, now)
-        return actions + self._starter.serve_waiting(call.service, now)
+        return actions + self._starter.send_queued(call.service, now)
 
     def connection_tried(self, event: ConnectionTried, now: float) -> list[Action]:
         """Take in whether a replica is in reach; calls that wait for one go on."""
-        actions = self._sender.connection_tried(event, now)
+        actions = self._sender.on_connection_tried(event, now)
         looked_into, exchanges = self._guard.connection_tried(event, now)
         actions += looked_into
         for exchange in exchanges:
             actions += self._go_on(exchange, now)
-        replica = self._directory.of_life(event.life)
+        replica = self._directory.get_incarnation(event.life)
         if replica is None or not event.is_open:
             return actions
-        return actions + self._starter.serve_waiting(replica.record.service, now)
+        return actions + self._starter.send_queued(replica.record.service, now)
 
     def _go_on(self, exchange: Exchange, now: float) -> list[Action]:
         """Send what waited until it was known whether replicas had ended under a request."""
@@ -169,7 +169,7 @@
         """Ask another replica, unless an attempt of the call is still under way."""
         actions: list[Action] = []
         if not call.attempts:
-            actions = self._starter.start(call, now)
+            actions = self._starter.send_or_queue(call, now)
         return actions + self._settlement.settle(call.exchange, now)
 
     @staticmethod
--- a/wingquay/forwarding/settling/settlement.py
+++ b/wingquay/forwarding/settling/settlement.py
@@ -7,7 +7,7 @@
 from ..exchange import Exchange, ServiceCall
 from ..sending.attempts import AttemptSender
 from ..sending.decision import Reject
-from ..sending.waiting import Waiting
+from ..sending.waiting_policy import WaitingPolicy
 from .cutoff import is_enough
 from .ending import ExchangeEnding
 
@@ -31,7 +31,7 @@
 
     def __init__(
         self,
-        waiting: Waiting,
+        waiting: WaitingPolicy,
         directory: ReplicaDirectory,
         sender: AttemptSender,
         ending: ExchangeEnding,
@@ -194,8 +194,8 @@
     def can_be_enough(self, exchange: Exchange, now: float) -> bool:
         """Whether the services of which a replica can be asked make a success."""
         if not exchange.route.shards:
-            return self._directory.has_any(exchange.calls[0].service, now)
-        usable = [self._directory.has_usable(call.service, now) for call in exchange.calls]
+            return self._directory.has_candidates(exchange.calls[0].service, now)
+        usable = [self._directory.has_unblocked(call.service, now) for call in exchange.calls]
         return is_enough(exchange.route, sum(usable))
 
     def _is_hopeless(self, call: ServiceCall, now: float) -> bool:
@@ -204,7 +204,7 @@
             return False
         if call.attempts_left <= 0:
             return True
-        return not self._directory.has_usable(call.service, now)
+        return not self._directory.has_unblocked(call.service, now)
 
     def _close(self, exchange: Exchange, actions: list[Action], now: float) -> list[Action]:
         del self._exchanges[exchange.exchange_id]
--- a/wingquay/forwarding/store_contents.py
+++ b/wingquay/forwarding/store_contents.py
@@ -83,7 +83,7 @@
             return self._configure(item.value)
         if item.key.startswith(self._formats.replica_prefix):
             return self._put_replica(item, now)
-        if self._evacuations.is_mine(item.key):
+        if self._evacuations.handles(item.key):
             return self._evacuations.put(item.key)
         if self._held_keys.is_mine(item.key):
             return self._held_keys.put(item, now)
@@ -96,12 +96,14 @@
     def _remove(self, key: str, now: float) -> list[Action]:
         """Take in that a key is gone."""
         prefix = self._formats.replica_prefix
-        if self._evacuations.is_mine(key):
+        if self._evacuations.handles(key):
             return self._evacuations.remove(key)
         if self._held_keys.is_mine(key):
             return self._held_keys.remove(key, now)
         if key.startswith(prefix):
-            self._directory.vanish(key.removeprefix(prefix), now, self._follower.known_revision)
+            self._directory.mark_vanished(
+                key.removeprefix(prefix), now, self._follower.known_revision
+            )
         else:
             self._members.remove(key)
         return []
@@ -115,12 +117,12 @@
         if isinstance(record, Failure):
             fields = (("key", item.key), ("reason", record.reason))
             # It may have been readable before: that replica counts as one whose record is gone.
-            self._directory.vanish(replica_id, now, item.modified_at)
+            self._directory.mark_vanished(replica_id, now, item.modified_at)
             return [
                 Log("replica_record_unreadable", LogLevel.WARNING, fields),
                 Count("replica_records_unreadable_total"),
             ]
-        if self._directory.holds(record):
+        if self._directory.is_current(record):
             self._rewritten.add(item.key)
         over = self._directory.put(record, now, item.modified_at)
         return [] if over is None else self._life_over(over, record, now)
--- a/wingquay/routing/fair_line.py
+++ b/wingquay/routing/fair_queue.py
@@ -13,7 +13,7 @@
 from typing import Generic, TypeVar
 
 from .decaying_rate import DecayingRate
-from .line_place import Place, Waiter
+from .queue_placement import QueuePlacement, Waiter
 
 SERVED_SECONDS = 0.25
 """Time constant of the rate at which a flow was served: what callers of it see of the service just
@@ -60,7 +60,7 @@
         self.virtual_time = 0.0
 
 
-class FairLine(Generic[Item]):
+class FairQueue(Generic[Item]):
     """What waits for the slots of one shard or service.
 
     Parameters
@@ -73,7 +73,7 @@
     """
 
     def __init__(
-        self, place_of: Callable[[Item], Place], memory_seconds: float | None = None
+        self, place_of: Callable[[Item], QueuePlacement], memory_seconds: float | None = None
     ) -> None:
         self._place_of = place_of
         self._memory_seconds = memory_seconds
@@ -163,7 +163,7 @@
                 if not entry.item.is_finished:
                     yield entry.item
 
-    def delay_seconds(self, place: Place, parallelism: int, now: float) -> float:
+    def delay_seconds(self, place: QueuePlacement, parallelism: int, now: float) -> float:
         """Return how long a newcomer would wait for one of ``parallelism`` slots.
 
         Its flow is served at the rate that its weight guarantees it, or at the one seen lately if
@@ -181,7 +181,7 @@
         seen = own.served.per_second(now) if own is not None else 0.0
         return (own.backlog if own is not None else 0.0) / max(guaranteed, seen)
 
-    def _tag_of(self, item: Item, place: Place, now: float) -> float:
+    def _tag_of(self, item: Item, place: QueuePlacement, now: float) -> float:
         tag = self._start_tag(place, now)
         if not item.is_queued:
             return tag
@@ -214,7 +214,7 @@
         for flow in self._ranks[rank].flows.values() if rank in self._ranks else ():
             yield from flow.entries
 
-    def _flow_of(self, place: Place) -> _Flow[Item]:
+    def _flow_of(self, place: QueuePlacement) -> _Flow[Item]:
         rank = self._ranks.setdefault(place.rank, _Rank())
         flow = rank.flows.get(place.flow)
         if flow is None:
@@ -225,7 +225,7 @@
         flow.weight = place.weight
         return flow
 
-    def _start_tag(self, place: Place, now: float) -> float:
+    def _start_tag(self, place: QueuePlacement, now: float) -> float:
         rank = self._ranks.get(place.rank)
         if rank is None:
             return 0.0
@@ -237,7 +237,7 @@
             beyond *= math.exp(-(now - flow.finish_at) / self._memory_seconds)
         return rank.virtual_time + beyond
 
-    def _count_in(self, flow: _Flow[Item], item: Item, place: Place) -> None:
+    def _count_in(self, flow: _Flow[Item], item: Item, place: QueuePlacement) -> None:
         flow.backlog += place.cost
         item.is_queued = True
         self._length += 1
--- a/wingquay/routing/latency_tracker.py
+++ b/wingquay/routing/latency_tracker.py
@@ -42,13 +42,13 @@
         if self._since_refresh >= REFRESH_SAMPLES:
             self._forget_cached()
 
-    def quantile_seconds(self, quantile: float, fewest_samples: int) -> float | None:
+    def quantile_seconds(self, quantile: float, min_samples: int) -> float | None:
         """Return the latency at ``quantile`` (0 to 1), or ``None`` with too few samples."""
         cached = self._cached.get(quantile)
         if cached is not None:
             return cached
         histogram = self._fuller()
-        if histogram.get_total_count() < fewest_samples:
+        if histogram.get_total_count() < min_samples:
             return None
         value: float = histogram.get_value_at_percentile(quantile * 100.0) / MICROSECONDS
         self._cached[quantile] = value
--- a/wingquay/routing/line_place.py
+++ b/wingquay/routing/queue_placement.py
@@ -17,7 +17,7 @@
 
 
 @value
-class Place:
+class QueuePlacement:
     """Where something belongs in line.
 
     Parameters
