--- a/tests/forwarding/readiness/test_decision.py
+++ b/tests/forwarding/readiness/test_decision.py
@@ -6,7 +6,6 @@
 
 from tests.forwarding.one_node import replica, sharded_route, single_route, table
 from wingquay.forwarding.choice.replica_directory import ReplicaDirectory
-from wingquay.forwarding.readiness.asked_routes import ASKED_MEMORY_SECONDS, AskedRoutes
 from wingquay.forwarding.readiness.decision import (
     LEAST_SHARE,
     OwnSide,
@@ -25,6 +24,7 @@
     CallersMove,
     Departure,
 )
+from wingquay.forwarding.readiness.route_demand import ASKED_MEMORY_SECONDS, RouteDemand
 from wingquay.forwarding.settings import ForwardingSettings
 from wingquay.model.routing_table import WeightedService
 
@@ -122,7 +122,7 @@
         for name, zones in (("s0", "ab"), ("s1", "b"), ("s2", "ac"), ("s3", "abc"), ("one", "c")):
             for zone in zones:
                 self.directory.put(replica(f"{name}-{zone}", name, zone), 0.0)
-        self.asked = AskedRoutes(self.directory)
+        self.asked = RouteDemand(self.directory)
         self.wide = sharded_route(4)
         self.narrow = single_route("/one/", "one")
         self.table = table(1, self.wide, self.narrow)
@@ -152,7 +152,7 @@
         chance = random.Random(2)
         judged = []
         for _ in range(18):
-            self.asked = AskedRoutes(self.directory)
+            self.asked = RouteDemand(self.directory)
             for number in range(22):
                 route = self.wide if chance.random() < 0.4 else self.narrow
                 self.asked.count(route, number * 1.5)
--- a/tests/forwarding/readiness/test_starting.py
+++ b/tests/forwarding/readiness/test_starting.py
@@ -3,7 +3,7 @@
 from testtools import TestCase
 
 from tests.forwarding.one_node import OneNode, replica, sharded_route, single_route, table
-from wingquay.forwarding.readiness.taking_callers import START_MOST_SECONDS
+from wingquay.forwarding.readiness.node_readiness import START_MOST_SECONDS
 from wingquay.ports.forwarding import SetForwarding
 from wingquay.ports.machine import Exit, StopRequested
 
--- a/tests/forwarding/test_configuration_proof.py
+++ b/tests/forwarding/test_configuration_proof.py
@@ -5,8 +5,8 @@
 from tests.forwarding.one_node import OneNode, replica, single_route, table
 from wingquay.forwarding.knowledge.configuration_proof import AlwaysProven, TimedProof
 from wingquay.forwarding.knowledge.follower_settings import FollowerSettings
-from wingquay.forwarding.knowledge.look_times import look_times_within
-from wingquay.forwarding.knowledge.proving_looks import ProvingWay, proving_looks_within
+from wingquay.forwarding.knowledge.poll_times import poll_times_within
+from wingquay.forwarding.knowledge.proof_poll_times import ProofPollMode, proof_poll_times_within
 from wingquay.model.failure import Failure
 from wingquay.model.routing_table import CallerLimits, RoutingTable
 from wingquay.model.tenants import Tenant, TenantDirectory
@@ -28,11 +28,13 @@
 USUAL_GATHER_SECONDS = 4.3
 
 
-def strict(way: ProvingWay = ProvingWay.SHORT) -> FollowerSettings:
+def strict(way: ProofPollMode = ProofPollMode.SHORT) -> FollowerSettings:
     """Return how a node follows the store under the strict bound."""
-    look = look_times_within(4.0)
-    looks = proving_looks_within(BOUND_SECONDS, way, look, 0.8)
-    return FollowerSettings(gather_seconds=USUAL_GATHER_SECONDS, look=look, proving=looks)
+    look = poll_times_within(4.0)
+    looks = proof_poll_times_within(BOUND_SECONDS, way, look, 0.8)
+    return FollowerSettings(
+        poll_interval_seconds=USUAL_GATHER_SECONDS, poll_times=look, proof_poll_times=looks
+    )
 
 
 def tenants_table(version: int, tenants: TenantDirectory | None = TENANTS) -> RoutingTable:
@@ -41,7 +43,9 @@
     return RoutingTable(version, plain.routes, plain.services, CallerLimits(), tenants)
 
 
-def strict_node(way: ProvingWay = ProvingWay.SHORT, begun_ago: float | None = 0.01) -> OneNode:
+def strict_node(
+    way: ProofPollMode = ProofPollMode.SHORT, begun_ago: float | None = 0.01
+) -> OneNode:
     """Return a node that has just listed the store by a read that was begun a moment ago."""
     node = OneNode(follower=strict(way))
     node.emit(Start())
@@ -86,14 +90,14 @@
 
 class LookTimesTest(TestCase):
     def test_a_look_that_is_lost_is_tried_again_before_the_bound(self) -> None:
-        look = look_times_within(4.0)
+        look = poll_times_within(4.0)
         for bound_seconds in (1.0, 2.0, BOUND_SECONDS, 20.0):
-            for way in ProvingWay:
-                looks = proving_looks_within(bound_seconds, way, look, 0.8)
+            for way in ProofPollMode:
+                looks = proof_poll_times_within(bound_seconds, way, look, 0.8)
                 tries = looks.timeout_seconds + look.first_backoff_seconds
                 self.assertTrue(0.0 < looks.own_seconds + tries < bound_seconds - 0.1, looks)
                 # What the node which looks for others tells comes before their own looks are due.
-                period = max(looks.hold_seconds, looks.shared_gather_seconds)
+                period = max(looks.hold_seconds, looks.shared_poll_interval_seconds)
                 self.assertTrue(looks.hold_seconds + period < looks.own_seconds, looks)
 
 
@@ -126,7 +130,7 @@
         self.assertEqual(0.0, node.last(StartWatch).pause_seconds)
 
     def test_a_held_look_proves_as_of_its_beginning(self) -> None:
-        node = strict_node(ProvingWay.HELD)
+        node = strict_node(ProofPollMode.HELD)
         node.advance(3.0)
         answer(node, 1.2)
         node.advance(SERVED_SECONDS - 1.3)
@@ -160,7 +164,7 @@
         self.assertFalse(proven(node))
 
     def test_a_node_that_nobody_tells_looks_often_enough_by_itself(self) -> None:
-        for way, most_seconds in ((ProvingWay.SHORT, 3.0), (ProvingWay.HELD, 1.8)):
+        for way, most_seconds in ((ProofPollMode.SHORT, 3.0), (ProofPollMode.HELD, 1.8)):
             node = strict_node(way)
             for _ in range(3):
                 watch = node.last(StartWatch)
@@ -191,7 +195,7 @@
 class TroubleTest(TestCase):
     """What the store does, and until when requests are served."""
 
-    def run_into(self, failures: int, lost_seconds: float, way: ProvingWay) -> OneNode:
+    def run_into(self, failures: int, lost_seconds: float, way: ProofPollMode) -> OneNode:
         """Return a node whose looks are lost one after the other, each noticed so late."""
         node = strict_node(way)
         for _ in range(failures):
@@ -202,7 +206,7 @@
         return node
 
     def test_one_look_that_is_lost_in_any_way_costs_nothing(self) -> None:
-        for way in ProvingWay:
+        for way in ProofPollMode:
             for lost_seconds in (0.0, 0.05, 9.0):
                 node = strict_node(way)
                 watch = node.last(StartWatch)
@@ -216,7 +220,7 @@
                 self.assertTrue(proven(node), (way, lost_seconds))
 
     def test_a_store_that_stays_away_ends_the_proof_and_its_return_brings_it_back(self) -> None:
-        for way in ProvingWay:
+        for way in ProofPollMode:
             for lost_seconds in (0.0, 9.0):
                 node = self.run_into(4, lost_seconds, way)
                 self.assertFalse(proven(node), (way, lost_seconds))
@@ -238,7 +242,7 @@
         self.assertAlmostEqual(0.15 + 0.1, seconds)
 
     def test_a_caller_is_told_when_the_store_is_asked_again(self) -> None:
-        node = self.run_into(3, 0.0, ProvingWay.SHORT)
+        node = self.run_into(3, 0.0, ProofPollMode.SHORT)
         node.emit(WatchBroken(node.last_watch_id, "trouble"))
         pause_seconds = 1.2
         expected = [(0.0, pause_seconds + 0.1), (0.7, 0.6), (0.59, 0.05), (0.1, 1.0 + 0.15 - 0.09)]
@@ -262,8 +266,10 @@
         return [item for item in node.actions if isinstance(item, StartWatch)]
 
     def test_without_tenants_or_without_the_bound_the_store_is_asked_as_before(self) -> None:
-        plain = FollowerSettings(gather_seconds=USUAL_GATHER_SECONDS, look=look_times_within(4.0))
-        for way in ProvingWay:
+        plain = FollowerSettings(
+            poll_interval_seconds=USUAL_GATHER_SECONDS, poll_times=poll_times_within(4.0)
+        )
+        for way in ProofPollMode:
             before = self.watches(plain, None)
             self.assertEqual(before, self.watches(plain, TENANTS))
             self.assertEqual(before, self.watches(strict(way), None))
--- a/tests/forwarding/test_node_groups.py
+++ b/tests/forwarding/test_node_groups.py
@@ -65,7 +65,7 @@
         self.assertEqual([False, False, True], [is_there(now) for now in (10.0, 10.9, 11.0)])
         groups.suspect("n01-1", 11.0)
         self.assertEqual([False, True], [is_there(now) for now in (12.9, 13.0)])
-        groups.trust("n01-1")
+        groups.clear_suspicion("n01-1")
         groups.suspect("n01-1", 13.0)
         self.assertEqual([False, True], [is_there(now) for now in (13.9, 14.0)])
 
--- a/tests/forwarding/test_presence.py
+++ b/tests/forwarding/test_presence.py
@@ -47,7 +47,7 @@
 
     def answer(self, result: StoreResult | Failure[StoreFailureKind]) -> None:
         response = StoreResponse(self._operation_id, result)
-        self.assertTrue(self.presence.is_mine(response))
+        self.assertTrue(self.presence.handles(response))
         self.due = self._timer(self.presence.handle(response, 1.0))
 
     def write_key(self) -> None:
@@ -62,7 +62,7 @@
         self.write_key()
         self.assertTrue(self.presence.is_listed(1.0 + 0.9 * lease_seconds))
         self.assertFalse(self.presence.is_listed(1.0 + lease_seconds))
-        self.assertFalse(self.presence.has_stood)
+        self.assertFalse(self.presence.reused_key)
 
     def test_it_is_not_listed_before_what_it_says_stands_in_the_store(self) -> None:
         self.write_key()
--- a/tests/forwarding/test_proof_asking.py
+++ b/tests/forwarding/test_proof_asking.py
@@ -7,7 +7,7 @@
 from tests.forwarding.linked_nodes import OTHERS, OWN, join
 from tests.forwarding.one_node import OneNode, replica
 from tests.forwarding.test_configuration_proof import strict, tenants_table
-from wingquay.forwarding.knowledge.proof_asking import (
+from wingquay.forwarding.knowledge.proof_requests import (
     ASK_LIFE_SECONDS,
     ASK_SECONDS,
     MOST_ASKING_NODES,
--- a/tests/forwarding/test_proof_fleet.py
+++ b/tests/forwarding/test_proof_fleet.py
@@ -10,7 +10,7 @@
 from tests.forwarding.proof_fleet import Fleet, FleetNode
 from tests.forwarding.test_configuration_proof import BOUND_SECONDS, strict
 from wingquay.forwarding.knowledge.follower_settings import FollowerSettings
-from wingquay.forwarding.knowledge.proving_looks import ProvingWay
+from wingquay.forwarding.knowledge.proof_poll_times import ProofPollMode
 
 NODES = 3
 NUMBERS = st.integers(0, NODES - 1)
@@ -40,8 +40,8 @@
 class RevocationHistory(RuleBasedStateMachine):
     """Keys are taken away while nodes, links and the store fail in any order."""
 
-    @initialize(way=st.sampled_from(ProvingWay), seconds=SECONDS)
-    def start(self, way: ProvingWay, seconds: float) -> None:
+    @initialize(way=st.sampled_from(ProofPollMode), seconds=SECONDS)
+    def start(self, way: ProofPollMode, seconds: float) -> None:
         self.fleet = Fleet(strict(way), NODES)
         self.advance(seconds)
 
@@ -139,7 +139,7 @@
 
 class StartTest(TestCase):
     def test_a_node_that_starts_without_the_store_serves_by_what_others_prove(self) -> None:
-        for way in ProvingWay:
+        for way in ProofPollMode:
             fleet = Fleet(strict(way), 12)
             fleet.run(10.0, lambda: None)
             fleet.store.cut_off_node(3, 20.0)
@@ -155,7 +155,7 @@
         fleet.run(seconds, lambda: self.assertEqual([], overdue(fleet)))
 
     def test_nodes_that_all_start_at_once_are_proven_by_their_listings(self) -> None:
-        for way in ProvingWay:
+        for way in ProofPollMode:
             fleet = Fleet(strict(way), 12)
             for _ in range(2):
                 fleet.run(0.2, lambda: None)
@@ -177,13 +177,15 @@
         return fleet
 
     def check(self, fleet: Fleet) -> None:
-        if fleet.follower.proving is not None:
+        if fleet.follower.proof_poll_times is not None:
             self.assertTrue(max(age_seconds(node) for node in fleet.nodes) < CALM_AGE_SECONDS)
             self.assertEqual([], overdue(fleet))
 
     def test_no_node_comes_near_the_bound_and_few_looks_are_made(self) -> None:
-        looks = {"none": self.played(dataclasses.replace(strict(), proving=None)).store.looks}
-        for way in ProvingWay:
+        looks = {
+            "none": self.played(dataclasses.replace(strict(), proof_poll_times=None)).store.looks
+        }
+        for way in ProofPollMode:
             fleet = self.played(strict(way))
             looks[way.value] = fleet.store.looks
             messages = [line.message for node in fleet.nodes for line in node.logs]
--- a/tests/forwarding/test_store_following.py
+++ b/tests/forwarding/test_store_following.py
@@ -3,7 +3,7 @@
 from testtools import TestCase
 
 from tests.forwarding.one_node import OneNode, replica, sharded_route, single_route, table
-from wingquay.forwarding.knowledge.look_times import gather_seconds_within, lapse_grace_seconds
+from wingquay.forwarding.knowledge.poll_times import expiry_grace_seconds, poll_interval_within
 from wingquay.forwarding.knowledge.store_follower import (
     FollowerHooks,
     FollowerSettings,
@@ -202,7 +202,7 @@
             (reading,) = follower.handle(Start(), 0.0)
             assert isinstance(reading, StoreRequest)
             follower.handle(StoreResponse(reading.operation_id, ReadResult((), 1)), 0.0)
-            follower.gather(pace, 0.0)
+            follower.set_poll_interval(pace, 0.0)
             now = 0.0
             pauses: list[float] = []
             for number in range(1, 9):
@@ -357,11 +357,11 @@
 
     def test_a_lapsed_record_is_waited_for_within_the_time_of_a_drain(self) -> None:
         for drain_seconds in (0.3, 1.0, 3.0, 5.0, 30.0):
-            gather_seconds = gather_seconds_within(drain_seconds)
-            grace_seconds = lapse_grace_seconds(gather_seconds, drain_seconds)
+            gather_seconds = poll_interval_within(drain_seconds)
+            grace_seconds = expiry_grace_seconds(gather_seconds, drain_seconds)
             self.assertLess(grace_seconds, drain_seconds)
             self.assertLessEqual(grace_seconds, 2.3 + gather_seconds)
-        self.assertEqual(2.5, lapse_grace_seconds(gather_seconds_within(3.0), 3.0))
+        self.assertEqual(2.5, expiry_grace_seconds(poll_interval_within(3.0), 3.0))
 
     def test_records_that_stay_away_after_the_store_is_back_are_gone(self) -> None:
         node = OneNode()
--- a/tests/platform_adapter/test_formats.py
+++ b/tests/platform_adapter/test_formats.py
@@ -6,7 +6,7 @@
 from testtools import TestCase
 
 from wingquay.adapters.http_messages import HttpRequest, HttpResponse
-from wingquay.forwarding.knowledge.proving_looks import ProvingWay
+from wingquay.forwarding.knowledge.proof_poll_times import ProofPollMode
 from wingquay.model.failure import Failure
 from wingquay.platform.caller_dialect import PlatformCallerDialect
 from wingquay.platform.configuration_document import parse_configuration
@@ -267,8 +267,8 @@
         self.assertIn("from 1000", failure.reason)
 
     def test_how_the_configuration_is_kept_proven_is_one_of_two_ways(self) -> None:
-        self.assertIs(ProvingWay.SHORT, parse_settings(SETTINGS).proving_way)
-        for way in ProvingWay:
+        self.assertIs(ProofPollMode.SHORT, parse_settings(SETTINGS).proving_way)
+        for way in ProofPollMode:
             text = self.with_bound("proving_looks", f'"{way.value}"')
             self.assertIs(way, parse_settings(text).proving_way)
         for text in ('"never"', "1", "[]"):
--- a/wingquay/forwarding/arrival/limits/limit_keeper.py
+++ b/wingquay/forwarding/arrival/limits/limit_keeper.py
@@ -81,7 +81,7 @@
             self._is_open = True
             members = self._members
             actions += work.open(
-                self._own, members.groups, members.is_listed, members.has_stood, now
+                self._own, members.groups, members.is_listed, members.reused_key, now
             )
         if isinstance(event, Woken):
             work.woken()
--- a/wingquay/forwarding/forwarding_machine.py
+++ b/wingquay/forwarding/forwarding_machine.py
@@ -23,7 +23,7 @@
 from .exchange_opening import ExchangeOpening
 from .knowledge.loop_lag import LoopLag
 from .knowledge.presence import NodeCount
-from .knowledge.reach_evidence import ReachEvidence
+from .knowledge.reachability_evidence import ReachabilityEvidence
 from .request_arrival import RequestArrival
 from .sending.attempts import AttemptSender
 from .sending.call_line import CallLine
@@ -153,7 +153,7 @@
         return self._opening.held
 
     @property
-    def evidence(self) -> ReachEvidence:
+    def evidence(self) -> ReachabilityEvidence:
         """Which replicas and nodes failed lately."""
         return self._sender.evidence
 
--- a/wingquay/forwarding/forwarding_node.py
+++ b/wingquay/forwarding/forwarding_node.py
@@ -32,24 +32,24 @@
 from .crashing.held_keys import HeldKeys
 from .crashing.suspects import SuspicionLevel
 from .forwarding_machine import ForwardingMachine
-from .knowledge.news_exchange import NewsExchange
-from .knowledge.node_lateness import NodeLateness
 from .knowledge.node_membership import NodeMembership
 from .knowledge.presence import NodeCount, Presence, PresenceDue
-from .knowledge.proof_keeper import ProofKeeper
+from .knowledge.processing_lag import ProcessingLag
+from .knowledge.proof_manager import ProofManager
 from .knowledge.store_follower import (
-    FollowAgain,
     FollowerHooks,
     FollowerSettings,
+    FollowRetryDue,
     StoreFollower,
 )
+from .knowledge.update_exchange import UpdateExchange
 from .line_budget import LineBudget
 from .own_time import WAKING_SECONDS as WAKING_SECONDS
 from .own_time import LagDue, OwnTime, SweepDue
-from .readiness.asked_routes import AskedRoutes
 from .readiness.departure import Departure
-from .readiness.reach import Reach
-from .readiness.taking_callers import ReadyDue, StopCheckDue, TakingCallers
+from .readiness.node_readiness import NodeReadiness, ReadyDue, StopCheckDue
+from .readiness.reachability_monitor import ReachabilityMonitor
+from .readiness.route_demand import RouteDemand
 from .sending.waiting_settings import DEFAULT_WAITING, WaitingSettings
 from .settings import ForwardingSettings
 from .store_contents import StoreContents
@@ -89,11 +89,11 @@
         self._nodes = NodeCount(settings)
         key = formats.node_prefix + name
         self._presence = Presence(key, settings, random_source)
-        self._keeper = ProofKeeper(
-            follower.proving,
+        self._keeper = ProofManager(
+            follower.proof_poll_times,
             lambda: self._members.rank() * settings.poll_rank_delay_seconds,
             lambda now: self._follower.next_answer_at(now),
-            random_source.getrandbits(ASK_NUMBER_BITS) if follower.proving else 0,
+            random_source.getrandbits(ASK_NUMBER_BITS) if follower.proof_poll_times else 0,
         )
         self._forwarding = ForwardingMachine(
             settings,
@@ -109,13 +109,13 @@
         self._held_keys = HeldKeys(formats, guard.hold, guard.lift)
         guard.write = self._held_keys.write
         hooks = FollowerHooks(
-            lambda values, now: self._contents.listed(values, now) + self._callers.changes(now),
+            lambda values, now: self._contents.listed(values, now) + self._callers.update(now),
             lambda written, deleted, now: (
-                self._contents.changed(written, deleted, now) + self._callers.changes(now)
+                self._contents.changed(written, deleted, now) + self._callers.update(now)
             ),
             self._directory.note_outage,
-            lambda news, now: self._news.told(news, now),
-            lambda: bool(self._members.listeners()),
+            lambda news, now: self._news.send_update(news, now),
+            lambda: bool(self._members.update_recipients()),
             lambda: self._members.rank() == 0,
             lambda: self._callers.can_serve,
         )
@@ -131,7 +131,7 @@
         self._limits = LimitKeeper(
             name, limits, self._members, self._forwarding.admission, self._forwarding.limit_answered
         )
-        self._lateness = NodeLateness()
+        self._lateness = ProcessingLag()
         self._time = OwnTime(
             settings,
             self._directory,
@@ -141,7 +141,7 @@
             self._lateness,
             self._keeper,
         )
-        self._news = NewsExchange(
+        self._news = UpdateExchange(
             settings, self._members, self._follower, self._lateness, self._keeper
         )
         self._contents = StoreContents(
@@ -155,9 +155,9 @@
             self._forwarding.life_over,
         )
         departure = Departure()
-        asked = AskedRoutes(self._directory)
-        self._callers = TakingCallers(settings, self._directory, self._forwarding, asked, departure)
-        self._reach = Reach(
+        asked = RouteDemand(self._directory)
+        self._callers = NodeReadiness(settings, self._directory, self._forwarding, asked, departure)
+        self._reach = ReachabilityMonitor(
             settings, name, self._directory, self._forwarding.evidence, asked, departure
         )
 
@@ -170,13 +170,13 @@
         """Take in an event and return what is to be done."""
         actions = self._decide(event, now)
         actions += self._limits.after(event, self._table, now)
-        if self._reach.concerns(event, now):
-            actions = actions + self._reach.handle(event, now) + self._callers.changes(now)
+        if self._reach.is_relevant(event, now):
+            actions = actions + self._reach.handle(event, now) + self._callers.update(now)
         return self._lines.admit(actions, now)
 
     def store_snapshot(self) -> ReadResult | None:
         """Return what this node knows of the store, for a node that cannot reach it."""
-        return self._follower.known()
+        return self._follower.snapshot()
 
     @property
     def proof(self) -> ConfigurationProof:
@@ -189,7 +189,9 @@
 
     def _decide(self, event: Event, now: float) -> list[Action]:
         match event:
-            case StoreResponse() | WatchChanged() | WatchBroken() | FollowAgain() | PeerSnapshot():
+            case (
+                StoreResponse() | WatchChanged() | WatchBroken() | FollowRetryDue() | PeerSnapshot()
+            ):
                 return self._store_event(event, now)
             case Start():
                 return self._start(event, now)
@@ -208,7 +210,7 @@
             case StopCheckDue():
                 return self._callers.check_stop(now)
             case ReadyDue():
-                return self._callers.changes(now)
+                return self._callers.update(now)
         actions = self._forwarding.handle(event, now)
         return actions + self._time.pace(now) if self._forwarding.held_exchanges else actions
 
@@ -218,21 +220,24 @@
         match event:
             case PeerReceived(sender=sender, message=StoreNews() as news):
                 self._told_by = sender.node_id
-                return [*self._news.heard(news, now), *self._keeper.news_from(sender, now)]
+                return [
+                    *self._news.receive_update(news, now),
+                    *self._keeper.handle_update_from(sender, now),
+                ]
             case PeerReceived(sender=sender, message=AskProof() | ProofGiven() as message):
-                return self._news.proof_message(sender, message, now)
+                return self._news.handle_proof_message(sender, message, now)
             case PresenceDue():
                 return self._presence_due(event, now)
             case PeerLinkOpened():
-                actions = self._members.link_opened(event, self._table, now)
+                actions = self._members.handle_link_opened(event, self._table, now)
                 self._forwarding.enable_peers(self._members.groups)
                 self._reach.enable_peers(self._members.groups)
-                return [*actions, *self._keeper.sweep(self._members.listeners, now)]
+                return [*actions, *self._keeper.sweep(self._members.update_recipients, now)]
         return []
 
     def _store_event(self, event: Event, now: float) -> list[Action]:
-        if isinstance(event, StoreResponse) and self._members.is_mine(event):
-            return self._members.answered(event, now)
+        if isinstance(event, StoreResponse) and self._members.handles(event):
+            return self._members.handle_response(event, now)
         if isinstance(event, StoreResponse) and self._held_keys.is_answer(event):
             return self._held_keys.answered(event)
         self._told_by = "look" if isinstance(event, WatchChanged) else "listing"
@@ -246,7 +251,7 @@
         ]
 
     def _presence_due(self, event: PresenceDue, now: float) -> list[Action]:
-        return self._members.presence_due(event, self._table, now)
+        return self._members.handle_presence_due(event, self._table, now)
 
     # The store
 
@@ -271,5 +276,5 @@
         return [
             Log("configuration_adopted", LogLevel.INFO, line),
             Count("configurations_adopted_total"),
-            self._callers.state(),
+            self._callers.current_forwarding(),
         ]
--- a/wingquay/forwarding/knowledge/follower_settings.py
+++ b/wingquay/forwarding/knowledge/follower_settings.py
@@ -6,12 +6,12 @@
 from ...ports.machine import Action, Event
 from ...ports.store import StoredValue
 from ...ports.store_news import StoreNews
-from .look_times import DEFAULT_CONTACT_SECONDS, LookTimes, look_times_within
-from .proving_looks import ProvingLooks
+from .poll_times import DEFAULT_CONTACT_SECONDS, PollTimes, poll_times_within
+from .proof_poll_times import ProofPollTimes
 
 
 @value
-class FollowAgain(Event):
+class FollowRetryDue(Event):
     """Look at the store again after a failure."""
 
     watch_id: str
@@ -27,7 +27,7 @@
         Keys that begin with it are followed.
     gather_seconds
         Least time between two looks at a prefix that changes all the time.
-    shared_gather_seconds
+    shared_poll_interval_seconds
         The same for a node that looks for others, too: in busy times ten nodes that looked by
         themselves would see a change a third of a second after it was made, on average.
     look
@@ -43,12 +43,12 @@
     """
 
     prefix: str = ""
-    gather_seconds: float = 1.3
-    shared_gather_seconds: float = 0.8
-    look: LookTimes = look_times_within(DEFAULT_CONTACT_SECONDS)
+    poll_interval_seconds: float = 1.3
+    shared_poll_interval_seconds: float = 0.8
+    poll_times: PollTimes = poll_times_within(DEFAULT_CONTACT_SECONDS)
     hurried_backoff_seconds: float = 1.0
     unknown_backoff_seconds: float = 0.2
-    proving: ProvingLooks | None = None
+    proof_poll_times: ProofPollTimes | None = None
 
 
 @value
--- a/wingquay/forwarding/knowledge/node_groups.py
+++ b/wingquay/forwarding/knowledge/node_groups.py
@@ -11,7 +11,7 @@
 from ...model.value import value
 from ...ports.peer_link import NodeIdentity, NodeRecord
 from ..settings import ForwardingSettings
-from .reach_evidence import ReachEvidence
+from .reachability_evidence import ReachabilityEvidence
 
 
 @value
@@ -48,7 +48,7 @@
         self._members: dict[str, _Member] = {}
         self._departed: dict[str, NodeIdentity] = {}
         """Nodes whose keys are gone, until their links break."""
-        self.evidence: ReachEvidence | None = None
+        self.evidence: ReachabilityEvidence | None = None
         """Takes in which nodes are passed over, and where they are."""
         self._fan_out = 0
         self._version = 0
@@ -148,9 +148,9 @@
         for member in self._members.values():
             identity = member.record.identity
             if identity.node_id == node_id and identity.zone != self._settings.zone:
-                self.evidence.failed(identity.zone, f"node {node_id}", now)
+                self.evidence.record_failure(identity.zone, f"node {node_id}", now)
 
-    def trust(self, node_id: str) -> None:
+    def clear_suspicion(self, node_id: str) -> None:
         """Take in that a node has answered: it is there, however late it was."""
         for member in self._members.values():
             if member.record.identity.node_id != node_id:
@@ -177,7 +177,7 @@
             if name != self._name and now >= member.suspect_until
         ]
 
-    def others(self) -> list[tuple[str, NodeIdentity]]:
+    def other_nodes(self) -> list[tuple[str, NodeIdentity]]:
         """Return all other nodes by name, also those that are passed over."""
         return [
             (name, member.record.identity)
@@ -185,7 +185,7 @@
             if name != self._name
         ]
 
-    def listeners(self) -> list[NodeIdentity]:
+    def update_recipients(self) -> list[NodeIdentity]:
         """Return the nodes that are told what this one reads of the store.
 
         A node whose key is gone from the store while its link stands is told as well: the store may
--- a/wingquay/forwarding/knowledge/node_membership.py
+++ b/wingquay/forwarding/knowledge/node_membership.py
@@ -69,17 +69,17 @@
         assert self._groups is not None
         return self._groups
 
-    def is_mine(self, event: StoreResponse) -> bool:
+    def handles(self, event: StoreResponse) -> bool:
         """Whether the store's answer is to a request of this part."""
-        return self._presence.is_mine(event) or self._setup.is_mine(event)
+        return self._presence.handles(event) or self._setup.handles(event)
 
-    def answered(self, event: StoreResponse, now: float) -> list[Action]:
+    def handle_response(self, event: StoreResponse, now: float) -> list[Action]:
         """Take in the store's answer."""
-        if self._presence.is_mine(event):
+        if self._presence.handles(event):
             return self._presence.handle(event, now)
         return self._setup.answered(event.result)
 
-    def presence_due(
+    def handle_presence_due(
         self, event: PresenceDue, table: RoutingTable | None, now: float
     ) -> list[Action]:
         """Write the node's key, but open the link before: the key tells where it listens.
@@ -115,7 +115,7 @@
         wait_seconds = delay_seconds - self._settings.join_wide_delay_seconds
         return [Schedule(now + max(0.0, wait_seconds), event)]
 
-    def link_opened(
+    def handle_link_opened(
         self, event: PeerLinkOpened, table: RoutingTable | None, now: float
     ) -> list[Action]:
         """Say where this node listens, and group the nodes from now on."""
@@ -138,13 +138,13 @@
         """Whether this node's key is sure to stand in the store."""
         return self._presence.is_listed(now)
 
-    def has_stood(self) -> bool:
+    def reused_key(self) -> bool:
         """Whether this node's key stood in the store, as it is now, before this life wrote it."""
-        return self._presence.has_stood
+        return self._presence.reused_key
 
-    def listeners(self) -> list[NodeIdentity]:
+    def update_recipients(self) -> list[NodeIdentity]:
         """Return the nodes that are told what this one reads of the store."""
-        return [] if self._groups is None else self._groups.listeners()
+        return [] if self._groups is None else self._groups.update_recipients()
 
     def rank(self) -> int:
         """Return this node's place among the nodes that tell each other of the store."""
@@ -165,7 +165,7 @@
         if self._groups is not None:
             self._groups.set_fan_out(widest_route(table))
 
-    def learn_cluster_key(self, cluster_key: bytes) -> None:
+    def set_cluster_key(self, cluster_key: bytes) -> None:
         """Take in the key that stands in the store."""
         self._setup.learn(cluster_key)
 
--- a/wingquay/forwarding/knowledge/peer_setup.py
+++ b/wingquay/forwarding/knowledge/peer_setup.py
@@ -56,7 +56,7 @@
         """Take in the key that stands in the store."""
         self._cluster_key = cluster_key
 
-    def is_mine(self, event: StoreResponse) -> bool:
+    def handles(self, event: StoreResponse) -> bool:
         """Whether the answer is to one of this machine's requests."""
         return event.operation_id.startswith(OPERATION_PREFIX)
 
--- a/wingquay/forwarding/knowledge/look_pace.py
+++ b/wingquay/forwarding/knowledge/poll_schedule.py
@@ -1,10 +1,10 @@
 """How soon a node looks at the store again, and how long the store may hold the look."""
 
 from .follower_settings import FollowerHooks, FollowerSettings
-from .proof_keeper import ProofKeeper
+from .proof_manager import ProofManager
 
 
-class LookPace:
+class PollSchedule:
     """The pace of one node's looks, by what it hears of others and what it waits for.
 
     Parameters
@@ -18,7 +18,7 @@
     """
 
     def __init__(
-        self, settings: FollowerSettings, hooks: FollowerHooks, keeper: ProofKeeper
+        self, settings: FollowerSettings, hooks: FollowerHooks, keeper: ProofManager
     ) -> None:
         self._settings = settings
         self._hooks = hooks
@@ -27,7 +27,7 @@
         """Whether news of another node were taken in since the last look."""
         self._is_left_alone = False
         """Whether none were before that look: those that go first may be turned away."""
-        self.gather_seconds = settings.gather_seconds
+        self.gather_seconds = settings.poll_interval_seconds
         """Time between two looks that is wanted at present."""
         self.failures = 0
         """Looks that were lost, one after the other."""
@@ -35,16 +35,16 @@
     @property
     def is_hurried(self) -> bool:
         """Whether looks are wanted more often than usual."""
-        return self.gather_seconds < self._settings.gather_seconds
+        return self.gather_seconds < self._settings.poll_interval_seconds
 
     @property
     def seconds(self) -> float:
         """Least time between two looks, shorter where others go by what this node reads."""
         proving = self._keeper.looks
         if self._may_wait and self._hooks.tells_others():
-            shared_seconds = self._settings.shared_gather_seconds
+            shared_seconds = self._settings.shared_poll_interval_seconds
             if proving is not None:
-                shared_seconds = proving.shared_gather_seconds
+                shared_seconds = proving.shared_poll_interval_seconds
             return min(self.gather_seconds, shared_seconds)
         if proving is None:
             return self.gather_seconds
@@ -60,11 +60,11 @@
         if not self._may_wait or self.failures:
             return 0.0
         proving = self._keeper.looks
-        return self._settings.look.hold_seconds if proving is None else proving.hold_seconds
+        return self._settings.poll_times.hold_seconds if proving is None else proving.hold_seconds
 
     def timeout_seconds(self, hold_seconds: float) -> float:
         """Return after which time a look counts as lost that the store may hold for so long."""
-        look = self._keeper.looks or self._settings.look
+        look = self._keeper.looks or self._settings.poll_times
         return look.held_timeout_seconds if hold_seconds > 0.0 else look.timeout_seconds
 
     def most_pause_seconds(self, now: float) -> float:
@@ -80,10 +80,10 @@
             Whether anything is known to go by meanwhile.
         """
         settings = self._settings
-        pause = settings.look.first_backoff_seconds * 2.0 ** min(self.failures, 6)
+        pause = settings.poll_times.first_backoff_seconds * 2.0 ** min(self.failures, 6)
         if not is_listed:
             return min(pause, settings.unknown_backoff_seconds)
-        most = settings.look.most_backoff_seconds
+        most = settings.poll_times.most_backoff_seconds
         if self.is_hurried:
             most = min(most, settings.hurried_backoff_seconds)
         return min(pause, most)
--- a/wingquay/forwarding/knowledge/look_times.py
+++ b/wingquay/forwarding/knowledge/poll_times.py
@@ -7,7 +7,7 @@
 LEAST_GATHER_RATIO = 0.4
 
 
-def gather_seconds_within(bound_seconds: float) -> float:
+def poll_interval_within(bound_seconds: float) -> float:
     """Return how often to look at the store so that its news are in force in time.
 
     Parameters
@@ -26,7 +26,7 @@
 """Time left for requests that are on their way to a replica that counts as gone."""
 
 
-def lapse_grace_seconds(gather_seconds: float, drain_seconds: float) -> float:
+def expiry_grace_seconds(gather_seconds: float, drain_seconds: float) -> float:
     """Return how long a replica whose record lapsed in an outage may still get work.
 
     That is until its record would be back and seen, but always within the time after which a
@@ -63,7 +63,7 @@
 
 
 @value
-class LookTimes:
+class PollTimes:
     """How long a look at the store may take, and the pause after one that was lost.
 
     Parameters
@@ -85,7 +85,7 @@
     most_backoff_seconds: float
 
 
-def look_times_within(contact_seconds: float) -> LookTimes:
+def poll_times_within(contact_seconds: float) -> PollTimes:
     """Return times by which a node looks at the store soon enough after an outage.
 
     A look may be lost just before the store is back. That it was lost is noticed a time-out later,
@@ -104,7 +104,7 @@
     held_timeout_seconds = min(
         MOST_HOLD_SECONDS + HELD_ANSWER_SECONDS, within_seconds - first_backoff_seconds
     )
-    return LookTimes(
+    return PollTimes(
         max(held_timeout_seconds - HELD_ANSWER_SECONDS, 0.0),
         held_timeout_seconds,
         timeout_seconds,
--- a/wingquay/forwarding/knowledge/presence.py
+++ b/wingquay/forwarding/knowledge/presence.py
@@ -89,7 +89,7 @@
         return now < self._listed_until
 
     @property
-    def has_stood(self) -> bool:
+    def reused_key(self) -> bool:
         """Whether the key stood there before this life and was renewed, not written."""
         return self._has_stood
 
@@ -114,7 +114,7 @@
             return self._done(event.result, now)
         return []
 
-    def is_mine(self, event: StoreResponse) -> bool:
+    def handles(self, event: StoreResponse) -> bool:
         """Whether the answer is to one of this machine's requests."""
         return event.operation_id.startswith(OPERATION_PREFIX)
 
--- a/wingquay/forwarding/knowledge/proof_keeper.py
+++ b/wingquay/forwarding/knowledge/proof_manager.py
@@ -7,13 +7,13 @@
 from ...ports.peer_link import NodeIdentity, PeerLinkBroken, SendToPeer
 from ...ports.proof_messages import AskProof, ProofGiven
 from .configuration_proof import AlwaysProven, TimedProof
-from .proof_asking import HeardAsks, ProofAsks
-from .proving_looks import MOST_RANK_SECONDS, ProvingLooks
+from .proof_poll_times import MOST_RANK_SECONDS, ProofPollTimes
+from .proof_requests import HeardAsks, ProofAsks
 
 LATE_REASON = "no look was answered and nobody told of one"
 
 
-class ProofKeeper:
+class ProofManager:
     """Takes in what proves the configuration, for deployments that state the strict bound.
 
     Nothing is paid for it, neither calls nor messages, by other deployments and as long as the
@@ -33,7 +33,7 @@
 
     def __init__(
         self,
-        looks: ProvingLooks | None,
+        looks: ProofPollTimes | None,
         rank_seconds: Callable[[], float],
         next_answer_at: Callable[[float], float],
         first_number: int = 0,
@@ -54,7 +54,7 @@
         return self._timed or AlwaysProven()
 
     @property
-    def looks(self) -> ProvingLooks | None:
+    def looks(self) -> ProofPollTimes | None:
         """The looks that keep the bound; ``None``: there is nothing to prove."""
         return self._looks if self._has_tenants else None
 
@@ -84,7 +84,7 @@
         told = self._heard.answers(begun_at, store_revision, now)
         return [*self._prove(self._timed, begun_at, now), *told]
 
-    def failed(self, reason: str) -> None:
+    def poll_failed(self, reason: str) -> None:
         """Take in why nothing may be proven for a while."""
         self._reason = reason
 
@@ -100,7 +100,7 @@
             return []
         return [*self.check(now), *self._asks.ask(listeners(), now)]
 
-    def news_from(self, sender: NodeIdentity, now: float) -> list[Action]:
+    def handle_update_from(self, sender: NodeIdentity, now: float) -> list[Action]:
         """Take in that another node has told what it has read."""
         return [] if self.looks is None else self._asks.news_from(sender, now)
 
--- a/wingquay/forwarding/knowledge/proving_looks.py
+++ b/wingquay/forwarding/knowledge/proof_poll_times.py
@@ -4,10 +4,10 @@
 
 from ...model.value import value
 from .configuration_proof import BOUND_RESERVE_SECONDS
-from .look_times import HELD_ANSWER_SECONDS, LookTimes
+from .poll_times import HELD_ANSWER_SECONDS, PollTimes
 
 
-class ProvingWay(Enum):
+class ProofPollMode(Enum):
     """How the node that looks for its group keeps the configuration proven."""
 
     HELD = "held"
@@ -36,7 +36,7 @@
 
 
 @value
-class ProvingLooks:
+class ProofPollTimes:
     """Looks that keep the configuration proven within a bound.
 
     Parameters
@@ -45,7 +45,7 @@
         Time after the store acknowledged that a key is taken away from which on it is not served.
     own_seconds
         Age of the proof at which a node looks by itself, so that a look may fail once.
-    shared_gather_seconds
+    shared_poll_interval_seconds
         Least time between two looks of a node that looks for others.
     hold_seconds
         How long the store may hold a look on which nothing has changed.
@@ -55,15 +55,15 @@
 
     bound_seconds: float
     own_seconds: float
-    shared_gather_seconds: float
+    shared_poll_interval_seconds: float
     hold_seconds: float
     held_timeout_seconds: float
     timeout_seconds: float
 
 
-def proving_looks_within(
-    bound_seconds: float, way: ProvingWay, look: LookTimes, shared_gather_seconds: float
-) -> ProvingLooks:
+def proof_poll_times_within(
+    bound_seconds: float, way: ProofPollMode, look: PollTimes, shared_poll_interval_seconds: float
+) -> ProofPollTimes:
     """Return looks by which one may fail and be tried again before the bound.
 
     Parameters
@@ -72,7 +72,7 @@
         How the node that looks for its group does.
     look
         Times of looks without the bound, which they do not exceed.
-    shared_gather_seconds
+    shared_poll_interval_seconds
         Least time between two looks of a node that looks for others without the bound.
     """
     timeout_seconds = min(
@@ -84,17 +84,17 @@
         bound_seconds * MOST_RESERVE_SHARE,
     )
     own_seconds = bound_seconds - try_seconds - reserve_seconds
-    if way is ProvingWay.SHORT:
+    if way is ProofPollMode.SHORT:
         shared_seconds = own_seconds * SHORT_LOOK_SHARE
-        return ProvingLooks(
+        return ProofPollTimes(
             bound_seconds, own_seconds, shared_seconds, 0.0, timeout_seconds, timeout_seconds
         )
     most_seconds = own_seconds * MOST_HOLD_SHARE
     hold_seconds = min(MOST_PROVING_HOLD_SECONDS, look.hold_seconds, most_seconds)
-    return ProvingLooks(
+    return ProofPollTimes(
         bound_seconds,
         own_seconds,
-        min(shared_gather_seconds, most_seconds),
+        min(shared_poll_interval_seconds, most_seconds),
         hold_seconds,
         hold_seconds + timeout_seconds,
         timeout_seconds,
--- a/wingquay/forwarding/knowledge/reach_evidence.py
+++ b/wingquay/forwarding/knowledge/reachability_evidence.py
@@ -11,7 +11,7 @@
 node sees several within a tenth of a second."""
 
 
-class ReachEvidence:
+class ReachabilityEvidence:
     """Failures since the last answer of their zone."""
 
     def __init__(self) -> None:
@@ -20,11 +20,11 @@
         self._answered: set[str] = set()
         """Zones that answered since it is being looked into."""
 
-    def failed(self, zone: str, target: str, now: float) -> None:
+    def record_failure(self, zone: str, target: str, now: float) -> None:
         """Take in that a replica or a node did not answer or could not be reached."""
         self._failed[zone, target] = now
 
-    def answered(self, zone: str) -> None:
+    def record_answer(self, zone: str) -> None:
         """Take in that something of a zone answered."""
         if self._is_looked_into:
             self._answered.add(zone)
@@ -48,7 +48,7 @@
         answered, self._answered = sorted(self._answered), set()
         return answered
 
-    def is_doubtful(self, now: float) -> bool:
+    def suggests_outage(self, now: float) -> bool:
         """Whether enough failed lately that zones may be out of reach."""
         if len(self._failed) < DOUBTFUL_TARGETS:
             return False
--- a/wingquay/forwarding/knowledge/store_copy.py
+++ b/wingquay/forwarding/knowledge/store_copy.py
@@ -21,7 +21,7 @@
         """The store's revision up to which everything is known; ``None``: of no use any more."""
         return self._revision
 
-    def known(self) -> ReadResult | None:
+    def snapshot(self) -> ReadResult | None:
         """Return everything as far as it is known; ``None``: nothing is."""
         if not self._is_listed or self._revision is None:
             return None
--- a/wingquay/forwarding/knowledge/store_follower.py
+++ b/wingquay/forwarding/knowledge/store_follower.py
@@ -15,11 +15,11 @@
     WatchChanged,
 )
 from ...ports.store_news import StoreNews
-from .follower_settings import FollowAgain as FollowAgain
 from .follower_settings import FollowerHooks as FollowerHooks
 from .follower_settings import FollowerSettings as FollowerSettings
-from .look_pace import LookPace
-from .proof_keeper import ProofKeeper
+from .follower_settings import FollowRetryDue as FollowRetryDue
+from .poll_schedule import PollSchedule
+from .proof_manager import ProofManager
 from .store_copy import StoreCopy
 
 USUAL_ANSWER_SECONDS = 0.1
@@ -43,17 +43,17 @@
         self,
         settings: FollowerSettings,
         hooks: FollowerHooks,
-        keeper: ProofKeeper | None = None,
+        keeper: ProofManager | None = None,
     ) -> None:
         self._settings = settings
         self._hooks = hooks
         self._reads = 0
         self._watches = 0
-        self._keeper = keeper or ProofKeeper(None, lambda: 0.0, self.next_answer_at)
-        self._pace = LookPace(settings, hooks, self._keeper)
+        self._keeper = keeper or ProofManager(None, lambda: 0.0, self.next_answer_at)
+        self._pace = PollSchedule(settings, hooks, self._keeper)
         self._copy = StoreCopy()
         self._is_watching = False
-        self._watch_gather_seconds = settings.gather_seconds
+        self._watch_gather_seconds = settings.poll_interval_seconds
         """The pace of the watch under way."""
         self._watch_hold_seconds = 0.0
         """How long the store may hold its looks."""
@@ -74,17 +74,17 @@
             return self._peer_told(event, now)
         if isinstance(event, Start):
             return self._look(now)
-        if isinstance(event, FollowAgain) and event.watch_id == self._operation_id:
+        if isinstance(event, FollowRetryDue) and event.watch_id == self._operation_id:
             return self._look(now)
         return []
 
-    def known(self) -> ReadResult | None:
+    def snapshot(self) -> ReadResult | None:
         """Return everything under the prefix as far as it is known; ``None``: nothing is."""
-        return self._copy.known()
+        return self._copy.snapshot()
 
-    def gather(self, seconds: float | None, now: float) -> list[Action]:
+    def set_poll_interval(self, seconds: float | None, now: float) -> list[Action]:
         """Look at the store at another pace; ``None``: the usual one."""
-        wanted = self._settings.gather_seconds if seconds is None else seconds
+        wanted = self._settings.poll_interval_seconds if seconds is None else seconds
         if wanted == self._pace.gather_seconds:
             return []
         self._pace.gather_seconds = wanted
@@ -125,7 +125,7 @@
             return []
         return [StopWatch(self._watch_id), *self._watch(now, pause_seconds)]
 
-    def look_now(self, now: float) -> list[Action]:
+    def poll_now(self, now: float) -> list[Action]:
         """Look at the store at once, in place of a look under way that may be lost."""
         if not self._is_watching:
             return []
@@ -137,7 +137,7 @@
         if now < answer_at:
             return answer_at
         lost_at = self._look_at + self._pace.timeout_seconds(self._watch_hold_seconds)
-        return lost_at + self._settings.look.first_backoff_seconds + USUAL_ANSWER_SECONDS
+        return lost_at + self._settings.poll_times.first_backoff_seconds + USUAL_ANSWER_SECONDS
 
     @property
     def known_revision(self) -> int | None:
@@ -147,7 +147,7 @@
     @property
     def usual_gather_seconds(self) -> float:
         """The time between two looks when nothing is missing."""
-        return self._settings.gather_seconds
+        return self._settings.poll_interval_seconds
 
     @property
     def _operation_id(self) -> str:
@@ -163,7 +163,7 @@
         self._reads += 1
         self._look_at = now
         operation = Read(self._settings.prefix, prefix=True, may_lag_at_first=True)
-        timeout = self._settings.look.timeout_seconds
+        timeout = self._settings.poll_times.timeout_seconds
         return [StoreRequest(self._operation_id, operation, timeout)]
 
     def _pause_seconds(self, now: float) -> float:
@@ -275,7 +275,7 @@
 
     def _failed(self, reason: str, now: float) -> list[Action]:
         self._hooks.on_trouble(now)
-        self._keeper.failed(reason)
+        self._keeper.poll_failed(reason)
         is_listed = self._copy.is_listed
         due_at = now + self._pace.backoff_seconds(is_listed)
         asking: list[Action] = [] if is_listed else [AskPeers()]
@@ -291,7 +291,7 @@
         return [
             Log("store_unreachable", LogLevel.WARNING, fields),
             *asking,
-            Schedule(due_at, FollowAgain(self._operation_id)),
+            Schedule(due_at, FollowRetryDue(self._operation_id)),
         ]
 
     def _passed_over(self, news: StoreNews, seen_revision: int, now: float) -> Log:
--- a/wingquay/forwarding/knowledge/news_exchange.py
+++ b/wingquay/forwarding/knowledge/update_exchange.py
@@ -6,13 +6,13 @@
 from ...ports.store import StartWatch
 from ...ports.store_news import StoreNews
 from ..settings import ForwardingSettings
-from .node_lateness import NodeLateness
 from .node_membership import NodeMembership
-from .proof_keeper import ProofKeeper
+from .processing_lag import ProcessingLag
+from .proof_manager import ProofManager
 from .store_follower import StoreFollower
 
 
-class NewsExchange:
+class UpdateExchange:
     """Tells news of the store and takes in those of others.
 
     Parameters
@@ -34,8 +34,8 @@
         settings: ForwardingSettings,
         members: NodeMembership,
         follower: StoreFollower,
-        lateness: NodeLateness,
-        keeper: ProofKeeper,
+        lateness: ProcessingLag,
+        keeper: ProofManager,
     ) -> None:
         self._settings = settings
         self._members = members
@@ -45,9 +45,9 @@
         self.rewritten: set[str] = set()
         """Keys of replicas' entries that the last changes left as they were but for the writing."""
 
-    def told(self, news: StoreNews, now: float) -> list[Action]:
+    def send_update(self, news: StoreNews, now: float) -> list[Action]:
         """Tell the nodes that would look at the same what this one has seen."""
-        listeners = self._members.listeners()
+        listeners = self._members.update_recipients()
         if not listeners:
             return []
         told = StoreNews(
@@ -65,7 +65,7 @@
         sent: list[Action] = [SendToPeer(listener, told) for listener in listeners]
         return [*sent, Count("store_news_total", len(listeners), (("side", "told"),))]
 
-    def heard(self, news: StoreNews, now: float) -> list[Action]:
+    def receive_update(self, news: StoreNews, now: float) -> list[Action]:
         """Take in what another node has read.
 
         The own look is put off, but for the time that the news have taken, as far as it is known:
@@ -80,7 +80,7 @@
         side = "look_put_off" if is_put_off else "heard"
         return [*actions, Count("store_news_total", labels=(("side", side),))]
 
-    def proof_message(
+    def handle_proof_message(
         self, sender: NodeIdentity, message: AskProof | ProofGiven, now: float
     ) -> list[Action]:
         """Take in that another node asks, or what its look proves; then put the own look off."""
--- a/wingquay/forwarding/own_time.py
+++ b/wingquay/forwarding/own_time.py
@@ -4,9 +4,9 @@
 from ..ports.machine import Action, Count, Event, Log, LogLevel, Schedule, Woken
 from .choice.replica_directory import ReplicaDirectory
 from .forwarding_machine import ForwardingMachine
-from .knowledge.node_lateness import NodeLateness
 from .knowledge.node_membership import NodeMembership
-from .knowledge.proof_keeper import ProofKeeper
+from .knowledge.processing_lag import ProcessingLag
+from .knowledge.proof_manager import ProofManager
 from .knowledge.store_follower import StoreFollower
 from .settings import ForwardingSettings
 from .timers import PeerConnectDue
@@ -60,8 +60,8 @@
         forwarding: ForwardingMachine,
         members: NodeMembership,
         follower: StoreFollower,
-        lateness: NodeLateness,
-        keeper: ProofKeeper,
+        lateness: ProcessingLag,
+        keeper: ProofManager,
     ) -> None:
         self._settings = settings
         self._directory = directory
@@ -82,11 +82,11 @@
         """Take in that a time has come."""
         match event:
             case SweepDue():
-                self._lateness.timer_seconds = max(now - event.due_at, 0.0)
+                self._lateness.timer_lag_seconds = max(now - event.due_at, 0.0)
                 self._directory.forget_vanished(now)
                 due_at = now + SWEEP_SECONDS
                 greetings = self._forwarding.handle(PeerConnectDue(), now)
-                proving = self._keeper.sweep(self._members.listeners, now)
+                proving = self._keeper.sweep(self._members.update_recipients, now)
                 sweep = Schedule(due_at, SweepDue(due_at))
                 return [*greetings, *proving, *self.pace(now), sweep]
             case LagDue():
@@ -98,19 +98,19 @@
         """Look at the store more often while records of replicas or nodes are missing."""
         is_old = self._directory.is_contradicted(now)
         if is_old or self._forwarding.held_exchanges > 0:
-            return self._follower.gather(self._settings.settle_poll_seconds, now)
+            return self._follower.set_poll_interval(self._settings.settle_poll_seconds, now)
         if self._members.is_joining(now):
             seconds = self._settings.join_idle_poll_seconds
             if self._forwarding.is_asked:
                 seconds = self._settings.join_poll_seconds
-            return self._follower.gather(seconds, now)
-        return self._follower.gather(None, now)
+            return self._follower.set_poll_interval(seconds, now)
+        return self._follower.set_poll_interval(None, now)
 
     def _woken(self, event: Woken, now: float) -> list[Action]:
         """Behave as a node whose store was away for as long, and give up what is too late."""
         self._directory.note_outage(now)
-        self._lateness.timer_seconds = event.seconds
-        self._keeper.failed("suspended")
+        self._lateness.timer_lag_seconds = event.seconds
+        self._keeper.poll_failed("suspended")
         open_requests = self._forwarding.open_exchanges
         actions = self._forwarding.woken(event, now)
         fields = (
@@ -122,16 +122,16 @@
             Log("woken", LogLevel.WARNING, fields),
             Count("suspensions_total"),
             *actions,
-            *self._follower.look_now(now),
+            *self._follower.poll_now(now),
             *self._schedule_lag(now, WAKING_SECONDS),
         ]
 
     def _lag_due(self, event: LagDue, now: float) -> list[Action]:
-        if event.due_at != self._lateness.due_at:
+        if event.due_at != self._lateness.timer_due_at:
             return []
         self._forwarding.lag.seconds = max(now - event.due_at, 0.0)
         return self._schedule_lag(now)
 
     def _schedule_lag(self, now: float, seconds: float = LAG_SECONDS) -> list[Action]:
-        self._lateness.due_at = now + seconds
-        return [Schedule(self._lateness.due_at, LagDue(self._lateness.due_at))]
+        self._lateness.timer_due_at = now + seconds
+        return [Schedule(self._lateness.timer_due_at, LagDue(self._lateness.timer_due_at))]
--- a/wingquay/forwarding/peers/delegation_reports.py
+++ b/wingquay/forwarding/peers/delegation_reports.py
@@ -50,7 +50,7 @@
         """Leave further attempts to a node that is there, unless this node has stepped in."""
         delegation.is_heard = True
         self._takeover.heard(now - delegation.sent_at)
-        self._groups.trust(delegation.node.node_id)
+        self._groups.clear_suspicion(delegation.node.node_id)
         most = delegation.exchange.route.max_attempts
         if delegation.is_lost or most <= 1:
             return []
--- a/wingquay/forwarding/readiness/taking_callers.py
+++ b/wingquay/forwarding/readiness/node_readiness.py
@@ -8,9 +8,9 @@
 from ...ports.machine import Action, Event, Exit, Log, LogLevel, Schedule
 from ..choice.replica_directory import ReplicaDirectory
 from ..settings import ForwardingSettings
-from .asked_routes import AskedRoutes
 from .decision import LEAST_SHARE
 from .departure import CallersMove, Departure
+from .route_demand import RouteDemand
 
 START_MOST_SECONDS = 0.3
 """Time after a configuration and a replica are known at which a node that has just started takes
@@ -41,7 +41,7 @@
         ...
 
 
-class TakingCallers:
+class NodeReadiness:
     """Whether callers are taken, and what they may cost.
 
     Parameters
@@ -63,7 +63,7 @@
         settings: ForwardingSettings,
         directory: ReplicaDirectory,
         requests: ServesRequests,
-        asked: AskedRoutes,
+        asked: RouteDemand,
         departure: Departure,
     ) -> None:
         self._settings = settings
@@ -96,7 +96,7 @@
         self._table = table
         self._asked.keep_only(table.routes)
 
-    def changes(self, now: float) -> list[Action]:
+    def update(self, now: float) -> list[Action]:
         """Tell whether this node is ready, if that has changed."""
         waiting = self._start(now)
         is_ready = self.is_ready
@@ -105,13 +105,13 @@
             if move is self._move:
                 return waiting
             self._move = move
-            return [*waiting, self.state(closes_idle=move is CallersMove.IDLE_CLOSE)]
+            return [*waiting, self.current_forwarding(closes_idle=move is CallersMove.IDLE_CLOSE)]
         self._was_ready = is_ready
         self._move = move
         line = Log("ready_changed", LogLevel.INFO, (("is_ready", int(is_ready)),))
-        return [*waiting, line, self.state()]
+        return [*waiting, line, self.current_forwarding()]
 
-    def state(self, closes_idle: bool = False) -> SetForwarding:
+    def current_forwarding(self, closes_idle: bool = False) -> SetForwarding:
         """Return what is in force for callers."""
         limits = CallerLimits() if self._table is None else self._table.limits
         # A shorter idle time would cut off callers that still go by the longer one.
@@ -149,8 +149,8 @@
         fields = (("open_requests", self._requests.open_exchanges),)
         return [
             Log("stop_started", LogLevel.INFO, fields),
-            *self.changes(now),
-            self.state(),
+            *self.update(now),
+            self.current_forwarding(),
             Schedule(now + STOP_CHECK_SECONDS, StopCheckDue()),
         ]
 
--- a/wingquay/forwarding/readiness/contacts.py
+++ b/wingquay/forwarding/readiness/peer_selector.py
@@ -58,4 +58,4 @@
     def _nodes(self) -> list[tuple[str, str, NodeIdentity]]:
         if self.groups is None:
             return []
-        return [(node.zone, name, node) for name, node in self.groups.others()]
+        return [(node.zone, name, node) for name, node in self.groups.other_nodes()]
--- a/wingquay/forwarding/readiness/reach.py
+++ b/wingquay/forwarding/readiness/reachability_monitor.py
@@ -10,13 +10,13 @@
 from ...ports.reach_news import ReachNews
 from ...ports.store import StoreFailureKind, StoreResponse, WatchBroken, WatchChanged
 from ..choice.replica_directory import ReplicaDirectory
-from ..knowledge.reach_evidence import ReachEvidence
+from ..knowledge.reachability_evidence import ReachabilityEvidence
 from ..settings import ForwardingSettings
-from .asked_routes import AskedRoutes
-from .contacts import Contacts
 from .decision import OwnSide, Situation, Why, judge
 from .departure import Departure
-from .zone_watch import ROUND_SECONDS, SLOW_ROUND_SECONDS, ReachCheckDue, ZoneWatch
+from .peer_selector import Contacts
+from .route_demand import RouteDemand
+from .zone_prober import ROUND_SECONDS, SLOW_ROUND_SECONDS, ReachCheckDue, ZoneWatch
 
 if TYPE_CHECKING:
     from ..knowledge.node_groups import NodeGroups
@@ -27,7 +27,7 @@
 """Lateness of this node from which on the tries of a round tell more of itself than of zones."""
 
 
-class Reach:
+class ReachabilityMonitor:
     """Decides whether this node leaves its callers to other zones.
 
     Parameters
@@ -51,8 +51,8 @@
         settings: ForwardingSettings,
         name: str,
         directory: ReplicaDirectory,
-        evidence: ReachEvidence,
-        asked: AskedRoutes,
+        evidence: ReachabilityEvidence,
+        asked: RouteDemand,
         departure: Departure,
     ) -> None:
         self._zone = settings.zone
@@ -74,7 +74,7 @@
         """Ask other nodes from now on."""
         self._contacts.groups = groups
 
-    def concerns(self, event: Event, now: float) -> bool:
+    def is_relevant(self, event: Event, now: float) -> bool:
         """Whether something is to be done after an event."""
         if not self._is_on:
             return False
@@ -91,14 +91,14 @@
                 return True
             case PeerReceived(sender=sender):
                 self._watch.met(sender.zone)
-        return self._watch.is_in_doubt or self._evidence.is_doubtful(now)
+        return self._watch.is_in_doubt or self._evidence.suggests_outage(now)
 
     def handle(self, event: Event, now: float) -> list[Action]:
         """Take in an event after everything else has."""
         actions = self._take_in(event, now)
         for zone in self._evidence.take_answered():
             actions += self._watch.heard(zone, now)
-        if not self._watch.is_in_doubt and self._evidence.is_doubtful(now):
+        if not self._watch.is_in_doubt and self._evidence.suggests_outage(now):
             actions += self._watch.begin(now)
         is_news = not self._departure.is_away or isinstance(event, ConnectionTried)
         if is_news and self._watch.answering_zones():
--- a/wingquay/forwarding/readiness/asked_routes.py
+++ b/wingquay/forwarding/readiness/route_demand.py
@@ -13,7 +13,7 @@
 SHARE_TOLERANCE = 1e-9
 
 
-class AskedRoutes:
+class RouteDemand:
     """Counts requests by route, each for less the longer ago it was."""
 
     def __init__(self, directory: ReplicaDirectory) -> None:
--- a/wingquay/forwarding/readiness/zone_watch.py
+++ b/wingquay/forwarding/readiness/zone_prober.py
@@ -14,10 +14,10 @@
 from ...ports.reach_news import ReachNews
 from ..choice.replica_directory import ReplicaDirectory
 from ..choice.replica_state import ReplicaState
-from ..knowledge.reach_evidence import ReachEvidence
-from .contacts import Contacts
+from ..knowledge.reachability_evidence import ReachabilityEvidence
 from .decision import OwnSide
-from .doubt import Doubt, KnownZone
+from .peer_selector import Contacts
+from .suspicion import Doubt, KnownZone
 
 ROUND_SECONDS = 0.25
 """Time between two rounds of tries, and time for nodes to say that they are there: a try takes up
@@ -68,7 +68,7 @@
         zone: str,
         name: str,
         directory: ReplicaDirectory,
-        evidence: ReachEvidence,
+        evidence: ReachabilityEvidence,
         contacts: Contacts,
     ) -> None:
         self._zone = zone
--- a/wingquay/forwarding/sending/attempts.py
+++ b/wingquay/forwarding/sending/attempts.py
@@ -14,7 +14,7 @@
 from ..choice.replica_directory import ReplicaDirectory
 from ..choice.replica_state import ReplicaState
 from ..exchange import Attempt, ServiceCall
-from ..knowledge.reach_evidence import ReachEvidence
+from ..knowledge.reachability_evidence import ReachabilityEvidence
 from ..settings import ForwardingSettings
 from ..timers import AbandonDue, ReconnectDue
 from .latencies import RouteLatencies
@@ -41,7 +41,7 @@
         self._limits = limits
         self._ids = count(1)
         self._open: dict[int, Attempt] = {}
-        self.evidence = ReachEvidence()
+        self.evidence = ReachabilityEvidence()
         """Which replicas failed lately, and where they are."""
 
     def get(self, attempt_id: int) -> Attempt | None:
@@ -169,7 +169,7 @@
     def answered(self, attempt: Attempt, load: ReportedLoad | None, now: float) -> list[Action]:
         """Take in that a replica answered an attempt."""
         was_left_out = attempt.replica.on_answer(load, now)
-        self.evidence.answered(attempt.replica.record.zone)
+        self.evidence.record_answer(attempt.replica.record.zone)
         if now - attempt.sent_at <= attempt.call.exchange.route.objective_seconds:
             attempt.replica.on_good_answer(now)
         self.record_latency(attempt, now)
@@ -217,7 +217,7 @@
     def _left_out(
         self, replica: ReplicaState, reason: str, is_certain: bool, now: float
     ) -> list[Action]:
-        self.evidence.failed(replica.record.zone, replica.record.replica_id, now)
+        self.evidence.record_failure(replica.record.zone, replica.record.replica_id, now)
         seconds = replica.on_failure(self._settings, is_certain, now)
         if not seconds:
             return []
--- a/wingquay/forwarding/store_contents.py
+++ b/wingquay/forwarding/store_contents.py
@@ -90,7 +90,7 @@
         if self._is_node_key(item.key):
             self._members.put(item)
         elif item.key == self._formats.cluster_key:
-            self._members.learn_cluster_key(item.value)
+            self._members.set_cluster_key(item.value)
         return []
 
     def _remove(self, key: str, now: float) -> list[Action]:
--- a/wingquay/platform/node.py
+++ b/wingquay/platform/node.py
@@ -22,13 +22,13 @@
 from ..adapters.replica_client import CONNECT_SECONDS, ReplicaClient
 from ..forwarding.arrival.limits.limit_settings import LimitSettings
 from ..forwarding.forwarding_node import ForwardingNode, StoreFormats
-from ..forwarding.knowledge.look_times import (
+from ..forwarding.knowledge.poll_times import (
     DEFAULT_CONTACT_SECONDS,
-    gather_seconds_within,
-    lapse_grace_seconds,
-    look_times_within,
+    expiry_grace_seconds,
+    poll_interval_within,
+    poll_times_within,
 )
-from ..forwarding.knowledge.proving_looks import proving_looks_within
+from ..forwarding.knowledge.proof_poll_times import proof_poll_times_within
 from ..forwarding.knowledge.store_follower import FollowerSettings
 from ..forwarding.settings import ForwardingSettings
 from ..ports.forwarding import (
@@ -106,7 +106,7 @@
             settings.configuration_seconds,
             settings.evacuation_seconds or settings.configuration_seconds,
         )
-        gather_seconds = gather_seconds_within(bound_seconds)
+        gather_seconds = poll_interval_within(bound_seconds)
         machine = ForwardingNode(
             settings.node,
             ForwardingSettings(
@@ -119,7 +119,7 @@
                 retry_ratio=settings.retry_ratio * BUDGET_SHARE,
                 retry_slack=settings.retry_slack,
                 retry_window_seconds=settings.retry_window_seconds,
-                vanished_outage_grace_seconds=lapse_grace_seconds(
+                vanished_outage_grace_seconds=expiry_grace_seconds(
                     gather_seconds, settings.drain_seconds
                 ),
                 idle_close_seconds=settings.grace_seconds * UNREADY_STOP_SHARE,
@@ -272,14 +272,16 @@
 
 def _follower_settings(settings: PlatformSettings, gather_seconds: float) -> FollowerSettings:
     """Return how the store is followed, by the strict bound where there is one."""
-    look = look_times_within(settings.contact_seconds or DEFAULT_CONTACT_SECONDS)
-    usual = FollowerSettings(gather_seconds=gather_seconds, look=look)
+    look = poll_times_within(settings.contact_seconds or DEFAULT_CONTACT_SECONDS)
+    usual = FollowerSettings(poll_interval_seconds=gather_seconds, poll_times=look)
     if settings.revocation_seconds is None:
         return usual
-    proving = proving_looks_within(
-        settings.revocation_seconds, settings.proving_way, look, usual.shared_gather_seconds
+    proving = proof_poll_times_within(
+        settings.revocation_seconds, settings.proving_way, look, usual.shared_poll_interval_seconds
+    )
+    return FollowerSettings(
+        poll_interval_seconds=gather_seconds, poll_times=look, proof_poll_times=proving
     )
-    return FollowerSettings(gather_seconds=gather_seconds, look=look, proving=proving)
 
 
 def _store_formats() -> StoreFormats:
--- a/wingquay/platform/settings.py
+++ b/wingquay/platform/settings.py
@@ -6,7 +6,7 @@
 from ipaddress import ip_address
 from typing import Any
 
-from ..forwarding.knowledge.proving_looks import ProvingWay
+from ..forwarding.knowledge.proof_poll_times import ProofPollMode
 from ..model.failure import Failure
 from ..model.value import value
 
@@ -111,7 +111,7 @@
     cold_slack: float
     grace_seconds: float
     revocation_seconds: float | None = None
-    proving_way: ProvingWay = ProvingWay.SHORT
+    proving_way: ProofPollMode = ProofPollMode.SHORT
     limit_window_seconds: float = 5.0
     limit_overage: float = 0.0
     limit_slack: float = 0.0
@@ -192,15 +192,15 @@
     return seconds
 
 
-def _proving_way(document: Mapping[str, Any]) -> ProvingWay:
+def _proving_way(document: Mapping[str, Any]) -> ProofPollMode:
     """Return how nodes look at the store under the strict bound."""
     found = _find(document, "store.proving_looks")
     if found in (None, ""):
-        return ProvingWay.SHORT
-    for way in ProvingWay:
+        return ProofPollMode.SHORT
+    for way in ProofPollMode:
         if way.value == found:
             return way
-    allowed = ", ".join(way.value for way in ProvingWay)
+    allowed = ", ".join(way.value for way in ProofPollMode)
     raise _InvalidError(f"store.proving_looks is {found!r}; allowed: {allowed}")
 
 
--- a/wingquay/simulation/forwarding/simulated_node.py
+++ b/wingquay/simulation/forwarding/simulated_node.py
@@ -8,7 +8,7 @@
 from ...adapters.node_record import node_value, parse_node
 from ...forwarding.crashing.suspects import SuspicionLevel
 from ...forwarding.forwarding_node import FormatFailureKind, ForwardingNode, StoreFormats
-from ...forwarding.knowledge.look_times import look_times_within
+from ...forwarding.knowledge.poll_times import poll_times_within
 from ...forwarding.knowledge.store_follower import FollowerSettings
 from ...forwarding.settings import ForwardingSettings
 from ...model.failure import Failure
@@ -102,7 +102,7 @@
         self._machine = ForwardingNode(
             f"node-{number}",
             self._settings(),
-            FollowerSettings(look=look_times_within(simulation.settings.contact_seconds)),
+            FollowerSettings(poll_times=poll_times_within(simulation.settings.contact_seconds)),
             formats,
             random.Random(seed),
         )
