--- a/tests/forwarding/test_awaiting_limits.py
+++ b/tests/forwarding/test_awaiting_limits.py
@@ -17,9 +17,9 @@
 from tests.forwarding.linked_nodes import OTHERS
 from tests.forwarding.one_node import OneNode, replica, single_route, table
 from wingquay.forwarding.arrival.admission import Admitted, AwaitsLimit, Rejected
-from wingquay.forwarding.arrival.kept_arrivals import MOST_KEPT, MOST_KEPT_BYTES, KeptArrivals
-from wingquay.forwarding.arrival.kept_arrivals import Arrival as KeptArrival
-from wingquay.forwarding.arrival.request_identity import identity_of
+from wingquay.forwarding.arrival.pending_arrivals import MOST_KEPT, MOST_KEPT_BYTES, PendingArrivals
+from wingquay.forwarding.arrival.pending_arrivals import Arrival as KeptArrival
+from wingquay.forwarding.arrival.request_identity import compute_identity
 from wingquay.forwarding.settling.ending import HELD_REASON
 from wingquay.model.tenants import Tenant
 from wingquay.ports.crash_news import CrashNews
@@ -151,7 +151,7 @@
     def test_a_request_that_was_held_back_meanwhile_starts_nothing(self) -> None:
         waiting = Waiting()
         bare = OpaqueRequest(b"GET", b"/one/x", BARE_HEADERS)
-        news = CrashNews(identity_of(bare, "kiosk"), held_seconds=60.0)
+        news = CrashNews(compute_identity(bare, "kiosk"), held_seconds=60.0)
         waiting.node.emit(PeerReceived(OTHERS[0], news))
         waiting.answer(ADMITTED)
         self.assertEqual(
@@ -180,15 +180,15 @@
 
 class KeptArrivalsTest(TestCase):
     def test_bodies_are_bounded_and_make_room_again(self) -> None:
-        kept = KeptArrivals()
+        kept = PendingArrivals()
         half = MOST_KEPT_BYTES // 2
         self.assertEqual(
-            [True, True, False], [kept.keep(arrival(number, half)) for number in (1, 2, 3)]
+            [True, True, False], [kept.add(arrival(number, half)) for number in (1, 2, 3)]
         )
-        taken = kept.take(1)
+        taken = kept.remove(1)
         assert taken is not None
-        self.assertEqual((1, None, 1), (taken.event.exchange_id, kept.take(1), len(kept)))
-        self.assertTrue(kept.keep(arrival(4, half)))
+        self.assertEqual((1, None, 1), (taken.event.exchange_id, kept.remove(1), len(kept)))
+        self.assertTrue(kept.add(arrival(4, half)))
 
 
 def arrival(number: int, body_bytes: int) -> KeptArrival:
--- a/tests/forwarding/test_callers.py
+++ b/tests/forwarding/test_callers.py
@@ -19,7 +19,7 @@
 )
 from tests.forwarding.one_node import OneNode, replica, single_route, table
 from wingquay.forwarding.arrival.admission import Rejected
-from wingquay.forwarding.arrival.request_identity import identity_of
+from wingquay.forwarding.arrival.request_identity import compute_identity
 from wingquay.model.tenants import Tenant
 from wingquay.ports.forwarding import (
     ForwardFailureKind,
@@ -291,13 +291,15 @@
         ask(node, 1, SECRET)
         ask(node, 2, "other")
         digests = [dict(line.fields)["digest"] for line in ended(node)]
-        self.assertEqual([identity_of(bare(), "kiosk").hex(), identity_of(bare()).hex()], digests)
+        self.assertEqual(
+            [compute_identity(bare(), "kiosk").hex(), compute_identity(bare()).hex()], digests
+        )
 
     def test_without_a_configuration_no_digest_is_made_of_the_key(self) -> None:
         node = OneNode()
         node.start(None)
         ask(node, 1, SECRET)
-        self.assertEqual(identity_of(bare()).hex(), dict(ended(node)[0].fields)["digest"])
+        self.assertEqual(compute_identity(bare()).hex(), dict(ended(node)[0].fields)["digest"])
 
 
 class WithoutTenantsTest(TestCase):
@@ -319,7 +321,7 @@
             request = OpaqueRequest(b"GET", b"/one/x", headers)
             self.assertEqual((request, ""), (send.request, send.tenant))
             self.assertEqual(2, open_route(node, 1).priority)
-            self.assertEqual(identity_of(request), open_exchange(node, 1).identity)
+            self.assertEqual(compute_identity(request), open_exchange(node, 1).identity)
             node.answer(send, body=b"body")
             self.assertEqual(b"body", node.replies[number].answer.body)
             self.assertEqual([], tenant_counts(node))
--- a/tests/forwarding/test_tenant_counts.py
+++ b/tests/forwarding/test_tenant_counts.py
@@ -2,19 +2,19 @@
 
 from testtools import TestCase
 
-from wingquay.forwarding.arrival.tenant_counts import (
+from wingquay.forwarding.arrival.tenant_metrics import (
     MOST_NAMED,
     NAMED_FROM_REQUESTS,
     NOBODY,
     OTHER,
-    TenantCounts,
+    TenantMetrics,
 )
 from wingquay.ports.machine import Count
 
 TENANTS = 10_000
 
 
-def label(counts: TenantCounts, tenant: str) -> str:
+def label(counts: TenantMetrics, tenant: str) -> str:
     """Return under which name a request is counted."""
     return dict(counts.count(tenant, "allowed").labels)["tenant"]
 
@@ -23,16 +23,16 @@
     def test_a_count_names_tenant_and_outcome(self) -> None:
         labels = (("tenant", NOBODY), ("outcome", "unproven"))
         self.assertEqual(
-            Count("tenant_requests_total", labels=labels), TenantCounts().count("", "unproven")
+            Count("tenant_requests_total", labels=labels), TenantMetrics().count("", "unproven")
         )
 
     def test_a_busy_tenant_has_counters_of_its_own(self) -> None:
-        counts = TenantCounts()
+        counts = TenantMetrics()
         labels = [label(counts, "a") for _ in range(NAMED_FROM_REQUESTS + 1)]
         self.assertEqual([OTHER] * (NAMED_FROM_REQUESTS - 1) + ["a", "a"], labels)
 
     def test_no_more_names_than_that_are_ever_told(self) -> None:
-        counts = TenantCounts()
+        counts = TenantMetrics()
         for _ in range(NAMED_FROM_REQUESTS + 1):
             labels = {label(counts, f"t{number}") for number in range(TENANTS)}
         self.assertEqual(MOST_NAMED + 1, len(labels))
@@ -41,7 +41,7 @@
             self.assertEqual(OTHER, label(counts, "late"))
 
     def test_requests_of_tenants_that_are_gone_are_forgotten(self) -> None:
-        counts = TenantCounts()
+        counts = TenantMetrics()
         for _ in range(NAMED_FROM_REQUESTS - 1):
             label(counts, "a")
         counts.keep_only({"b"})
--- a/tests/forwarding/test_tenants_at_other_nodes.py
+++ b/tests/forwarding/test_tenants_at_other_nodes.py
@@ -34,7 +34,7 @@
     single_route,
     table,
 )
-from wingquay.forwarding.arrival.request_identity import identity_of
+from wingquay.forwarding.arrival.request_identity import compute_identity
 from wingquay.forwarding.crashing.guard import TELL_SECONDS
 from wingquay.model.routing_table import RoutingTable
 from wingquay.ports.crash_news import CrashNews
@@ -176,7 +176,7 @@
             node.advance(TELL_SECONDS + 0.05)
 
     def test_it_is_made_of_the_bare_request_and_the_tenant(self) -> None:
-        expected = identity_of(CRASHING, "kiosk")
+        expected = compute_identity(CRASHING, "kiosk")
         node = configured()
         self.end_three(node, SECRET)
         self.assertEqual(
@@ -212,7 +212,7 @@
 
     def test_the_asked_node_holds_the_same_request_back(self) -> None:
         node = configured()
-        news = CrashNews(identity_of(BARE, "kiosk"), held_seconds=HELD_SECONDS)
+        news = CrashNews(compute_identity(BARE, "kiosk"), held_seconds=HELD_SECONDS)
         node.emit(PeerReceived(OTHERS[1], news))
         node.emit(PeerReceived(OTHERS[0], message()))
         self.assertEqual([], node.sends)
@@ -222,6 +222,6 @@
         self.assertEqual(2, len(node.sends))
 
     def test_a_digest_tells_tenants_apart_and_is_as_before_without_one(self) -> None:
-        digests = {identity_of(BARE, name) for name in ("", "a", "b", "ab")}
+        digests = {compute_identity(BARE, name) for name in ("", "a", "b", "ab")}
         self.assertEqual(4, len(digests))
-        self.assertEqual(identity_of(BARE), identity_of(BARE, ""))
+        self.assertEqual(compute_identity(BARE), compute_identity(BARE, ""))
--- a/wingquay/forwarding/arrival/arrival_admission.py
+++ b/wingquay/forwarding/arrival/arrival_admission.py
@@ -25,7 +25,7 @@
         self.limits: TenantLimits = NoLimits()
         """Counts requests of tenants; replaced by whoever composes the node."""
 
-    def caller(
+    def identify_caller(
         self, key: str, table: RoutingTable, route: Route, now: float
     ) -> Tenant | Rejected | None:
         """Return who calls; ``None``: the configuration or the route asks nobody."""
@@ -40,7 +40,7 @@
         seconds = self.proof.retry_after_seconds(now)
         return Rejected(ForwardFailureKind.NOT_RUN, UNPROVEN_REASON, seconds)
 
-    def count(
+    def admit(
         self, tenant: Tenant, exchange_id: int, now: float
     ) -> Admitted | Rejected | AwaitsLimit:
         """Count a request of a tenant, or say why it may not run now."""
--- a/wingquay/forwarding/arrival/authentication.py
+++ b/wingquay/forwarding/arrival/authentication.py
@@ -21,7 +21,7 @@
     return tenants.holder(key) or UNKNOWN_KEY
 
 
-def bare_event(event: ForwardRequested) -> ForwardRequested:
+def strip_credentials(event: ForwardRequested) -> ForwardRequested:
     """Return an arrival without its secret and without what its caller says of its tenant.
 
     Everything behind authentication gets this one: replicas, other nodes and log lines have nothing
--- a/wingquay/forwarding/arrival/limits/limit_keeper.py
+++ b/wingquay/forwarding/arrival/limits/limit_manager.py
@@ -34,7 +34,7 @@
 )
 
 
-class LimitKeeper:
+class LimitManager:
     """Follows the configuration and the link to other nodes.
 
     Parameters
@@ -67,7 +67,7 @@
         self._work: LimitWork | None = None
         self._is_open = False
 
-    def after(self, event: Event, table: RoutingTable | None, now: float) -> list[Action]:
+    def handle(self, event: Event, table: RoutingTable | None, now: float) -> list[Action]:
         """Take in an event, after all other parts, and the configuration in force."""
         if isinstance(event, PeerLinkOpened):
             self._own = event.identity
--- a/wingquay/forwarding/arrival/kept_arrivals.py
+++ b/wingquay/forwarding/arrival/pending_arrivals.py
@@ -40,7 +40,7 @@
     sent_at: float
 
 
-class KeptArrivals:
+class PendingArrivals:
     """Keeps arrivals by the node's number for them."""
 
     def __init__(self) -> None:
@@ -51,7 +51,7 @@
         """Return how many wait."""
         return len(self._arrivals)
 
-    def keep(self, arrival: Arrival) -> bool:
+    def add(self, arrival: Arrival) -> bool:
         """Take in an arrival, unless too much waits already."""
         size = self._bytes + len(arrival.event.request.body)
         if len(self._arrivals) >= MOST_KEPT or size > MOST_KEPT_BYTES:
@@ -60,7 +60,7 @@
         self._bytes = size
         return True
 
-    def take(self, exchange_id: int) -> Arrival | None:
+    def remove(self, exchange_id: int) -> Arrival | None:
         """Return an arrival and forget it."""
         arrival = self._arrivals.pop(exchange_id, None)
         if arrival is not None:
--- a/wingquay/forwarding/arrival/request_identity.py
+++ b/wingquay/forwarding/arrival/request_identity.py
@@ -15,7 +15,7 @@
 """Headers that say who calls. All others may differ from one try to the next."""
 
 
-def identity_of(request: OpaqueRequest, tenant: str = "") -> bytes:
+def compute_identity(request: OpaqueRequest, tenant: str = "") -> bytes:
     """Return a digest of what a replica sees of a request and what stays the same in its repeats.
 
     That is its method, host, target and body, and the headers that say who calls. Left out are the
--- a/wingquay/forwarding/arrival/tenant_counts.py
+++ b/wingquay/forwarding/arrival/tenant_metrics.py
@@ -12,7 +12,7 @@
 """Stands for callers that are not known."""
 
 
-class TenantCounts:
+class TenantMetrics:
     """Counts requests by tenant and by what was decided about them."""
 
     def __init__(self) -> None:
--- a/wingquay/forwarding/arrival/tenant_ranks.py
+++ b/wingquay/forwarding/arrival/tenant_priorities.py
@@ -10,14 +10,14 @@
 from ...model.tenants import Tenant
 
 
-class TenantRanks:
+class TenantPriorities:
     """Puts a tenant's priority in the place of the route's."""
 
     def __init__(self) -> None:
         self._version = -1
         self._routes: dict[tuple[str, str, int], Route] = {}
 
-    def ranked(self, route: Route, tenant: Tenant, table: RoutingTable) -> Route:
+    def apply(self, route: Route, tenant: Tenant, table: RoutingTable) -> Route:
         """Return the route as the tenant's requests take it."""
         priority = tenant.priority
         if priority is None or priority == route.priority:
--- a/wingquay/forwarding/crashing/guard.py
+++ b/wingquay/forwarding/crashing/guard.py
@@ -13,7 +13,7 @@
 from ...ports.forwarding import ConnectionTried, ForwardRequested, OpaqueRequest
 from ...ports.machine import Action, Count, Log, LogLevel, Schedule
 from ...ports.peer_link import NodeIdentity, SendToPeer
-from ..arrival.request_identity import identity_of
+from ..arrival.request_identity import compute_identity
 from ..exchange import Attempt, Exchange
 from ..knowledge.loop_lag import LoopLag
 from ..timers import CrashNewsDue
@@ -71,7 +71,7 @@
         """Return how a request that has arrived, of a tenant if it is known, is to be treated."""
         if not len(self._suspects):
             return SuspicionLevel.NORMAL
-        return self._suspects.suspicion_level(identity_of(request, tenant), now)
+        return self._suspects.suspicion_level(compute_identity(request, tenant), now)
 
     def held_seconds(self, identity: bytes, now: float) -> float:
         """Return how much longer a request is held back."""
--- a/wingquay/forwarding/exchange.py
+++ b/wingquay/forwarding/exchange.py
@@ -7,7 +7,7 @@
 from ..model.tenants import Tenant
 from ..ports.forwarding import ForwardRequested, ReplicaAnswer
 from ..ports.machine import Action
-from .arrival.request_identity import identity_of
+from .arrival.request_identity import compute_identity
 from .choice.replica_state import ReplicaState
 
 CAREFUL_ENDS = 2
@@ -187,7 +187,7 @@
     def identity(self) -> bytes:
         """What its repeats have in common; worked out when it is first asked for."""
         if not self._identity:
-            self._identity = identity_of(self.event.request, self.tenant_name)
+            self._identity = compute_identity(self.event.request, self.tenant_name)
         return self._identity
 
     @property
--- a/wingquay/forwarding/exchange_opening.py
+++ b/wingquay/forwarding/exchange_opening.py
@@ -5,7 +5,7 @@
 
 from ..model.routing_table import RoutingTable
 from ..ports.machine import Action, Schedule
-from .arrival.kept_arrivals import Arrival
+from .arrival.pending_arrivals import Arrival
 from .choice.weighted_choice import WeightedChoice
 from .crashing.sequential_sending import SequentialSending
 from .exchange import Exchange, ServiceCall
--- a/wingquay/forwarding/forwarding_machine.py
+++ b/wingquay/forwarding/forwarding_machine.py
@@ -53,7 +53,7 @@
 
 if TYPE_CHECKING:
     from .knowledge.node_groups import NodeGroups
-    from .peers.peer_work import PeerWork
+    from .peers.peer_event_handler import PeerEventHandler
 
 DELEGATION_ID_BITS = 62
 """Size of the first number of what is asked of other nodes: no two lives of a node share one."""
@@ -133,7 +133,7 @@
         self.admission = self._arrival.admission
         """Asks whether requests may be begun; who composes the node gives it who answers."""
         self._table: RoutingTable | None = None
-        self._peers: PeerWork | None = None
+        self._peers: PeerEventHandler | None = None
         self.is_stopping = False
         """Whether work of other nodes is rejected."""
 
@@ -160,7 +160,7 @@
     def enable_peers(self, groups: "NodeGroups") -> None:
         """Ask other nodes for shards, and be asked by them, from now on."""
         from .peers.delegation import Delegations
-        from .peers.peer_work import PeerWork
+        from .peers.peer_event_handler import PeerEventHandler
 
         delegations = Delegations(
             self._settings,
@@ -172,7 +172,7 @@
             self._sequential,
             self._random.getrandbits(DELEGATION_ID_BITS),
         )
-        self._peers = PeerWork(
+        self._peers = PeerEventHandler(
             self._settings,
             delegations,
             self._directory,
--- a/wingquay/forwarding/forwarding_node.py
+++ b/wingquay/forwarding/forwarding_node.py
@@ -26,7 +26,7 @@
 )
 from ..ports.store_news import StoreNews
 from .arrival.admission import ConfigurationProof
-from .arrival.limits.limit_keeper import LimitKeeper
+from .arrival.limits.limit_manager import LimitManager
 from .arrival.limits.limit_settings import LimitSettings
 from .choice.replica_directory import ReplicaDirectory
 from .crashing.held_keys import HeldKeys
@@ -128,7 +128,7 @@
         self._members = NodeMembership(
             name, settings, formats, self._nodes, self._presence, candidate
         )
-        self._limits = LimitKeeper(
+        self._limits = LimitManager(
             name, limits, self._members, self._forwarding.admission, self._forwarding.limit_answered
         )
         self._lateness = NodeLateness()
@@ -169,7 +169,7 @@
     def handle(self, event: Event, now: float) -> list[Action]:
         """Take in an event and return what is to be done."""
         actions = self._decide(event, now)
-        actions += self._limits.after(event, self._table, now)
+        actions += self._limits.handle(event, self._table, now)
         if self._reach.concerns(event, now):
             actions = actions + self._reach.handle(event, now) + self._callers.changes(now)
         return self._lines.admit(actions, now)
--- a/wingquay/forwarding/peers/connections_ahead.py
+++ b/wingquay/forwarding/peers/connection_prewarmer.py
@@ -19,7 +19,7 @@
 seconds, and spends 2 ms of processor time on it each time."""
 
 
-class ConnectionsAhead:
+class ConnectionPrewarmer:
     """Chooses the replicas to connect to.
 
     Parameters
--- a/wingquay/forwarding/peers/delegation.py
+++ b/wingquay/forwarding/peers/delegation.py
@@ -22,11 +22,11 @@
 from ..settings import ForwardingSettings
 from ..settling.settlement import Settlement
 from ..timers import BeginDue, DelegationDue
-from .delegation_asking import DelegationAsking
+from .delegation_dispatcher import DelegationDispatcher
 from .delegation_reports import DelegationReports
+from .delegation_takeover import DelegationTakeover
 from .open_delegations import OpenDelegations
-from .stepping_in import SteppingIn
-from .takeover_time import TakeoverTime
+from .takeover_timeout import TakeoverTimeout
 
 MOST_GREETINGS = 3
 """Connections opened at once before a request needs them: a handshake takes about a millisecond of
@@ -59,11 +59,11 @@
         self._starter = starter
         self._settlement = settlement
         self._open = OpenDelegations(first_id)
-        takeover = TakeoverTime(settings)
-        self._asking = DelegationAsking(settings, groups, directory, self._open, takeover)
+        takeover = TakeoverTimeout(settings)
+        self._asking = DelegationDispatcher(settings, groups, directory, self._open, takeover)
         self.placement = self._asking.placement
         self._reports = DelegationReports(groups, starter, guard, sequential, takeover)
-        self._stepping_in = SteppingIn(
+        self._stepping_in = DelegationTakeover(
             groups, directory, starter, settlement, self._open, self._asking, takeover
         )
         self._greeted: set[str] = set()
--- a/wingquay/forwarding/peers/delegation_asking.py
+++ b/wingquay/forwarding/peers/delegation_dispatcher.py
@@ -14,10 +14,10 @@
 from .relays import Relays
 from .request_rate import RequestRate
 from .shard_placement import ShardPlacement
-from .takeover_time import TakeoverTime
+from .takeover_timeout import TakeoverTimeout
 
 
-class DelegationAsking:
+class DelegationDispatcher:
     """Asks other nodes for shards.
 
     Parameters
@@ -34,7 +34,7 @@
         groups: NodeGroups,
         directory: ReplicaDirectory,
         open_delegations: OpenDelegations,
-        takeover: TakeoverTime,
+        takeover: TakeoverTimeout,
     ) -> None:
         self._settings = settings
         self._open = open_delegations
--- a/wingquay/forwarding/peers/delegation_reports.py
+++ b/wingquay/forwarding/peers/delegation_reports.py
@@ -9,7 +9,7 @@
 from ..knowledge.node_groups import NodeGroups
 from ..sending.call_starter import CallStarter
 from .open_delegations import Delegation
-from .takeover_time import TakeoverTime
+from .takeover_timeout import TakeoverTimeout
 
 MERGED_STATUS = 200
 
@@ -29,7 +29,7 @@
         starter: CallStarter,
         guard: CrashGuard,
         sequential: SequentialSending,
-        takeover: TakeoverTime,
+        takeover: TakeoverTimeout,
     ) -> None:
         self._groups = groups
         self._starter = starter
--- a/wingquay/forwarding/peers/stepping_in.py
+++ b/wingquay/forwarding/peers/delegation_takeover.py
@@ -6,12 +6,12 @@
 from ..knowledge.node_groups import NodeGroups
 from ..sending.call_starter import CallStarter
 from ..settling.settlement import Settlement
-from .delegation_asking import DelegationAsking
+from .delegation_dispatcher import DelegationDispatcher
 from .open_delegations import Delegation, OpenDelegations
-from .takeover_time import TakeoverTime
+from .takeover_timeout import TakeoverTimeout
 
 
-class SteppingIn:
+class DelegationTakeover:
     """Asks for the shards of lost nodes, and passes those nodes over for a while.
 
     Parameters
@@ -27,8 +27,8 @@
         starter: CallStarter,
         settlement: Settlement,
         open_delegations: OpenDelegations,
-        asking: DelegationAsking,
-        takeover: TakeoverTime,
+        asking: DelegationDispatcher,
+        takeover: TakeoverTimeout,
     ) -> None:
         self._groups = groups
         self._directory = directory
--- a/wingquay/forwarding/peers/peer_work.py
+++ b/wingquay/forwarding/peers/peer_event_handler.py
@@ -12,7 +12,7 @@
 )
 from ...ports.machine import Action, Schedule
 from ...ports.peer_link import NodeIdentity, PeerLinkBroken, PeerMessage, PeerReceived
-from ..arrival.request_identity import identity_of
+from ..arrival.request_identity import compute_identity
 from ..choice.replica_directory import ReplicaDirectory
 from ..crashing.guard import CrashGuard
 from ..crashing.suspects import SuspicionLevel
@@ -20,12 +20,12 @@
 from ..settings import ForwardingSettings
 from ..settling.settlement import Settlement
 from ..timers import BeginDue, DelegationDue, PeerConnectDue, ReportDue
-from .connections_ahead import ConnectionsAhead
+from .connection_prewarmer import ConnectionPrewarmer
 from .delegated_work import DelegatedWork
 from .delegation import Delegations
 
 
-class PeerWork:
+class PeerEventHandler:
     """Handles the messages of other nodes.
 
     Parameters
@@ -46,7 +46,7 @@
         self._settings = settings
         self._guard = guard
         self.delegations = delegations
-        self._ahead = ConnectionsAhead(settings, directory, delegations.placement)
+        self._ahead = ConnectionPrewarmer(settings, directory, delegations.placement)
         self._work = DelegatedWork(directory, settlement, lag)
         settlement.on_closed = self.delegations.closed
 
@@ -103,7 +103,7 @@
         if table is None:
             return self._work.reject(sender, message)
         if self._guard.suspicion_level(message.request, now, message.tenant) is SuspicionLevel.HELD:
-            identity = identity_of(message.request, message.tenant)
+            identity = compute_identity(message.request, message.tenant)
             held_seconds = self._guard.held_seconds(identity, now)
             return self._work.refuse_held(sender, message, held_seconds)
         declined = self._work.unknown(message, now)
--- a/wingquay/forwarding/peers/takeover_time.py
+++ b/wingquay/forwarding/peers/takeover_timeout.py
@@ -7,7 +7,7 @@
 """How far one node that is heard moves the mean."""
 
 
-class TakeoverTime:
+class TakeoverTimeout:
     """Follows how long nodes usually take to say that they have taken a request.
 
     Where that is long, since their machines are weak, a silent one is given longer: to step in for
--- a/wingquay/forwarding/request_arrival.py
+++ b/wingquay/forwarding/request_arrival.py
@@ -5,11 +5,11 @@
 from ..ports.machine import Action, Event, Schedule
 from .arrival.admission import Admitted, AwaitsLimit, Rejected
 from .arrival.arrival_admission import ArrivalAdmission
-from .arrival.authentication import bare_event
-from .arrival.kept_arrivals import Arrival, KeptArrivals
-from .arrival.request_identity import identity_of
-from .arrival.tenant_counts import TenantCounts
-from .arrival.tenant_ranks import TenantRanks
+from .arrival.authentication import strip_credentials
+from .arrival.pending_arrivals import Arrival, PendingArrivals
+from .arrival.request_identity import compute_identity
+from .arrival.tenant_metrics import TenantMetrics
+from .arrival.tenant_priorities import TenantPriorities
 from .crashing.guard import CrashGuard
 from .crashing.suspects import SuspicionLevel
 from .exchange import Exchange
@@ -49,9 +49,9 @@
         self._guard = guard
         self._lag = lag
         self._ending = ending
-        self._ranks = TenantRanks()
-        self._counts = TenantCounts()
-        self._kept = KeptArrivals()
+        self._ranks = TenantPriorities()
+        self._counts = TenantMetrics()
+        self._kept = PendingArrivals()
         self._table: RoutingTable | None = None
         self.admission = ArrivalAdmission()
         """Asks whether requests may be begun."""
@@ -77,19 +77,19 @@
         table = self._table
         if table is None:
             reason = "no configuration yet"
-            bare = bare_event(event)
+            bare = strip_credentials(event)
             return self._ending.refuse_arrival(bare, reason, UNCONFIGURED_RETRY_SECONDS)
-        bare = event if table.tenants is None else bare_event(event)
+        bare = event if table.tenants is None else strip_credentials(event)
         route = table.find(event.host, event.path)
         if route is None:
             return self._ending.no_route(bare, table.version)
         if self._is_too_late(event):
             return self._ending.refuse_arrival(bare, LATE_REASON, LEAST_RETURN_SECONDS)
-        tenant = self.admission.caller(event.key, table, route, now)
+        tenant = self.admission.identify_caller(event.key, table, route, now)
         if isinstance(tenant, Rejected):
             return self._reject(bare, tenant, "")
         if tenant is not None:
-            route = self._ranks.ranked(route, tenant, table)
+            route = self._ranks.apply(route, tenant, table)
         return self._count(Arrival(bare, table, route, tenant, now, now - self._lag.seconds), now)
 
     def _is_too_late(self, event: ForwardRequested) -> bool:
@@ -113,7 +113,7 @@
         tenant = arrival.tenant
         if tenant is None:
             return self._open(arrival, verdict, now)
-        match self.admission.count(tenant, arrival.event.exchange_id, now):
+        match self.admission.admit(tenant, arrival.event.exchange_id, now):
             case AwaitsLimit():
                 return self._keep(arrival, now)
             case Rejected() as rejected:
@@ -132,7 +132,7 @@
         """Refuse a request under which replicas have ended, and say when it may come back."""
         event = arrival.event
         name = _name(arrival)
-        identity = identity_of(event.request, name)
+        identity = compute_identity(event.request, name)
         held_seconds = self._guard.held_seconds(identity, now)
         refused = self._ending.refuse_arrival(event, HELD_REASON, held_seconds, name)
         if arrival.tenant is not None:
@@ -146,7 +146,7 @@
 
         Its caller is told that it has not run while another try is still worth it.
         """
-        if not self._kept.keep(arrival):
+        if not self._kept.add(arrival):
             return self._refuse_unanswered(arrival, "too many requests wait for limits", now)
         offer_seconds = arrival.route.objective_seconds * LIMIT_WORD_RATIO
         due_at = min(now + offer_seconds, self._opening.ends_at(arrival))
@@ -156,7 +156,7 @@
         self, exchange_id: int, answer: Admitted | Rejected, now: float
     ) -> list[Action]:
         """Go on with a request that waited for word on its tenant's limit."""
-        arrival = self._kept.take(exchange_id)
+        arrival = self._kept.remove(exchange_id)
         if arrival is None or arrival.tenant is None:
             return []
         if isinstance(answer, Rejected):
@@ -172,11 +172,11 @@
         """Take in an event of a request that is not open: it may wait for a limit."""
         match event:
             case LimitAnswerDue(exchange_id):
-                arrival = self._kept.take(exchange_id)
+                arrival = self._kept.remove(exchange_id)
                 if arrival is not None:
                     return self._refuse_unanswered(arrival, NO_WORD_REASON, now)
             case CallerLeft(exchange_id):
-                arrival = self._kept.take(exchange_id)
+                arrival = self._kept.remove(exchange_id)
                 if arrival is not None:
                     return self._left(arrival, now)
         return []
--- a/wingquay/forwarding/settling/ending.py
+++ b/wingquay/forwarding/settling/ending.py
@@ -12,7 +12,7 @@
 )
 from ...ports.machine import Action, Count, Log, LogLevel, Observe
 from ..arrival.admission import Rejected
-from ..arrival.request_identity import identity_of
+from ..arrival.request_identity import compute_identity
 from ..exchange import Exchange, ServiceCall
 from ..sending.decision import Reject
 from ..sending.return_time import LEAST_RETURN_SECONDS, return_seconds
@@ -210,7 +210,7 @@
         ("request_id", event.request_id),
         ("outcome", outcome),
         ("reason", reason),
-        ("digest", identity_of(event.request, tenant).hex()),
+        ("digest", compute_identity(event.request, tenant).hex()),
         ("caller", event.caller),
     )
     if tenant:
