--- a/tests/adapters/test_limit_codec.py
+++ b/tests/adapters/test_limit_codec.py
@@ -110,5 +110,5 @@
             [sys.executable, "-c", program], capture_output=True, text=True, check=True
         )
         package = "wingquay.forwarding.arrival.limits"
-        expected = [package, f"{package}.limit_keeper", f"{package}.limit_settings"]
+        expected = [package, f"{package}.limit_manager", f"{package}.limit_settings"]
         self.assertEqual(expected, done.stdout.split())
--- a/wingquay/adapters/gradual_import.py
+++ b/wingquay/adapters/gradual_import.py
@@ -57,16 +57,16 @@
     "xxhash",
     "wingquay.forwarding.peers.zone_choice",
     "wingquay.forwarding.peers.open_delegations",
-    "wingquay.forwarding.peers.takeover_time",
+    "wingquay.forwarding.peers.takeover_timeout",
     "wingquay.forwarding.knowledge.node_groups",
     "wingquay.forwarding.peers.relays",
-    "wingquay.forwarding.peers.connections_ahead",
+    "wingquay.forwarding.peers.connection_prewarmer",
     "wingquay.forwarding.peers.delegated_work",
-    "wingquay.forwarding.peers.delegation_asking",
+    "wingquay.forwarding.peers.delegation_dispatcher",
     "wingquay.forwarding.peers.delegation_reports",
-    "wingquay.forwarding.peers.stepping_in",
+    "wingquay.forwarding.peers.delegation_takeover",
     "wingquay.forwarding.peers.delegation",
-    "wingquay.forwarding.peers.peer_work",
+    "wingquay.forwarding.peers.peer_event_handler",
 )
 
 
