--- a/tests/forwarding/test_waiting_decision.py
+++ b/tests/forwarding/test_waiting_decision.py
@@ -41,7 +41,7 @@
     """Return a request of an objective of 1 s and a time of 8 s that came at 0."""
     usual: dict[str, object] = {
         "arrived_at": 0.0,
-        "in_time_at": 0.95,
+        "cutoff_at": 0.95,
         "ends_at": 8.0,
         "objective_seconds": 1.0,
         "has_usable": True,
--- a/tests/simulation/forwarding/test_forwarding_simulation.py
+++ b/tests/simulation/forwarding/test_forwarding_simulation.py
@@ -188,7 +188,7 @@
         self.assertIn("refused as not run, but it ran", self.violations(replica_refuses))
 
     def test_a_merged_answer_that_leaves_records_out_is_caught(self) -> None:
-        self.replace_in(ending, "merge_greatest", lambda bodies, most: b"")
+        self.replace_in(ending, "merge_top_records", lambda bodies, most: b"")
         self.assertIn("not the greatest records", self.violations(replica_slow))
 
     def test_extra_arrivals_beyond_the_budget_are_caught(self) -> None:
