--- a/benchmarks/claims_cost.py
+++ b/benchmarks/claims_cost.py
@@ -19,7 +19,7 @@
 from wingquay.adapters.peer_codec import encode
 from wingquay.claims.keys import claim_key
 from wingquay.claims.machine import ClaimsMachine, ClaimsTick
-from wingquay.claims.memory import MemoryUse, PartitionMemory, Submission
+from wingquay.claims.memory import MemoryUsage, PartitionMemory, Submission
 from wingquay.claims.settings import ClaimsSettings
 from wingquay.model.configuration import Configuration, Deployment, Service
 from wingquay.model.identifiers import (
@@ -205,7 +205,7 @@
         gc.collect()
         tracemalloc.start()
         settings = ClaimsSettings(capacity_records=records, outcomes_capacity_bytes=records * size)
-        memory = PartitionMemory(settings, MemoryUse())
+        memory = PartitionMemory(settings, MemoryUsage())
         for number in range(records):
             # Strings are made anew for each record, as they are when messages are decoded.
             submission = Submission(
@@ -215,7 +215,7 @@
                 granted_at=float(number),
                 outcome=bytes(size) if size else None,
             )
-            memory.remember(claim_key(CALLER, SERVICE, f"order-{number}"), submission)
+            memory.add(claim_key(CALLER, SERVICE, f"order-{number}"), submission)
         used, _ = tracemalloc.get_traced_memory()
         tracemalloc.stop()
         yield f"{size:13}  {used / records:14.0f}"
--- a/tests/claims/test_late_messages.py
+++ b/tests/claims/test_late_messages.py
@@ -8,7 +8,7 @@
 from wingquay.claims.assignment import AssignmentStatus, AssignmentTable
 from wingquay.claims.directory import AssignmentDirectory
 from wingquay.claims.keys import claim_key, partition_of, request_digest
-from wingquay.claims.memory import MemoryUse, PartitionMemory
+from wingquay.claims.memory import MemoryUsage, PartitionMemory
 from wingquay.claims.transfers import TableTransfers
 from wingquay.claims.voter import Voter
 from wingquay.model.identifiers import CallerName, NodeId, RequestId, ServiceName, ZoneName
@@ -68,7 +68,7 @@
         self.assertEqual(b"done", voter.vote(request(SECOND), 0.0).outcome)
 
     def test_tables_that_name_different_submissions_keep_both(self) -> None:
-        memory = PartitionMemory(quick_settings(), MemoryUse())
+        memory = PartitionMemory(quick_settings(), MemoryUsage())
         for request_id in (FIRST, SECOND, FIRST):
             memory.merge(ClaimRecord(KEY_DIGEST, request_id, "digest", 1, None, 1.0), now=5.0)
         remembered = {entry.request_id for entry in memory.submissions(KEY_DIGEST, 5.0)}
--- a/wingquay/claims/assignment.py
+++ b/wingquay/claims/assignment.py
@@ -10,7 +10,7 @@
 from ..ports.peer import NodeIdentity
 from ..ports.peer_claims import AssignmentEpoch
 from .keys import PARTITIONS
-from .memory import MemoryUse, PartitionMemory
+from .memory import MemoryUsage, PartitionMemory
 from .settings import ClaimsSettings
 
 
@@ -159,7 +159,7 @@
     def __init__(self, settings: ClaimsSettings, identity: NodeIdentity) -> None:
         self._settings = settings
         self.identity = identity
-        self.use = MemoryUse()
+        self.use = MemoryUsage()
         self.assignments = [
             Assignment(partition, PartitionMemory(settings, self.use))
             for partition in range(PARTITIONS)
--- a/wingquay/claims/memory.py
+++ b/wingquay/claims/memory.py
@@ -39,7 +39,7 @@
 
 
 @dataclass(slots=True)
-class MemoryUse:
+class MemoryUsage:
     """What all partitions of a node hold together."""
 
     records: int = 0
@@ -49,7 +49,7 @@
 class PartitionMemory:
     """The claims of one partition."""
 
-    def __init__(self, settings: ClaimsSettings, use: MemoryUse) -> None:
+    def __init__(self, settings: ClaimsSettings, use: MemoryUsage) -> None:
         self._settings = settings
         self._use = use
         self._claims: dict[str, Submission] = {}
@@ -69,7 +69,7 @@
             return []
         return [entry for entry in first.chain() if not self._expired(entry, now)]
 
-    def remember(self, claim_key: str, submission: Submission) -> None:
+    def add(self, claim_key: str, submission: Submission) -> None:
         """Add a submission, or add what is new about one that is already remembered."""
         first = self._claims.get(claim_key)
         known = None
@@ -107,7 +107,7 @@
             granted_at=now - record.age_seconds,
             outcome=record.outcome,
         )
-        self.remember(record.claim_key, submission)
+        self.add(record.claim_key, submission)
 
     def records(self, now: float) -> list[ClaimRecord]:
         """Return everything as it is to be sent to another voter."""
--- a/wingquay/claims/voter.py
+++ b/wingquay/claims/voter.py
@@ -30,7 +30,7 @@
             round_number=request.round_number,
             granted_at=now,
         )
-        assignment.memory.remember(request.claim_key, grant)
+        assignment.memory.add(request.claim_key, grant)
         return _vote(request, assignment, VoteKind.GRANTED)
 
     def record_outcome(self, outcome: ClaimOutcome, now: float) -> None:
@@ -50,7 +50,7 @@
             granted_at=now,
             outcome=outcome.outcome,
         )
-        assignment.memory.remember(outcome.claim_key, finished)
+        assignment.memory.add(outcome.claim_key, finished)
 
 
 def _unknown_outcomes_last(entry: Submission) -> bool:
