--- a/tests/forwarding/crashing/test_guard.py
+++ b/tests/forwarding/crashing/test_guard.py
@@ -72,7 +72,7 @@
     for _ in range(replicas):
         if not one.sends:
             one.request("/one/crash")
-        one.end_replica(one.sends[0])
+        one.crash_replica(one.sends[0])
         one.advance(TELL_SECONDS + 0.05)
 
 
@@ -81,7 +81,7 @@
         one = node()
         one.request("/one/x")
         (send,) = one.sends
-        self.assertEqual([send.replica], one.lose(send))
+        self.assertEqual([send.replica], one.disconnect(send))
         self.assertEqual(1, len(one.sends))
 
     def test_a_replica_that_takes_a_connection_has_not_ended(self) -> None:
@@ -89,7 +89,7 @@
         for _ in range(4):
             one.request("/one/x")
             for send in list(one.sends):
-                for record in one.lose(send):
+                for record in one.disconnect(send):
                     one.emit(ConnectionTried(record.replica_id))
             one.advance(3.0)
         self.assertEqual([], one.logs("replica_ended_under_request"))
@@ -99,7 +99,7 @@
         one.request("/one/x")
         (send,) = one.sends
         one.change(gone=(send.replica.replica_id,))
-        self.assertEqual([], one.lose(send))
+        self.assertEqual([], one.disconnect(send))
 
     def test_silence_and_own_cuts_are_no_ends(self) -> None:
         one = node()
@@ -129,7 +129,7 @@
         one = node()
         for number in range(400):
             one.request(f"/one/{number}")
-        looked = sum(len(one.lose(send)) for send in list(one.sends))
+        looked = sum(len(one.disconnect(send)) for send in list(one.sends))
         self.assertLessEqual(looked, 6)
 
 
@@ -144,18 +144,18 @@
     def test_after_two_ends_nothing_more_is_sent_while_others_are_under_way(self) -> None:
         one, _ = self.begin()
         for send in list(one.sends)[:3]:
-            one.lose(send)
+            one.disconnect(send)
         # The first end alone may be an accident: the other replica was asked.
         self.assertEqual(SHARDS - 3 + 1, len(one.sends))
 
     def test_then_one_replica_is_asked_at_a_time_until_the_request_is_held(self) -> None:
         one, number = self.begin()
         for send in list(one.sends):
-            one.end_replica(send)
+            one.crash_replica(send)
         while number not in one.replies:
             self.assertEqual(1, len(one.sends))
             one.advance(0.02)
-            one.end_replica(one.sends[0])
+            one.crash_replica(one.sends[0])
         reply = one.replies[number]
         assert isinstance(reply, ReplyFailure)
         self.assertIs(ForwardFailureKind.FAILED, reply.kind)
@@ -166,7 +166,7 @@
         one, number = self.begin(least_share=1.0)
         lost = list(one.sends)
         for send in lost[:4]:
-            one.end_replica(send)
+            one.crash_replica(send)
         one.answer(lost[4], body=b"x" * 16)
         self.assertEqual(SHARDS - 1, len(one.sends))
         for send in list(one.sends):
@@ -175,7 +175,7 @@
 
     def test_so_does_word_that_the_replicas_are_there(self) -> None:
         one, _ = self.begin()
-        looked = [record for send in list(one.sends)[:3] for record in one.lose(send)]
+        looked = [record for send in list(one.sends)[:3] for record in one.disconnect(send)]
         before = len(one.all_sends)
         for record in looked:
             one.emit(ConnectionTried(record.replica_id))
@@ -187,7 +187,7 @@
         one.request("/all/crash")
         one.advance(0.02)
         for send in list(one.sends):
-            one.end_replica(send)
+            one.crash_replica(send)
         one.advance(2.0)
         sent = len(one.all_sends)
         number = one.request("/all/crash")
@@ -208,13 +208,13 @@
     def test_ends_are_told_before_anything_is_held_but_not_at_once(self) -> None:
         one = linked()
         one.request("/one/crash")
-        one.end_replica(one.sends[0])
+        one.crash_replica(one.sends[0])
         self.assertEqual([], told(one, CrashNews))
 
     def test_ends_of_a_request_that_is_answered_soon_are_not_told(self) -> None:
         one = linked()
         one.request("/one/x")
-        one.end_replica(one.sends[0])
+        one.crash_replica(one.sends[0])
         one.answer(one.sends[0])
         one.advance(TELL_SECONDS + 0.05)
         self.assertEqual([], [item for item in told(one, CrashNews) if item.ends])  # type: ignore[attr-defined]
@@ -298,7 +298,7 @@
         )
         one.emit(PeerReceived(OTHERS[0], request))
         for send in list(one.sends):
-            one.lose(send)
+            one.disconnect(send)
         given = [place for item in told(one, DelegatedAnswer) for place in item.given_back]  # type: ignore[attr-defined]
         # The first end alone may be an accident: the node may not ask a second replica by itself.
         self.assertEqual(list(range(SHARDS)), sorted(given))
--- a/tests/forwarding/one_node.py
+++ b/tests/forwarding/one_node.py
@@ -241,19 +241,19 @@
         self.sends.remove(send)
         self.emit(SendFailed(send.attempt_id, kind, "test", is_unanswered))
 
-    def lose(self, send: SendToReplica) -> list[ReplicaRecord]:
+    def disconnect(self, send: SendToReplica) -> list[ReplicaRecord]:
         """Let a connection end without an answer; return the replicas that are looked into."""
         before = len(self.actions)
         self.fail(send, SendFailureKind.BROKEN, is_unanswered=True)
         later = self.actions[before:]
         return [action.replica for action in later if isinstance(action, OpenConnection)]
 
-    def end_replica(self, send: SendToReplica) -> None:
+    def crash_replica(self, send: SendToReplica) -> None:
         """Let a replica end under a request: its connection ends, and the next one is refused."""
-        for record in self.lose(send):
+        for record in self.disconnect(send):
             self.emit(ConnectionTried(record.life, "refused", is_refused=True))
 
-    def learn_formats_of(self, other: "OneNode") -> None:
+    def copy_formats_from(self, other: "OneNode") -> None:
         """Understand the stored values that another node understands."""
         self._tables.update(other._tables)
         self._records.update(other._records)
--- a/tests/forwarding/test_replica_lives.py
+++ b/tests/forwarding/test_replica_lives.py
@@ -414,7 +414,7 @@
         node = started(lives[0], max_attempts=1)
         for number, life in enumerate(lives[1:]):
             node.request("/one/deadly")
-            node.end_replica(node.sends[0])
+            node.crash_replica(node.sends[0])
             self.assertEqual(number + 1, node.logs("replica_ended_under_request")[-1]["ends"])
             node.advance(1.0)
             node.change(life)
@@ -423,7 +423,7 @@
     def test_a_connection_that_the_next_life_takes_shows_that_the_one_before_ended(self) -> None:
         node = started(max_attempts=1)
         node.request("/one/deadly")
-        (looked_into,) = node.lose(node.sends[0])
+        (looked_into,) = node.disconnect(node.sends[0])
         self.assertEqual(OLD, looked_into)
         node.change(NEW)
         node.emit(ConnectionTried(OLD.life))
@@ -448,7 +448,7 @@
             if is_seen_by_entry:
                 node.change(replica(first.replica.replica_id, "s", born=BORN + 1))
             else:
-                node.end_replica(first)
+                node.crash_replica(first)
             exchange = node.machine._forwarding._settlement.get(number)
             self.assertEqual(1, exchange.unexplained_disconnects)
 
--- a/tests/forwarding/test_store_following.py
+++ b/tests/forwarding/test_store_following.py
@@ -277,7 +277,7 @@
         teacher = started()
         known = teacher.machine.store_snapshot()
         assert known is not None
-        node.learn_formats_of(teacher)
+        node.copy_formats_from(teacher)
         node.emit(PeerSnapshot(known.values, known.store_revision))
         self.assertEqual({"r0", "r1"}, asked(node))
         self.assertEqual(known.store_revision, node.last(StartWatch).from_store_revision)
--- a/tests/forwarding/test_tenants_at_other_nodes.py
+++ b/tests/forwarding/test_tenants_at_other_nodes.py
@@ -172,7 +172,7 @@
         for number in range(1, 4):
             if not node.sends:
                 ask(node, number, key, "/one/crash")
-            node.end_replica(node.sends[0])
+            node.crash_replica(node.sends[0])
             node.advance(TELL_SECONDS + 0.05)
 
     def test_it_is_made_of_the_bare_request_and_the_tenant(self) -> None:
--- a/tests/simulation/forwarding/test_forwarding_simulation.py
+++ b/tests/simulation/forwarding/test_forwarding_simulation.py
@@ -226,7 +226,7 @@
 def _refuse_instead(
     ending: ExchangeEnding, exchange: Exchange, _call: object, now: float
 ) -> list[Action]:
-    return ending.refuse(exchange, "test", 0.1, now)
+    return ending.reject_not_run(exchange, "test", 0.1, now)
 
 
 _accept = DelegatedWork.accept
--- a/wingquay/forwarding/crashing/sequential_sending.py
+++ b/wingquay/forwarding/crashing/sequential_sending.py
@@ -15,7 +15,7 @@
         self.begin_all: Callable[[Exchange, list[ServiceCall], float], list[Action]] = self._begin
         """Begins calls of a request as usual."""
 
-    def step(self, exchange: Exchange, now: float) -> list[Action]:
+    def send_next(self, exchange: Exchange, now: float) -> list[Action]:
         """Ask one replica, unless one that may still answer is asked already."""
         actions: list[Action] = []
         if exchange.has_recent_attempt(now):
@@ -26,7 +26,7 @@
                 break
         return actions
 
-    def go_on(self, exchange: Exchange, now: float) -> list[Action]:
+    def send_remaining(self, exchange: Exchange, now: float) -> list[Action]:
         """Ask for everything that is left of a request that was cleared."""
         open_calls = _open_calls(exchange)
         waiting = [call for call in open_calls if call.is_begun]
--- a/wingquay/forwarding/exchange_opening.py
+++ b/wingquay/forwarding/exchange_opening.py
@@ -102,7 +102,7 @@
         self._held.discard(exchange.exchange_id)
         actions: list[Action] = []
         if exchange.is_sequential and exchange.origin is None:
-            actions += self._sequential.step(exchange, now)
+            actions += self._sequential.send_next(exchange, now)
         elif self.ask_nodes is not None and route.shards and exchange.origin is None:
             actions += self.ask_nodes(exchange, exchange.calls, now)
         else:
--- a/wingquay/forwarding/peers/delegation_reports.py
+++ b/wingquay/forwarding/peers/delegation_reports.py
@@ -121,4 +121,4 @@
         if not message.shards:
             return []
         actions = self._guard.answered(exchange, now)
-        return actions + (self._sequential.go_on(exchange, now) if was_sequential else [])
+        return actions + (self._sequential.send_remaining(exchange, now) if was_sequential else [])
--- a/wingquay/forwarding/request_arrival.py
+++ b/wingquay/forwarding/request_arrival.py
@@ -78,13 +78,13 @@
         if table is None:
             reason = "no configuration yet"
             bare = strip_credentials(event)
-            return self._ending.refuse_arrival(bare, reason, UNCONFIGURED_RETRY_SECONDS)
+            return self._ending.reject_arrival_not_run(bare, reason, UNCONFIGURED_RETRY_SECONDS)
         bare = event if table.tenants is None else strip_credentials(event)
         route = table.find(event.host, event.path)
         if route is None:
             return self._ending.no_route(bare, table.version)
         if self._is_too_late(event):
-            return self._ending.refuse_arrival(bare, LATE_REASON, LEAST_RETURN_SECONDS)
+            return self._ending.reject_arrival_not_run(bare, LATE_REASON, LEAST_RETURN_SECONDS)
         tenant = self.admission.identify_caller(event.key, table, route, now)
         if isinstance(tenant, Rejected):
             return self._reject(bare, tenant, "")
@@ -134,7 +134,7 @@
         name = _name(arrival)
         identity = compute_identity(event.request, name)
         held_seconds = self._guard.held_seconds(identity, now)
-        refused = self._ending.refuse_arrival(event, HELD_REASON, held_seconds, name)
+        refused = self._ending.reject_arrival_not_run(event, HELD_REASON, held_seconds, name)
         if arrival.tenant is not None:
             refused.append(self._counts.count(name, "held"))
         return [*refused, *self._guard.refused(identity, event, now)]
--- a/wingquay/forwarding/settling/ending.py
+++ b/wingquay/forwarding/settling/ending.py
@@ -37,7 +37,7 @@
     def __init__(self, random_source: random.Random) -> None:
         self._random = random_source
 
-    def refuse_arrival(
+    def reject_arrival_not_run(
         self, event: ForwardRequested, reason: str, retry_after_seconds: float, tenant: str = ""
     ) -> list[Action]:
         """Refuse a request before anything was done for it."""
@@ -104,7 +104,7 @@
         reply = ReplyFailure(exchange.exchange_id, ForwardFailureKind.FAILED, reason)
         return [reply, *_end(exchange, "failed", reason, now)]
 
-    def refuse(
+    def reject_not_run(
         self, exchange: Exchange, reason: str, usable_after_seconds: float, now: float
     ) -> list[Action]:
         """Refuse a request that has run nowhere.
@@ -124,7 +124,7 @@
         labels = (("reason", rejection.reason), ("priority", priority))
         counted = Count("forwarded_rejections_total", labels=labels)
         seconds = rejection.retry_after_seconds
-        return [*self.refuse(exchange, rejection.reason, seconds, now), counted]
+        return [*self.reject_not_run(exchange, rejection.reason, seconds, now), counted]
 
     def held(self, exchange: Exchange, held_seconds: float, now: float) -> list[Action]:
         """Answer a request under which replicas end, which is held back from now on."""
@@ -138,7 +138,7 @@
         """Answer when the time of the exchange is over."""
         reason = "no answer within the time allowed"
         if not exchange.may_have_run:
-            return self.refuse(exchange, reason, LEAST_RETURN_SECONDS, now)
+            return self.reject_not_run(exchange, reason, LEAST_RETURN_SECONDS, now)
         if len(exchange.calls) == 1 and exchange.calls[0].failure is not None:
             return self.failed(exchange, exchange.calls[0], now)
         reply = ReplyFailure(exchange.exchange_id, ForwardFailureKind.TIMED_OUT, reason)
--- a/wingquay/forwarding/settling/hedging.py
+++ b/wingquay/forwarding/settling/hedging.py
@@ -52,7 +52,7 @@
         if exchange is None:
             return []
         delay = self._latencies.hedge_seconds(exchange.route)
-        actions = self._sequential.step(exchange, now) if exchange.is_sequential else []
+        actions = self._sequential.send_next(exchange, now) if exchange.is_sequential else []
         waits_for_first = _waits_for_first_answer(exchange, now)
         may_need_more = False
         for call in exchange.calls:
--- a/wingquay/forwarding/settling/replica_outcomes.py
+++ b/wingquay/forwarding/settling/replica_outcomes.py
@@ -66,7 +66,7 @@
         self._note(attempt, f"{answer.status}{' not run' if answer.not_run else ''}", now)
         actions += self._take_answer(attempt, answer, now)
         if was_sequential and not exchange.is_sequential and self._settlement.is_open(exchange):
-            actions += self._sequential.go_on(exchange, now)
+            actions += self._sequential.send_remaining(exchange, now)
         return actions + self._starter.serve_waiting(attempt.call.service, now)
 
     def _take_answer(self, attempt: Attempt, answer: ReplicaAnswer, now: float) -> list[Action]:
@@ -162,8 +162,8 @@
         if not self._settlement.is_open(exchange) or exchange.origin is not None:
             return []
         if exchange.is_sequential:
-            return self._sequential.step(exchange, now)
-        return self._sequential.go_on(exchange, now)
+            return self._sequential.send_next(exchange, now)
+        return self._sequential.send_remaining(exchange, now)
 
     def _retry(self, call: ServiceCall, now: float) -> list[Action]:
         """Ask another replica, unless an attempt of the call is still under way."""
