--- a/tests/simulation/forwarding/test_forwarding_simulation.py
+++ b/tests/simulation/forwarding/test_forwarding_simulation.py
@@ -188,7 +188,7 @@
         self.assertIn("refused as not run, but it ran", self.violations(replica_refuses))
 
     def test_a_merged_answer_that_leaves_records_out_is_caught(self) -> None:
-        self.replace_in(ending, "merge_greatest", lambda bodies, most: b"")
+        self.replace_in(ending, "merge_top_records", lambda bodies, most: b"")
         self.assertIn("not the greatest records", self.violations(replica_slow))
 
     def test_extra_arrivals_beyond_the_budget_are_caught(self) -> None:
@@ -226,7 +226,7 @@
 def _refuse_instead(
     ending: ExchangeEnding, exchange: Exchange, _call: object, now: float
 ) -> list[Action]:
-    return ending.refuse(exchange, "test", 0.1, now)
+    return ending.reject_not_run(exchange, "test", 0.1, now)
 
 
 _accept = DelegatedWork.accept
--- a/wingquay/forwarding/peers/delegation_reports.py
+++ b/wingquay/forwarding/peers/delegation_reports.py
@@ -9,7 +9,7 @@
 from ..knowledge.node_groups import NodeGroups
 from ..sending.call_starter import CallStarter
 from .open_delegations import Delegation
-from .takeover_time import TakeoverTime
+from .takeover_timeout import TakeoverTimeout
 
 MERGED_STATUS = 200
 
@@ -29,7 +29,7 @@
         starter: CallStarter,
         guard: CrashGuard,
         sequential: SequentialSending,
-        takeover: TakeoverTime,
+        takeover: TakeoverTimeout,
     ) -> None:
         self._groups = groups
         self._starter = starter
@@ -50,7 +50,7 @@
         """Leave further attempts to a node that is there, unless this node has stepped in."""
         delegation.is_heard = True
         self._takeover.heard(now - delegation.sent_at)
-        self._groups.trust(delegation.node.node_id)
+        self._groups.clear_suspicion(delegation.node.node_id)
         most = delegation.exchange.route.max_attempts
         if delegation.is_lost or most <= 1:
             return []
@@ -123,4 +123,4 @@
         if not message.shards:
             return []
         actions = self._guard.answered(exchange, now)
-        return actions + (self._sequential.go_on(exchange, now) if was_sequential else [])
+        return actions + (self._sequential.send_remaining(exchange, now) if was_sequential else [])
