--- a/wingquay/forwarding/settling/ending.py
+++ b/wingquay/forwarding/settling/ending.py
@@ -15,7 +15,7 @@
 from ..arrival.request_identity import compute_identity
 from ..exchange import Exchange, ServiceCall
 from ..sending.decision import Reject
-from ..sending.retry_after import MIN_RETRY_AFTER_SECONDS
+from ..sending.retry_after import MIN_RETRY_AFTER_SECONDS, jittered_retry_after
 from .merging import merge_top_records
 
 MILLISECONDS_PER_SECOND = 1000.0
