--- a/tests/adapters/test_operator_interface.py
+++ b/tests/adapters/test_operator_interface.py
@@ -13,7 +13,7 @@
 from testtools import TestCase
 
 from tests.configuration.examples import assign
-from tests.configuration.fleet import founded
+from tests.configuration.fleet import configured_cluster
 from wingquay.adapters.bearer_tokens import TokenOwner, TokenTable, hash_token
 from wingquay.adapters.health_pages import HealthPages
 from wingquay.adapters.http_client import HttpClient
@@ -107,7 +107,7 @@
     """An operator server whose node is one of a fleet on a virtual clock."""
 
     def __init__(self) -> None:
-        self.cluster = founded()
+        self.cluster = configured_cluster()
         self.silent = False
         operators = TokenTable([TokenOwner("ana", hash_token(TOKEN))])
         self.server = OperatorServer(self._emit, operators, HealthPages(), clock=lambda: 1e9)
--- a/tests/configuration/fleet.py
+++ b/tests/configuration/fleet.py
@@ -57,7 +57,7 @@
     return result
 
 
-def founded(
+def configured_cluster(
     seed: int = 1,
     sizes: dict[str, int] | None = None,
     settings: StoreSettings | None = None,
--- a/tests/configuration/test_configuration_stateful.py
+++ b/tests/configuration/test_configuration_stateful.py
@@ -18,7 +18,7 @@
 from testtools import TestCase
 
 from tests.configuration.examples import assign, price
-from tests.configuration.fleet import check_history, founded
+from tests.configuration.fleet import check_history, configured_cluster
 from wingquay.configuration.diff import document_diff
 from wingquay.configuration.document import (
     EMPTY_DOCUMENT,
@@ -77,7 +77,7 @@
 
     @initialize(seed=st.integers(0, 10_000), lost_share=st.sampled_from((0.0, 0.1, 0.3)))
     def found(self, seed: int, lost_share: float) -> None:
-        self.cluster = founded(seed, settings=StoreSettings(rate_per_second=100.0))
+        self.cluster = configured_cluster(seed, settings=StoreSettings(rate_per_second=100.0))
         self.cluster.store.faults = type(self.cluster.store.faults)(lost_share, self.cluster.random)
         self.shown: dict[str, tuple[str, ...]] = {}
         self.confirms: dict[str, list[str]] = {}
--- a/tests/configuration/test_confirm.py
+++ b/tests/configuration/test_confirm.py
@@ -5,7 +5,7 @@
 from testtools import TestCase
 
 from tests.configuration.examples import assign, price
-from tests.configuration.fleet import check_history, confirm, founded, plan_id, refused
+from tests.configuration.fleet import check_history, configured_cluster, confirm, plan_id, refused
 from wingquay.configuration import document as document_module
 from wingquay.configuration.confirmation import CONFIRM_BOUND_SECONDS
 from wingquay.configuration.keys import history_key
@@ -50,7 +50,7 @@
 
     def setUp(self) -> None:
         super().setUp()
-        self.cluster = founded()
+        self.cluster = configured_cluster()
         self.first, self.second = self.cluster.nodes[0], self.cluster.nodes[-1]
         self.addCleanup(check_history, self.cluster)
 
--- a/tests/configuration/test_in_force_everywhere.py
+++ b/tests/configuration/test_in_force_everywhere.py
@@ -5,11 +5,11 @@
 from testtools import TestCase
 
 from tests.configuration.examples import assign, document, price
-from tests.configuration.fleet import check_history, confirm, founded, plan_id
+from tests.configuration.fleet import check_history, configured_cluster, confirm, plan_id
 from wingquay.configuration import dissemination as dissemination_module
 from wingquay.configuration import watcher as watcher_module
 from wingquay.configuration.document import pack_body
-from wingquay.configuration.in_force import InForce
+from wingquay.configuration.in_force import InForceConfiguration
 from wingquay.configuration.keys import assignments_prefix
 from wingquay.configuration.node_view import NodeView
 from wingquay.model.identifiers import Revision, ZoneName
@@ -43,13 +43,13 @@
         return reached
 
     def test_it_reaches_every_node_of_every_zone(self) -> None:
-        cluster = founded(3, {"cluj-a": 12, "cluj-b": 12, "dej": 12})
+        cluster = configured_cluster(3, {"cluj-a": 12, "cluj-b": 12, "dej": 12})
         node = cluster.nodes[5]
         confirm(cluster, node, plan_id(cluster, node, assign()))
         self.assertTrue(self.landed_everywhere(cluster))
 
     def test_it_reaches_every_node_when_a_third_of_the_messages_are_lost(self) -> None:
-        cluster = founded(4, {"cluj-a": 12, "cluj-b": 12})
+        cluster = configured_cluster(4, {"cluj-a": 12, "cluj-b": 12})
         node = cluster.nodes[5]
         plan = plan_id(cluster, node, assign())
         cluster.message_loss = 0.33
@@ -57,7 +57,7 @@
         self.assertTrue(self.landed_everywhere(cluster))
 
     def test_announcements_alone_reach_every_node(self) -> None:
-        cluster = founded(5, {"cluj-a": 12, "cluj-b": 12})
+        cluster = configured_cluster(5, {"cluj-a": 12, "cluj-b": 12})
         cluster.probes_on = False
         for node in cluster.nodes[1:]:
             node.store_cut = True
@@ -68,7 +68,7 @@
     def test_comparisons_with_random_nodes_reach_who_missed_everything_else(self) -> None:
         for name in ("ROUNDS", "NODES_TOLD_IN_EACH_ZONE"):
             self.patch(dissemination_module, name, 0)
-        cluster = founded(5)
+        cluster = configured_cluster(5)
         cluster.probes_on = False
         for node in cluster.nodes[1:]:
             node.store_cut = True
@@ -77,7 +77,7 @@
         self.assertTrue(cluster.run_until(lambda: cluster.lowest_revision() == 2, 200.0))
 
     def test_watchers_pass_it_on_when_the_confirming_node_dies(self) -> None:
-        cluster = founded(6)
+        cluster = configured_cluster(6)
         for node in cluster.nodes:
             if not node.machine.holds_watcher_assignment:
                 break
@@ -89,7 +89,7 @@
         self.assertTrue(self.landed_everywhere(cluster))
 
     def test_a_zone_cut_off_keeps_its_revision_and_catches_up(self) -> None:
-        cluster = founded(7)
+        cluster = configured_cluster(7)
         cluster.cut("cluj-a", "cluj-b")
         for node in cluster.nodes:
             node.store_cut = node.identity.zone == "cluj-b"
@@ -102,7 +102,7 @@
         self.assertTrue(self.landed_everywhere(cluster))
 
     def test_a_zone_without_the_store_gets_it_from_another_zone(self) -> None:
-        cluster = founded(8)
+        cluster = configured_cluster(8)
         for node in cluster.nodes:
             node.store_cut = node.identity.zone == "cluj-b"
         node = cluster.nodes[0]
@@ -110,7 +110,7 @@
         self.assertTrue(self.landed_everywhere(cluster))
 
     def test_a_watch_that_skips_a_change_is_noticed(self) -> None:
-        cluster = founded(9)
+        cluster = configured_cluster(9)
         zone_b = [node for node in cluster.nodes if node.identity.zone == "cluj-b"]
         cluster.cut("cluj-a", "cluj-b")
         cluster.store.skip_watch_events(10)
@@ -122,7 +122,7 @@
         self.assertTrue(reached)
 
     def test_a_broken_watch_is_made_anew_and_reads_what_it_missed(self) -> None:
-        cluster = founded(10)
+        cluster = configured_cluster(10)
         self.patch(watcher_module, "POLL_SECONDS", 1000.0)
         cluster.run(20.0)
         zone_b = [node for node in cluster.nodes if node.identity.zone == "cluj-b"]
@@ -136,7 +136,7 @@
         )
 
     def test_stale_and_false_bodies_change_nothing(self) -> None:
-        cluster = founded(11)
+        cluster = configured_cluster(11)
         node, other = cluster.nodes[0], cluster.nodes[1]
         confirm(cluster, node, plan_id(cluster, node, assign()))
         self.assertTrue(self.landed_everywhere(cluster))
@@ -155,11 +155,11 @@
         self.assertEqual(2, node.machine.revision)
 
     def test_two_documents_of_one_revision_are_reported(self) -> None:
-        view = NodeView(founded(2).nodes[0].identity, Random(1))
-        in_force = InForce(view)
-        in_force.take(document(confirm_id="one"), 0.0, "store")
-        again = in_force.take(document(confirm_id="one"), 1.0, "peer")
-        other = in_force.take(document(confirm_id="other"), 1.0, "peer")
+        view = NodeView(configured_cluster(2).nodes[0].identity, Random(1))
+        in_force = InForceConfiguration(view)
+        in_force.apply(document(confirm_id="one"), 0.0, "store")
+        again = in_force.apply(document(confirm_id="one"), 1.0, "peer")
+        other = in_force.apply(document(confirm_id="other"), 1.0, "peer")
         self.assertEqual([], again)
         self.assertEqual(["configuration_forked"], [getattr(a, "message", "") for a in other])
         assert in_force.document is not None
@@ -170,14 +170,14 @@
     """Nodes that start find the configuration, from whoever has it."""
 
     def test_a_new_node_gets_it_from_peers_while_the_store_is_down(self) -> None:
-        cluster = founded(12)
+        cluster = configured_cluster(12)
         cluster.store.refuse_until(cluster.now + 600.0, cluster.now)
         fresh = cluster.restart(cluster.nodes[2])
         self.assertTrue(cluster.run_until(lambda: fresh.ready, 5.0))
         self.assertEqual(1, fresh.machine.revision)
 
     def test_without_peers_and_store_it_is_not_ready_until_one_is_back(self) -> None:
-        cluster = founded(13)
+        cluster = configured_cluster(13)
         cluster.cut("cluj-a", "cluj-b")
         cluster.store.refuse_until(cluster.now + 60.0, cluster.now)
         zone_a = [node for node in cluster.nodes if node.identity.zone == "cluj-a"]
@@ -189,7 +189,7 @@
 
     def test_a_fleet_that_starts_at_once_does_not_overrun_the_store(self) -> None:
         settings = StoreSettings(rate_per_second=20.0, burst=20.0)
-        cluster = founded(14, {"cluj-a": 30, "cluj-b": 30}, settings)
+        cluster = configured_cluster(14, {"cluj-a": 30, "cluj-b": 30}, settings)
         for node in list(cluster.nodes):
             cluster.restart(node)
         before = cluster.counts["store_Read"]
@@ -205,19 +205,19 @@
         return [entry.key for entry in cluster.store.state.read(span)]
 
     def test_two_nodes_of_each_zone_hold_the_assignments(self) -> None:
-        cluster = founded(20, {"cluj-a": 8, "cluj-b": 2})
+        cluster = configured_cluster(20, {"cluj-a": 8, "cluj-b": 2})
         for zone in ("cluj-a", "cluj-b"):
             self.assertEqual(2, len(watchers(cluster, zone)))
             self.assertEqual(2, len(self.assignment_keys(cluster, zone)))
 
     def test_while_the_assignments_are_taken_nobody_tries_to_take_them(self) -> None:
-        cluster = founded(20, {"cluj-a": 8})
+        cluster = configured_cluster(20, {"cluj-a": 8})
         leases = cluster.counts["store_GrantLease"]
         cluster.run(60.0)
         self.assertEqual(leases, cluster.counts["store_GrantLease"])
 
     def test_watches_that_break_again_and_again_are_not_hurried(self) -> None:
-        cluster = founded(25, {"cluj-a": 2})
+        cluster = configured_cluster(25, {"cluj-a": 2})
         cluster.forget_store_requests()
 
         def break_again() -> None:
@@ -230,20 +230,20 @@
         self.assertLess(cluster.store_request_count(), 150)
 
     def test_a_assignment_whose_holder_died_is_taken_again(self) -> None:
-        cluster = founded(21, {"cluj-a": 8})
+        cluster = configured_cluster(21, {"cluj-a": 8})
         for node in watchers(cluster, "cluj-a"):
             cluster.restart(node)
         cluster.run(30.0)
         self.assertEqual(2, len(watchers(cluster, "cluj-a")))
 
     def test_a_planned_stop_gives_the_assignment_back_at_once(self) -> None:
-        cluster = founded(22, {"cluj-a": 2})
+        cluster = configured_cluster(22, {"cluj-a": 2})
         cluster.stop(watchers(cluster, "cluj-a")[0])
         cluster.run(0.1)
         self.assertEqual(1, len(self.assignment_keys(cluster, "cluj-a")))
 
     def test_a_holder_that_was_paused_past_its_lease_does_not_act_on_it(self) -> None:
-        cluster = founded(23, {"cluj-a": 8})
+        cluster = configured_cluster(23, {"cluj-a": 8})
         paused = watchers(cluster, "cluj-a")[0]
         others = [node for node in cluster.nodes if node is not paused]
         cluster.pause(paused, 25.0)
@@ -259,7 +259,7 @@
         self.assertEqual(1, cut_off.revision)
 
     def test_a_lease_that_lapsed_in_the_store_ends_the_tenure(self) -> None:
-        cluster = founded(24, {"cluj-a": 2})
+        cluster = configured_cluster(24, {"cluj-a": 2})
         holders = watchers(cluster, "cluj-a")
         for lease_id in range(1, 50):
             cluster.store.lapse_lease(lease_id, cluster.now)
--- a/tests/simulation/test_mechanisms.py
+++ b/tests/simulation/test_mechanisms.py
@@ -9,7 +9,7 @@
 
 from wingquay.commands.simulate import read_settings
 from wingquay.configuration.document import parse_document
-from wingquay.configuration.in_force import InForce
+from wingquay.configuration.in_force import InForceConfiguration
 from wingquay.configuration.node_view import NodeView
 from wingquay.model.configuration import Configuration
 from wingquay.model.mechanisms import Mechanism
@@ -138,13 +138,13 @@
         found = Violations()
         oracle = ConfigurationOracle(found)
         identity = NodeIdentity("node-1", "small", "east", "10.0.0.1", 7000)
-        in_force = InForce(NodeView(identity, random.Random(1), without))
+        in_force = InForceConfiguration(NodeView(identity, random.Random(1), without))
         for revision in (1, 2, 3):
             oracle.confirmed(revision, f"plan-{revision}", float(revision))
         for revision in (1, 3, 2):
             configuration = Configuration(revision=revision, confirm_id=f"plan-{revision}")
             document = parse_document(configuration.model_dump_json().encode())
-            in_force.take(document, 4.0, "peer")
+            in_force.apply(document, 4.0, "peer")
             oracle.in_force("node-1", in_force.revision, 4.0)
         return found.total
 
--- a/wingquay/configuration/configuration_finder.py
+++ b/wingquay/configuration/configuration_finder.py
@@ -5,7 +5,7 @@
 from ..ports.peer import ConfigurationFetch, SendToPeer
 from .current_key import CurrentKey, StoredDocument
 from .dissemination import Dissemination
-from .in_force import InForce
+from .in_force import InForceConfiguration
 from .node_view import NodeView
 from .script import Script, pause, perform
 from .store_schedule import (
@@ -29,7 +29,7 @@
     def __init__(
         self,
         view: NodeView,
-        in_force: InForce,
+        in_force: InForceConfiguration,
         dissemination: Dissemination,
         current_key: CurrentKey,
     ) -> None:
--- a/wingquay/configuration/configuration_machine.py
+++ b/wingquay/configuration/configuration_machine.py
@@ -25,7 +25,7 @@
 from .configuration_finder import ConfigurationFinder
 from .current_key import CurrentKey
 from .dissemination import Dissemination
-from .in_force import InForce
+from .in_force import InForceConfiguration
 from .node_view import NodeView
 from .operator_requests import OperatorRequests
 from .script import ScriptRunner, ScriptTimer
@@ -73,7 +73,7 @@
     ) -> None:
         self._view = NodeView(identity, random, disabled)
         self._runner = ScriptRunner("configuration")
-        self._in_force = InForce(self._view)
+        self._in_force = InForceConfiguration(self._view)
         self._spread = Spread(self._view)
         self._current_key = CurrentKey()
         self._dissemination = Dissemination(self._view, self._runner, self._in_force, self._spread)
--- a/wingquay/configuration/confirmation.py
+++ b/wingquay/configuration/confirmation.py
@@ -23,7 +23,7 @@
 )
 from .dissemination import Dissemination
 from .document import ConfigurationDocument
-from .in_force import InForce
+from .in_force import InForceConfiguration
 from .keys import CURRENT_KEY, history_key
 from .plan import (
     EarlierDocuments,
@@ -85,7 +85,7 @@
         command: ConfirmCommand,
         current_key: CurrentKey,
         plan_store: PlanStore,
-        in_force: InForce,
+        in_force: InForceConfiguration,
         dissemination: Dissemination,
         backoff: FullJitterBackoff,
         reads_back: bool = True,
--- a/wingquay/configuration/dissemination.py
+++ b/wingquay/configuration/dissemination.py
@@ -21,7 +21,7 @@
     SendToPeer,
 )
 from .document import ConfigurationDocument, parse_document, unpack_body
-from .in_force import InForce
+from .in_force import InForceConfiguration
 from .node_view import NodeView
 from .script import Script, ScriptRunner, pause, perform
 from .spread import Spread
@@ -63,7 +63,7 @@
     """Takes new revisions into force, tells others of them and fetches what others have."""
 
     def __init__(
-        self, view: NodeView, runner: ScriptRunner, in_force: InForce, spread: Spread
+        self, view: NodeView, runner: ScriptRunner, in_force: InForceConfiguration, spread: Spread
     ) -> None:
         self._view = view
         self._runner = runner
@@ -90,8 +90,8 @@
             Whether this node has it from the store: then every zone is told.
         """
         if not self._in_force.is_newer(document.revision):
-            return self._in_force.take(document, now, source)
-        actions = self._in_force.take(document, now, source)
+            return self._in_force.apply(document, now, source)
+        actions = self._in_force.apply(document, now, source)
         if self._wanted is not None and self._wanted.revision <= document.revision:
             self._wanted = None
         return actions + self._runner.start(self._announce(document.revision, from_store), now)
--- a/wingquay/configuration/in_force.py
+++ b/wingquay/configuration/in_force.py
@@ -11,7 +11,7 @@
 NO_REVISION = Revision(0)
 
 
-class InForce:
+class InForceConfiguration:
     """Keeps the highest confirmed revision that this node has seen."""
 
     def __init__(self, view: NodeView) -> None:
@@ -39,7 +39,7 @@
             self._packed = pack_body(self.document.body)
         return self._packed
 
-    def take(self, document: ConfigurationDocument, now: float, source: str) -> list[Action]:
+    def apply(self, document: ConfigurationDocument, now: float, source: str) -> list[Action]:
         """Put ``document`` in force if it is newer than what is; else do nothing.
 
         Parameters
--- a/wingquay/configuration/operator_requests.py
+++ b/wingquay/configuration/operator_requests.py
@@ -32,7 +32,7 @@
 )
 from .current_key import CurrentKey, StoredDocument
 from .dissemination import Dissemination
-from .in_force import InForce
+from .in_force import InForceConfiguration
 from .node_view import NodeView
 from .plan import Proposal, make_plan
 from .plan_store import PlanStore
@@ -67,7 +67,7 @@
         self,
         view: NodeView,
         runner: ScriptRunner,
-        in_force: InForce,
+        in_force: InForceConfiguration,
         spread: Spread,
         dissemination: Dissemination,
         current_key: CurrentKey,
--- a/wingquay/configuration/revision_reader.py
+++ b/wingquay/configuration/revision_reader.py
@@ -16,7 +16,7 @@
 from .diff import document_diff
 from .dissemination import Dissemination
 from .document import EMPTY_DOCUMENT, ConfigurationDocument
-from .in_force import InForce
+from .in_force import InForceConfiguration
 from .script import Script, StoreHealth, perform
 
 NOT_FRESH_WARNING = "the store does not answer: this is the last revision known to this node"
@@ -29,7 +29,7 @@
 
     def __init__(
         self,
-        in_force: InForce,
+        in_force: InForceConfiguration,
         dissemination: Dissemination,
         current_key: CurrentKey,
         store_health: StoreHealth,
--- a/wingquay/configuration/status.py
+++ b/wingquay/configuration/status.py
@@ -3,7 +3,7 @@
 from ..model.identifiers import NodeId, Revision, ZoneName
 from ..ports.operator import NodeStatus, StatusResult, ZoneStatus
 from ..ports.peer import NodeIdentity, NodeState
-from .in_force import InForce
+from .in_force import InForceConfiguration
 from .node_view import NodeView
 from .script import StoreHealth
 from .spread import Spread
@@ -19,7 +19,11 @@
     """Answers ``ShowStatus``."""
 
     def __init__(
-        self, view: NodeView, in_force: InForce, spread: Spread, store_health: StoreHealth
+        self,
+        view: NodeView,
+        in_force: InForceConfiguration,
+        spread: Spread,
+        store_health: StoreHealth,
     ) -> None:
         self._view = view
         self._in_force = in_force
--- a/wingquay/configuration/watcher.py
+++ b/wingquay/configuration/watcher.py
@@ -26,7 +26,7 @@
 )
 from .current_key import CurrentKey, StoredDocument
 from .dissemination import Dissemination
-from .in_force import InForce
+from .in_force import InForceConfiguration
 from .keys import CURRENT_KEY, assignment_key, assignments_prefix
 from .node_view import NodeView
 from .script import Script, ScriptRunner, call_store, pause, perform
@@ -76,7 +76,7 @@
         self,
         view: NodeView,
         runner: ScriptRunner,
-        in_force: InForce,
+        in_force: InForceConfiguration,
         dissemination: Dissemination,
         current_key: CurrentKey,
     ) -> None:
