--- a/tests/forwarding/test_replica_lives.py
+++ b/tests/forwarding/test_replica_lives.py
@@ -93,7 +93,7 @@
             self.assertEqual(expected, record_of(known), what)
             self.assertEqual(
                 [expected],
-                [item.record for item in known.usable("s", 2.0)]
+                [item.record for item in known.candidates("s", 2.0)]
                 or [item for item in (record_of(known),) if item is not None and item.is_draining],
                 what,
             )
@@ -118,7 +118,7 @@
     def test_a_replica_whose_entry_is_gone_is_not_brought_back_by_an_older_entry(self) -> None:
         known = directory()
         known.put(OLD, 1.0, 5)
-        known.vanish("r0", 2.0, 8)
+        known.mark_vanished("r0", 2.0, 8)
         known.put(OLD, 2.5, 7)
         self.assertEqual(2.0, known.get("r0").vanished_at)
         known.put(OLD, 3.0, 9)
@@ -127,7 +127,7 @@
     def test_an_older_word_that_it_is_gone_does_not_count(self) -> None:
         known = directory()
         known.put(NEW, 1.0, 9)
-        known.vanish("r0", 2.0, 8)
+        known.mark_vanished("r0", 2.0, 8)
         known.keep_only((), 2.0, 8)
         self.assertIsNone(known.get("r0").vanished_at)
         known.keep_only((), 3.0, 9)
@@ -138,15 +138,15 @@
         known.put(OLD, 1.0, 5)
         moved = ReplicaRecord("r0", "t", "10.0.0.9", 81, "b", 4, born=BORN + 1)
         known.put(moved, 2.0, 6)
-        self.assertEqual([], known.usable("s", 2.0))
-        self.assertEqual([moved], [state.record for state in known.usable("t", 2.0)])
+        self.assertEqual([], known.candidates("s", 2.0))
+        self.assertEqual([moved], [state.record for state in known.candidates("t", 2.0)])
 
     def test_a_life_that_names_another_service_is_found_there_only(self) -> None:
         known = directory()
         known.put(OLD, 1.0, 5)
         known.put(replica("r0", "t", born=BORN), 2.0, 6)
-        self.assertEqual([], known.usable("s", 2.0))
-        self.assertEqual(["t"], [state.record.service for state in known.usable("t", 2.0)])
+        self.assertEqual([], known.candidates("s", 2.0))
+        self.assertEqual(["t"], [state.record.service for state in known.candidates("t", 2.0)])
         known.remove("r0")
         self.assertEqual(set(), known.services())
 
@@ -155,10 +155,10 @@
         known.put(OLD, 1.0, 5)
         old = known.get("r0")
         known.put(NEW, 2.0, 6)
-        known.contradict(old, 2.5)
+        known.mark_stale(old, 2.5)
         self.assertEqual(NEW, record_of(known))
-        self.assertIsNone(known.of_life(OLD.life))
-        self.assertIs(known.get("r0"), known.of_life(NEW.life))
+        self.assertIsNone(known.get_incarnation(OLD.life))
+        self.assertIs(known.get("r0"), known.get_incarnation(NEW.life))
 
 
 class EntriesAtTheNodeTest(TestCase):
@@ -242,7 +242,7 @@
         self.assertEqual(4, old.sent_since(node.now - 2.0))
         node.change(replica("r0", "s", born=BORN + 1, cold_seconds=60.0))
         new = node.machine._directory.get("r0")
-        self.assertTrue(new.is_untouched)
+        self.assertTrue(new.is_unused)
         self.assertEqual(
             (0.0, 1.0, 0, 0, True),
             (
@@ -312,7 +312,7 @@
         """Return how many of forty requests at once a cold replica gets."""
         routes = (single_route(max_attempts=1),)
         service = UpstreamService("s", 24, cold_requests_per_second=10.0)
-        node = OneNode(cold_overage=1.0, cold_slack=0.0, fewest_nodes=1, most_nodes=1)
+        node = OneNode(cold_overage=1.0, cold_slack=0.0, min_nodes=1, max_nodes=1)
         cold = replica("r0", "s", born=born, cold_seconds=60.0)
         node.start(RoutingTable(1, routes, {"s": service}, CallerLimits()), cold)
         for _ in range(40):
@@ -414,7 +414,7 @@
         node = started(lives[0], max_attempts=1)
         for number, life in enumerate(lives[1:]):
             node.request("/one/deadly")
-            node.end_replica(node.sends[0])
+            node.crash_replica(node.sends[0])
             self.assertEqual(number + 1, node.logs("replica_ended_under_request")[-1]["ends"])
             node.advance(1.0)
             node.change(life)
@@ -423,7 +423,7 @@
     def test_a_connection_that_the_next_life_takes_shows_that_the_one_before_ended(self) -> None:
         node = started(max_attempts=1)
         node.request("/one/deadly")
-        (looked_into,) = node.lose(node.sends[0])
+        (looked_into,) = node.disconnect(node.sends[0])
         self.assertEqual(OLD, looked_into)
         node.change(NEW)
         node.emit(ConnectionTried(OLD.life))
@@ -448,9 +448,9 @@
             if is_seen_by_entry:
                 node.change(replica(first.replica.replica_id, "s", born=BORN + 1))
             else:
-                node.end_replica(first)
+                node.crash_replica(first)
             exchange = node.machine._forwarding._settlement.get(number)
-            self.assertEqual(1, exchange.unexplained_ends)
+            self.assertEqual(1, exchange.unexplained_disconnects)
 
     def test_the_end_of_one_that_was_leaving_is_held_against_no_request(self) -> None:
         node = started(max_attempts=1)
--- a/wingquay/forwarding/arrival/limits/limit_keeper.py
+++ b/wingquay/forwarding/arrival/limits/limit_manager.py
@@ -10,11 +10,11 @@
 from ....ports.peer_link import NodeIdentity, PeerLinkBroken, PeerLinkOpened, PeerReceived
 from ...knowledge.node_membership import NodeMembership
 from ...timers import (
-    LimitAskDue,
-    LimitOwnerDue,
+    LimitAckDue,
     LimitProbeDue,
-    LimitSilenceDue,
-    LimitTellDue,
+    LimitRefreshDue,
+    LimitReportDue,
+    LimitRequestDue,
 )
 from ..admission import Admitted, Rejected
 from ..arrival_admission import ArrivalAdmission
@@ -26,15 +26,15 @@
 _TAKEN = (
     PeerReceived,
     PeerLinkBroken,
-    LimitAskDue,
-    LimitOwnerDue,
+    LimitRequestDue,
+    LimitRefreshDue,
     LimitProbeDue,
-    LimitSilenceDue,
-    LimitTellDue,
+    LimitAckDue,
+    LimitReportDue,
 )
 
 
-class LimitKeeper:
+class LimitManager:
     """Follows the configuration and the link to other nodes.
 
     Parameters
@@ -67,7 +67,7 @@
         self._work: LimitWork | None = None
         self._is_open = False
 
-    def after(self, event: Event, table: RoutingTable | None, now: float) -> list[Action]:
+    def handle(self, event: Event, table: RoutingTable | None, now: float) -> list[Action]:
         """Take in an event, after all other parts, and the configuration in force."""
         if isinstance(event, PeerLinkOpened):
             self._own = event.identity
@@ -81,7 +81,7 @@
             self._is_open = True
             members = self._members
             actions += work.open(
-                self._own, members.groups, members.is_listed, members.has_stood, now
+                self._own, members.groups, members.is_listed, members.reused_key, now
             )
         if isinstance(event, Woken):
             work.woken()
--- a/wingquay/forwarding/forwarding_machine.py
+++ b/wingquay/forwarding/forwarding_machine.py
@@ -17,20 +17,20 @@
 from .arrival.admission import Admitted, Rejected
 from .choice.replica_directory import ReplicaDirectory
 from .choice.replica_state import ReplicaState
-from .crashing.careful_sending import CarefulSending
 from .crashing.guard import CrashGuard
+from .crashing.sequential_sending import SequentialSending
 from .exchange import Exchange
 from .exchange_opening import ExchangeOpening
 from .knowledge.loop_lag import LoopLag
 from .knowledge.presence import NodeCount
-from .knowledge.reach_evidence import ReachEvidence
+from .knowledge.reachability_evidence import ReachabilityEvidence
 from .request_arrival import RequestArrival
 from .sending.attempts import AttemptSender
-from .sending.call_line import CallLine
+from .sending.call_queue import CallQueue
 from .sending.call_starter import CallStarter
 from .sending.latencies import RouteLatencies
-from .sending.shares import SendingShares
-from .sending.waiting import Waiting
+from .sending.sending_quotas import SendingQuotas
+from .sending.waiting_policy import WaitingPolicy
 from .sending.waiting_settings import DEFAULT_WAITING, WaitingSettings
 from .settings import ForwardingSettings
 from .settling.ending import ExchangeEnding
@@ -44,16 +44,16 @@
     CutoffDue,
     DelegationDue,
     ExchangeEndDue,
-    GreetingDue,
     HedgeDue,
-    ReachDue,
+    PeerConnectDue,
+    ReconnectDue,
     ReportDue,
     RetryDue,
 )
 
 if TYPE_CHECKING:
     from .knowledge.node_groups import NodeGroups
-    from .peers.peer_work import PeerWork
+    from .peers.peer_event_handler import PeerEventHandler
 
 DELEGATION_ID_BITS = 62
 """Size of the first number of what is asked of other nodes: no two lives of a node share one."""
@@ -91,12 +91,12 @@
         self._settings = settings
         self._directory = directory
         self._latencies = RouteLatencies(settings)
-        self._limits = SendingShares(settings, directory, nodes, key, waiting)
+        self._limits = SendingQuotas(settings, directory, nodes, key, waiting)
         self._sender = AttemptSender(settings, directory, self._latencies, self._limits)
         self._random = random_source
         ending = ExchangeEnding(random_source)
-        self._line = CallLine(self._latencies)
-        self._waiting = Waiting(
+        self._line = CallQueue(self._latencies)
+        self._waiting = WaitingPolicy(
             waiting, settings, directory, self._latencies, self._limits, self._line
         )
         self._settlement = Settlement(self._waiting, directory, self._sender, ending)
@@ -106,9 +106,9 @@
         self.guard = CrashGuard(name, random_source, self.lag)
         """Keeps requests that end replicas from replicas."""
         self.guard.on_held = self._end_held
-        careful = CarefulSending(self._starter)
-        self._careful = careful
-        self._hedging = Hedging(self._latencies, self._sender, self._settlement, careful)
+        sequential = SequentialSending(self._starter)
+        self._sequential = sequential
+        self._hedging = Hedging(self._latencies, self._sender, self._settlement, sequential)
         self._outcomes = ReplicaOutcomes(
             settings,
             directory,
@@ -116,7 +116,7 @@
             self._starter,
             self._settlement,
             self.guard,
-            careful,
+            sequential,
         )
         self._opening = ExchangeOpening(
             settings,
@@ -124,7 +124,7 @@
             self._latencies,
             self._settlement,
             self._starter,
-            careful,
+            sequential,
             random_source,
         )
         self._arrival = RequestArrival(
@@ -133,7 +133,7 @@
         self.admission = self._arrival.admission
         """Asks whether requests may be begun; who composes the node gives it who answers."""
         self._table: RoutingTable | None = None
-        self._peers: PeerWork | None = None
+        self._peers: PeerEventHandler | None = None
         self.is_stopping = False
         """Whether work of other nodes is rejected."""
 
@@ -153,14 +153,14 @@
         return self._opening.held
 
     @property
-    def evidence(self) -> ReachEvidence:
+    def evidence(self) -> ReachabilityEvidence:
         """Which replicas and nodes failed lately."""
         return self._sender.evidence
 
     def enable_peers(self, groups: "NodeGroups") -> None:
         """Ask other nodes for shards, and be asked by them, from now on."""
         from .peers.delegation import Delegations
-        from .peers.peer_work import PeerWork
+        from .peers.peer_event_handler import PeerEventHandler
 
         delegations = Delegations(
             self._settings,
@@ -169,10 +169,10 @@
             self._starter,
             self._settlement,
             self.guard,
-            self._careful,
+            self._sequential,
             self._random.getrandbits(DELEGATION_ID_BITS),
         )
-        self._peers = PeerWork(
+        self._peers = PeerEventHandler(
             self._settings,
             delegations,
             self._directory,
@@ -181,7 +181,7 @@
             self.guard,
         )
         self._limits.placement = delegations.placement
-        self._careful.begin_all = delegations.start
+        self._sequential.begin_all = delegations.start
         self._opening.ask_nodes = delegations.start
         self.guard.peers = groups.reachable
         groups.evidence = self._sender.evidence
@@ -205,7 +205,7 @@
                 return self._hedging.due(event, now)
             case SendFailed():
                 return self._outcomes.send_failed(event, now)
-            case AbandonDue() | ReachDue() | ConnectionTried():
+            case AbandonDue() | ReconnectDue() | ConnectionTried():
                 return self._replica_event(event, now)
             case (
                 BeginDue()
@@ -217,7 +217,11 @@
             ):
                 return self._exchange_event(event, now)
             case (
-                GreetingDue() | DelegationDue() | CrashNewsDue() | PeerReceived() | PeerLinkBroken()
+                PeerConnectDue()
+                | DelegationDue()
+                | CrashNewsDue()
+                | PeerReceived()
+                | PeerLinkBroken()
             ):
                 return self._peer_event(event, now)
         return self._arrival.kept_event(event, now)
@@ -225,7 +229,7 @@
     def woken(self, event: Woken, now: float) -> list[Action]:
         """End what is too late after a suspension; attempts are as old as before it."""
         self.lag.seconds = event.seconds
-        self._sender.suspended(event.seconds)
+        self._sender.on_suspended(event.seconds)
         return self._settlement.end_overdue(now)
 
     def limit_answered(
@@ -240,7 +244,7 @@
 
     def _peer_event(
         self,
-        event: GreetingDue | DelegationDue | CrashNewsDue | PeerReceived | PeerLinkBroken,
+        event: PeerConnectDue | DelegationDue | CrashNewsDue | PeerReceived | PeerLinkBroken,
         now: float,
     ) -> list[Action]:
         match event:
@@ -256,13 +260,13 @@
     # Time
 
     def _replica_event(
-        self, event: AbandonDue | ReachDue | ConnectionTried, now: float
+        self, event: AbandonDue | ReconnectDue | ConnectionTried, now: float
     ) -> list[Action]:
         match event:
             case AbandonDue():
                 return self._abandon_due(event, now)
-            case ReachDue():
-                return self._sender.reach_due(event, now)
+            case ReconnectDue():
+                return self._sender.on_reconnect_due(event, now)
             case ConnectionTried():
                 return self._outcomes.connection_tried(event, now)
 
@@ -275,7 +279,7 @@
         if attempt is None:
             return []
         actions = self._sender.cancel(attempt, now)
-        return actions + self._starter.serve_waiting(attempt.call.service, now)
+        return actions + self._starter.send_queued(attempt.call.service, now)
 
     def _exchange_event(
         self,
@@ -312,10 +316,10 @@
     def _retry_due(self, exchange: Exchange, now: float) -> list[Action]:
         if self._opening.is_held(exchange):
             return self._opening.begin_or_hold(exchange, now)
-        exchange.is_retry_due = False
+        exchange.is_retry_scheduled = False
         actions: list[Action] = []
         for call in exchange.calls:
             if call.is_waiting and call.answer is None and not call.attempts:
-                call.refused.clear()
-                actions += self._starter.start(call, now)
+                call.refused_incarnations.clear()
+                actions += self._starter.send_or_queue(call, now)
         return actions + self._settlement.settle(exchange, now)
--- a/wingquay/forwarding/knowledge/peer_setup.py
+++ b/wingquay/forwarding/knowledge/peer_setup.py
@@ -50,13 +50,13 @@
         """Whether requests need other nodes: for most of their shards, or for a tenant's limit."""
         if table.tenants is not None and table.tenants.is_limited:
             return True
-        return widest_route(table) >= self._settings.delegate_least_shards
+        return widest_route(table) >= self._settings.delegate_min_shards
 
     def learn(self, cluster_key: bytes) -> None:
         """Take in the key that stands in the store."""
         self._cluster_key = cluster_key
 
-    def is_mine(self, event: StoreResponse) -> bool:
+    def handles(self, event: StoreResponse) -> bool:
         """Whether the answer is to one of this machine's requests."""
         return event.operation_id.startswith(OPERATION_PREFIX)
 
--- a/wingquay/forwarding/peers/connections_ahead.py
+++ b/wingquay/forwarding/peers/connection_prewarmer.py
@@ -19,7 +19,7 @@
 seconds, and spends 2 ms of processor time on it each time."""
 
 
-class ConnectionsAhead:
+class ConnectionPrewarmer:
     """Chooses the replicas to connect to.
 
     Parameters
@@ -54,10 +54,10 @@
         shard_sets.add(self._coming())
         wanted: list[ReplicaState] = []
         for shards in sorted(shard_sets):
-            if len(shards) >= self._settings.delegate_least_shards:
+            if len(shards) >= self._settings.delegate_min_shards:
                 wanted += self._wanted(shards, now)
         chosen = wanted[:MOST_OPENED]
-        self._opened.update(state.life for state in chosen)
+        self._opened.update(state.incarnation for state in chosen)
         return [OpenConnection(state.record) for state in chosen]
 
     def _coming(self) -> tuple[str, ...]:
@@ -72,6 +72,8 @@
         return [
             state
             for shard in own
-            for state in self._directory.usable(shard, now)
-            if state.record.zone == zone and state.is_untouched and state.life not in self._opened
+            for state in self._directory.candidates(shard, now)
+            if state.record.zone == zone
+            and state.is_unused
+            and state.incarnation not in self._opened
         ]
--- a/wingquay/forwarding/peers/peer_work.py
+++ b/wingquay/forwarding/peers/peer_event_handler.py
@@ -12,20 +12,20 @@
 )
 from ...ports.machine import Action, Schedule
 from ...ports.peer_link import NodeIdentity, PeerLinkBroken, PeerMessage, PeerReceived
-from ..arrival.request_identity import identity_of
+from ..arrival.request_identity import compute_identity
 from ..choice.replica_directory import ReplicaDirectory
 from ..crashing.guard import CrashGuard
-from ..crashing.suspects import Verdict
+from ..crashing.suspects import SuspicionLevel
 from ..knowledge.loop_lag import LoopLag
 from ..settings import ForwardingSettings
 from ..settling.settlement import Settlement
-from ..timers import BeginDue, DelegationDue, GreetingDue, ReportDue
-from .connections_ahead import ConnectionsAhead
+from ..timers import BeginDue, DelegationDue, PeerConnectDue, ReportDue
+from .connection_prewarmer import ConnectionPrewarmer
 from .delegated_work import DelegatedWork
 from .delegation import Delegations
 
 
-class PeerWork:
+class PeerEventHandler:
     """Handles the messages of other nodes.
 
     Parameters
@@ -46,13 +46,13 @@
         self._settings = settings
         self._guard = guard
         self.delegations = delegations
-        self._ahead = ConnectionsAhead(settings, directory, delegations.placement)
+        self._ahead = ConnectionPrewarmer(settings, directory, delegations.placement)
         self._work = DelegatedWork(directory, settlement, lag)
         settlement.on_closed = self.delegations.closed
 
     def handle(
         self,
-        event: GreetingDue | DelegationDue | PeerReceived | PeerLinkBroken,
+        event: PeerConnectDue | DelegationDue | PeerReceived | PeerLinkBroken,
         table: RoutingTable | None,
         now: float,
     ) -> list[Action]:
@@ -64,7 +64,7 @@
             The configuration for work of other nodes; ``None``: none is taken.
         """
         match event:
-            case GreetingDue():
+            case PeerConnectDue():
                 return [] if table is None else self._prepare(table, now)
             case DelegationDue():
                 return self.delegations.due(event, now)
@@ -102,8 +102,8 @@
     ) -> list[Action]:
         if table is None:
             return self._work.reject(sender, message)
-        if self._guard.verdict(message.request, now, message.tenant) is Verdict.HELD:
-            identity = identity_of(message.request, message.tenant)
+        if self._guard.suspicion_level(message.request, now, message.tenant) is SuspicionLevel.HELD:
+            identity = compute_identity(message.request, message.tenant)
             held_seconds = self._guard.held_seconds(identity, now)
             return self._work.refuse_held(sender, message, held_seconds)
         declined = self._work.unknown(message, now)
--- a/wingquay/forwarding/peers/takeover_time.py
+++ b/wingquay/forwarding/peers/takeover_timeout.py
@@ -7,7 +7,7 @@
 """How far one node that is heard moves the mean."""
 
 
-class TakeoverTime:
+class TakeoverTimeout:
     """Follows how long nodes usually take to say that they have taken a request.
 
     Where that is long, since their machines are weak, a silent one is given longer: to step in for
@@ -34,4 +34,4 @@
         objective = route.objective_seconds
         usual = objective * settings.delegate_takeover_ratio
         slow = self._usual_seconds * settings.delegate_takeover_factor
-        return max(usual, min(slow, objective * settings.delegate_takeover_most_ratio))
+        return max(usual, min(slow, objective * settings.delegate_takeover_max_ratio))
--- a/wingquay/forwarding/settling/settlement.py
+++ b/wingquay/forwarding/settling/settlement.py
@@ -7,7 +7,7 @@
 from ..exchange import Exchange, ServiceCall
 from ..sending.attempts import AttemptSender
 from ..sending.decision import Reject
-from ..sending.waiting import Waiting
+from ..sending.waiting_policy import WaitingPolicy
 from .cutoff import is_enough
 from .ending import ExchangeEnding
 
@@ -31,7 +31,7 @@
 
     def __init__(
         self,
-        waiting: Waiting,
+        waiting: WaitingPolicy,
         directory: ReplicaDirectory,
         sender: AttemptSender,
         ending: ExchangeEnding,
@@ -103,7 +103,7 @@
         for attempt in [item for call in exchange.calls for item in call.attempts.values()]:
             actions += self._sender.cancel(attempt, now)
         if exchange.origin is not None:
-            return self._close(exchange, actions + exchange.origin.refuse_held(held_seconds), now)
+            return self._close(exchange, actions + exchange.origin.report_held(held_seconds), now)
         ended = self._ending.held(exchange, held_seconds, now)
         return self._close(exchange, actions + ended, now)
 
@@ -132,11 +132,11 @@
         """
         assert exchange.origin is not None
         exhausted = [call for call in exchange.calls if call.is_exhausted]
-        told = exchange.origin.tell_exhausted(exhausted) if exchange.failures else []
+        told = exchange.origin.report_exhausted(exhausted) if exchange.failures else []
         is_over = exchange.shards_in + len(exhausted) == len(exchange.calls)
-        if exhausted and not exchange.origin.is_allowed:
+        if exhausted and not exchange.origin.may_retry:
             is_over = False
-        if not is_over and now < exchange.in_time_at - TIME_TOLERANCE_SECONDS:
+        if not is_over and now < exchange.cutoff_at - TIME_TOLERANCE_SECONDS:
             return told
         actions = exchange.origin.report(exchange) + told
         if not is_over:
@@ -147,7 +147,7 @@
         enough = is_enough(exchange.route, exchange.shards_in)
         is_over = exchange.shards_in == len(exchange.calls)
         if not is_over and enough:
-            is_over = now >= exchange.in_time_at - TIME_TOLERANCE_SECONDS or all(
+            is_over = now >= exchange.cutoff_at - TIME_TOLERANCE_SECONDS or all(
                 self._is_hopeless(call, now) for call in exchange.calls if call.answer is None
             )
         if not is_over:
@@ -194,8 +194,8 @@
     def can_be_enough(self, exchange: Exchange, now: float) -> bool:
         """Whether the services of which a replica can be asked make a success."""
         if not exchange.route.shards:
-            return self._directory.has_any(exchange.calls[0].service, now)
-        usable = [self._directory.has_usable(call.service, now) for call in exchange.calls]
+            return self._directory.has_candidates(exchange.calls[0].service, now)
+        usable = [self._directory.has_unblocked(call.service, now) for call in exchange.calls]
         return is_enough(exchange.route, sum(usable))
 
     def _is_hopeless(self, call: ServiceCall, now: float) -> bool:
@@ -204,7 +204,7 @@
             return False
         if call.attempts_left <= 0:
             return True
-        return not self._directory.has_usable(call.service, now)
+        return not self._directory.has_unblocked(call.service, now)
 
     def _close(self, exchange: Exchange, actions: list[Action], now: float) -> list[Action]:
         del self._exchanges[exchange.exchange_id]
