--- a/tests/admission/test_health_pages.py
+++ b/tests/admission/test_health_pages.py
@@ -3,8 +3,8 @@
 from testtools import TestCase
 
 from tests.query.small_tier import configuration
-from wingquay.admission.health_prober import PAGE_TRUST_SECONDS, HealthProber
-from wingquay.admission.lane_table import LaneTable
+from wingquay.admission.health_prober import LEAVING_HOLD_PERIOD_SECONDS, HealthProber
+from wingquay.admission.shard_table import ShardTable
 from wingquay.model.failure import Failure
 from wingquay.model.identifiers import AttemptId, ReplicaId
 from wingquay.model.key_range import EVERYTHING
@@ -24,9 +24,9 @@
 class HealthPagesTest(TestCase):
     def setUp(self) -> None:
         super().setUp()
-        lanes = LaneTable(RoutingSettings(), by_class=True)
-        lanes.apply(configuration((EVERYTHING,), 1))
-        self.prober = HealthProber("n", RoutingSettings(), lanes)
+        shards = ShardTable(RoutingSettings(), by_class=True)
+        shards.apply(configuration((EVERYTHING,), 1))
+        self.prober = HealthProber("n", RoutingSettings(), shards)
         refused = Failure(BackendFailureKind.DRAINING, "leaving")
         self.prober.on_attempt_finished(AttemptFinished(AttemptId("a"), REPLICA, refused), 10.0)
 
@@ -55,4 +55,4 @@
         self.assertTrue(self.says_serving(12.0, cold=True))
 
     def test_in_the_end_the_page_is_believed(self) -> None:
-        self.assertTrue(self.says_serving(10.0 + PAGE_TRUST_SECONDS, cold=False))
+        self.assertTrue(self.says_serving(10.0 + LEAVING_HOLD_PERIOD_SECONDS, cold=False))
--- a/tests/admission/test_owned_shards.py
+++ b/tests/admission/test_owned_shards.py
@@ -62,8 +62,8 @@
             machine.handle(members(survivors), 1.0)
             found += [
                 replica.replica_id
-                for lane in machine._owned_lanes()
-                for replica in lane.shard.replicas
+                for shard_state in machine._owned_shards()
+                for replica in shard_state.shard.replicas
             ]
         self.assertEqual(self.replicas, sorted(found))
 
--- a/tests/query/test_class_order.py
+++ b/tests/query/test_class_order.py
@@ -5,10 +5,10 @@
 from testtools import TestCase
 
 from tests.query.small_tier import SmallTier
-from wingquay.admission.class_line import ClassLine
+from wingquay.admission.class_queue import ClassQueue
 from wingquay.admission.hedging import HedgePolicy
 from wingquay.admission.settings import AdmissionSettings
-from wingquay.admission.work import Work
+from wingquay.admission.work_item import WorkItem
 from wingquay.model.answer import Outcome
 from wingquay.model.identifiers import (
     ClassName,
@@ -31,7 +31,7 @@
 REQUESTER = NodeIdentity(NodeId("n"), DeploymentName("d"), ZoneName("z"), "127.0.0.1", 1)
 
 
-def work(name: str, class_name: str, price: float, cost_seconds: float = 0.01) -> Work:
+def work(name: str, class_name: str, price: float, cost_seconds: float = 0.01) -> WorkItem:
     sub_request = SubRequest(
         sub_request_id=SubRequestId(name),
         request_id=RequestId(name),
@@ -46,17 +46,17 @@
         promise_seconds=0.1,
         repeatable=True,
     )
-    return Work(sub_request, REQUESTER, 0.0, 1.0, cost_seconds)
+    return WorkItem(sub_request, REQUESTER, 0.0, 1.0, cost_seconds)
 
 
-def pop_names(queue: ClassLine, count: int) -> list[str]:
+def pop_names(queue: ClassQueue, count: int) -> list[str]:
     popped = [queue.pop(lambda _: True, 0.0) for _ in range(count)]
     return [entry.sub_request.sub_request_id for entry in popped if entry is not None]
 
 
-class ClassLineTest(TestCase):
+class ClassQueueTest(TestCase):
     def test_a_late_top_class_arrival_is_served_next(self) -> None:
-        queue = ClassLine()
+        queue = ClassQueue()
         for index in range(50):
             queue.push(work(f"bulk{index}", "bulk", 1))
         pop_names(queue, 10)
@@ -64,7 +64,7 @@
         self.assertEqual(["gold"], pop_names(queue, 1))
 
     def test_shares_follow_prices_and_nobody_starves(self) -> None:
-        queue = ClassLine()
+        queue = ClassQueue()
         for index in range(300):
             queue.push(work(f"gold{index}", "gold", 3))
             queue.push(work(f"bulk{index}", "bulk", 1))
@@ -73,13 +73,13 @@
         self.assertTrue(22 <= bulk <= 28, bulk)
 
     def test_without_classes_arrival_decides(self) -> None:
-        queue = ClassLine(by_class=False)
+        queue = ClassQueue(by_class=False)
         queue.push(work("bulk", "bulk", 1))
         queue.push(work("gold", "gold", 100))
         self.assertEqual(["bulk", "gold"], pop_names(queue, 2))
 
     def test_expected_delay_counts_the_own_class_by_its_share(self) -> None:
-        queue = ClassLine()
+        queue = ClassQueue()
         for index in range(10):
             queue.push(work(f"bulk{index}", "bulk", 1, cost_seconds=0.1))
         gold, bulk = work("g", "gold", 99).sub_request, work("b", "bulk", 1).sub_request
@@ -116,16 +116,16 @@
         granted = 0
         for _ in range(1000):
             policy.on_first_attempt("gold")
-            granted += policy.may_hedge("gold")
+            granted += policy.try_acquire("gold")
         settings = AdmissionSettings()
         most = settings.hedge_budget_burst + 1000 * settings.hedge_budget_ratio
         self.assertTrue(granted <= most, granted)
 
     def test_one_class_cannot_spend_anothers_budget(self) -> None:
         policy = self.policy()
-        while policy.may_hedge("bulk"):
+        while policy.try_acquire("bulk"):
             pass
-        self.assertTrue(policy.may_hedge("gold"))
+        self.assertTrue(policy.try_acquire("gold"))
 
 
 class OwnerTest(TestCase):
--- a/wingquay/admission/arrival.py
+++ b/wingquay/admission/arrival.py
@@ -7,13 +7,15 @@
 from ..ports.machine import Action, Schedule
 from ..routing.replica_tracker import ReplicaTracker
 from .dispatcher_events import WorkExpired
-from .shard_lane import ShardLane
-from .work import Work
+from .shard_state import ShardState
+from .work_item import WorkItem
 
 
-def early_refusal(lane: ShardLane, work: Work, now: float) -> Failure[SubFailureKind] | None:
+def early_refusal(
+    shard_state: ShardState, work: WorkItem, now: float
+) -> Failure[SubFailureKind] | None:
     """Return why the deadline cannot be met, or ``None`` if it is expected to be."""
-    expected = lane.class_delay_seconds(work.sub_request, now) + work.cost_seconds
+    expected = shard_state.class_delay_seconds(work.sub_request, now) + work.cost_seconds
     remaining = work.sub_request.remaining_seconds
     if expected <= remaining:
         return None
@@ -21,7 +23,7 @@
     return Failure(SubFailureKind.REFUSED, reason)
 
 
-def expiry(work: Work) -> list[Action]:
+def schedule_expiry(work: WorkItem) -> list[Action]:
     """Schedule the end of an unrepeatable sub-request, whose caller must learn what is known."""
     if work.sub_request.repeatable:
         return []
--- a/wingquay/admission/attempts.py
+++ b/wingquay/admission/attempt_runner.py
@@ -7,21 +7,21 @@
 from ..ports.backend import BackendFailureKind, CancelAttempt, StartAttempt
 from ..ports.machine import Action, Schedule
 from ..routing.replica_tracker import ReplicaTracker
-from .backend_failures import REPLICA_AT_FAULT
+from .backend_failures import EJECTION_FAILURE_KINDS
 from .dispatcher_events import HedgeDue
 from .hedging import HedgePolicy
 from .service_times import ServiceTimes
 from .settings import AdmissionSettings
-from .shard_lane import ShardLane
-from .work import RunningAttempt, Work
+from .shard_state import ShardState
+from .work_item import RunningAttempt, WorkItem
 
 
 @value
-class Running:
+class AttemptContext:
     """An exchange, whose sub-request it is and where it runs."""
 
-    work: Work
-    lane: ShardLane
+    work: WorkItem
+    shard_state: ShardState
     tracker: ReplicaTracker
     attempt: RunningAttempt
 
@@ -31,7 +31,7 @@
     return f"{sub_request.service}/{sub_request.kind}"
 
 
-class Attempts:
+class AttemptRunner:
     """Starts and cancels exchanges; counts the slots they take.
 
     Parameters
@@ -45,7 +45,7 @@
     ) -> None:
         self._node_id = node_id
         self._disabled = disabled
-        self._running: dict[AttemptId, Running] = {}
+        self._contexts: dict[AttemptId, AttemptContext] = {}
         self._counter = 0
         self._service_times = ServiceTimes(settings.initial_service_seconds)
         self.hedging = HedgePolicy(
@@ -54,22 +54,22 @@
             budgeted=Mechanism.HEDGE_BUDGET not in disabled,
         )
 
-    def running(self, attempt_id: AttemptId) -> Running | None:
+    def find(self, attempt_id: AttemptId) -> AttemptContext | None:
         """Return an exchange that goes on, or ``None``."""
-        return self._running.get(attempt_id)
+        return self._contexts.get(attempt_id)
 
     def expected_seconds(self, sub_request: SubRequest) -> float:
         """Return the slot time that a sub-request is expected to take."""
         return self._service_times.expected_seconds(kind_key(sub_request))
 
-    def may_repeat(self, work: Work) -> bool:
+    def may_repeat(self, work: WorkItem) -> bool:
         """Whether a sub-request may run more than once."""
         if work.sub_request.repeatable:
             return True
         return Mechanism.UNREPEATABLE_GUARD in self._disabled
 
     def start(
-        self, work: Work, lane: ShardLane, tracker: ReplicaTracker, now: float
+        self, work: WorkItem, shard_state: ShardState, tracker: ReplicaTracker, now: float
     ) -> list[Action]:
         """Send a sub-request to a replica."""
         self._counter += 1
@@ -78,7 +78,7 @@
         attempt = RunningAttempt(attempt_id, replica.replica_id, now)
         tracker.in_flight += 1
         work.on_started(attempt)
-        self._running[attempt_id] = Running(work, lane, tracker, attempt)
+        self._contexts[attempt_id] = AttemptContext(work, shard_state, tracker, attempt)
         sub_request = work.sub_request
         start = StartAttempt(
             attempt_id=attempt_id,
@@ -98,7 +98,7 @@
         )
         return [start, *self._schedule_hedge(work, attempt, now)]
 
-    def _schedule_hedge(self, work: Work, attempt: RunningAttempt, now: float) -> list[Action]:
+    def _schedule_hedge(self, work: WorkItem, attempt: RunningAttempt, now: float) -> list[Action]:
         if not self.may_repeat(work):
             return []
         delay = self.hedging.delay_seconds(
@@ -109,52 +109,52 @@
         due = HedgeDue(work.sub_request.sub_request_id, attempt.attempt_id)
         return [Schedule(now + delay, due)]
 
-    def postpone_hedge(self, running: Running, now: float) -> list[Action]:
+    def reschedule_hedge(self, context: AttemptContext, now: float) -> list[Action]:
         """Look again later at a hedge that the budget did not allow now."""
-        return self._schedule_hedge(running.work, running.attempt, now)
+        return self._schedule_hedge(context.work, context.attempt, now)
 
-    def end(self, attempt_id: AttemptId) -> Running | None:
+    def remove(self, attempt_id: AttemptId) -> AttemptContext | None:
         """Forget an exchange that ended and free its slot; ``None`` if it was not going on."""
-        running = self._running.pop(attempt_id, None)
-        if running is not None:
-            running.tracker.in_flight -= 1
-            running.work.running.pop(attempt_id, None)
-        return running
+        context = self._contexts.pop(attempt_id, None)
+        if context is not None:
+            context.tracker.in_flight -= 1
+            context.work.running.pop(attempt_id, None)
+        return context
 
-    def cancel_all(self, work: Work, now: float) -> list[Action]:
+    def cancel_all(self, work: WorkItem, now: float) -> list[Action]:
         """End every exchange of a sub-request."""
         if not work.running or Mechanism.CANCEL_LOSERS in self._disabled:
             return []
         return [self._cancel(attempt, now) for attempt in list(work.running.values())]
 
     def _cancel(self, attempt: RunningAttempt, now: float) -> CancelAttempt:
-        running = self.end(attempt.attempt_id)
-        if running is not None:
+        context = self.remove(attempt.attempt_id)
+        if context is not None:
             # A cancelled attempt took at least this long: leaving it out would make the slow
             # look rare and pull the hedge delay down.
             elapsed = now - attempt.started_at
-            self.hedging.on_service_time(kind_key(running.work.sub_request), elapsed, now)
+            self.hedging.on_service_time(kind_key(context.work.sub_request), elapsed, now)
         return CancelAttempt(attempt.attempt_id)
 
-    def learn_answer(self, running: Running, now: float) -> None:
+    def record_answer(self, context: AttemptContext, now: float) -> None:
         """Take in how long a whole answer took."""
-        service_seconds = now - running.attempt.started_at
-        key = kind_key(running.work.sub_request)
-        running.tracker.on_answer(service_seconds)
+        service_seconds = now - context.attempt.started_at
+        key = kind_key(context.work.sub_request)
+        context.tracker.on_answer(service_seconds)
         self.hedging.on_service_time(key, service_seconds, now)
         self._service_times.record(key, service_seconds)
 
-    def learn_lost_races(self, winner: Running, now: float) -> None:
+    def record_lost_races(self, winner: AttemptContext, now: float) -> None:
         """Take in that a replica answered before others that were asked earlier."""
         for attempt in winner.work.running.values():
             if attempt.started_at < winner.attempt.started_at:
-                self._running[attempt.attempt_id].tracker.on_lost_race(now)
+                self._contexts[attempt.attempt_id].tracker.on_lost_race(now)
 
-    def learn_failure(self, running: Running, kind: BackendFailureKind, now: float) -> None:
+    def record_failure(self, context: AttemptContext, kind: BackendFailureKind, now: float) -> None:
         """Take in why an exchange brought no answer."""
-        tracker = running.tracker
+        tracker = context.tracker
         if kind is BackendFailureKind.SHED:
             tracker.on_shed()
-            running.lane.shedding_until = now + tracker.settings.shedding_hold_seconds
-        if kind in REPLICA_AT_FAULT:
+            context.shard_state.shedding_until = now + tracker.settings.shedding_hold_seconds
+        if kind in EJECTION_FAILURE_KINDS:
             tracker.on_failure(now)
--- a/wingquay/admission/backend_failures.py
+++ b/wingquay/admission/backend_failures.py
@@ -4,7 +4,7 @@
 from ..model.failure import Failure
 from ..ports.backend import NOT_RUN_KINDS, BackendFailureKind
 
-_TRANSLATION = {
+_SUB_FAILURE_KINDS = {
     BackendFailureKind.CONNECT_FAILED: SubFailureKind.NO_REPLICA,
     BackendFailureKind.NO_CONNECTION_FREE: SubFailureKind.REFUSED,
     BackendFailureKind.SHED: SubFailureKind.REFUSED,
@@ -16,7 +16,7 @@
     BackendFailureKind.ERROR: SubFailureKind.BACKEND_ERROR,
 }
 
-REPLICA_AT_FAULT = frozenset(
+EJECTION_FAILURE_KINDS = frozenset(
     {
         BackendFailureKind.CONNECT_FAILED,
         BackendFailureKind.BROKEN,
@@ -29,7 +29,7 @@
 
 def to_sub_failure(failure: Failure[BackendFailureKind]) -> Failure[SubFailureKind]:
     """Return the sub-request's failure for an attempt's."""
-    return Failure(_TRANSLATION[failure.kind], failure.reason)
+    return Failure(_SUB_FAILURE_KINDS[failure.kind], failure.reason)
 
 
 def may_have_run(failure: Failure[BackendFailureKind]) -> bool:
--- a/wingquay/admission/class_line.py
+++ b/wingquay/admission/class_queue.py
@@ -3,10 +3,10 @@
 from ..model.request import SubRequest
 from ..routing.fair_line import FairLine
 from ..routing.line_place import Place
-from .work import Work
+from .work_item import WorkItem
 
 
-class ClassLine(FairLine[Work]):
+class ClassQueue(FairLine[WorkItem]):
     """Waiting sub-requests of one shard.
 
     Parameters
@@ -23,7 +23,7 @@
         """Return how long a newcomer of a class would wait for one of ``parallelism`` slots."""
         return self.delay_seconds(self._place_of_class(sub_request, 1.0), parallelism, now)
 
-    def _place(self, work: Work) -> Place:
+    def _place(self, work: WorkItem) -> Place:
         return self._place_of_class(work.sub_request, work.cost_seconds)
 
     def _place_of_class(self, sub_request: SubRequest, cost_seconds: float) -> Place:
--- a/wingquay/admission/dispatcher.py
+++ b/wingquay/admission/dispatcher.py
@@ -20,22 +20,22 @@
 )
 from ..routing.replica_choice import ReplicaChoice
 from ..routing.replica_tracker import ReplicaTracker
-from .arrival import early_refusal, expiry, replicas_to_avoid
-from .attempts import Attempts, Running
+from .arrival import early_refusal, replicas_to_avoid, schedule_expiry
+from .attempt_runner import AttemptContext, AttemptRunner
 from .backend_failures import may_have_run, to_sub_failure
 from .dispatcher_events import HedgeDue, WorkExpired
-from .lane_table import LaneTable
-from .open_work import OpenWork
 from .requesters import Requesters
 from .retrying import RetryPolicy
 from .settings import AdmissionSettings
-from .shard_lane import ShardLane
-from .work import Work
+from .shard_state import ShardState
+from .shard_table import ShardTable
+from .work_item import WorkItem
+from .work_table import WorkTable
 
 _NO_REPLICA = Failure(SubFailureKind.NO_REPLICA, "no replica of the shard is in service")
 _OWNER_LEAVING = Failure(SubFailureKind.OWNER_LEAVING, "the owner is stopping; ask the next")
-_SHARD_GONE = Failure(SubFailureKind.NOT_OWNED, "the shard left the configuration")
-_EXPIRED_WAITING = Failure(SubFailureKind.DEADLINE, "the deadline passed in the queue")
+_SHARD_REMOVED = Failure(SubFailureKind.NOT_OWNED, "the shard left the configuration")
+_EXPIRED_IN_QUEUE = Failure(SubFailureKind.DEADLINE, "the deadline passed in the queue")
 _EXPIRED_RUNNING = Failure(SubFailureKind.DEADLINE, "no whole answer by the deadline")
 
 
@@ -52,16 +52,16 @@
         self,
         node_id: NodeId,
         settings: AdmissionSettings,
-        lanes: LaneTable,
+        shards: ShardTable,
         choice: ReplicaChoice,
         disabled: frozenset[Mechanism] = frozenset(),
     ) -> None:
         self._node_id = node_id
-        self._lanes = lanes
+        self._shards = shards
         self._choice = choice
         self._disabled = disabled
-        self._attempts = Attempts(node_id, settings, disabled)
-        self._open = OpenWork(lanes, self._attempts, disabled)
+        self._attempts = AttemptRunner(node_id, settings, disabled)
+        self._work_table = WorkTable(shards, self._attempts, disabled)
         self._retrying = RetryPolicy(settings, Mechanism.RETRY_BUDGET not in disabled)
         self.is_leaving = False
         """Whether this node is stopping: other nodes' new sub-requests are sent back at once."""
@@ -69,18 +69,18 @@
     @property
     def in_flight(self) -> int:
         """Sub-requests that wait or run here."""
-        return len(self._open)
+        return len(self._work_table)
 
     @property
     def requesters(self) -> Requesters:
         """The nodes that wait for results."""
-        return self._open.requesters
+        return self._work_table.requesters
 
     def on_batch(self, batch: SubRequestBatch, sender: NodeIdentity, now: float) -> list[Action]:
         """Take in sub-requests from ``sender``."""
         actions: list[Action] = []
         for sub_request in batch.sub_requests:
-            if sub_request.sub_request_id not in self._open:
+            if sub_request.sub_request_id not in self._work_table:
                 actions += self._accept(sub_request, sender, now)
         return actions
 
@@ -88,128 +88,128 @@
         """Drop sub-requests that nobody waits for any more; no results follow."""
         actions: list[Action] = []
         for sub_request_id in message.sub_request_ids:
-            work = self._open.find(sub_request_id)
+            work = self._work_table.find(sub_request_id)
             if work is None:
                 continue
-            actions += self._open.end(work, now)
-            actions += self._pump_shard(work.sub_request.shard_id, now)
+            actions += self._work_table.discard(work, now)
+            actions += self._dispatch_shard(work.sub_request.shard_id, now)
         return actions
 
-    def on_lane_gone(self, lane: ShardLane, now: float) -> list[Action]:
+    def on_shard_removed(self, shard_state: ShardState, now: float) -> list[Action]:
         """Fail what waits for a shard that the configuration no longer has."""
-        return self._fail_waiting(lane, _SHARD_GONE, now)
+        return self._fail_queued(shard_state, _SHARD_REMOVED, now)
 
     def on_work_expired(self, event: WorkExpired, now: float) -> list[Action]:
         """Give the final result of an unrepeatable sub-request at its deadline."""
-        work = self._open.find(event.sub_request_id)
+        work = self._work_table.find(event.sub_request_id)
         if work is None:
             return []
-        actions = self._open.finish(work, _EXPIRED_RUNNING, now)
-        return actions + self._pump_shard(work.sub_request.shard_id, now)
+        actions = self._work_table.finish(work, _EXPIRED_RUNNING, now)
+        return actions + self._dispatch_shard(work.sub_request.shard_id, now)
 
     def on_replica_changed(self, replica_id: str, now: float) -> list[Action]:
         """Start whatever may start after a replica's state has changed."""
-        found = self._lanes.tracker(replica_id)
-        return [] if found is None else self._pump(found[0], now)
+        found = self._shards.tracker(replica_id)
+        return [] if found is None else self._dispatch(found[0], now)
 
     # Arrival -----------------------------------------------------------------------------
 
     def _accept(self, sub_request: SubRequest, sender: NodeIdentity, now: float) -> list[Action]:
-        work = self._open.add(sub_request, sender, now)
+        work = self._work_table.add(sub_request, sender, now)
         if self.is_leaving and sender.node_id != self._node_id:
-            return self._open.finish(work, _OWNER_LEAVING, now)
-        lane = self._lanes.lane(sub_request.shard_id)
-        if lane is None:
+            return self._work_table.finish(work, _OWNER_LEAVING, now)
+        shard_state = self._shards.shard_state(sub_request.shard_id)
+        if shard_state is None:
             reason = f"shard {sub_request.shard_id!r} is not in this node's configuration"
-            return self._open.finish(work, Failure(SubFailureKind.NOT_OWNED, reason), now)
-        usable = self._choice.usable(lane.tracker_list, now)
+            return self._work_table.finish(work, Failure(SubFailureKind.NOT_OWNED, reason), now)
+        usable = self._choice.usable(shard_state.tracker_list, now)
         if not usable:
-            return self._open.finish(work, _NO_REPLICA, now)
+            return self._work_table.finish(work, _NO_REPLICA, now)
         work.tried += replicas_to_avoid(sub_request, usable)
         refuses_early = Mechanism.EARLY_REFUSAL not in self._disabled
-        refusal = early_refusal(lane, work, now) if refuses_early else None
+        refusal = early_refusal(shard_state, work, now) if refuses_early else None
         if refusal is not None:
-            return self._open.finish(work, refusal, now)
-        return expiry(work) + self._start_or_queue(lane, work, usable, now)
+            return self._work_table.finish(work, refusal, now)
+        return schedule_expiry(work) + self._start_or_queue(shard_state, work, usable, now)
 
     def _start_or_queue(
-        self, lane: ShardLane, work: Work, usable: list[ReplicaTracker], now: float
+        self, shard_state: ShardState, work: WorkItem, usable: list[ReplicaTracker], now: float
     ) -> list[Action]:
-        if not lane.queue and not lane.hedge_line:
+        if not shard_state.queue and not shard_state.hedge_queue:
             free = self._choice.with_free_slot(usable, now)
             tracker = self._choice.choose(free, work.tried, work.sub_request.snapshot)
             if tracker is not None:
-                return self._start_first(work, lane, tracker, now)
-        lane.queue.push(work)
-        return self._pump(lane, now)
+                return self._start_first(work, shard_state, tracker, now)
+        shard_state.queue.push(work)
+        return self._dispatch(shard_state, now)
 
     # Starting attempts -------------------------------------------------------------------
 
-    def _pump_shard(self, shard_id: str, now: float) -> list[Action]:
-        lane = self._lanes.lane(shard_id)
-        return [] if lane is None else self._pump(lane, now)
+    def _dispatch_shard(self, shard_id: str, now: float) -> list[Action]:
+        shard_state = self._shards.shard_state(shard_id)
+        return [] if shard_state is None else self._dispatch(shard_state, now)
 
-    def _pump(self, lane: ShardLane, now: float) -> list[Action]:
+    def _dispatch(self, shard_state: ShardState, now: float) -> list[Action]:
         """Start what waits for as long as replicas have free slots."""
-        if not lane.queue and not lane.hedge_line:
+        if not shard_state.queue and not shard_state.hedge_queue:
             return []
-        usable = self._choice.usable(lane.tracker_list, now)
+        usable = self._choice.usable(shard_state.tracker_list, now)
         if not usable:
-            return self._fail_waiting(lane, _NO_REPLICA, now)
+            return self._fail_queued(shard_state, _NO_REPLICA, now)
         actions: list[Action] = []
         while True:
             free = self._choice.with_free_slot(usable, now)
             if not free:
                 return actions
-            started = self._start_hedge(lane, free, now)
+            started = self._start_hedge(shard_state, free, now)
             if started is None:
-                started = self._start_waiting(lane, free, usable, now)
+                started = self._start_queued(shard_state, free, usable, now)
             if started is None:
                 return actions
             actions += started
 
     def _start_hedge(
-        self, lane: ShardLane, free: list[ReplicaTracker], now: float
+        self, shard_state: ShardState, free: list[ReplicaTracker], now: float
     ) -> list[Action] | None:
-        work = lane.next_hedge()
+        work = shard_state.next_hedge()
         if work is None:
             return None
         tracker = self._choice.choose(free, work.tried, work.sub_request.snapshot)
         if tracker is None:
             return None
-        lane.hedge_line.popleft()
-        work.wants_hedge = False
+        shard_state.hedge_queue.popleft()
+        work.awaits_hedge = False
         work.hedges += 1
         labels = (("class", work.sub_request.class_name),)
-        started = self._attempts.start(work, lane, tracker, now)
+        started = self._attempts.start(work, shard_state, tracker, now)
         return [Count("wingquay_hedges_total", labels=labels), *started]
 
-    def _start_waiting(
+    def _start_queued(
         self,
-        lane: ShardLane,
+        shard_state: ShardState,
         free: list[ReplicaTracker],
         usable: list[ReplicaTracker],
         now: float,
     ) -> list[Action] | None:
-        work = lane.queue.pop(self._acceptor(free, usable, now), now)
+        work = shard_state.queue.pop(self._dequeue_predicate(free, usable, now), now)
         if work is None:
             return None
         if self._is_expired(work, now):
-            return self._open.finish(work, work.last_failure or _EXPIRED_WAITING, now)
+            return self._work_table.finish(work, work.last_failure or _EXPIRED_IN_QUEUE, now)
         tracker = self._choice.choose(free, work.tried, work.sub_request.snapshot)
         if tracker is None:
-            return self._open.finish(work, _unservable(work), now)
-        return self._start_first(work, lane, tracker, now)
+            return self._work_table.finish(work, _no_candidate_failure(work), now)
+        return self._start_first(work, shard_state, tracker, now)
 
-    def _is_expired(self, work: Work, now: float) -> bool:
+    def _is_expired(self, work: WorkItem, now: float) -> bool:
         return Mechanism.DEADLINE_CHECK not in self._disabled and now >= work.deadline_at
 
-    def _acceptor(
+    def _dequeue_predicate(
         self, free: list[ReplicaTracker], usable: list[ReplicaTracker], now: float
-    ) -> Callable[[Work], bool]:
+    ) -> Callable[[WorkItem], bool]:
         """Return a test for work that can start on ``free``, or that never can start at all."""
 
-        def accepts(work: Work) -> bool:
+        def accepts(work: WorkItem) -> bool:
             snapshot = work.sub_request.snapshot
             if self._is_expired(work, now):
                 return True
@@ -220,95 +220,99 @@
         return accepts
 
     def _start_first(
-        self, work: Work, lane: ShardLane, tracker: ReplicaTracker, now: float
+        self, work: WorkItem, shard_state: ShardState, tracker: ReplicaTracker, now: float
     ) -> list[Action]:
         if work.first_started_at is None:
             self._attempts.hedging.on_first_attempt(work.sub_request.class_name)
             self._retrying.on_first_attempt(work.sub_request.service)
-        return self._attempts.start(work, lane, tracker, now)
+        return self._attempts.start(work, shard_state, tracker, now)
 
     def on_hedge_due(self, event: HedgeDue, now: float) -> list[Action]:
         """Let a slow sub-request stand in line for a second replica."""
-        running = self._attempts.running(event.attempt_id)
-        if running is None or running.work.is_finished or running.work.wants_hedge:
+        context = self._attempts.find(event.attempt_id)
+        if context is None or context.work.is_finished or context.work.awaits_hedge:
             return []
-        work, lane = running.work, running.lane
-        usable = self._choice.usable(lane.tracker_list, now)
+        work, shard_state = context.work, context.shard_state
+        usable = self._choice.usable(shard_state.tracker_list, now)
         if self._choice.choose(usable, work.tried, work.sub_request.snapshot) is None:
             return []
         class_name = work.sub_request.class_name
-        if now < lane.shedding_until or not self._attempts.hedging.may_hedge(class_name):
+        if now < shard_state.shedding_until or not self._attempts.hedging.try_acquire(class_name):
             withheld = Count("wingquay_hedges_withheld_total")
-            return [withheld, *self._attempts.postpone_hedge(running, now)]
-        work.wants_hedge = True
-        lane.hedge_line.append(work)
-        return self._pump(lane, now)
+            return [withheld, *self._attempts.reschedule_hedge(context, now)]
+        work.awaits_hedge = True
+        shard_state.hedge_queue.append(work)
+        return self._dispatch(shard_state, now)
 
     # Ends of attempts --------------------------------------------------------------------
 
     def on_attempt_finished(self, event: AttemptFinished, now: float) -> list[Action]:
         """Take in the end of an exchange."""
-        running = self._attempts.end(event.attempt_id)
-        if running is None:
+        context = self._attempts.remove(event.attempt_id)
+        if context is None:
             return [Count("wingquay_stray_attempts_total")]
         if isinstance(event.result, BackendAnswer):
-            self._attempts.learn_answer(running, now)
-            self._attempts.learn_lost_races(running, now)
-            actions = self._on_answer(running.work, event.result, now)
+            self._attempts.record_answer(context, now)
+            self._attempts.record_lost_races(context, now)
+            actions = self._on_answer(context.work, event.result, now)
         else:
-            self._attempts.learn_failure(running, event.result.kind, now)
-            actions = self._on_failure(running, event.result, now)
-        return actions + self._pump(running.lane, now)
+            self._attempts.record_failure(context, event.result.kind, now)
+            actions = self._on_failure(context, event.result, now)
+        return actions + self._dispatch(context.shard_state, now)
 
-    def _on_answer(self, work: Work, answer: BackendAnswer, now: float) -> list[Action]:
+    def _on_answer(self, work: WorkItem, answer: BackendAnswer, now: float) -> list[Action]:
         if work.is_finished:
             return [Count("wingquay_late_answers_total")]
         covered = answer.covered
         if Mechanism.COVERAGE_ACCOUNTING in self._disabled:
             covered = work.sub_request.key_ranges
         result = SubAnswer(answer.snapshot, covered, answer.rows)
-        return self._open.finish(work, result, now)
+        return self._work_table.finish(work, result, now)
 
     def _on_failure(
-        self, running: Running, failure: Failure[BackendFailureKind], now: float
+        self, context: AttemptContext, failure: Failure[BackendFailureKind], now: float
     ) -> list[Action]:
-        work, lane = running.work, running.lane
+        work, shard_state = context.work, context.shard_state
         work.may_have_run = work.may_have_run or may_have_run(failure)
         work.last_failure = to_sub_failure(failure)
         if work.is_finished or work.running:
             return []
-        if self._may_retry(lane, work, failure.kind, now):
+        if self._may_retry(shard_state, work, failure.kind, now):
             work.retries += 1
-            work.wants_hedge = False
-            lane.queue.push_front(work)
-            return [Count("wingquay_retries_total", labels=(("service", lane.service.name),))]
-        return self._open.finish(work, work.last_failure, now)
-
-    def _may_retry(self, lane: ShardLane, work: Work, kind: BackendFailureKind, now: float) -> bool:
+            work.awaits_hedge = False
+            shard_state.queue.push_front(work)
+            return [
+                Count("wingquay_retries_total", labels=(("service", shard_state.service.name),))
+            ]
+        return self._work_table.finish(work, work.last_failure, now)
+
+    def _may_retry(
+        self, shard_state: ShardState, work: WorkItem, kind: BackendFailureKind, now: float
+    ) -> bool:
         if work.may_have_run and not self._attempts.may_repeat(work):
             return False
         if now >= work.deadline_at:
             return False
-        usable = self._choice.usable(lane.tracker_list, now)
+        usable = self._choice.usable(shard_state.tracker_list, now)
         if self._choice.choose(usable, work.tried, work.sub_request.snapshot) is None:
             return False
-        costs_nothing = kind is BackendFailureKind.NOT_HELD
-        return self._retrying.may_retry(work.sub_request.service, work.retries, costs_nothing)
+        is_free = kind is BackendFailureKind.NOT_HELD
+        return self._retrying.try_acquire(work.sub_request.service, work.retries, is_free)
 
     # Results -----------------------------------------------------------------------------
 
-    def _fail_waiting(
-        self, lane: ShardLane, failure: Failure[SubFailureKind], now: float
+    def _fail_queued(
+        self, shard_state: ShardState, failure: Failure[SubFailureKind], now: float
     ) -> list[Action]:
         actions: list[Action] = []
         while True:
-            work = lane.queue.pop(lambda _: True, now)
+            work = shard_state.queue.pop(lambda _: True, now)
             if work is None:
                 return actions
-            actions += self._open.finish(work, work.last_failure or failure, now)
+            actions += self._work_table.finish(work, work.last_failure or failure, now)
 
 
-def _unservable(work: Work) -> Failure[SubFailureKind]:
+def _no_candidate_failure(work: WorkItem) -> Failure[SubFailureKind]:
     if work.last_failure is not None:
         return work.last_failure
     reason = f"no replica in service holds snapshot {work.sub_request.snapshot}"
--- a/wingquay/admission/health_prober.py
+++ b/wingquay/admission/health_prober.py
@@ -23,13 +23,13 @@
 from ..ports.peer import ReplicaState
 from ..routing.replica_tracker import ReplicaTracker
 from ..routing.settings import RoutingSettings
-from .lane_table import LaneTable
-from .shard_lane import ShardLane
+from .shard_state import ShardState
+from .shard_table import ShardTable
 
-OBSERVATION_REPEAT_SECONDS = 0.5
+OBSERVATION_REPEAT_INTERVAL_SECONDS = 0.5
 """Evidence that did not change is repeated so often: it counts only while it is fresh."""
 
-PAGE_TRUST_SECONDS = 30.0
+LEAVING_HOLD_PERIOD_SECONDS = 30.0
 """Time after the last sign that a replica is leaving in which its health page cannot clear it.
 
 A replica that was unreachable meanwhile and then says that it is cold has been started again.
@@ -46,17 +46,19 @@
 class HealthProber:
     """Probes owned replicas and turns what is seen of them into observations."""
 
-    def __init__(self, node_id: str, settings: RoutingSettings, lanes: LaneTable) -> None:
+    def __init__(self, node_id: str, settings: RoutingSettings, shards: ShardTable) -> None:
         self._node_id = node_id
         self._settings = settings
-        self._lanes = lanes
+        self._shards = shards
         self._last_observed: dict[str, _Observation] = {}
         self._leaving_at: dict[str, float] = {}
         self._unreachable_since_leaving: set[str] = set()
 
-    def probe_owned(self, owned: Iterable[ShardLane]) -> list[Action]:
+    def probe_owned(self, owned: Iterable[ShardState]) -> list[Action]:
         """Read the health pages of the replicas whose shards this node owns."""
-        return [self._probe(tracker) for lane in owned for tracker in lane.tracker_list]
+        return [
+            self._probe(tracker) for shard_state in owned for tracker in shard_state.tracker_list
+        ]
 
     def _probe(self, tracker: ReplicaTracker) -> ProbeReplica:
         replica = tracker.replica
@@ -69,14 +71,14 @@
             self._unreachable_since_leaving.add(event.replica_id)
             return []
         report = event.result
-        held = self._take_report(event.replica_id, report, now, is_on_answer=False)
+        held = self._apply_report(event.replica_id, report, now, from_answer=False)
         if report.draining:
             return self._observe(event.replica_id, ReplicaState.LEAVING, held, now)
-        if not self._page_may_clear(event.replica_id, report, now):
+        if not self._may_clear_leaving(event.replica_id, report, now):
             return []
         return self._observe(event.replica_id, ReplicaState.SERVING, held, now)
 
-    def _page_may_clear(self, replica_id: str, report: LoadReport, now: float) -> bool:
+    def _may_clear_leaving(self, replica_id: str, report: LoadReport, now: float) -> bool:
         """Whether "serving" on a health page says anything: pages lag behind a drain."""
         leaving_at = self._leaving_at.get(replica_id)
         if leaving_at is None:
@@ -85,14 +87,14 @@
         # sign alone is not enough: the network may have been cut, the page may be an old one.
         if report.cold and replica_id in self._unreachable_since_leaving:
             return True
-        return now - leaving_at >= PAGE_TRUST_SECONDS
+        return now - leaving_at >= LEAVING_HOLD_PERIOD_SECONDS
 
     def on_attempt_finished(self, event: AttemptFinished, now: float) -> list[Action]:
         """Take in what an exchange says of its replica."""
         replica_id = event.replica_id
         held: HeldVersions | None = None
         if event.load is not None:
-            held = self._take_report(replica_id, event.load, now, is_on_answer=True)
+            held = self._apply_report(replica_id, event.load, now, from_answer=True)
             if event.load.draining:
                 return self._observe(replica_id, ReplicaState.LEAVING, held, now)
         state = self._state_after(event)
@@ -106,24 +108,24 @@
         kind = event.result.kind
         if kind is BackendFailureKind.DRAINING:
             return ReplicaState.LEAVING
-        found = self._lanes.tracker(event.replica_id)
+        found = self._shards.tracker(event.replica_id)
         if kind is not BackendFailureKind.CONNECT_FAILED or found is None:
             return None
-        refused_often = found[1].failures_in_row + 1 >= self._settings.ejection_failures
-        return ReplicaState.GONE if refused_often else None
+        is_gone = found[1].failures_in_row + 1 >= self._settings.ejection_failures
+        return ReplicaState.GONE if is_gone else None
 
-    def _take_report(
-        self, replica_id: str, report: LoadReport, now: float, is_on_answer: bool
+    def _apply_report(
+        self, replica_id: str, report: LoadReport, now: float, from_answer: bool
     ) -> HeldVersions | None:
-        found = self._lanes.tracker(replica_id)
+        found = self._shards.tracker(replica_id)
         if found is None:
             return None
         tracker = found[1]
-        held = self._held(tracker, report)
-        tracker.on_report(report.cold, report.utilization, held, now, is_on_answer)
+        held = self._held_versions(tracker, report)
+        tracker.on_report(report.cold, report.utilization, held, now, from_answer)
         return tracker.held
 
-    def _held(self, tracker: ReplicaTracker, report: LoadReport) -> HeldVersions | None:
+    def _held_versions(self, tracker: ReplicaTracker, report: LoadReport) -> HeldVersions | None:
         if report.oldest_version is None or report.newest_version is None:
             return None
         replica_id = tracker.replica.replica_id
@@ -135,18 +137,22 @@
         if state is ReplicaState.LEAVING:
             self._leaving_at[replica_id] = now
             self._unreachable_since_leaving.discard(replica_id)
-        if self._lanes.tracker(replica_id) is None:
+        if self._shards.tracker(replica_id) is None:
             return []
         last = self._last_observed.get(replica_id)
-        is_news = last is None or (last.state, last.held) != (state, held)
-        if last is not None and not is_news and now - last.at < OBSERVATION_REPEAT_SECONDS:
+        has_changed = last is None or (last.state, last.held) != (state, held)
+        if (
+            last is not None
+            and not has_changed
+            and now - last.at < OBSERVATION_REPEAT_INTERVAL_SECONDS
+        ):
             return []
         self._last_observed[replica_id] = _Observation(state, held, now)
         return [Notify(ReplicaObserved(replica_id, state, held))]
 
-    def on_belief(self, event: ReplicaBelief) -> None:
+    def on_replica_belief(self, event: ReplicaBelief) -> None:
         """Take in what the membership machine makes of all evidence about a replica."""
-        found = self._lanes.tracker(event.replica_id)
+        found = self._shards.tracker(event.replica_id)
         if found is None:
             return
         tracker = found[1]
--- a/wingquay/admission/hedging.py
+++ b/wingquay/admission/hedging.py
@@ -9,7 +9,7 @@
 from .budget import RatioBudget
 from .settings import AdmissionSettings
 
-MEDIAN = 0.5
+MEDIAN_QUANTILE = 0.5
 
 
 class HedgePolicy:
@@ -45,24 +45,24 @@
         if not self._enabled or hedges_so_far >= self._settings.most_hedges:
             return None
         tracker = self._trackers.get(kind_key)
-        measured = None if tracker is None else self._measured_delay(tracker)
-        if measured is None:
+        delay = None if tracker is None else self._quantile_delay(tracker)
+        if delay is None:
             return expected_seconds * self._settings.hedge_initial_factor
-        return measured
+        return delay
 
-    def _measured_delay(self, tracker: LatencyTracker) -> float | None:
-        fewest = self._settings.hedge_fewest_samples
-        slow = tracker.quantile_seconds(self._settings.hedge_quantile, fewest)
-        median = tracker.quantile_seconds(MEDIAN, fewest)
-        if slow is None or median is None:
+    def _quantile_delay(self, tracker: LatencyTracker) -> float | None:
+        min_samples = self._settings.hedge_fewest_samples
+        quantile = tracker.quantile_seconds(self._settings.hedge_quantile, min_samples)
+        median = tracker.quantile_seconds(MEDIAN_QUANTILE, min_samples)
+        if quantile is None or median is None:
             return None
-        return max(slow, median * self._settings.hedge_least_factor)
+        return max(quantile, median * self._settings.hedge_least_factor)
 
-    def may_hedge(self, class_name: str) -> bool:
+    def try_acquire(self, class_name: str) -> bool:
         """Take one hedge from the class's budget; ``False`` if it is spent."""
         return not self._budgeted or self._budget(class_name).spend()
 
-    def give_back(self, class_name: str) -> None:
+    def refund(self, class_name: str) -> None:
         """Return a hedge that was granted but not sent."""
         budget = self._budget(class_name)
         budget.available = min(budget.burst, budget.available + 1.0)
--- a/wingquay/admission/owner_machine.py
+++ b/wingquay/admission/owner_machine.py
@@ -35,9 +35,9 @@
     WorkExpired,
 )
 from .health_prober import HealthProber
-from .lane_table import LaneTable
 from .settings import AdmissionSettings
-from .shard_lane import ShardLane
+from .shard_state import ShardState
+from .shard_table import ShardTable
 
 
 class OwnerMachine:
@@ -75,8 +75,8 @@
         self._random = random_source
         self._disabled = disabled
         self._owners = OwnerTable(routing.owners_per_shard)
-        self._lanes = LaneTable(routing, Mechanism.CLASS_ORDER not in disabled)
-        self._owned: list[ShardLane] | None = None
+        self._shards = ShardTable(routing, Mechanism.CLASS_ORDER not in disabled)
+        self._owned: list[ShardState] | None = None
         self._heartbeat_scheduled = False
         choice = ReplicaChoice(
             identity.zone,
@@ -85,8 +85,8 @@
             slow_start=Mechanism.SLOW_START not in disabled,
             ejection=Mechanism.OUTLIER_EJECTION not in disabled,
         )
-        self._dispatcher = Dispatcher(identity.node_id, admission, self._lanes, choice, disabled)
-        self._prober = HealthProber(identity.node_id, routing, self._lanes)
+        self._dispatcher = Dispatcher(identity.node_id, admission, self._shards, choice, disabled)
+        self._prober = HealthProber(identity.node_id, routing, self._shards)
 
     @property
     def in_flight(self) -> int:
@@ -97,23 +97,23 @@
         """Return the share in use of the slots that this owner queues for, by service."""
         slots: dict[ServiceName, int] = {}
         in_flight: dict[ServiceName, int] = {}
-        for lane in self._owned_lanes():
-            name = lane.service.name
-            for tracker in lane.tracker_list:
+        for shard_state in self._owned_shards():
+            name = shard_state.service.name
+            for tracker in shard_state.tracker_list:
                 slots[name] = slots.get(name, 0) + tracker.replica.slots
                 in_flight[name] = in_flight.get(name, 0) + tracker.in_flight
         return tuple(ServiceLoad(name, in_flight[name] / slots[name]) for name in sorted(in_flight))
 
-    def _owned_lanes(self) -> list[ShardLane]:
+    def _owned_shards(self) -> list[ShardState]:
         """Return the lanes of the shards that this node owns; found anew after a change."""
         if self._owned is None:
-            self._owned = [lane for lane in self._lanes if self._owns(lane)]
+            self._owned = [shard_state for shard_state in self._shards if self._owns(shard_state)]
         return self._owned
 
-    def _owns(self, lane: ShardLane) -> bool:
-        if lane.service.deployment != self._identity.deployment:
+    def _owns(self, shard_state: ShardState) -> bool:
+        if shard_state.service.deployment != self._identity.deployment:
             return False
-        owners = self._owners.owners_of(lane.shard.shard_id)
+        owners = self._owners.owners_of(shard_state.shard.shard_id)
         return any(node.node_id == self._identity.node_id for node in owners)
 
     def handle(self, event: Event, now: float) -> list[Action]:
@@ -130,7 +130,7 @@
             case WorkExpired():
                 return self._dispatcher.on_work_expired(event, now)
             case _:
-                return self._on_rare(event, now)
+                return self._handle_other(event, now)
 
     def _on_peer(self, event: PeerReceived, now: float) -> list[Action]:
         if isinstance(event.message, SubRequestBatch):
@@ -140,7 +140,7 @@
             return self._dispatcher.on_cancel(event.message, now)
         return []
 
-    def _on_rare(self, event: Event, now: float) -> list[Action]:
+    def _handle_other(self, event: Event, now: float) -> list[Action]:
         match event:
             case Start():
                 phase = self._random.random() * self._routing.health_interval_seconds
@@ -155,24 +155,24 @@
             case LeavingStarted():
                 self._dispatcher.is_leaving = True
             case ReplicaBelief() if Mechanism.REPLICA_LEAVING not in self._disabled:
-                self._prober.on_belief(event)
+                self._prober.on_replica_belief(event)
                 return self._dispatcher.on_replica_changed(event.replica_id, now)
             case ReplicaProbed():
                 actions = self._prober.on_probed(event, now)
                 return actions + self._dispatcher.on_replica_changed(event.replica_id, now)
             case ProbeDue():
                 due = Schedule(now + self._routing.health_interval_seconds, ProbeDue())
-                return [due, *self._prober.probe_owned(self._owned_lanes())]
+                return [due, *self._prober.probe_owned(self._owned_shards())]
             case HeartbeatDue():
                 return self._on_heartbeat_due(now)
         return []
 
     def _on_configuration(self, configuration: Configuration, now: float) -> list[Action]:
         actions: list[Action] = []
-        for lane in self._lanes.apply(configuration):
-            actions += self._dispatcher.on_lane_gone(lane, now)
+        for shard_state in self._shards.apply(configuration):
+            actions += self._dispatcher.on_shard_removed(shard_state, now)
         self._owned = None
-        return actions + self._prober.probe_owned(self._owned_lanes())
+        return actions + self._prober.probe_owned(self._owned_shards())
 
     def _schedule_heartbeat(self, sender: NodeIdentity, now: float) -> list[Action]:
         if self._heartbeat_scheduled or sender.node_id == self._identity.node_id:
@@ -186,7 +186,7 @@
             self._heartbeat_scheduled = False
             return []
         interval = self._admission.owner_heartbeat_seconds
-        silent = requesters.silent_since(now - interval, now)
+        silent = requesters.take_unsent_since(now - interval, now)
         actions: list[Action] = [Schedule(now + interval, HeartbeatDue())]
         for identity in silent:
             if identity.node_id != self._identity.node_id:
--- a/wingquay/admission/requesters.py
+++ b/wingquay/admission/requesters.py
@@ -30,7 +30,7 @@
             self._waiting[requester.node_id] = waiting
         waiting.outstanding += 1
 
-    def on_ended(self, requester: NodeIdentity, now: float) -> None:
+    def on_finished(self, requester: NodeIdentity, now: float) -> None:
         """Count one fewer sub-request of ``requester``."""
         waiting = self._waiting.get(requester.node_id)
         if waiting is None:
@@ -40,7 +40,7 @@
         if waiting.outstanding <= 0:
             del self._waiting[requester.node_id]
 
-    def silent_since(self, before: float, now: float) -> list[NodeIdentity]:
+    def take_unsent_since(self, before: float, now: float) -> list[NodeIdentity]:
         """Return the nodes that were sent nothing since ``before``, and count them as sent."""
         silent = [waiting for waiting in self._waiting.values() if waiting.last_sent_at <= before]
         for waiting in silent:
--- a/wingquay/admission/retrying.py
+++ b/wingquay/admission/retrying.py
@@ -25,11 +25,11 @@
         """Take in a first attempt: it earns the service its share of retries."""
         self._budget(service).earn()
 
-    def may_retry(self, service: str, retries_so_far: int, costs_nothing: bool) -> bool:
+    def try_acquire(self, service: str, retries_so_far: int, is_free: bool) -> bool:
         """Whether one more retry may leave; it is taken from the budget unless it is free."""
         if retries_so_far >= self._settings.most_retries:
             return False
-        return costs_nothing or not self._budgeted or self._budget(service).spend()
+        return is_free or not self._budgeted or self._budget(service).spend()
 
     def _budget(self, service: str) -> RatioBudget:
         budget = self._budgets.get(service)
--- a/wingquay/admission/service_times.py
+++ b/wingquay/admission/service_times.py
@@ -1,6 +1,6 @@
 """Expected slot time of a kind of request, as a moving average of what was seen."""
 
-SAMPLE_WEIGHT = 0.05
+EWMA_WEIGHT = 0.05
 
 
 class ServiceTimes:
@@ -13,7 +13,7 @@
     def record(self, kind_key: str, service_seconds: float) -> None:
         """Take in the service time of a whole answer."""
         average = self._averages.get(kind_key, service_seconds)
-        self._averages[kind_key] = average + SAMPLE_WEIGHT * (service_seconds - average)
+        self._averages[kind_key] = average + EWMA_WEIGHT * (service_seconds - average)
 
     def expected_seconds(self, kind_key: str) -> float:
         """Return the expected service time of a kind."""
--- a/wingquay/admission/shard_lane.py
+++ b/wingquay/admission/shard_state.py
@@ -7,12 +7,12 @@
 from ..model.configuration import Service, Shard
 from ..model.request import SubRequest
 from ..routing.replica_tracker import ReplicaTracker
-from .class_line import ClassLine
-from .work import Work
+from .class_queue import ClassQueue
+from .work_item import WorkItem
 
 
 @dataclass(slots=True)
-class ShardLane:
+class ShardState:
     """State of one shard.
 
     Parameters
@@ -24,9 +24,9 @@
     service: Service
     shard: Shard
     trackers: dict[str, ReplicaTracker]
-    queue: ClassLine
+    queue: ClassQueue
     tracker_list: list[ReplicaTracker] = field(default_factory=list)
-    hedge_line: deque[Work] = field(default_factory=deque)
+    hedge_queue: deque[WorkItem] = field(default_factory=deque)
     shedding_until: float = 0.0
 
     def parallelism(self) -> int:
@@ -48,11 +48,11 @@
             if tracker.held is not None and not tracker.leaving
         )
 
-    def next_hedge(self) -> Work | None:
+    def next_hedge(self) -> WorkItem | None:
         """Return the first sub-request that still wants a hedge; it stays in line."""
-        while self.hedge_line:
-            work = self.hedge_line[0]
-            if not work.is_finished and work.wants_hedge:
+        while self.hedge_queue:
+            work = self.hedge_queue[0]
+            if not work.is_finished and work.awaits_hedge:
                 return work
-            self.hedge_line.popleft()
+            self.hedge_queue.popleft()
         return None
--- a/wingquay/admission/lane_table.py
+++ b/wingquay/admission/shard_table.py
@@ -5,11 +5,11 @@
 from ..model.configuration import Configuration, Replica, Service, Shard
 from ..routing.replica_tracker import ReplicaTracker
 from ..routing.settings import RoutingSettings
-from .class_line import ClassLine
-from .shard_lane import ShardLane
+from .class_queue import ClassQueue
+from .shard_state import ShardState
 
 
-class LaneTable:
+class ShardTable:
     """Shard lanes by shard id, and the lane of each replica.
 
     Parameters
@@ -21,49 +21,53 @@
     def __init__(self, settings: RoutingSettings, by_class: bool) -> None:
         self._settings = settings
         self._by_class = by_class
-        self._lanes: dict[str, ShardLane] = {}
-        self._lane_of_replica: dict[str, ShardLane] = {}
+        self._shards: dict[str, ShardState] = {}
+        self._shard_of_replica: dict[str, ShardState] = {}
 
-    def __iter__(self) -> Iterator[ShardLane]:
+    def __iter__(self) -> Iterator[ShardState]:
         """Return all lanes, in the configuration's order."""
-        return iter(self._lanes.values())
+        return iter(self._shards.values())
 
-    def lane(self, shard_id: str) -> ShardLane | None:
+    def shard_state(self, shard_id: str) -> ShardState | None:
         """Return the lane of a shard, or ``None`` if the configuration has no such shard."""
-        return self._lanes.get(shard_id)
+        return self._shards.get(shard_id)
 
-    def tracker(self, replica_id: str) -> tuple[ShardLane, ReplicaTracker] | None:
+    def tracker(self, replica_id: str) -> tuple[ShardState, ReplicaTracker] | None:
         """Return a replica's lane and tracker, or ``None`` if it is unknown."""
-        lane = self._lane_of_replica.get(replica_id)
-        if lane is None:
+        shard_state = self._shard_of_replica.get(replica_id)
+        if shard_state is None:
             return None
-        return lane, lane.trackers[replica_id]
+        return shard_state, shard_state.trackers[replica_id]
 
-    def apply(self, configuration: Configuration) -> list[ShardLane]:
+    def apply(self, configuration: Configuration) -> list[ShardState]:
         """Follow the configuration; return the lanes that are gone with what waits in them."""
-        before = self._lanes
-        self._lanes = {}
-        self._lane_of_replica = {}
+        before = self._shards
+        self._shards = {}
+        self._shard_of_replica = {}
         for service in configuration.services:
             for shard in service.shards:
-                lane = self._follow(before.pop(shard.shard_id, None), service, shard)
-                self._lanes[shard.shard_id] = lane
-                for replica_id in lane.trackers:
-                    self._lane_of_replica[replica_id] = lane
+                shard_state = self._update_shard_state(
+                    before.pop(shard.shard_id, None), service, shard
+                )
+                self._shards[shard.shard_id] = shard_state
+                for replica_id in shard_state.trackers:
+                    self._shard_of_replica[replica_id] = shard_state
         return list(before.values())
 
-    def _follow(self, lane: ShardLane | None, service: Service, shard: Shard) -> ShardLane:
-        if lane is None:
-            lane = ShardLane(service, shard, {}, ClassLine(self._by_class))
-        lane.service = service
-        lane.shard = shard
-        known = lane.trackers
-        lane.trackers = {
+    def _update_shard_state(
+        self, shard_state: ShardState | None, service: Service, shard: Shard
+    ) -> ShardState:
+        if shard_state is None:
+            shard_state = ShardState(service, shard, {}, ClassQueue(self._by_class))
+        shard_state.service = service
+        shard_state.shard = shard
+        known = shard_state.trackers
+        shard_state.trackers = {
             replica.replica_id: self._tracker(known.get(replica.replica_id), replica)
             for replica in shard.replicas
         }
-        lane.tracker_list = list(lane.trackers.values())
-        return lane
+        shard_state.tracker_list = list(shard_state.trackers.values())
+        return shard_state
 
     def _tracker(self, known: ReplicaTracker | None, replica: Replica) -> ReplicaTracker:
         owner_count = max(1, self._settings.owners_per_shard)
--- a/wingquay/admission/work.py
+++ b/wingquay/admission/work_item.py
@@ -19,7 +19,7 @@
 
 
 @dataclass(slots=True)
-class Work:
+class WorkItem:
     """The state of one sub-request.
 
     Parameters
@@ -28,7 +28,7 @@
         Slot time that it is expected to take.
     may_have_run
         Whether any back end may have run it; once true it stays so.
-    wants_hedge
+    awaits_hedge
         Whether it stands in line for a second replica.
     """
 
@@ -46,7 +46,7 @@
     may_have_run: bool = False
     is_finished: bool = False
     is_queued: bool = False
-    wants_hedge: bool = False
+    awaits_hedge: bool = False
     last_failure: Failure[SubFailureKind] | None = None
     last_replica: str = ""
 
--- a/wingquay/admission/open_work.py
+++ b/wingquay/admission/work_table.py
@@ -6,13 +6,13 @@
 from ..model.request import SubRequest
 from ..ports.machine import Action
 from ..ports.peer import NodeIdentity, SendToPeer, SubResultBatch
-from .attempts import Attempts
-from .lane_table import LaneTable
+from .attempt_runner import AttemptRunner
 from .requesters import Requesters
-from .work import Work
+from .shard_table import ShardTable
+from .work_item import WorkItem
 
 
-class OpenWork:
+class WorkTable:
     """Keeps each sub-request from its arrival to its one result.
 
     Parameters
@@ -24,12 +24,12 @@
     """
 
     def __init__(
-        self, lanes: LaneTable, attempts: Attempts, disabled: frozenset[Mechanism]
+        self, shards: ShardTable, attempts: AttemptRunner, disabled: frozenset[Mechanism]
     ) -> None:
-        self._lanes = lanes
+        self._shards = shards
         self._attempts = attempts
         self._disabled = disabled
-        self._work: dict[str, Work] = {}
+        self._work: dict[str, WorkItem] = {}
         self.requesters = Requesters()
         """The nodes that wait for results."""
 
@@ -39,13 +39,13 @@
     def __contains__(self, sub_request_id: str) -> bool:
         return sub_request_id in self._work
 
-    def find(self, sub_request_id: str) -> Work | None:
+    def find(self, sub_request_id: str) -> WorkItem | None:
         """Return a sub-request that has no result yet, or ``None``."""
         return self._work.get(sub_request_id)
 
-    def add(self, sub_request: SubRequest, sender: NodeIdentity, now: float) -> Work:
+    def add(self, sub_request: SubRequest, sender: NodeIdentity, now: float) -> WorkItem:
         """Take in a sub-request that ``sender`` waits for."""
-        work = Work(
+        work = WorkItem(
             sub_request=sub_request,
             requester=sender,
             accepted_at=now,
@@ -57,15 +57,15 @@
         return work
 
     def finish(
-        self, work: Work, result: SubAnswer | Failure[SubFailureKind], now: float
+        self, work: WorkItem, result: SubAnswer | Failure[SubFailureKind], now: float
     ) -> list[Action]:
         """End ``work`` and send its result."""
         has_run = isinstance(result, SubAnswer) or work.may_have_run or bool(work.running)
         if Mechanism.RUN_TRACKING in self._disabled and not isinstance(result, SubAnswer):
             has_run = False
-        actions = self.end(work, now)
+        actions = self.discard(work, now)
         sub_request = work.sub_request
-        lane = self._lanes.lane(sub_request.shard_id)
+        shard_state = self._shards.shard_state(sub_request.shard_id)
         sub_result = SubResult(
             sub_request_id=sub_request.sub_request_id,
             shard_id=sub_request.shard_id,
@@ -74,18 +74,20 @@
             attempts=work.attempts,
             queue_seconds=work.queue_seconds(now),
             service_seconds=work.service_seconds(now),
-            held=() if lane is None else lane.held(),
+            held=() if shard_state is None else shard_state.held(),
             replica_id=work.last_replica,
-            class_delay_seconds=0.0 if lane is None else lane.class_delay_seconds(sub_request, now),
+            class_delay_seconds=0.0
+            if shard_state is None
+            else shard_state.class_delay_seconds(sub_request, now),
         )
         return [*actions, SendToPeer(work.requester, SubResultBatch((sub_result,)))]
 
-    def end(self, work: Work, now: float) -> list[Action]:
+    def discard(self, work: WorkItem, now: float) -> list[Action]:
         """Forget ``work`` and end its exchanges; no result is sent."""
         work.is_finished = True
         self._work.pop(work.sub_request.sub_request_id, None)
-        self.requesters.on_ended(work.requester, now)
-        if work.wants_hedge:
-            work.wants_hedge = False
-            self._attempts.hedging.give_back(work.sub_request.class_name)
+        self.requesters.on_finished(work.requester, now)
+        if work.awaits_hedge:
+            work.awaits_hedge = False
+            self._attempts.hedging.refund(work.sub_request.class_name)
         return self._attempts.cancel_all(work, now)
