--- a/tests/query/test_admission_gate.py
+++ b/tests/query/test_admission_gate.py
@@ -6,8 +6,8 @@
 from wingquay.model.answer import Outcome
 from wingquay.orchestration.settings import NodeMachineSettings
 from wingquay.ports.machine import EventLoopLag
-from wingquay.query.node_pressure import CALM_PROBES, LATE_PROBES
-from wingquay.query.service_floor import ServiceFloor
+from wingquay.query.node_pressure import LATE_PROBES_TO_RAISE, ON_TIME_PROBES_TO_LOWER
+from wingquay.query.service_time_floor import ServiceTimeFloor
 
 
 class AdmissionGateTest(TestCase):
@@ -31,7 +31,7 @@
         self.assertEqual(0, self.tier.answers["q"].attempts)
 
     def test_a_node_that_cannot_keep_up_refuses_the_cheapest_class_alone(self) -> None:
-        self.lag(0.5, LATE_PROBES)
+        self.lag(0.5, LATE_PROBES_TO_RAISE)
         self.assertEqual(Outcome.REFUSED_NOT_RUN, self.outcome("cheap", "tower-sweep"))
         self.assertEqual(Outcome.COMPLETE, self.outcome("dear", "outage-ping"))
 
@@ -40,17 +40,17 @@
         self.assertEqual(Outcome.COMPLETE, self.outcome("q", "tower-sweep"))
 
     def test_the_dearest_class_is_let_in_however_late_the_loop(self) -> None:
-        self.lag(5.0, LATE_PROBES * 10)
+        self.lag(5.0, LATE_PROBES_TO_RAISE * 10)
         self.assertEqual(Outcome.COMPLETE, self.outcome("q", "outage-ping"))
 
     def test_one_slow_answer_does_not_lock_a_kind_out(self) -> None:
-        floor = ServiceFloor(0.005, 0.0)
+        floor = ServiceTimeFloor(0.005, 0.0)
         floor.record(6.4, 1.0)
         self.assertLess(floor.seconds(1.0), 0.1)
-        stuck = ServiceFloor(6.4, 0.0)
+        stuck = ServiceTimeFloor(6.4, 0.0)
         self.assertLess(stuck.seconds(10.0), 0.01)
 
     def test_it_comes_back_by_itself(self) -> None:
-        self.lag(0.5, LATE_PROBES)
-        self.lag(0.0, CALM_PROBES)
+        self.lag(0.5, LATE_PROBES_TO_RAISE)
+        self.lag(0.0, ON_TIME_PROBES_TO_LOWER)
         self.assertEqual(Outcome.COMPLETE, self.outcome("q", "tower-sweep"))
--- a/tests/query/test_query_table.py
+++ b/tests/query/test_query_table.py
@@ -7,7 +7,7 @@
 from wingquay.query.query_table import QueryTable
 
 
-def piece(number: int) -> SimpleNamespace:
+def pending(number: int) -> SimpleNamespace:
     return SimpleNamespace(
         sub_request=SimpleNamespace(sub_request_id=f"query-1/0.{number}"),
         owner=SimpleNamespace(node_id="node-1"),
@@ -23,10 +23,10 @@
         )
 
     def test_what_is_given_up_on_may_have_run(self) -> None:
-        self.table.add_piece(self.state, piece(1))
-        self.table.drop_pieces(self.state)
+        self.table.add_pending(self.state, pending(1))
+        self.table.cancel_pending(self.state)
         self.assertTrue(self.state.may_have_run)
 
     def test_nothing_given_up_on_proves_nothing(self) -> None:
-        self.table.drop_pieces(self.state)
+        self.table.cancel_pending(self.state)
         self.assertFalse(self.state.may_have_run)
--- a/tests/query/test_unrepeatable.py
+++ b/tests/query/test_unrepeatable.py
@@ -48,8 +48,8 @@
     def setUp(self) -> None:
         super().setUp()
         identity = NodeIdentity(NodeId("n"), DeploymentName("ro-nord"), ZONES[0], "127.0.0.1", 7000)
-        links = OwnerSelector(identity, 0, random.Random(1))
-        self.coordinator = Coordinator(identity, QuerySettings(), links)
+        owner_selector = OwnerSelector(identity, 0, random.Random(1))
+        self.coordinator = Coordinator(identity, QuerySettings(), owner_selector)
 
     def ask_while_stopping(self) -> list[Action]:
         in_force = ConfigurationInForce(configuration((EVERYTHING,), 1))
--- a/wingquay/query/admission_gate.py
+++ b/wingquay/query/admission_gate.py
@@ -4,15 +4,15 @@
 """
 
 from ..model.answer import Answer, SubAnswer, SubResult
-from .conclusion import refusal
+from .answer_builders import refused_answer
 from .delay_table import DelayTable
 from .node_pressure import NodePressure
-from .piece_sender import PieceSender
 from .query_state import QueryState, ResolvedRequest
-from .service_floor import ServiceFloor
+from .service_time_floor import ServiceTimeFloor
 from .settings import QuerySettings
+from .sub_request_sender import SubRequestSender
 
-LEAST_SERVICE_SHARE = 0.5
+MIN_SERVICE_TIME_SHARE = 0.5
 """A deadline below this share of the usual service time cannot be met."""
 
 
@@ -25,12 +25,12 @@
         Whether anything is refused for load.
     """
 
-    def __init__(self, settings: QuerySettings, sender: PieceSender, enabled: bool) -> None:
+    def __init__(self, settings: QuerySettings, sender: SubRequestSender, enabled: bool) -> None:
         self._settings = settings
         self._sender = sender
         self._enabled = enabled
         self._delays = DelayTable()
-        self._service_floors: dict[str, ServiceFloor] = {}
+        self._service_time_floors: dict[str, ServiceTimeFloor] = {}
         self._refuses_from: float | None = None
         self.pressure = NodePressure(settings.loop_lag_limit_seconds)
         """Refusals for the node's own load."""
@@ -39,17 +39,17 @@
         """Refuse everything after a while: the planned stop has begun."""
         self._refuses_from = now + self._settings.stop_linger_seconds
 
-    def learn(self, state: QueryState, result: SubResult, now: float) -> None:
+    def record_result(self, state: QueryState, result: SubResult, now: float) -> None:
         """Take in what a sub-result says of waits and service times."""
         class_name = state.resolved.priority_class.name
-        self._delays.learn(result.shard_id, class_name, result.class_delay_seconds, now)
+        self._delays.record(result.shard_id, class_name, result.class_delay_seconds, now)
         if isinstance(result.result, SubAnswer):
-            self._learn_service(_kind_key(state.resolved), result.service_seconds, now)
+            self._record_service_time(_kind_key(state.resolved), result.service_seconds, now)
 
-    def _learn_service(self, key: str, service_seconds: float, now: float) -> None:
-        floor = self._service_floors.get(key)
+    def _record_service_time(self, key: str, service_seconds: float, now: float) -> None:
+        floor = self._service_time_floors.get(key)
         if floor is None:
-            self._service_floors[key] = ServiceFloor(service_seconds, now)
+            self._service_time_floors[key] = ServiceTimeFloor(service_seconds, now)
         else:
             floor.record(service_seconds, now)
 
@@ -58,12 +58,12 @@
         request_id = resolved.request.request_id
         retry_after = self._settings.retry_after_seconds
         if self._refuses_from is not None and now >= self._refuses_from:
-            return refusal(request_id, "this node is stopping; ask another", retry_after)
+            return refused_answer(request_id, "this node is stopping; ask another", retry_after)
         if not self._enabled:
             return None
         if self.pressure.refuses(resolved.priority_class.price):
             reason = "this node is overloaded and serves more important classes"
-            return refusal(request_id, reason, self._settings.pressure_retry_seconds)
+            return refused_answer(request_id, reason, self._settings.pressure_retry_seconds)
         return self._refusal_for_wait(resolved, now)
 
     def _refusal_for_wait(self, resolved: ResolvedRequest, now: float) -> Answer | None:
@@ -73,22 +73,22 @@
         promise = resolved.priority_class.promise_seconds * self._settings.promise_share
         if wait > promise:
             reason = f"would wait {wait:.3f} s for a slot; the class allows {promise:.3f} s"
-            return refusal(request_id, reason, max(retry_after, wait - promise))
+            return refused_answer(request_id, reason, max(retry_after, wait - promise))
         deadline = resolved.deadline_seconds
-        floor = self._service_floors.get(_kind_key(resolved))
-        service = 0.0 if floor is None else floor.seconds(now) * LEAST_SERVICE_SHARE
+        floor = self._service_time_floors.get(_kind_key(resolved))
+        service = 0.0 if floor is None else floor.seconds(now) * MIN_SERVICE_TIME_SHARE
         if wait + service > deadline:
             reason = f"takes at least {wait + service:.3f} s; the deadline is {deadline:.3f} s"
-            return refusal(request_id, reason, max(retry_after, wait))
+            return refused_answer(request_id, reason, max(retry_after, wait))
         return None
 
     def _expected_wait(self, resolved: ResolvedRequest, now: float) -> float:
         class_name = resolved.priority_class.name
-        pieces = self._sender.plan(resolved.service, resolved.request.key_ranges).pieces
+        assignments = self._sender.plan(resolved.service, resolved.request.key_ranges).assignments
         return max(
             (
-                self._delays.expected_seconds(piece.shard.shard_id, class_name, now)
-                for piece in pieces
+                self._delays.expected_seconds(assignment.shard.shard_id, class_name, now)
+                for assignment in assignments
             ),
             default=0.0,
         )
--- a/wingquay/query/conclusion.py
+++ b/wingquay/query/answer_builders.py
@@ -8,7 +8,7 @@
 from .query_state import QueryState
 
 
-def refusal(request_id: RequestId, reason: str, retry_after_seconds: float) -> Answer:
+def refused_answer(request_id: RequestId, reason: str, retry_after_seconds: float) -> Answer:
     """Return the answer to a request that certainly did not run."""
     return Answer(
         request_id,
@@ -18,12 +18,12 @@
     )
 
 
-def invalid(request_id: RequestId, reason: str) -> Answer:
+def invalid_answer(request_id: RequestId, reason: str) -> Answer:
     """Return the answer to a request that cannot be understood."""
     return Answer(request_id, Outcome.INVALID, reason=reason)
 
 
-def unknown(request_id: RequestId, reason: str, retry_after_seconds: float) -> Answer:
+def unknown_answer(request_id: RequestId, reason: str, retry_after_seconds: float) -> Answer:
     """Return the answer to an unrepeatable request that may have run."""
     return Answer(
         request_id,
@@ -33,27 +33,27 @@
     )
 
 
-def conclude(state: QueryState, now: float, retry_after_seconds: float) -> Answer:
+def build_answer(state: QueryState, now: float, retry_after_seconds: float) -> Answer:
     """Return the answer for what has been merged so far.
 
     Sub-requests without a result may have run.
     """
     may_have_run = state.may_have_run or bool(state.outstanding)
-    answer = _merged(state, now)
+    answer = _merged_answer(state, now)
     if answer.outcome is Outcome.COMPLETE:
         return answer
     request_id = answer.request_id
     reason = state.reason or "no back end answered in time"
     if not state.resolved.repeatable:
         if may_have_run:
-            return unknown(request_id, reason, retry_after_seconds)
-        return refusal(request_id, reason, retry_after_seconds)
+            return unknown_answer(request_id, reason, retry_after_seconds)
+        return refused_answer(request_id, reason, retry_after_seconds)
     if not may_have_run and not answer.covered:
-        return refusal(request_id, reason, retry_after_seconds)
+        return refused_answer(request_id, reason, retry_after_seconds)
     return replace(answer, reason=reason)
 
 
-def _merged(state: QueryState, now: float) -> Answer:
+def _merged_answer(state: QueryState, now: float) -> Answer:
     merge: AnswerMerge = state.merge
     missing = merge.missing(MissingReason.DEADLINE)
     snapshot = merge.snapshot if merge.covered else None
--- a/wingquay/query/coordinator.py
+++ b/wingquay/query/coordinator.py
@@ -30,20 +30,20 @@
     SubResultBatch,
 )
 from .admission_gate import AdmissionGate
-from .claim_flow import ClaimFlow
-from .conclusion import invalid, refusal, unknown
-from .coordinator_events import AnswerDue, OwnerCheckDue, PieceRetryDue, PromiseDue
+from .answer_builders import invalid_answer, refused_answer, unknown_answer
+from .claim_decision_handler import ClaimDecisionHandler
+from .coordinator_events import AnswerDue, OwnerCheckDue, PromiseDue, SubRequestRetryDue
 from .merge import AnswerMerge
+from .owner_failover import OwnerFailover
 from .owner_selector import OwnerSelector
-from .owner_watch import OwnerWatch
-from .piece_sender import PieceSender
-from .query_ending import QueryEnding
-from .query_planning import QueryPlanning
+from .query_completion import QueryCompletion
+from .query_planner import QueryPlanner
 from .query_state import QueryState, ResolvedRequest
 from .query_table import QueryTable
-from .request_check import QueryFailureKind, resolve
+from .request_check import QueryFailureKind, resolve_request
 from .settings import QuerySettings
-from .sub_result_intake import SubResultIntake
+from .sub_request_sender import SubRequestSender
+from .sub_result_handler import SubResultHandler
 
 
 class Coordinator:
@@ -67,7 +67,7 @@
         EventLoopLag,
         AnswerDue,
         PromiseDue,
-        PieceRetryDue,
+        SubRequestRetryDue,
         OwnerCheckDue,
     )
     PEER_MESSAGES: ClassVar[tuple[type[PeerMessage], ...]] = (SubResultBatch,)
@@ -76,44 +76,46 @@
         self,
         identity: NodeIdentity,
         settings: QuerySettings,
-        links: OwnerSelector,
+        owner_selector: OwnerSelector,
         disabled: frozenset[Mechanism] = frozenset(),
     ) -> None:
         self._settings = settings
-        self._links = links
+        self._owner_selector = owner_selector
         self._table = QueryTable(cancels=Mechanism.CANCEL_LOSERS not in disabled)
-        self._sender = PieceSender(links, self._table)
+        self._sender = SubRequestSender(owner_selector, self._table)
         refuses_early = Mechanism.EARLY_REFUSAL not in disabled
         self._gate = AdmissionGate(settings, self._sender, enabled=refuses_early)
         retry_after = settings.retry_after_seconds
-        self._ending = QueryEnding(self._table, retry_after)
-        self.kind_statistics = self._ending.kind_statistics
+        self._completion = QueryCompletion(self._table, retry_after)
+        self.kind_statistics = self._completion.kind_statistics
         """Rates and latencies of what was answered lately."""
-        self._planning = QueryPlanning(
+        self._planner = QueryPlanner(
             settings,
             self._table,
             self._sender,
-            self._ending,
+            self._completion,
             checks_snapshot=Mechanism.SNAPSHOT_PINNING not in disabled,
         )
-        self._results = SubResultIntake(
+        self._results = SubResultHandler(
             self._table,
-            self._planning,
+            self._planner,
             self._sender,
-            self._ending,
+            self._completion,
             self._gate,
             filters_duplicates=Mechanism.DUPLICATE_RESULT_FILTER not in disabled,
         )
-        self._owner_watch = OwnerWatch(
+        self._owner_failover = OwnerFailover(
             identity,
             self._table,
-            links,
+            owner_selector,
             self._sender,
-            self._ending,
+            self._completion,
             settings.owner_silence_seconds,
             enabled=Mechanism.OWNER_FAILOVER not in disabled,
         )
-        self._claims = ClaimFlow(self._table, self._planning, self._ending, self._gate, retry_after)
+        self._claims = ClaimDecisionHandler(
+            self._table, self._planner, self._completion, self._gate, retry_after
+        )
 
     @property
     def in_flight(self) -> int:
@@ -123,7 +125,7 @@
     def handle(self, event: Event, now: float) -> list[Action]:
         """Take in one event."""
         actions = self._route(event, now)
-        return actions + self._owner_watch.schedule_check(now)
+        return actions + self._owner_failover.schedule_check(now)
 
     def _route(self, event: Event, now: float) -> list[Action]:
         match event:
@@ -133,28 +135,28 @@
                 return self._on_request(event, now)
             case AnswerDue():
                 state = self._table.state(event.request_id)
-                return [] if state is None else self._ending.finish(state, now)
+                return [] if state is None else self._completion.finish(state, now)
             case PromiseDue():
                 return self._on_promise_due(event, now)
-            case PieceRetryDue():
-                return self._planning.on_piece_retry(event, now)
+            case SubRequestRetryDue():
+                return self._planner.on_retry_due(event, now)
             case OwnerCheckDue():
-                return self._owner_watch.on_check(now)
+                return self._owner_failover.on_check(now)
             case _:
-                return self._route_rare(event, now)
+                return self._route_other(event, now)
 
-    def _route_rare(self, event: Event, now: float) -> list[Action]:
+    def _route_other(self, event: Event, now: float) -> list[Action]:
         match event:
             case CallerGone():
                 return self._on_caller_gone(event)
             case ClaimDecided():
                 return self._claims.on_decided(event, now)
             case ConfigurationInForce():
-                self._planning.apply(event.configuration)
+                self._planner.apply(event.configuration)
                 self._gate.pressure.apply(event.configuration)
             case MembershipChanged():
-                self._links.on_membership(event)
-                return self._owner_watch.on_membership(event, now)
+                self._owner_selector.on_membership(event)
+                return self._owner_failover.on_membership(event, now)
             case ReplicaBelief():
                 self._on_replica_belief(event)
             case LeavingStarted():
@@ -162,29 +164,29 @@
             case EventLoopLag():
                 self._gate.pressure.on_lag(event.lag_seconds)
             case PeerLinkBroken():
-                return self._owner_watch.fail_over(event.node_id, now)
+                return self._owner_failover.fail_over(event.node_id, now)
         return []
 
     def _on_peer(self, event: PeerReceived, now: float) -> list[Action]:
         if not isinstance(event.message, SubResultBatch):
             return []
-        self._links.on_heard(event.sender.node_id, now)
+        self._owner_selector.on_message_from(event.sender.node_id, now)
         actions: list[Action] = []
         for result in event.message.results:
-            actions += self._results.take(result, now)
+            actions += self._results.handle(result, now)
         return actions
 
     def _on_replica_belief(self, event: ReplicaBelief) -> None:
-        left_out = event.state is not ReplicaState.SERVING
-        self._planning.versions.set_left_out(event.replica_id, left_out)
+        excluded = event.state is not ReplicaState.SERVING
+        self._planner.versions.set_excluded(event.replica_id, excluded)
         if event.held is not None:
-            self._planning.versions.learn(event.held)
+            self._planner.versions.record(event.held)
 
     # Arrival -----------------------------------------------------------------------------
 
     def _on_request(self, event: CallerRequest, now: float) -> list[Action]:
         request = event.request
-        resolved = resolve(request, self._planning.configuration)
+        resolved = resolve_request(request, self._planner.configuration)
         if isinstance(resolved, Failure):
             return [self._answer_failure(request, resolved)]
         if resolved.repeatable:
@@ -203,7 +205,7 @@
             promise_at = now + resolved.priority_class.promise_seconds
             if promise_at < state.answer_at:
                 actions.append(Schedule(promise_at, PromiseDue(request.request_id)))
-        return actions + self._planning.run(state, now)
+        return actions + self._planner.start(state, now)
 
     def _new_state(self, resolved: ResolvedRequest, now: float) -> QueryState:
         deadline = resolved.deadline_seconds
@@ -215,12 +217,12 @@
         self, request: QueryRequest, failure: Failure[QueryFailureKind]
     ) -> AnswerCaller:
         if failure.kind is QueryFailureKind.INVALID:
-            return AnswerCaller(invalid(request.request_id, failure.reason))
+            return AnswerCaller(invalid_answer(request.request_id, failure.reason))
         retry_after = self._settings.retry_after_seconds
         if request.idempotency_key is not None:
             # An earlier submission with this key may have run through another node.
-            return AnswerCaller(unknown(request.request_id, failure.reason, retry_after))
-        return AnswerCaller(refusal(request.request_id, failure.reason, retry_after))
+            return AnswerCaller(unknown_answer(request.request_id, failure.reason, retry_after))
+        return AnswerCaller(refused_answer(request.request_id, failure.reason, retry_after))
 
     # Before the end ----------------------------------------------------------------------
 
@@ -228,8 +230,8 @@
         state = self._table.state(event.request_id)
         if state is None:
             return []
-        state.answers_on_first = True
-        return self._ending.settle(state, now)
+        state.answers_on_first_result = True
+        return self._completion.finish_if_done(state, now)
 
     def _on_caller_gone(self, event: CallerGone) -> list[Action]:
         state = self._table.state(event.request_id)
@@ -239,4 +241,4 @@
         if not state.resolved.repeatable:
             # It goes on, so that a repeat can be told what came of it.
             return []
-        return [Count("wingquay_callers_gone_total"), *self._table.forget(state)]
+        return [Count("wingquay_callers_gone_total"), *self._table.remove(state)]
--- a/wingquay/query/coordinator_events.py
+++ b/wingquay/query/coordinator_events.py
@@ -22,7 +22,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class PieceRetryDue(Event):
+class SubRequestRetryDue(Event):
     """Keys whose replicas failed are to be asked for again."""
 
     request_id: RequestId
--- a/wingquay/query/delay_table.py
+++ b/wingquay/query/delay_table.py
@@ -22,7 +22,7 @@
     def __init__(self) -> None:
         self._reports: dict[tuple[str, str], _Report] = {}
 
-    def learn(self, shard_id: str, class_name: str, delay_seconds: float, now: float) -> None:
+    def record(self, shard_id: str, class_name: str, delay_seconds: float, now: float) -> None:
         """Take in a report; only delays worth remembering are kept."""
         key = (shard_id, class_name)
         if delay_seconds <= 0.0:
--- a/wingquay/query/kind_statistics.py
+++ b/wingquay/query/kind_statistics.py
@@ -5,7 +5,7 @@
 from ..routing.latency_tracker import LatencyTracker
 from .query_state import ResolvedRequest
 
-PERIOD_SECONDS = 10.0
+QUANTILE_WINDOW_SECONDS = 10.0
 
 
 class KindStatistics:
@@ -14,22 +14,22 @@
     def __init__(self) -> None:
         self._latencies: dict[tuple[ServiceName, RequestKindName], LatencyTracker] = {}
         self._counts: dict[tuple[ServiceName, RequestKindName], int] = {}
-        self._counted_from = 0.0
+        self._counting_since = 0.0
 
     def record(self, resolved: ResolvedRequest, latency_seconds: float, now: float) -> None:
         """Take in an answered request."""
         key = (resolved.service.name, resolved.kind.name)
         tracker = self._latencies.get(key)
         if tracker is None:
-            tracker = LatencyTracker(PERIOD_SECONDS)
+            tracker = LatencyTracker(QUANTILE_WINDOW_SECONDS)
             self._latencies[key] = tracker
         tracker.record(latency_seconds, now)
         self._counts[key] = self._counts.get(key, 0) + 1
 
     def collect_and_reset(self, now: float) -> tuple[KindLoad, ...]:
         """Return the loads since the last call and count anew."""
-        elapsed = max(1e-9, now - self._counted_from)
-        self._counted_from = now
+        elapsed = max(1e-9, now - self._counting_since)
+        self._counting_since = now
         counts, self._counts = self._counts, {}
         return tuple(
             KindLoad(
--- a/wingquay/query/merge.py
+++ b/wingquay/query/merge.py
@@ -29,43 +29,43 @@
 
     def __init__(
         self,
-        wanted: tuple[KeyRange, ...],
+        requested: tuple[KeyRange, ...],
         snapshot: SnapshotVersion | None,
         checks_snapshot: bool = True,
     ) -> None:
-        self._wanted = normalize(wanted)
+        self._requested = normalize(requested)
         self._snapshot = snapshot
         self._checks_snapshot = checks_snapshot
         self._covered: list[KeyRange] = []
         self._rows: list[Row] = []
-        self._reasons: list[MissingPart] = []
+        self._missing_reasons: list[MissingPart] = []
 
-    def add(self, asked: tuple[KeyRange, ...], answer: SubAnswer) -> tuple[KeyRange, ...]:
+    def add(self, requested: tuple[KeyRange, ...], answer: SubAnswer) -> tuple[KeyRange, ...]:
         """Merge a sub-answer; return the keys of ``asked`` that it left out.
 
         An answer of another snapshot is left out whole.
         """
         if self._checks_snapshot and answer.snapshot != self._snapshot:
-            return asked
+            return requested
         # Pieces of one plan are disjoint and each asks only for what is still uncovered, so what
         # is asked here cannot be covered yet; each sub-request's result is merged once.
-        if answer.covered == asked:
-            self._covered += asked
-            self._rows += _rows_within(asked, answer.rows)
+        if answer.covered == requested:
+            self._covered += requested
+            self._rows += _rows_within(requested, answer.rows)
             return ()
-        fresh = intersect(asked, answer.covered)
-        self._covered += fresh
-        self._rows += _rows_within(fresh, answer.rows)
-        return subtract(asked, answer.covered)
+        newly_covered = intersect(requested, answer.covered)
+        self._covered += newly_covered
+        self._rows += _rows_within(newly_covered, answer.rows)
+        return subtract(requested, answer.covered)
 
     @property
     def snapshot(self) -> SnapshotVersion | None:
         """The pinned version."""
         return self._snapshot
 
-    def note_missing(self, key_ranges: Iterable[KeyRange], reason: MissingReason) -> None:
+    def record_missing(self, key_ranges: Iterable[KeyRange], reason: MissingReason) -> None:
         """Remember why keys have no answer; it counts only if they stay without one."""
-        self._reasons += [MissingPart(key_range, reason) for key_range in key_ranges]
+        self._missing_reasons += [MissingPart(key_range, reason) for key_range in key_ranges]
 
     @property
     def covered(self) -> tuple[KeyRange, ...]:
@@ -77,15 +77,15 @@
         """The merged rows by key."""
         return tuple(sorted(self._rows, key=lambda row: row.key))
 
-    def missing(self, otherwise: MissingReason) -> tuple[MissingPart, ...]:
+    def missing(self, default_reason: MissingReason) -> tuple[MissingPart, ...]:
         """Return the keys that are not covered, each with the last reason noted for it."""
-        remaining = subtract(self._wanted, self._covered)
+        remaining = subtract(self._requested, self._covered)
         parts: list[MissingPart] = []
-        for noted in reversed(self._reasons):
-            hit = intersect(remaining, (noted.key_range,))
-            parts += [MissingPart(key_range, noted.reason) for key_range in hit]
+        for recorded in reversed(self._missing_reasons):
+            hit = intersect(remaining, (recorded.key_range,))
+            parts += [MissingPart(key_range, recorded.reason) for key_range in hit]
             remaining = subtract(remaining, hit)
-        parts += [MissingPart(key_range, otherwise) for key_range in remaining]
+        parts += [MissingPart(key_range, default_reason) for key_range in remaining]
         return tuple(sorted(parts, key=lambda part: part.key_range.start))
 
 
--- a/wingquay/query/node_pressure.py
+++ b/wingquay/query/node_pressure.py
@@ -7,13 +7,13 @@
 
 from ..model.configuration import Configuration
 
-LATE_PROBES = 3
+LATE_PROBES_TO_RAISE = 3
 """Late probes in a row after which one more class is refused: one alone may be a pause."""
 
-CALM_SHARE = 0.2
+ON_TIME_LAG_SHARE = 0.2
 """Lag below this share of the limit counts as calm."""
 
-CALM_PROBES = 10
+ON_TIME_PROBES_TO_LOWER = 10
 """Calm probes in a row after which one more class is let in."""
 
 
@@ -30,7 +30,7 @@
         self._lag_limit_seconds = lag_limit_seconds
         self._prices: list[float] = []
         self._level = 0
-        self._calm_probes = 0
+        self._on_time_probes = 0
         self._late_probes = 0
 
     def apply(self, configuration: Configuration) -> None:
@@ -41,21 +41,21 @@
     def on_lag(self, lag_seconds: float) -> None:
         """Take in how late the event loop was at a probe."""
         if lag_seconds >= self._lag_limit_seconds:
-            self._calm_probes = 0
+            self._on_time_probes = 0
             self._on_late_probe()
             return
         self._late_probes = 0
-        if lag_seconds > self._lag_limit_seconds * CALM_SHARE:
-            self._calm_probes = 0
+        if lag_seconds > self._lag_limit_seconds * ON_TIME_LAG_SHARE:
+            self._on_time_probes = 0
             return
-        self._calm_probes += 1
-        if self._calm_probes >= CALM_PROBES:
-            self._calm_probes = 0
+        self._on_time_probes += 1
+        if self._on_time_probes >= ON_TIME_PROBES_TO_LOWER:
+            self._on_time_probes = 0
             self._level = max(0, self._level - 1)
 
     def _on_late_probe(self) -> None:
         self._late_probes += 1
-        if self._late_probes >= LATE_PROBES:
+        if self._late_probes >= LATE_PROBES_TO_RAISE:
             self._late_probes = 0
             self._level = min(self._level + 1, max(0, len(self._prices) - 1))
 
--- a/wingquay/query/owner_selector.py
+++ b/wingquay/query/owner_selector.py
@@ -8,10 +8,10 @@
 from ..ports.peer import NodeIdentity
 from ..routing.ownership import OwnerTable
 
-SILENT_HOLD_SECONDS = 1.0
+INITIAL_EXCLUSION_SECONDS = 1.0
 """Time for which a silent owner is passed over before it is tried again, the first time."""
 
-LONGEST_SILENT_HOLD_SECONDS = 8.0
+MAX_EXCLUSION_SECONDS = 8.0
 """The time doubles with each silence in a row, up to this."""
 
 
@@ -35,15 +35,15 @@
         self._random = random_source
         self._tables: dict[str, OwnerTable] = {}
         self._available: tuple[NodeIdentity, ...] = (identity,)
-        self._heard_at: dict[str, float] = {}
-        self._silent_until: dict[str, float] = {}
-        self._silences_in_row: dict[str, int] = {}
+        self._received_at: dict[str, float] = {}
+        self._excluded_until: dict[str, float] = {}
+        self._consecutive_silences: dict[str, int] = {}
 
     def on_membership(self, event: MembershipChanged) -> None:
         """Follow the nodes that may be asked."""
         self._available = event.available
         present = {node.node_id for node in event.available}
-        for known in (self._heard_at, self._silent_until, self._silences_in_row):
+        for known in (self._received_at, self._excluded_until, self._consecutive_silences):
             for node_id in [name for name in known if name not in present]:
                 del known[node_id]
         for deployment, table in self._tables.items():
@@ -67,19 +67,19 @@
         if self._owners_per_shard == 0:
             return self._identity
         table = self._table(service.deployment)
-        owners = self._fit(table.owners_of(shard_id), tried, now)
+        owners = self._eligible(table.owners_of(shard_id), tried, now)
         if owners:
             return self._nearest(owners)
-        handoffs = self._fit(table.nodes_for(shard_id), tried, now)
-        return handoffs[0] if handoffs else self._identity
+        fallbacks = self._eligible(table.nodes_for(shard_id), tried, now)
+        return fallbacks[0] if fallbacks else self._identity
 
-    def _fit(
+    def _eligible(
         self, nodes: Sequence[NodeIdentity], tried: Sequence[str], now: float
     ) -> list[NodeIdentity]:
         return [
             node
             for node in nodes
-            if node.node_id not in tried and self._silent_until.get(node.node_id, 0.0) <= now
+            if node.node_id not in tried and self._excluded_until.get(node.node_id, 0.0) <= now
         ]
 
     def _nearest(self, owners: list[NodeIdentity]) -> NodeIdentity:
@@ -89,24 +89,26 @@
         same_zone = [node for node in owners if node.zone == self._identity.zone]
         return self._random.choice(same_zone or owners)
 
-    def on_heard(self, node_id: str, now: float) -> None:
+    def on_message_from(self, node_id: str, now: float) -> None:
         """Take in that an owner sent something."""
-        self._heard_at[node_id] = now
-        self._silent_until.pop(node_id, None)
-        self._silences_in_row.pop(node_id, None)
+        self._received_at[node_id] = now
+        self._excluded_until.pop(node_id, None)
+        self._consecutive_silences.pop(node_id, None)
 
-    def is_silent(self, node_id: str, oldest_sent_at: float, now: float, limit: float) -> bool:
+    def is_silent(
+        self, node_id: str, oldest_sent_at: float, now: float, limit_seconds: float
+    ) -> bool:
         """Whether an owner asked at ``oldest_sent_at`` has sent nothing for ``limit`` seconds."""
         if node_id == self._identity.node_id:
             return False
-        last = max(self._heard_at.get(node_id, oldest_sent_at), oldest_sent_at)
-        return now - last >= limit
+        last = max(self._received_at.get(node_id, oldest_sent_at), oldest_sent_at)
+        return now - last >= limit_seconds
 
-    def pass_over(self, node_id: str, now: float) -> None:
+    def exclude(self, node_id: str, now: float) -> None:
         """Ask other owners for a while."""
-        if node_id == self._identity.node_id or self._silent_until.get(node_id, 0.0) > now:
+        if node_id == self._identity.node_id or self._excluded_until.get(node_id, 0.0) > now:
             return
-        silences = self._silences_in_row.get(node_id, 0)
-        hold = min(SILENT_HOLD_SECONDS * 2.0**silences, LONGEST_SILENT_HOLD_SECONDS)
-        self._silences_in_row[node_id] = silences + 1
-        self._silent_until[node_id] = now + hold
+        silences = self._consecutive_silences.get(node_id, 0)
+        exclusion_seconds = min(INITIAL_EXCLUSION_SECONDS * 2.0**silences, MAX_EXCLUSION_SECONDS)
+        self._consecutive_silences[node_id] = silences + 1
+        self._excluded_until[node_id] = now + exclusion_seconds
--- a/wingquay/query/plan.py
+++ b/wingquay/query/plan.py
@@ -6,12 +6,12 @@
 from ..model.configuration import Service, Shard
 from ..model.key_range import KeyRange, intersect, normalize, subtract
 
-REMEMBERED_PLANS = 1024
+MAX_CACHED_PLANS = 1024
 """Plans kept for a service: many requests ask for the same ranges."""
 
 
 @dataclass(frozen=True, slots=True)
-class ShardPiece:
+class ShardAssignment:
     """The keys that one shard is asked for."""
 
     shard: Shard
@@ -22,7 +22,7 @@
 class ShardPlan:
     """The pieces of a request, and keys that no shard holds."""
 
-    pieces: tuple[ShardPiece, ...]
+    assignments: tuple[ShardAssignment, ...]
     unassigned: tuple[KeyRange, ...]
 
 
@@ -33,7 +33,7 @@
         self.service = service
         self._shards = sorted(service.shards, key=lambda shard: shard.start)
         self._starts = [shard.start for shard in self._shards]
-        self._held = normalize(shard.key_range for shard in self._shards)
+        self._assigned = normalize(shard.key_range for shard in self._shards)
         self._plans: dict[tuple[KeyRange, ...], ShardPlan] = {}
 
     def plan(self, key_ranges: tuple[KeyRange, ...]) -> ShardPlan:
@@ -41,23 +41,23 @@
         plan = self._plans.get(key_ranges)
         if plan is None:
             plan = self._make_plan(key_ranges)
-            if len(self._plans) >= REMEMBERED_PLANS:
+            if len(self._plans) >= MAX_CACHED_PLANS:
                 self._plans.clear()
             self._plans[key_ranges] = plan
         return plan
 
     def _make_plan(self, key_ranges: tuple[KeyRange, ...]) -> ShardPlan:
-        wanted = normalize(key_ranges)
-        touched = {index for key_range in wanted for index in self._touched(key_range)}
-        pieces: list[ShardPiece] = []
-        for index in sorted(touched):
+        requested = normalize(key_ranges)
+        overlapping = {index for key_range in requested for index in self._overlapping(key_range)}
+        assignments: list[ShardAssignment] = []
+        for index in sorted(overlapping):
             shard = self._shards[index]
-            overlap = intersect(wanted, (shard.key_range,))
+            overlap = intersect(requested, (shard.key_range,))
             if overlap:
-                pieces.append(ShardPiece(shard, overlap))
-        return ShardPlan(tuple(pieces), subtract(wanted, self._held))
+                assignments.append(ShardAssignment(shard, overlap))
+        return ShardPlan(tuple(assignments), subtract(requested, self._assigned))
 
-    def _touched(self, key_range: KeyRange) -> range:
+    def _overlapping(self, key_range: KeyRange) -> range:
         first = max(0, bisect_right(self._starts, key_range.start) - 1)
         if key_range.end is None:
             return range(first, len(self._shards))
--- a/wingquay/query/query_ending.py
+++ b/wingquay/query/query_completion.py
@@ -4,14 +4,14 @@
 from ..ports.caller import AnswerCaller
 from ..ports.internal import ClaimFinished, Notify
 from ..ports.machine import Action, Count, Observe
+from .answer_builders import build_answer, unknown_answer
 from .answer_codec import encode_answer
-from .conclusion import conclude, unknown
 from .kind_statistics import KindStatistics
 from .query_state import QueryState
 from .query_table import QueryTable
 
 
-class QueryEnding:
+class QueryCompletion:
     """Gives every request its one answer.
 
     Parameters
@@ -26,27 +26,27 @@
         self.kind_statistics = KindStatistics()
         """Rates and latencies of what was answered lately."""
 
-    def settle(self, state: QueryState, now: float) -> list[Action]:
+    def finish_if_done(self, state: QueryState, now: float) -> list[Action]:
         """Answer if nothing is awaited any more."""
         if self._table.state(state.request_id) is None:
             return []
-        if state.answers_on_first and state.merge.covered:
+        if state.answers_on_first_result and state.merge.covered:
             return self.finish(state, now)
-        if state.outstanding or state.waiting_retries:
+        if state.outstanding or state.scheduled_retries:
             return []
         return self.finish(state, now)
 
     def finish(self, state: QueryState, now: float) -> list[Action]:
         """Answer with what there is."""
-        answer = conclude(state, now, self._retry_after_seconds)
+        answer = build_answer(state, now, self._retry_after_seconds)
         if state.awaits_claim and not state.is_claimed:
             reason = "whether it ran before could not be found out in time"
-            answer = unknown(state.request_id, reason, self._retry_after_seconds)
-        return self.answer(state, answer, now)
+            answer = unknown_answer(state.request_id, reason, self._retry_after_seconds)
+        return self.send_answer(state, answer, now)
 
-    def answer(self, state: QueryState, answer: Answer, now: float) -> list[Action]:
+    def send_answer(self, state: QueryState, answer: Answer, now: float) -> list[Action]:
         """Answer with ``answer``."""
-        actions = self._table.forget(state)
+        actions = self._table.remove(state)
         self.kind_statistics.record(state.resolved, now - state.arrived_at, now)
         if state.is_claimed:
             ran = answer.outcome is not Outcome.REFUSED_NOT_RUN
--- a/wingquay/query/query_planning.py
+++ b/wingquay/query/query_planner.py
@@ -5,17 +5,17 @@
 from ..model.identifiers import ReplicaId, ServiceName
 from ..model.key_range import KeyRange
 from ..ports.machine import Action, Count, Schedule
-from .coordinator_events import PieceRetryDue
+from .coordinator_events import SubRequestRetryDue
 from .merge import AnswerMerge
-from .piece_sender import PieceSender
-from .query_ending import QueryEnding
-from .query_state import Piece, QueryState
+from .query_completion import QueryCompletion
+from .query_state import PendingSubRequest, QueryState
 from .query_table import QueryTable
 from .settings import QuerySettings
+from .sub_request_sender import SubRequestSender
 from .version_table import VersionTable
 
 
-class QueryPlanning:
+class QueryPlanner:
     """Plans and re-plans requests.
 
     Parameters
@@ -28,14 +28,14 @@
         self,
         settings: QuerySettings,
         table: QueryTable,
-        sender: PieceSender,
-        ending: QueryEnding,
+        sender: SubRequestSender,
+        completion: QueryCompletion,
         checks_snapshot: bool,
     ) -> None:
         self._settings = settings
         self._table = table
         self._sender = sender
-        self._ending = ending
+        self._completion = completion
         self._checks_snapshot = checks_snapshot
         self.versions = VersionTable()
         """Which snapshots the replicas hold."""
@@ -47,13 +47,15 @@
         self.configuration = configuration
         self.versions.apply(configuration)
 
-    def run(self, state: QueryState, now: float) -> list[Action]:
+    def start(self, state: QueryState, now: float) -> list[Action]:
         """Pin a snapshot and send out a sub-request for each shard."""
         resolved = state.resolved
-        snapshot = self.versions.best(resolved.service.name) if resolved.repeatable else None
-        state.merge = AnswerMerge(state.wanted, snapshot, self._checks_snapshot)
+        snapshot = (
+            self.versions.best_version(resolved.service.name) if resolved.repeatable else None
+        )
+        state.merge = AnswerMerge(state.requested_keys, snapshot, self._checks_snapshot)
         state.generation += 1
-        return self._send(state, resolved.service, state.wanted, 0, now)
+        return self._send(state, resolved.service, state.requested_keys, 0, now)
 
     def _send(
         self,
@@ -65,12 +67,12 @@
         avoid: tuple[ReplicaId, ...] = (),
     ) -> list[Action]:
         plan = self._sender.plan(service, key_ranges)
-        state.merge.note_missing(plan.unassigned, MissingReason.NO_SHARD)
-        if not state.resolved.repeatable and len(plan.pieces) > 1:
+        state.merge.record_missing(plan.unassigned, MissingReason.NO_SHARD)
+        if not state.resolved.repeatable and len(plan.assignments) > 1:
             state.reason = "an unrepeatable request must address one shard"
-            return self._ending.finish(state, now)
-        actions = self._sender.send(state, plan.pieces, now, retries, avoid)
-        return actions + self._ending.settle(state, now)
+            return self._completion.finish(state, now)
+        actions = self._sender.send(state, plan.assignments, now, retries, avoid)
+        return actions + self._completion.finish_if_done(state, now)
 
     # Snapshots ---------------------------------------------------------------------------
 
@@ -80,7 +82,7 @@
             return False
         service: ServiceName = state.resolved.service.name
         pinned = state.merge.snapshot
-        best = self.versions.best(service)
+        best = self.versions.best_version(service)
         if pinned is None or best == pinned:
             return False
         better = self.versions.shards_holding(service, best)
@@ -89,42 +91,42 @@
     def replan(self, state: QueryState, now: float) -> list[Action]:
         """Start the whole query anew with another snapshot: versions never mix."""
         state.replans += 1
-        state.waiting_retries = 0
-        dropped = self._table.drop_pieces(state)
-        return [Count("wingquay_replans_total"), *dropped, *self.run(state, now)]
+        state.scheduled_retries = 0
+        dropped = self._table.cancel_pending(state)
+        return [Count("wingquay_replans_total"), *dropped, *self.start(state, now)]
 
     # Missing keys ------------------------------------------------------------------------
 
-    def ask_again_later(
+    def schedule_retry(
         self,
         state: QueryState,
-        piece: Piece,
+        pending: PendingSubRequest,
         key_ranges: tuple[KeyRange, ...],
         now: float,
         avoid: tuple[ReplicaId, ...] = (),
     ) -> list[Action]:
         """Schedule a second try for keys without an answer, if there is time for one."""
-        if piece.retries >= self._settings.most_piece_retries:
+        if pending.retries >= self._settings.most_piece_retries:
             return []
-        wait = self._settings.piece_retry_seconds * 2.0**piece.retries
+        wait = self._settings.piece_retry_seconds * 2.0**pending.retries
         if now + wait >= state.answer_at:
             return []
-        state.waiting_retries += 1
-        due = PieceRetryDue(
+        state.scheduled_retries += 1
+        due = SubRequestRetryDue(
             request_id=state.request_id,
             generation=state.generation,
             key_ranges=key_ranges,
-            retries=piece.retries + 1,
+            retries=pending.retries + 1,
             avoid=avoid,
         )
         return [Schedule(now + wait, due)]
 
-    def on_piece_retry(self, event: PieceRetryDue, now: float) -> list[Action]:
+    def on_retry_due(self, event: SubRequestRetryDue, now: float) -> list[Action]:
         """Ask again for keys without an answer, by the configuration now in force."""
         state = self._table.state(event.request_id)
         if state is None or state.generation != event.generation:
             return []
-        state.waiting_retries -= 1
+        state.scheduled_retries -= 1
         service = self._current_service(state)
         return self._send(state, service, event.key_ranges, event.retries, now, event.avoid)
 
--- a/wingquay/query/query_state.py
+++ b/wingquay/query/query_state.py
@@ -30,7 +30,7 @@
 
 
 @dataclass(slots=True)
-class Piece:
+class PendingSubRequest:
     """A sub-request that has no result yet, and the owner that was asked."""
 
     sub_request: SubRequest
@@ -50,9 +50,9 @@
         When the answer leaves at the latest (before the caller's deadline).
     may_have_run
         Whether any back end may have run any part of it.
-    answers_on_first
+    answers_on_first_result
         Whether the promise has passed and the first coverage ends the wait.
-    waiting_retries
+    scheduled_retries
         Pieces whose retry is scheduled.
     answered
         Pieces with a result; kept only when the duplicate filter is taken out.
@@ -62,15 +62,15 @@
     arrived_at: float
     answer_at: float
     merge: AnswerMerge
-    outstanding: dict[SubRequestId, Piece] = field(default_factory=dict)
-    answered: dict[SubRequestId, Piece] = field(default_factory=dict)
+    outstanding: dict[SubRequestId, PendingSubRequest] = field(default_factory=dict)
+    answered: dict[SubRequestId, PendingSubRequest] = field(default_factory=dict)
     generation: int = 0
     sub_requests: int = 0
     attempts: int = 0
     replans: int = 0
-    waiting_retries: int = 0
+    scheduled_retries: int = 0
     may_have_run: bool = False
-    answers_on_first: bool = False
+    answers_on_first_result: bool = False
     is_claimed: bool = False
     awaits_claim: bool = False
     caller_gone: bool = False
@@ -82,7 +82,7 @@
         """The request's id."""
         return self.resolved.request.request_id
 
-    def open_piece(self, sub_request_id: SubRequestId) -> Piece:
+    def pending_sub_request(self, sub_request_id: SubRequestId) -> PendingSubRequest:
         """Return an open sub-request.
 
         Raises
@@ -90,20 +90,20 @@
         KeyError
             If it is not one of this request's open sub-requests.
         """
-        piece = self.outstanding.get(sub_request_id)
-        return self.answered[sub_request_id] if piece is None else piece
+        pending = self.outstanding.get(sub_request_id)
+        return self.answered[sub_request_id] if pending is None else pending
 
     def remaining_seconds(self, now: float) -> float:
         """Return the time left for sub-requests."""
         return max(0.0, self.answer_at - now)
 
-    def learn_timing(self, queue_seconds: float, service_seconds: float) -> None:
+    def record_timing(self, queue_seconds: float, service_seconds: float) -> None:
         """Keep the parts of the slowest sub-request."""
         slowest = self.timings.queue_seconds + self.timings.service_seconds
         if queue_seconds + service_seconds > slowest:
             self.timings = Timings(0.0, queue_seconds, service_seconds)
 
     @property
-    def wanted(self) -> tuple[KeyRange, ...]:
+    def requested_keys(self) -> tuple[KeyRange, ...]:
         """The keys that were asked for."""
         return self.resolved.request.key_ranges
--- a/wingquay/query/request_check.py
+++ b/wingquay/query/request_check.py
@@ -7,7 +7,7 @@
 from ..model.request import QueryRequest
 from .query_state import ResolvedRequest
 
-LONGEST_DEADLINE_SECONDS = 600.0
+MAX_DEADLINE_SECONDS = 600.0
 
 
 class QueryFailureKind(Enum):
@@ -17,7 +17,7 @@
     INVALID = "invalid"
 
 
-def resolve(
+def resolve_request(
     request: QueryRequest, configuration: Configuration | None
 ) -> ResolvedRequest | Failure[QueryFailureKind]:
     """Return the request with every default filled in, or what is wrong with it."""
@@ -64,8 +64,8 @@
         if key_range.is_empty:
             return f"key_ranges: end {key_range.end!r} must be after start {key_range.start!r}"
     deadline = _deadline(request, kind)
-    if not 0.0 < deadline <= LONGEST_DEADLINE_SECONDS:
-        return f"deadline: {deadline} s is not in 0 to {LONGEST_DEADLINE_SECONDS:.0f} s"
+    if not 0.0 < deadline <= MAX_DEADLINE_SECONDS:
+        return f"deadline: {deadline} s is not in 0 to {MAX_DEADLINE_SECONDS:.0f} s"
     if not repeatable and not request.idempotency_key:
         return "Idempotency-Key: required for a request that may not be repeated"
     return ""
--- a/wingquay/query/service_floor.py
+++ b/wingquay/query/service_time_floor.py
@@ -7,13 +7,13 @@
 
 from dataclasses import dataclass
 
-SHORTER_WEIGHT = 0.3
-LONGER_WEIGHT = 0.01
+DECREASE_WEIGHT = 0.3
+INCREASE_WEIGHT = 0.01
 HALF_LIFE_SECONDS = 1.0
 
 
 @dataclass(slots=True)
-class ServiceFloor:
+class ServiceTimeFloor:
     """A low estimate of a service time.
 
     Parameters
@@ -28,12 +28,12 @@
     def record(self, service_seconds: float, now: float) -> None:
         """Take in a service time."""
         estimate = self.seconds(now)
-        weight = SHORTER_WEIGHT if service_seconds < estimate else LONGER_WEIGHT
+        weight = DECREASE_WEIGHT if service_seconds < estimate else INCREASE_WEIGHT
         self.estimate_seconds = estimate + weight * (service_seconds - estimate)
         self.sampled_at = now
 
     def seconds(self, now: float) -> float:
         """Return the estimate, faded by the time since the last sample."""
         age = max(0.0, now - self.sampled_at)
-        fade: float = 0.5 ** (age / HALF_LIFE_SECONDS)
-        return self.estimate_seconds * fade
+        decay: float = 0.5 ** (age / HALF_LIFE_SECONDS)
+        return self.estimate_seconds * decay
--- a/wingquay/query/piece_sender.py
+++ b/wingquay/query/sub_request_sender.py
@@ -10,15 +10,15 @@
 from ..ports.machine import Action
 from ..ports.peer import NodeIdentity, SendToPeer, SubRequestBatch
 from .owner_selector import OwnerSelector
-from .plan import ShardIndex, ShardPiece, ShardPlan
-from .query_state import Piece, QueryState
+from .plan import ShardAssignment, ShardIndex, ShardPlan
+from .query_state import PendingSubRequest, QueryState
 from .query_table import QueryTable
 
-LEAST_RETURN_SECONDS = 0.005
+MAX_RETURN_MARGIN_SECONDS = 0.005
 """Time kept for an owner's result to come back before the answer leaves."""
 
 
-class PieceSender:
+class SubRequestSender:
     """Sends sub-requests.
 
     Parameters
@@ -27,8 +27,8 @@
         The coordinator's open sub-requests; kept up to date here.
     """
 
-    def __init__(self, links: OwnerSelector, table: QueryTable) -> None:
-        self._links = links
+    def __init__(self, owner_selector: OwnerSelector, table: QueryTable) -> None:
+        self._owner_selector = owner_selector
         self._table = table
         self._indexes: dict[str, ShardIndex] = {}
 
@@ -43,35 +43,37 @@
     def send(
         self,
         state: QueryState,
-        pieces: Sequence[ShardPiece],
+        assignments: Sequence[ShardAssignment],
         now: float,
         retries: int = 0,
         avoid: tuple[ReplicaId, ...] = (),
     ) -> list[Action]:
         """Send a sub-request for each of ``pieces``."""
         batches: dict[str, tuple[NodeIdentity, list[SubRequest]]] = {}
-        for shard_piece in pieces:
-            sub_request = self._sub_request(state, shard_piece, now, avoid)
+        for assignment in assignments:
+            sub_request = self._sub_request(state, assignment, now, avoid)
             service = state.resolved.service
-            owner = self._links.choose(service, shard_piece.shard.shard_id, (), now)
-            self._table.add_piece(state, Piece(sub_request, owner, now, retries))
+            owner = self._owner_selector.choose(service, assignment.shard.shard_id, (), now)
+            self._table.add_pending(state, PendingSubRequest(sub_request, owner, now, retries))
             batches.setdefault(owner.node_id, (owner, []))[1].append(sub_request)
         return [
             SendToPeer(owner, SubRequestBatch(tuple(sub_requests)))
             for owner, sub_requests in batches.values()
         ]
 
-    def resend(self, state: QueryState, piece: Piece, now: float) -> list[Action]:
+    def resend(self, state: QueryState, pending: PendingSubRequest, now: float) -> list[Action]:
         """Ask another owner for a piece whose owner is lost, under a new id."""
-        tried = (*piece.owners_tried, piece.owner.node_id)
-        shard_id = piece.sub_request.shard_id
-        owner = self._links.choose(state.resolved.service, shard_id, tried, now)
+        tried = (*pending.owners_tried, pending.owner.node_id)
+        shard_id = pending.sub_request.shard_id
+        owner = self._owner_selector.choose(state.resolved.service, shard_id, tried, now)
         sub_request = replace(
-            piece.sub_request,
+            pending.sub_request,
             sub_request_id=self._next_id(state),
             remaining_seconds=self._remaining(state, now),
         )
-        self._table.add_piece(state, Piece(sub_request, owner, now, piece.retries, tried))
+        self._table.add_pending(
+            state, PendingSubRequest(sub_request, owner, now, pending.retries, tried)
+        )
         return [SendToPeer(owner, SubRequestBatch((sub_request,)))]
 
     def _next_id(self, state: QueryState) -> SubRequestId:
@@ -81,10 +83,14 @@
 
     def _remaining(self, state: QueryState, now: float) -> float:
         remaining = state.remaining_seconds(now)
-        return remaining - min(LEAST_RETURN_SECONDS, remaining * 0.1)
+        return remaining - min(MAX_RETURN_MARGIN_SECONDS, remaining * 0.1)
 
     def _sub_request(
-        self, state: QueryState, piece: ShardPiece, now: float, avoid: tuple[ReplicaId, ...]
+        self,
+        state: QueryState,
+        assignment: ShardAssignment,
+        now: float,
+        avoid: tuple[ReplicaId, ...],
     ) -> SubRequest:
         resolved = state.resolved
         request = resolved.request
@@ -93,8 +99,8 @@
             request_id=request.request_id,
             service=resolved.service.name,
             kind=resolved.kind.name,
-            shard_id=piece.shard.shard_id,
-            key_ranges=piece.key_ranges,
+            shard_id=assignment.shard.shard_id,
+            key_ranges=assignment.key_ranges,
             snapshot=state.merge.snapshot,
             remaining_seconds=self._remaining(state, now),
             class_name=resolved.priority_class.name,
--- a/wingquay/query/version_table.py
+++ b/wingquay/query/version_table.py
@@ -19,9 +19,9 @@
     def __init__(self) -> None:
         self._services: dict[str, Service] = {}
         self._service_of_replica: dict[str, str] = {}
-        self._held: dict[str, HeldVersions] = {}
-        self._left_out: dict[str, bool] = {}
-        self._best: dict[str, SnapshotVersion] = {}
+        self._assigned: dict[str, HeldVersions] = {}
+        self._excluded: dict[str, bool] = {}
+        self._best_versions: dict[str, SnapshotVersion] = {}
 
     def apply(self, configuration: Configuration) -> None:
         """Follow the configuration's services and replicas."""
@@ -33,50 +33,50 @@
             for replica in shard.replicas
         }
         known = self._service_of_replica
-        self._held = {name: held for name, held in self._held.items() if name in known}
-        self._best.clear()
+        self._assigned = {name: held for name, held in self._assigned.items() if name in known}
+        self._best_versions.clear()
 
-    def learn(self, held: HeldVersions) -> None:
+    def record(self, held: HeldVersions) -> None:
         """Take in what a replica holds."""
-        known = self._held.get(held.replica_id)
+        known = self._assigned.get(held.replica_id)
         if known is held or known == held:
             return
-        self._held[held.replica_id] = held
-        self._forget_best(held.replica_id)
+        self._assigned[held.replica_id] = held
+        self._invalidate_best(held.replica_id)
 
-    def set_left_out(self, replica_id: str, left_out: bool) -> None:
+    def set_excluded(self, replica_id: str, excluded: bool) -> None:
         """Say whether a replica is leaving or gone, so that what it holds does not count."""
-        if self._left_out.get(replica_id, False) != left_out:
-            self._left_out[replica_id] = left_out
-            self._forget_best(replica_id)
+        if self._excluded.get(replica_id, False) != excluded:
+            self._excluded[replica_id] = excluded
+            self._invalidate_best(replica_id)
 
-    def _forget_best(self, replica_id: str) -> None:
+    def _invalidate_best(self, replica_id: str) -> None:
         service = self._service_of_replica.get(replica_id)
         if service is not None:
-            self._best.pop(service, None)
+            self._best_versions.pop(service, None)
 
-    def best(self, service_name: ServiceName) -> SnapshotVersion:
+    def best_version(self, service_name: ServiceName) -> SnapshotVersion:
         """Return the version to pin, or ``UNKNOWN_SNAPSHOT``."""
-        cached = self._best.get(service_name)
+        cached = self._best_versions.get(service_name)
         if cached is not None:
             return cached
         service = self._services.get(service_name)
         best = UNKNOWN_SNAPSHOT if service is None else self._choose(service)
-        self._best[service_name] = best
+        self._best_versions[service_name] = best
         return best
 
     def _choose(self, service: Service) -> SnapshotVersion:
         held_by_shard = [
             [
-                self._held[replica.replica_id]
+                self._assigned[replica.replica_id]
                 for replica in shard.replicas
-                if replica.replica_id in self._held
-                and not self._left_out.get(replica.replica_id, False)
+                if replica.replica_id in self._assigned
+                and not self._excluded.get(replica.replica_id, False)
             ]
             for shard in service.shards
         ]
         known = [shard for shard in held_by_shard if shard]
-        candidates = {version for shard in known for held in shard for version in _ends(held)}
+        candidates = {version for shard in known for held in shard for version in _bounds(held)}
         if not candidates:
             return UNKNOWN_SNAPSHOT
         return max(sorted(candidates), key=lambda version: _rank(known, version))
@@ -92,11 +92,11 @@
         )
 
     def _holds(self, replica_id: str, version: SnapshotVersion) -> bool:
-        held = self._held.get(replica_id)
+        held = self._assigned.get(replica_id)
         return held is not None and held.oldest <= version <= held.newest
 
 
-def _ends(held: HeldVersions) -> tuple[SnapshotVersion, SnapshotVersion]:
+def _bounds(held: HeldVersions) -> tuple[SnapshotVersion, SnapshotVersion]:
     return (held.oldest, held.newest)
 
 
