--- a/tests/admission/test_health_pages.py
+++ b/tests/admission/test_health_pages.py
@@ -1,4 +1,4 @@
-"""A health page that lags does not clear a drain that an answer has shown."""
+"""A stale health page must not clear the leaving state learned from an attempt."""
 
 from testtools import TestCase
 
@@ -30,7 +30,7 @@
         refused = Failure(BackendFailureKind.DRAINING, "leaving")
         self.prober.on_attempt_finished(AttemptFinished(AttemptId("a"), REPLICA, refused), 10.0)
 
-    def says_serving(self, now: float, cold: bool) -> bool:
+    def observes_serving(self, now: float, cold: bool) -> bool:
         page = ReplicaProbed(REPLICA, LoadReport(cold=cold))
         observed = [
             action.event.state
@@ -43,16 +43,16 @@
         failure = Failure(BackendFailureKind.TIMED_OUT, "no page")
         self.prober.on_probed(ReplicaProbed(REPLICA, failure), 11.0)
 
-    def test_a_cold_page_alone_may_be_an_old_one(self) -> None:
-        self.assertFalse(self.says_serving(12.0, cold=True))
+    def test_a_cold_page_alone_does_not_clear_leaving(self) -> None:
+        self.assertFalse(self.observes_serving(12.0, cold=True))
 
-    def test_a_page_after_a_cut_alone_may_be_an_old_one(self) -> None:
+    def test_a_warm_page_after_an_unreachable_probe_does_not_clear_leaving(self) -> None:
         self.become_unreachable()
-        self.assertFalse(self.says_serving(12.0, cold=False))
+        self.assertFalse(self.observes_serving(12.0, cold=False))
 
-    def test_a_cold_page_after_it_was_away_is_a_new_process(self) -> None:
+    def test_a_cold_page_after_an_unreachable_probe_clears_leaving(self) -> None:
         self.become_unreachable()
-        self.assertTrue(self.says_serving(12.0, cold=True))
+        self.assertTrue(self.observes_serving(12.0, cold=True))
 
-    def test_in_the_end_the_page_is_believed(self) -> None:
-        self.assertTrue(self.says_serving(10.0 + LEAVING_HOLD_PERIOD_SECONDS, cold=False))
+    def test_a_warm_page_clears_leaving_after_the_hold_period(self) -> None:
+        self.assertTrue(self.observes_serving(10.0 + LEAVING_HOLD_PERIOD_SECONDS, cold=False))
--- a/tests/admission/test_owned_shards.py
+++ b/tests/admission/test_owned_shards.py
@@ -1,4 +1,4 @@
-"""An owner reads health pages and reports load of its own shards alone."""
+"""An owner probes the replicas and reports the load of its own shards only."""
 
 import random
 
@@ -15,16 +15,16 @@
 REPLICAS = 48
 
 
-def owner(place, present):
+def owner(index, present):
     machine = OwnerMachine(
-        node_identity(place, 1), RoutingSettings(), AdmissionSettings(), random.Random(place)
+        node_identity(index, 1), RoutingSettings(), AdmissionSettings(), random.Random(index)
     )
     machine.handle(members(present), 0.0)
     return machine
 
 
-def members(places):
-    return MembershipChanged(tuple(node_identity(place, 1) for place in places), ())
+def members(indexes):
+    return MembershipChanged(tuple(node_identity(index, 1) for index in indexes), ())
 
 
 def probed(actions):
@@ -42,22 +42,22 @@
             for replica in shard.replicas
         )
 
-    def test_each_replica_is_read_by_one_owner_of_its_own_deployment(self):
+    def test_each_replica_is_probed_by_one_owner_in_its_deployment(self):
         found = []
-        for place in range(NODES):
-            machine = owner(place, range(NODES))
+        for index in range(NODES):
+            machine = owner(index, range(NODES))
             own = probed(machine.handle(ConfigurationInForce(self.configuration), 0.0))
-            deployment = node_identity(place, 1).deployment
+            deployment = node_identity(index, 1).deployment
             self.assertEqual([], [name for name in own if f"lookup-{deployment}" not in name])
             found += own
         self.assertEqual(self.replicas, sorted(found))
 
-    def test_what_a_lost_owner_read_is_read_by_others(self):
+    def test_shards_of_a_lost_owner_pass_to_the_survivors(self):
         lost = 0
-        survivors = [place for place in range(NODES) if place != lost]
+        survivors = [index for index in range(NODES) if index != lost]
         found = []
-        for place in survivors:
-            machine = owner(place, range(NODES))
+        for index in survivors:
+            machine = owner(index, range(NODES))
             machine.handle(ConfigurationInForce(self.configuration), 0.0)
             machine.handle(members(survivors), 1.0)
             found += [
@@ -67,7 +67,7 @@
             ]
         self.assertEqual(self.replicas, sorted(found))
 
-    def test_load_is_reported_of_owned_services_alone(self):
+    def test_load_is_reported_for_owned_services_only(self):
         machine = owner(0, range(NODES))
         machine.handle(ConfigurationInForce(self.configuration), 0.0)
         self.assertEqual(["lookup-east"], [load.service for load in machine.service_loads()])
--- a/tests/admission/two_regions.py
+++ b/tests/admission/two_regions.py
@@ -1,4 +1,4 @@
-"""Who and what there is: two regions with four zones each, nodes, shards and replicas."""
+"""Test configuration of two regions with four zones each, with nodes, shards and replicas."""
 
 from wingquay.model.configuration import (
     Caller,
@@ -52,7 +52,10 @@
 
 
 def node_identity(index: int, generation: int) -> NodeIdentity:
-    """Return who the process is that runs at place ``index``; places go round the zones."""
+    """Return the identity of node ``index``; nodes are assigned to the zones in turn.
+
+    ``generation`` distinguishes successive nodes with the same index.
+    """
     zones = all_zones()
     zone_index, number = index % len(zones), index // len(zones)
     zone = zones[zone_index]
@@ -66,7 +69,7 @@
 
 
 def initial_configuration(replicas: int) -> Configuration:
-    """Return the first revision: a service in each region, with its share of the replicas."""
+    """Return revision 1: one service in each region, with ``replicas`` split between them."""
     services = tuple(
         _service(index, replicas // len(REGIONS) + (index < replicas % len(REGIONS)))
         for index in range(len(REGIONS))
--- a/wingquay/admission/__init__.py
+++ b/wingquay/admission/__init__.py
@@ -1,1 +1,1 @@
-"""The owner's side: queues by class, slots of replicas, hedges, retries, refusals."""
+"""The owner of shards: queues sub-requests by class, hedges, retries and refuses them."""
--- a/wingquay/admission/arrival.py
+++ b/wingquay/admission/arrival.py
@@ -1,4 +1,4 @@
-"""What is decided about a sub-request when it arrives at its owner."""
+"""Decisions about a sub-request on its arrival at the owner."""
 
 from ..model.answer import SubFailureKind
 from ..model.failure import Failure
@@ -14,17 +14,21 @@
 def early_refusal(
     shard_state: ShardState, work: WorkItem, now: float
 ) -> Failure[SubFailureKind] | None:
-    """Return why the deadline cannot be met, or ``None`` if it is expected to be."""
+    """Return a refusal if the deadline is expected to be missed, else ``None``."""
     expected = shard_state.class_delay_seconds(work.sub_request, now) + work.cost_seconds
     remaining = work.sub_request.remaining_seconds
     if expected <= remaining:
         return None
-    reason = f"expected to take {expected:.3f} s, {remaining:.3f} s are left"
+    reason = f"expected latency {expected:.3f} s exceeds the remaining {remaining:.3f} s"
     return Failure(SubFailureKind.REFUSED, reason)
 
 
 def schedule_expiry(work: WorkItem) -> list[Action]:
-    """Schedule the end of an unrepeatable sub-request, whose caller must learn what is known."""
+    """Schedule the expiry of an unrepeatable sub-request at its deadline.
+
+    The coordinator then receives a result that states whether the sub-request may have run.
+    Repeatable sub-requests need no such result.
+    """
     if work.sub_request.repeatable:
         return []
     expired = WorkExpired(work.sub_request.sub_request_id)
@@ -34,7 +38,7 @@
 def replicas_to_avoid(
     sub_request: SubRequest, usable: list[ReplicaTracker]
 ) -> tuple[ReplicaId, ...]:
-    """Return the replicas that left keys out before, unless there are no others."""
+    """Return the replicas that left out keys earlier, or none if all usable ones did."""
     avoided = sub_request.avoid
     if not avoided or all(tracker.replica.replica_id in avoided for tracker in usable):
         return ()
--- a/wingquay/admission/attempt_runner.py
+++ b/wingquay/admission/attempt_runner.py
@@ -1,4 +1,4 @@
-"""The exchanges with replicas that are going on, and what is learnt when they end."""
+"""Running attempts at replicas and the statistics recorded when they finish."""
 
 from ..model.identifiers import AttemptId, NodeId
 from ..model.mechanisms import Mechanism
@@ -18,7 +18,7 @@
 
 @value
 class AttemptContext:
-    """An exchange, whose sub-request it is and where it runs."""
+    """A running attempt with its sub-request, shard and replica."""
 
     work: WorkItem
     shard_state: ShardState
@@ -27,17 +27,17 @@
 
 
 def kind_key(sub_request: SubRequest) -> str:
-    """Return the name under which service times of a kind are kept."""
+    """Return the key for service times of this service and request kind."""
     return f"{sub_request.service}/{sub_request.kind}"
 
 
 class AttemptRunner:
-    """Starts and cancels exchanges; counts the slots they take.
+    """Starts and cancels attempts and counts the slots they occupy.
 
     Parameters
     ----------
     node_id
-        Makes attempt ids unique across nodes.
+        Prefix that makes attempt ids unique across nodes.
     """
 
     def __init__(
@@ -55,15 +55,15 @@
         )
 
     def find(self, attempt_id: AttemptId) -> AttemptContext | None:
-        """Return an exchange that goes on, or ``None``."""
+        """Return the context of a running attempt, or ``None`` if it is not running."""
         return self._contexts.get(attempt_id)
 
     def expected_seconds(self, sub_request: SubRequest) -> float:
-        """Return the slot time that a sub-request is expected to take."""
+        """Return the expected service time of a sub-request."""
         return self._service_times.expected_seconds(kind_key(sub_request))
 
     def may_repeat(self, work: WorkItem) -> bool:
-        """Whether a sub-request may run more than once."""
+        """Return whether a sub-request may run more than once."""
         if work.sub_request.repeatable:
             return True
         return Mechanism.UNREPEATABLE_GUARD in self._disabled
@@ -110,11 +110,14 @@
         return [Schedule(now + delay, due)]
 
     def reschedule_hedge(self, context: AttemptContext, now: float) -> list[Action]:
-        """Look again later at a hedge that the budget did not allow now."""
+        """Schedule another check for a hedge that is not allowed now."""
         return self._schedule_hedge(context.work, context.attempt, now)
 
     def remove(self, attempt_id: AttemptId) -> AttemptContext | None:
-        """Forget an exchange that ended and free its slot; ``None`` if it was not going on."""
+        """Remove an attempt, free its slot and return its context.
+
+        Returns ``None`` if the attempt was not running.
+        """
         context = self._contexts.pop(attempt_id, None)
         if context is not None:
             context.tracker.in_flight -= 1
@@ -122,7 +125,7 @@
         return context
 
     def cancel_all(self, work: WorkItem, now: float) -> list[Action]:
-        """End every exchange of a sub-request."""
+        """Cancel all running attempts of a sub-request."""
         if not work.running or Mechanism.CANCEL_LOSERS in self._disabled:
             return []
         return [self._cancel(attempt, now) for attempt in list(work.running.values())]
@@ -130,14 +133,14 @@
     def _cancel(self, attempt: RunningAttempt, now: float) -> CancelAttempt:
         context = self.remove(attempt.attempt_id)
         if context is not None:
-            # A cancelled attempt took at least this long: leaving it out would make the slow
-            # look rare and pull the hedge delay down.
+            # The elapsed time is a lower bound of the service time. Without it the slowest
+            # attempts would be missing from the quantile, and the hedge delay would shrink.
             elapsed = now - attempt.started_at
             self.hedging.on_service_time(kind_key(context.work.sub_request), elapsed, now)
         return CancelAttempt(attempt.attempt_id)
 
     def record_answer(self, context: AttemptContext, now: float) -> None:
-        """Take in how long a whole answer took."""
+        """Record the service time of an answered attempt."""
         service_seconds = now - context.attempt.started_at
         key = kind_key(context.work.sub_request)
         context.tracker.on_answer(service_seconds)
@@ -145,13 +148,13 @@
         self._service_times.record(key, service_seconds)
 
     def record_lost_races(self, winner: AttemptContext, now: float) -> None:
-        """Take in that a replica answered before others that were asked earlier."""
+        """Record a lost race for each replica whose earlier attempt is still running."""
         for attempt in winner.work.running.values():
             if attempt.started_at < winner.attempt.started_at:
                 self._contexts[attempt.attempt_id].tracker.on_lost_race(now)
 
     def record_failure(self, context: AttemptContext, kind: BackendFailureKind, now: float) -> None:
-        """Take in why an exchange brought no answer."""
+        """Record why an attempt failed."""
         tracker = context.tracker
         if kind is BackendFailureKind.SHED:
             tracker.on_shed()
--- a/wingquay/admission/backend_failures.py
+++ b/wingquay/admission/backend_failures.py
@@ -1,4 +1,4 @@
-"""Turns failures of the back-end port into those of a sub-request."""
+"""Maps failures of attempts to failures of sub-requests."""
 
 from ..model.answer import SubFailureKind
 from ..model.failure import Failure
@@ -24,14 +24,14 @@
         BackendFailureKind.ERROR,
     }
 )
-"""Failures that count towards ejecting a replica."""
+"""Failures that count towards the ejection of a replica."""
 
 
 def to_sub_failure(failure: Failure[BackendFailureKind]) -> Failure[SubFailureKind]:
-    """Return the sub-request's failure for an attempt's."""
+    """Return the sub-request failure that corresponds to an attempt failure."""
     return Failure(_SUB_FAILURE_KINDS[failure.kind], failure.reason)
 
 
 def may_have_run(failure: Failure[BackendFailureKind]) -> bool:
-    """Whether a back end may have run the attempt."""
+    """Return whether a back end may have run the attempt."""
     return failure.kind not in NOT_RUN_KINDS
--- a/wingquay/admission/budget.py
+++ b/wingquay/admission/budget.py
@@ -1,13 +1,22 @@
-"""A budget of extra work as a fixed ratio of the work that was asked for."""
+"""Token budget that limits extra work to a ratio of the regular work."""
 
 from dataclasses import dataclass
 
 
 @dataclass(slots=True)
 class RatioBudget:
-    """Each unit of asked work earns ``ratio`` units of extra work, kept up to ``burst``.
-
-    Source: retry budgets as in Finagle and the SRE book, chapter 21 ("Handling Overload").
+    """Budget in which each unit of regular work earns ``ratio`` units of extra work.
+
+    Follows the retry budgets of Finagle and of the SRE book, chapter 21 ("Handling Overload").
+
+    Parameters
+    ----------
+    ratio
+        Units of extra work earned by one unit of regular work.
+    burst
+        Maximum number of units the budget holds.
+    available
+        Units that can be spent now; a negative initial value starts with a full budget.
     """
 
     ratio: float
@@ -15,16 +24,16 @@
     available: float = -1.0
 
     def __post_init__(self) -> None:
-        """Start full."""
+        """Fill the budget unless an initial value was given."""
         if self.available < 0.0:
             self.available = self.burst
 
     def earn(self, units: float = 1.0) -> None:
-        """Take in ``units`` of asked work."""
+        """Add the extra work earned by ``units`` of regular work."""
         self.available = min(self.burst, self.available + units * self.ratio)
 
     def spend(self, units: float = 1.0) -> bool:
-        """Take ``units`` of extra work; ``False`` if the budget does not allow it."""
+        """Spend ``units`` of extra work; return ``False`` if too few are available."""
         if self.available < units:
             return False
         self.available -= units
--- a/wingquay/admission/class_queue.py
+++ b/wingquay/admission/class_queue.py
@@ -1,4 +1,4 @@
-"""The line of one shard: sub-requests wait by class, each weighted by its price."""
+"""Queue of one shard: a weighted fair queue over classes, weighted by price."""
 
 from ..model.request import SubRequest
 from ..routing.fair_line import FairLine
@@ -7,12 +7,13 @@
 
 
 class ClassQueue(FairLine[WorkItem]):
-    """Waiting sub-requests of one shard.
+    """Queued sub-requests of one shard.
 
     Parameters
     ----------
     by_class
-        Whether classes are told apart; otherwise all wait in one line by arrival.
+        Whether each class has its own share of the slots. If false, the order of arrival
+        decides.
     """
 
     def __init__(self, by_class: bool = True) -> None:
@@ -20,7 +21,7 @@
         self._by_class = by_class
 
     def class_delay_seconds(self, sub_request: SubRequest, parallelism: int, now: float) -> float:
-        """Return how long a newcomer of a class would wait for one of ``parallelism`` slots."""
+        """Return the expected wait of a new sub-request of the class, with ``parallelism`` slots."""
         return self.delay_seconds(self._place_of_class(sub_request, 1.0), parallelism, now)
 
     def _place(self, work: WorkItem) -> Place:
--- a/wingquay/admission/dispatcher.py
+++ b/wingquay/admission/dispatcher.py
@@ -1,7 +1,7 @@
-"""The owner of shards: takes sub-requests, queues them, has replicas run them, returns results.
+"""Queues sub-requests at the owner of their shards, runs them on replicas, returns results.
 
-Free of I/O; see ``ports/machine.py``. Sub-requests come in ``SubRequestBatch`` messages, from
-this node's own coordinator and from other nodes alike.
+Performs no I/O; see ``ports/machine.py``. Sub-requests arrive in ``SubRequestBatch`` messages
+both from the coordinator of this node and from other nodes.
 """
 
 from collections.abc import Callable
@@ -32,11 +32,11 @@
 from .work_item import WorkItem
 from .work_table import WorkTable
 
-_NO_REPLICA = Failure(SubFailureKind.NO_REPLICA, "no replica of the shard is in service")
-_OWNER_LEAVING = Failure(SubFailureKind.OWNER_LEAVING, "the owner is stopping; ask the next")
-_SHARD_REMOVED = Failure(SubFailureKind.NOT_OWNED, "the shard left the configuration")
+_NO_REPLICA = Failure(SubFailureKind.NO_REPLICA, "the shard has no usable replica")
+_OWNER_LEAVING = Failure(SubFailureKind.OWNER_LEAVING, "the owner is stopping; use another owner")
+_SHARD_REMOVED = Failure(SubFailureKind.NOT_OWNED, "the shard was removed from the configuration")
 _EXPIRED_IN_QUEUE = Failure(SubFailureKind.DEADLINE, "the deadline passed in the queue")
-_EXPIRED_RUNNING = Failure(SubFailureKind.DEADLINE, "no whole answer by the deadline")
+_EXPIRED_RUNNING = Failure(SubFailureKind.DEADLINE, "no complete answer before the deadline")
 
 
 class Dispatcher:
@@ -45,7 +45,7 @@
     Parameters
     ----------
     lanes
-        The shards; shared with the health prober, which keeps the trackers' reports fresh.
+        The shards; shared with the health prober, which updates the replica trackers.
     """
 
     def __init__(
@@ -64,20 +64,20 @@
         self._work_table = WorkTable(shards, self._attempts, disabled)
         self._retrying = RetryPolicy(settings, Mechanism.RETRY_BUDGET not in disabled)
         self.is_leaving = False
-        """Whether this node is stopping: other nodes' new sub-requests are sent back at once."""
+        """Whether this node is stopping and refuses new sub-requests of other nodes."""
 
     @property
     def in_flight(self) -> int:
-        """Sub-requests that wait or run here."""
+        """Number of sub-requests that are queued or running."""
         return len(self._work_table)
 
     @property
     def requesters(self) -> Requesters:
-        """The nodes that wait for results."""
+        """Nodes that wait for results."""
         return self._work_table.requesters
 
     def on_batch(self, batch: SubRequestBatch, sender: NodeIdentity, now: float) -> list[Action]:
-        """Take in sub-requests from ``sender``."""
+        """Accept the sub-requests of ``sender``; ignore those already accepted."""
         actions: list[Action] = []
         for sub_request in batch.sub_requests:
             if sub_request.sub_request_id not in self._work_table:
@@ -85,7 +85,7 @@
         return actions
 
     def on_cancel(self, message: CancelSubRequests, now: float) -> list[Action]:
-        """Drop sub-requests that nobody waits for any more; no results follow."""
+        """Discard cancelled sub-requests without sending results."""
         actions: list[Action] = []
         for sub_request_id in message.sub_request_ids:
             work = self._work_table.find(sub_request_id)
@@ -96,11 +96,11 @@
         return actions
 
     def on_shard_removed(self, shard_state: ShardState, now: float) -> list[Action]:
-        """Fail what waits for a shard that the configuration no longer has."""
+        """Fail the queued sub-requests of a shard that is no longer configured."""
         return self._fail_queued(shard_state, _SHARD_REMOVED, now)
 
     def on_work_expired(self, event: WorkExpired, now: float) -> list[Action]:
-        """Give the final result of an unrepeatable sub-request at its deadline."""
+        """Send the final result of an unrepeatable sub-request at its deadline."""
         work = self._work_table.find(event.sub_request_id)
         if work is None:
             return []
@@ -108,7 +108,7 @@
         return actions + self._dispatch_shard(work.sub_request.shard_id, now)
 
     def on_replica_changed(self, replica_id: str, now: float) -> list[Action]:
-        """Start whatever may start after a replica's state has changed."""
+        """Start queued sub-requests that can run after a change of a replica's state."""
         found = self._shards.tracker(replica_id)
         return [] if found is None else self._dispatch(found[0], now)
 
@@ -150,7 +150,7 @@
         return [] if shard_state is None else self._dispatch(shard_state, now)
 
     def _dispatch(self, shard_state: ShardState, now: float) -> list[Action]:
-        """Start what waits for as long as replicas have free slots."""
+        """Start hedges, then queued sub-requests, while replicas have free slots."""
         if not shard_state.queue and not shard_state.hedge_queue:
             return []
         usable = self._choice.usable(shard_state.tracker_list, now)
@@ -207,7 +207,11 @@
     def _dequeue_predicate(
         self, free: list[ReplicaTracker], usable: list[ReplicaTracker], now: float
     ) -> Callable[[WorkItem], bool]:
-        """Return a test for work that can start on ``free``, or that never can start at all."""
+        """Return a predicate for work to dequeue now.
+
+        It accepts work that can start on a free replica, and work that must fail because it
+        has expired or no usable replica can run it.
+        """
 
         def accepts(work: WorkItem) -> bool:
             snapshot = work.sub_request.snapshot
@@ -228,7 +232,7 @@
         return self._attempts.start(work, shard_state, tracker, now)
 
     def on_hedge_due(self, event: HedgeDue, now: float) -> list[Action]:
-        """Let a slow sub-request stand in line for a second replica."""
+        """Queue a hedge for a slow attempt if the budget allows it, else check again later."""
         context = self._attempts.find(event.attempt_id)
         if context is None or context.work.is_finished or context.work.awaits_hedge:
             return []
@@ -244,10 +248,10 @@
         shard_state.hedge_queue.append(work)
         return self._dispatch(shard_state, now)
 
-    # Ends of attempts --------------------------------------------------------------------
+    # Finished attempts -------------------------------------------------------------------
 
     def on_attempt_finished(self, event: AttemptFinished, now: float) -> list[Action]:
-        """Take in the end of an exchange."""
+        """Handle a finished attempt: send the result, retry, or wait for other attempts."""
         context = self._attempts.remove(event.attempt_id)
         if context is None:
             return [Count("wingquay_stray_attempts_total")]
@@ -315,5 +319,5 @@
 def _no_candidate_failure(work: WorkItem) -> Failure[SubFailureKind]:
     if work.last_failure is not None:
         return work.last_failure
-    reason = f"no replica in service holds snapshot {work.sub_request.snapshot}"
+    reason = f"no usable replica holds snapshot {work.sub_request.snapshot}"
     return Failure(SubFailureKind.NOT_HELD, reason)
--- a/wingquay/admission/dispatcher_events.py
+++ b/wingquay/admission/dispatcher_events.py
@@ -1,4 +1,4 @@
-"""Events that the dispatcher schedules for itself."""
+"""Timer events of the owner machine."""
 
 from dataclasses import dataclass
 
@@ -9,7 +9,7 @@
 
 @value
 class HedgeDue(Event):
-    """An attempt has taken longer than most: ask a second replica."""
+    """An attempt has reached the hedge delay; a second replica should be tried."""
 
     sub_request_id: SubRequestId
     attempt_id: AttemptId
@@ -17,16 +17,16 @@
 
 @dataclass(frozen=True, slots=True)
 class WorkExpired(Event):
-    """The deadline of an unrepeatable sub-request has come."""
+    """The deadline of an unrepeatable sub-request has passed."""
 
     sub_request_id: SubRequestId
 
 
 @dataclass(frozen=True, slots=True)
 class ProbeDue(Event):
-    """It is time to read the health pages of the replicas that this node owns."""
+    """The health pages of the replicas of owned shards are due to be read."""
 
 
 @dataclass(frozen=True, slots=True)
 class HeartbeatDue(Event):
-    """It is time to tell waiting nodes that this owner is alive."""
+    """A heartbeat to the nodes that wait for results is due."""
--- a/wingquay/admission/health_prober.py
+++ b/wingquay/admission/health_prober.py
@@ -1,7 +1,7 @@
-"""Keeps an owner's view of its replicas fresh: health pages, reports on answers, beliefs.
+"""Tracks the state of an owner's replicas from health pages, load reports and membership.
 
-Health and load reported by back ends lag or mislead (brief, "What the platform gives"), so they
-are hints: they set draining, versions and warmth, and never count as proof that a replica works.
+Reported health and load can be stale or wrong. They set the draining state, the held versions
+and the cold state of a replica, but are never proof that it works.
 """
 
 from collections.abc import Iterable
@@ -27,12 +27,13 @@
 from .shard_table import ShardTable
 
 OBSERVATION_REPEAT_INTERVAL_SECONDS = 0.5
-"""Evidence that did not change is repeated so often: it counts only while it is fresh."""
+"""Interval after which an unchanged observation is sent again, because observations expire."""
 
 LEAVING_HOLD_PERIOD_SECONDS = 30.0
-"""Time after the last sign that a replica is leaving in which its health page cannot clear it.
+"""Time since a replica was last seen leaving during which its health page cannot clear that.
 
-A replica that was unreachable meanwhile and then says that it is cold has been started again.
+A replica that was unreachable in between and then reports being cold has restarted and is
+cleared at once.
 """
 
 
@@ -44,7 +45,7 @@
 
 
 class HealthProber:
-    """Probes owned replicas and turns what is seen of them into observations."""
+    """Probes owned replicas and reports observations of their state."""
 
     def __init__(self, node_id: str, settings: RoutingSettings, shards: ShardTable) -> None:
         self._node_id = node_id
@@ -55,7 +56,7 @@
         self._unreachable_since_leaving: set[str] = set()
 
     def probe_owned(self, owned: Iterable[ShardState]) -> list[Action]:
-        """Read the health pages of the replicas whose shards this node owns."""
+        """Read the health pages of all replicas of the owned shards."""
         return [
             self._probe(tracker) for shard_state in owned for tracker in shard_state.tracker_list
         ]
@@ -66,7 +67,7 @@
         return ProbeReplica(replica.replica_id, replica.host, replica.port, timeout)
 
     def on_probed(self, event: ReplicaProbed, now: float) -> list[Action]:
-        """Take in a health page."""
+        """Handle a health page or the failure to read it."""
         if isinstance(event.result, Failure):
             self._unreachable_since_leaving.add(event.replica_id)
             return []
@@ -79,18 +80,18 @@
         return self._observe(event.replica_id, ReplicaState.SERVING, held, now)
 
     def _may_clear_leaving(self, replica_id: str, report: LoadReport, now: float) -> bool:
-        """Whether "serving" on a health page says anything: pages lag behind a drain."""
+        """Return whether a health page may clear the leaving state; pages lag behind a drain."""
         leaving_at = self._leaving_at.get(replica_id)
         if leaving_at is None:
             return True
-        # A process that went away and comes back cold has forgotten that it was leaving. Either
-        # sign alone is not enough: the network may have been cut, the page may be an old one.
+        # A process that was unreachable and is cold has restarted. Either sign alone is not
+        # enough: the network may have been partitioned, or the page may be stale.
         if report.cold and replica_id in self._unreachable_since_leaving:
             return True
         return now - leaving_at >= LEAVING_HOLD_PERIOD_SECONDS
 
     def on_attempt_finished(self, event: AttemptFinished, now: float) -> list[Action]:
-        """Take in what an exchange says of its replica."""
+        """Update the state of a replica from a finished attempt."""
         replica_id = event.replica_id
         held: HeldVersions | None = None
         if event.load is not None:
@@ -151,7 +152,7 @@
         return [Notify(ReplicaObserved(replica_id, state, held))]
 
     def on_replica_belief(self, event: ReplicaBelief) -> None:
-        """Take in what the membership machine makes of all evidence about a replica."""
+        """Apply the replica state that the membership machine derived from all evidence."""
         found = self._shards.tracker(event.replica_id)
         if found is None:
             return
--- a/wingquay/admission/hedging.py
+++ b/wingquay/admission/hedging.py
@@ -1,8 +1,8 @@
-"""When a second replica is asked, and how many such hedges may leave.
+"""Hedge delays and hedge budgets.
 
-Source: Dean and Barroso, "The Tail at Scale", 2013. The delay counts from the start of the
-attempt, never from arrival: a timer that counts time in the queue would spend the budget on mere
-queueing and keep an overload alive.
+See Dean and Barroso, "The Tail at Scale", 2013. The delay counts from the start of the attempt,
+not from the arrival of the sub-request. Otherwise queueing alone would trigger hedges and prolong
+an overload.
 """
 
 from ..routing.latency_tracker import LatencyTracker
@@ -13,7 +13,15 @@
 
 
 class HedgePolicy:
-    """Hedge delays by kind of request and hedge budgets by class."""
+    """Hedge delays by request kind and hedge budgets by class.
+
+    Parameters
+    ----------
+    enabled
+        Whether hedges are sent at all.
+    budgeted
+        Whether the budget of a class limits its hedges.
+    """
 
     def __init__(self, settings: AdmissionSettings, enabled: bool, budgeted: bool) -> None:
         self._settings = settings
@@ -23,11 +31,11 @@
         self._budgets: dict[str, RatioBudget] = {}
 
     def on_first_attempt(self, class_name: str) -> None:
-        """Take in a first attempt: it earns the class its share of hedges."""
+        """Add the hedges that a first attempt earns to the budget of its class."""
         self._budget(class_name).earn()
 
     def on_service_time(self, kind_key: str, service_seconds: float, now: float) -> None:
-        """Take in how long an attempt took, or had taken when it was cancelled."""
+        """Record the service time of an attempt, or its elapsed time if cancelled."""
         tracker = self._trackers.get(kind_key)
         if tracker is None:
             tracker = LatencyTracker(self._settings.latency_period_seconds)
@@ -37,10 +45,10 @@
     def delay_seconds(
         self, kind_key: str, hedges_so_far: int, expected_seconds: float
     ) -> float | None:
-        """Return the time after an attempt's start at which to hedge it, or ``None``: never.
+        """Return the time from an attempt's start to its hedge; ``None`` for no hedge.
 
-        A node that has just started knows no quantile yet; it goes by ``expected_seconds``, the
-        expected service time.
+        Uses a multiple of ``expected_seconds``, the expected service time, until enough service
+        times are recorded.
         """
         if not self._enabled or hedges_so_far >= self._settings.most_hedges:
             return None
@@ -59,11 +67,11 @@
         return max(quantile, median * self._settings.hedge_least_factor)
 
     def try_acquire(self, class_name: str) -> bool:
-        """Take one hedge from the class's budget; ``False`` if it is spent."""
+        """Take one hedge from the budget of the class; return ``False`` if none is left."""
         return not self._budgeted or self._budget(class_name).spend()
 
     def refund(self, class_name: str) -> None:
-        """Return a hedge that was granted but not sent."""
+        """Return an unsent hedge to the budget of the class."""
         budget = self._budget(class_name)
         budget.available = min(budget.burst, budget.available + 1.0)
 
--- a/wingquay/admission/owner_machine.py
+++ b/wingquay/admission/owner_machine.py
@@ -1,4 +1,4 @@
-"""The machine of a node's role as owner: routes events to the dispatcher and the prober."""
+"""State machine of a node's owner role."""
 
 import random
 from typing import ClassVar
@@ -41,7 +41,10 @@
 
 
 class OwnerMachine:
-    """Owns shards: see ``Dispatcher`` and ``HealthProber``."""
+    """Routes the events of a shard owner to its dispatcher and its health prober.
+
+    Also sends heartbeats to the nodes that wait for results.
+    """
 
     EVENTS: ClassVar[tuple[type[Event], ...]] = (
         Start,
@@ -90,11 +93,11 @@
 
     @property
     def in_flight(self) -> int:
-        """Sub-requests that wait or run here."""
+        """Number of sub-requests that are queued or running."""
         return self._dispatcher.in_flight
 
     def service_loads(self) -> tuple[ServiceLoad, ...]:
-        """Return the share in use of the slots that this owner queues for, by service."""
+        """Return the share of slots in use by this owner, by service."""
         slots: dict[ServiceName, int] = {}
         in_flight: dict[ServiceName, int] = {}
         for shard_state in self._owned_shards():
@@ -105,7 +108,7 @@
         return tuple(ServiceLoad(name, in_flight[name] / slots[name]) for name in sorted(in_flight))
 
     def _owned_shards(self) -> list[ShardState]:
-        """Return the lanes of the shards that this node owns; found anew after a change."""
+        """Return the shards this node owns; cached until configuration or membership changes."""
         if self._owned is None:
             self._owned = [shard_state for shard_state in self._shards if self._owns(shard_state)]
         return self._owned
@@ -117,10 +120,10 @@
         return any(node.node_id == self._identity.node_id for node in owners)
 
     def handle(self, event: Event, now: float) -> list[Action]:
-        """Take in one event."""
+        """Handle one event and return the resulting actions."""
         match event:
             case AttemptFinished():
-                # Reports first: the result that leaves says which versions replicas hold.
+                # The prober comes first: the result states the versions that replicas hold.
                 actions = self._prober.on_attempt_finished(event, now)
                 return actions + self._dispatcher.on_attempt_finished(event, now)
             case PeerReceived():
--- a/wingquay/admission/requesters.py
+++ b/wingquay/admission/requesters.py
@@ -1,4 +1,4 @@
-"""The nodes that wait for results, and when each was last sent something."""
+"""Nodes that wait for results, with the time of the last message to each."""
 
 from dataclasses import dataclass
 
@@ -13,17 +13,17 @@
 
 
 class Requesters:
-    """Outstanding sub-requests by the node that asked."""
+    """Number of outstanding sub-requests by requesting node."""
 
     def __init__(self) -> None:
         self._waiting: dict[str, _Waiting] = {}
 
     def __bool__(self) -> bool:
-        """Whether any node waits."""
+        """Return whether any node waits for results."""
         return bool(self._waiting)
 
     def on_accepted(self, requester: NodeIdentity, now: float) -> None:
-        """Count one more sub-request of ``requester``."""
+        """Count a new sub-request of ``requester``."""
         waiting = self._waiting.get(requester.node_id)
         if waiting is None:
             waiting = _Waiting(requester, 0, now)
@@ -31,7 +31,7 @@
         waiting.outstanding += 1
 
     def on_finished(self, requester: NodeIdentity, now: float) -> None:
-        """Count one fewer sub-request of ``requester``."""
+        """Uncount a finished sub-request of ``requester``."""
         waiting = self._waiting.get(requester.node_id)
         if waiting is None:
             return
@@ -41,7 +41,7 @@
             del self._waiting[requester.node_id]
 
     def take_unsent_since(self, before: float, now: float) -> list[NodeIdentity]:
-        """Return the nodes that were sent nothing since ``before``, and count them as sent."""
+        """Return the nodes last sent a message at ``before`` or earlier; mark them as sent now."""
         silent = [waiting for waiting in self._waiting.values() if waiting.last_sent_at <= before]
         for waiting in silent:
             waiting.last_sent_at = now
--- a/wingquay/admission/retrying.py
+++ b/wingquay/admission/retrying.py
@@ -1,6 +1,6 @@
-"""How many retries may leave: a ratio of the first attempts of each service.
+"""Retry budgets: retries of a service are limited to a ratio of its first attempts.
 
-So a zone that goes down costs a bounded share of extra work and no storm.
+The budget prevents a retry storm when a zone fails.
 """
 
 from .budget import RatioBudget
@@ -8,12 +8,12 @@
 
 
 class RetryPolicy:
-    """Retry budgets by service.
+    """Retry limits by sub-request and retry budgets by service.
 
     Parameters
     ----------
     budgeted
-        Whether the budget holds; otherwise only the count of each sub-request limits.
+        Whether the budget of a service applies; the limit for each sub-request always does.
     """
 
     def __init__(self, settings: AdmissionSettings, budgeted: bool) -> None:
@@ -22,11 +22,11 @@
         self._budgets: dict[str, RatioBudget] = {}
 
     def on_first_attempt(self, service: str) -> None:
-        """Take in a first attempt: it earns the service its share of retries."""
+        """Add the retries that a first attempt earns to the budget of its service."""
         self._budget(service).earn()
 
     def try_acquire(self, service: str, retries_so_far: int, is_free: bool) -> bool:
-        """Whether one more retry may leave; it is taken from the budget unless it is free."""
+        """Return whether a retry is allowed; take it from the budget unless ``is_free``."""
         if retries_so_far >= self._settings.most_retries:
             return False
         return is_free or not self._budgeted or self._budget(service).spend()
--- a/wingquay/admission/shard_state.py
+++ b/wingquay/admission/shard_state.py
@@ -1,4 +1,4 @@
-"""One shard at its owner: its replicas, the queue for their slots, the line of hedges."""
+"""State of one shard at its owner: replicas, queued sub-requests and queued hedges."""
 
 from collections import deque
 from dataclasses import dataclass, field
@@ -17,8 +17,14 @@
 
     Parameters
     ----------
+    trackers, tracker_list
+        Trackers of the replicas by replica id, and the same as a list.
+    queue
+        Sub-requests that wait for a free slot.
+    hedge_queue
+        Sub-requests that wait for a free slot for a hedge.
     shedding_until
-        While now is before it, the pool has refused work lately and gets no hedges.
+        Time until which no hedges are queued because a replica has shed a request.
     """
 
     service: Service
@@ -30,18 +36,18 @@
     shedding_until: float = 0.0
 
     def parallelism(self) -> int:
-        """Return how many sub-requests all staying replicas together work on at a time."""
+        """Return the total number of slots of the replicas that are not leaving."""
         staying = [tracker for tracker in self.tracker_list if not tracker.leaving]
         return sum(tracker.replica.slots for tracker in staying)
 
     def class_delay_seconds(self, sub_request: SubRequest, now: float) -> float:
-        """Return how long a new sub-request of this class is expected to wait for a slot."""
+        """Return the expected queueing delay of a new sub-request of the same class."""
         if not self.queue:
             return 0.0
         return self.queue.class_delay_seconds(sub_request, self.parallelism(), now)
 
     def held(self) -> tuple[HeldVersions, ...]:
-        """Return the versions that the staying replicas hold, as far as known."""
+        """Return the known versions held by the replicas that are not leaving."""
         return tuple(
             tracker.held
             for tracker in self.tracker_list
@@ -49,7 +55,7 @@
         )
 
     def next_hedge(self) -> WorkItem | None:
-        """Return the first sub-request that still wants a hedge; it stays in line."""
+        """Return the first sub-request that awaits a hedge, without removing it."""
         while self.hedge_queue:
             work = self.hedge_queue[0]
             if not work.is_finished and work.awaits_hedge:
--- a/wingquay/admission/shard_table.py
+++ b/wingquay/admission/shard_table.py
@@ -1,4 +1,4 @@
-"""The shards that this node may be asked about, kept up to date with the configuration."""
+"""Table of all configured shards, updated from the configuration."""
 
 from collections.abc import Iterator
 
@@ -10,12 +10,12 @@
 
 
 class ShardTable:
-    """Shard lanes by shard id, and the lane of each replica.
+    """Shard states by shard id and by replica id.
 
     Parameters
     ----------
     by_class
-        Whether queues tell classes apart.
+        Whether queues separate classes; see ``ClassQueue``.
     """
 
     def __init__(self, settings: RoutingSettings, by_class: bool) -> None:
@@ -25,22 +25,22 @@
         self._shard_of_replica: dict[str, ShardState] = {}
 
     def __iter__(self) -> Iterator[ShardState]:
-        """Return all lanes, in the configuration's order."""
+        """Iterate over all shards in the order of the configuration."""
         return iter(self._shards.values())
 
     def shard_state(self, shard_id: str) -> ShardState | None:
-        """Return the lane of a shard, or ``None`` if the configuration has no such shard."""
+        """Return the state of a shard, or ``None`` if it is not configured."""
         return self._shards.get(shard_id)
 
     def tracker(self, replica_id: str) -> tuple[ShardState, ReplicaTracker] | None:
-        """Return a replica's lane and tracker, or ``None`` if it is unknown."""
+        """Return the shard and the tracker of a replica, or ``None`` if it is not configured."""
         shard_state = self._shard_of_replica.get(replica_id)
         if shard_state is None:
             return None
         return shard_state, shard_state.trackers[replica_id]
 
     def apply(self, configuration: Configuration) -> list[ShardState]:
-        """Follow the configuration; return the lanes that are gone with what waits in them."""
+        """Apply a configuration; return the removed shards with their queued sub-requests."""
         before = self._shards
         self._shards = {}
         self._shard_of_replica = {}
--- a/wingquay/admission/work_item.py
+++ b/wingquay/admission/work_item.py
@@ -1,4 +1,4 @@
-"""A sub-request at its owner, from arrival to result."""
+"""State of a sub-request at its owner, from arrival to result."""
 
 from dataclasses import dataclass, field
 
@@ -11,7 +11,7 @@
 
 @dataclass(slots=True)
 class RunningAttempt:
-    """An exchange with a replica that has not ended."""
+    """A running attempt at a replica."""
 
     attempt_id: AttemptId
     replica_id: ReplicaId
@@ -20,16 +20,22 @@
 
 @dataclass(slots=True)
 class WorkItem:
-    """The state of one sub-request.
+    """State of one sub-request.
 
     Parameters
     ----------
+    requester
+        Node that the result is sent to.
     cost_seconds
-        Slot time that it is expected to take.
+        Expected service time.
+    tried
+        Replicas already tried or to be avoided; not chosen for further attempts.
     may_have_run
-        Whether any back end may have run it; once true it stays so.
+        Whether any back end may have run it; never reset.
     awaits_hedge
-        Whether it stands in line for a second replica.
+        Whether it waits for a free slot for a hedge.
+    last_replica
+        Replica of the latest attempt; empty before the first.
     """
 
     sub_request: SubRequest
@@ -51,7 +57,7 @@
     last_replica: str = ""
 
     def on_started(self, attempt: RunningAttempt) -> None:
-        """Take in that an exchange has begun."""
+        """Record a started attempt."""
         self.running[attempt.attempt_id] = attempt
         self.tried.append(attempt.replica_id)
         self.attempts += 1
@@ -60,10 +66,10 @@
             self.first_started_at = attempt.started_at
 
     def queue_seconds(self, now: float) -> float:
-        """Return the time from arrival to the first attempt, or to now if there was none."""
+        """Return the time from arrival to the first attempt, or to ``now`` before it."""
         ended_at = now if self.first_started_at is None else self.first_started_at
         return ended_at - self.accepted_at
 
     def service_seconds(self, now: float) -> float:
-        """Return the time since the first attempt; 0 if there was none."""
+        """Return the time since the first attempt started; 0 before it."""
         return 0.0 if self.first_started_at is None else now - self.first_started_at
--- a/wingquay/admission/work_table.py
+++ b/wingquay/admission/work_table.py
@@ -1,4 +1,4 @@
-"""The sub-requests that wait or run at their owner, and the results that end them."""
+"""Sub-requests that are queued or running at their owner, and the results sent for them."""
 
 from ..model.answer import SubAnswer, SubFailureKind, SubResult
 from ..model.failure import Failure
@@ -13,14 +13,14 @@
 
 
 class WorkTable:
-    """Keeps each sub-request from its arrival to its one result.
+    """Unfinished sub-requests by id; sends exactly one result for each.
 
     Parameters
     ----------
-    lanes
-        The shards, whose state is reported with each result.
+    shards
+        Shards whose held versions and queueing delay are reported with each result.
     attempts
-        Ends the exchanges of a sub-request that ends.
+        Cancels the running attempts of a finished sub-request.
     """
 
     def __init__(
@@ -31,7 +31,7 @@
         self._disabled = disabled
         self._work: dict[str, WorkItem] = {}
         self.requesters = Requesters()
-        """The nodes that wait for results."""
+        """Nodes that wait for results."""
 
     def __len__(self) -> int:
         return len(self._work)
@@ -40,11 +40,11 @@
         return sub_request_id in self._work
 
     def find(self, sub_request_id: str) -> WorkItem | None:
-        """Return a sub-request that has no result yet, or ``None``."""
+        """Return an unfinished sub-request, or ``None``."""
         return self._work.get(sub_request_id)
 
     def add(self, sub_request: SubRequest, sender: NodeIdentity, now: float) -> WorkItem:
-        """Take in a sub-request that ``sender`` waits for."""
+        """Add a sub-request received from ``sender``."""
         work = WorkItem(
             sub_request=sub_request,
             requester=sender,
@@ -59,7 +59,7 @@
     def finish(
         self, work: WorkItem, result: SubAnswer | Failure[SubFailureKind], now: float
     ) -> list[Action]:
-        """End ``work`` and send its result."""
+        """Remove ``work``, cancel its attempts and send its result."""
         has_run = isinstance(result, SubAnswer) or work.may_have_run or bool(work.running)
         if Mechanism.RUN_TRACKING in self._disabled and not isinstance(result, SubAnswer):
             has_run = False
@@ -83,7 +83,7 @@
         return [*actions, SendToPeer(work.requester, SubResultBatch((sub_result,)))]
 
     def discard(self, work: WorkItem, now: float) -> list[Action]:
-        """Forget ``work`` and end its exchanges; no result is sent."""
+        """Remove ``work`` and cancel its attempts without sending a result."""
         work.is_finished = True
         self._work.pop(work.sub_request.sub_request_id, None)
         self.requesters.on_finished(work.requester, now)
