--- a/wingquay/admission/class_queue.py
+++ b/wingquay/admission/class_queue.py
@@ -21,7 +21,7 @@
         self._by_class = by_class
 
     def class_delay_seconds(self, sub_request: SubRequest, parallelism: int, now: float) -> float:
-        """Return the expected wait of a new sub-request of the class, with ``parallelism`` slots."""
+        """Return the expected wait of a new sub-request, given ``parallelism`` slots."""
         return self.delay_seconds(self._place_of_class(sub_request, 1.0), parallelism, now)
 
     def _place(self, work: WorkItem) -> Place:
