--- a/tests/query/small_tier.py
+++ b/tests/query/small_tier.py
@@ -1,4 +1,4 @@
-"""Two nodes and a sharded service on a virtual clock, small enough to drive by hand."""
+"""Test tier of two nodes and one sharded service on a virtual clock."""
 
 import heapq
 import random
@@ -60,7 +60,7 @@
 
 
 def configuration(shard_ranges: tuple[KeyRange, ...], replicas_per_shard: int) -> Configuration:
-    """Return one service of two request kinds, with ``replicas_per_shard`` in turn of zones."""
+    """Return a service with two request kinds; the replicas of a shard alternate between zones."""
     shards = tuple(
         Shard(
             shard_id=ShardId(f"s{index}"),
@@ -102,7 +102,7 @@
 
 
 class SmallTier:
-    """Nodes, back ends and a constant latency between them."""
+    """Nodes and model back ends with a constant network latency between them."""
 
     def __init__(
         self, settings: NodeMachineSettings, shard_count: int = 4, replicas_per_shard: int = 2
@@ -113,7 +113,7 @@
         self.answer_counts: dict[str, int] = {}
         self.dataset = Dataset()
         self.unreachable: set[str] = set()
-        self.lost_nodes: set[str] = set()
+        self.crashed_nodes: set[str] = set()
         self._due: list[_Due] = []
         self._sequence = 0
         ranges = self.dataset.shard_ranges(shard_count)
@@ -142,10 +142,10 @@
             for index, identity in enumerate(identities)
         }
         for node_id in nodes:
-            self._bring_up(node_id, nodes[node_id], identities)
+            self._start_node(node_id, nodes[node_id], identities)
         return dict(nodes)
 
-    def _bring_up(
+    def _start_node(
         self, node_id: str, node: NodeMachine, identities: tuple[NodeIdentity, ...]
     ) -> None:
         events = (
@@ -157,7 +157,7 @@
             for action in node.handle(event, 0.0):
                 self._perform(node_id, action)
 
-    def ask(
+    def send_request(
         self,
         node_id: str,
         request_id: str,
@@ -173,19 +173,19 @@
         self.deliver(node_id, CallerRequest(request))
 
     def deliver(self, node_id: str, event: Event) -> None:
-        """Hand an event to a node now, unless it is lost."""
-        if node_id in self.lost_nodes:
+        """Deliver an event to a node now, unless the node has crashed."""
+        if node_id in self.crashed_nodes:
             return
         for action in self.nodes[node_id].handle(event, self.now):
             self._perform(node_id, action)
 
-    def after(self, delay_seconds: float, run: Callable[[], None]) -> None:
-        """Run something later."""
+    def run_after(self, delay_seconds: float, run: Callable[[], None]) -> None:
+        """Run a function after ``delay_seconds``."""
         self._sequence += 1
         heapq.heappush(self._due, _Due(self.now + delay_seconds, self._sequence, run))
 
     def run_until(self, until: float) -> None:
-        """Let the clock go on to ``until``."""
+        """Advance the clock to ``until`` and run everything due."""
         while self._due and self._due[0].at <= until:
             due = heapq.heappop(self._due)
             self.now = max(self.now, due.at)
@@ -196,15 +196,15 @@
         match action:
             case Schedule():
                 delay = action.at_seconds - self.now
-                self.after(delay, lambda: self.deliver(node_id, action.event))
+                self.run_after(delay, lambda: self.deliver(node_id, action.event))
             case SendToPeer():
                 sender = self.nodes[node_id].identity
                 received = PeerReceived(sender, action.message)
-                self.after(LATENCY_SECONDS, lambda: self.deliver(action.to.node_id, received))
+                self.run_after(LATENCY_SECONDS, lambda: self.deliver(action.to.node_id, received))
             case StartAttempt():
-                self.after(LATENCY_SECONDS, lambda: self._arrive(node_id, action))
+                self.run_after(LATENCY_SECONDS, lambda: self._arrive(node_id, action))
             case CancelAttempt():
-                self.after(LATENCY_SECONDS, lambda: self._cancel(action))
+                self.run_after(LATENCY_SECONDS, lambda: self._cancel(action))
             case ProbeReplica():
                 self._probe(node_id, action)
             case AnswerCaller():
@@ -218,40 +218,40 @@
     def _probe(self, node_id: str, action: ProbeReplica) -> None:
         report = self.backends[action.replica_id].report(self.now)
         probed = ReplicaProbed(action.replica_id, report)
-        self.after(2 * LATENCY_SECONDS, lambda: self.deliver(node_id, probed))
+        self.run_after(2 * LATENCY_SECONDS, lambda: self.deliver(node_id, probed))
 
     def _arrive(self, node_id: str, action: StartAttempt) -> None:
         if action.replica_id in self.unreachable:
             failure = Failure(BackendFailureKind.CONNECT_FAILED, "refused")
             finished = AttemptFinished(action.attempt_id, action.replica_id, failure)
-            self.after(LATENCY_SECONDS, lambda: self.deliver(node_id, finished))
+            self.run_after(LATENCY_SECONDS, lambda: self.deliver(node_id, finished))
             return
         backend = self.backends[action.replica_id]
-        self._owner_of[action.attempt_id] = node_id
+        self._node_of_attempt[action.attempt_id] = node_id
         backend.arrive(BackendExchange.of_attempt(action, LATENCY_SECONDS), self.now)
-        self._step(action.replica_id)
+        self._advance_backend(action.replica_id)
 
     def _cancel(self, action: CancelAttempt) -> None:
         for replica_id, backend in self.backends.items():
             backend.cancel(action.attempt_id, self.now)
-            self._step(replica_id)
+            self._advance_backend(replica_id)
 
-    def _step(self, replica_id: str) -> None:
+    def _advance_backend(self, replica_id: str) -> None:
         backend = self.backends[replica_id]
         for reply in backend.advance(self.now):
             finished = reply.to_attempt_finished(ReplicaId(replica_id))
-            node_id = self._owner_of[reply.attempt_id]
-            self.after(
+            node_id = self._node_of_attempt[reply.attempt_id]
+            self.run_after(
                 LATENCY_SECONDS,
                 lambda node_id=node_id, finished=finished: self.deliver(node_id, finished),  # type: ignore[misc]
             )
         next_at = backend.next_event_at()
         if next_at is not None:
-            self.after(max(0.0, next_at - self.now), lambda: self._step(replica_id))
+            self.run_after(max(0.0, next_at - self.now), lambda: self._advance_backend(replica_id))
 
-    _owner_of: dict[str, str] = {}
+    _node_of_attempt: dict[str, str] = {}
 
     def true_rows(self, version: int) -> list[tuple[str, str]]:
-        """Return all rows that the service holds at ``version``."""
+        """Return all rows of the service at ``version`` as pairs of key and value."""
         rows = self.dataset.rows_for(SERVICE, EVERYTHING, SnapshotVersion(version))
         return [(row.key, row.value) for row in rows]
--- a/tests/query/test_avoided_replicas.py
+++ b/tests/query/test_avoided_replicas.py
@@ -1,4 +1,4 @@
-"""Replicas that left keys out before are passed over, unless there are no others."""
+"""Replicas to avoid are not chosen unless all replicas are to be avoided."""
 
 import random
 from dataclasses import replace
@@ -20,7 +20,7 @@
 
 
 class AvoidedReplicasTest(TestCase):
-    def replicas_asked(self, avoid: tuple[ReplicaId, ...]) -> list[str]:
+    def chosen_replicas(self, avoid: tuple[ReplicaId, ...]) -> list[str]:
         identity = NodeIdentity(NodeId("n"), DeploymentName("ro-nord"), ZONES[0], "127.0.0.1", 1)
         owner = OwnerMachine(identity, RoutingSettings(), AdmissionSettings(), random.Random(1))
         owner.handle(ConfigurationInForce(configuration((EVERYTHING,), 2)), 0.0)
@@ -34,12 +34,12 @@
         actions = owner.handle(PeerReceived(REQUESTER, batch), 0.0)
         return [action.replica_id for action in actions if isinstance(action, StartAttempt)]
 
-    def test_both_are_asked_when_none_is_avoided(self) -> None:
-        self.assertEqual({FIRST, SECOND}, set(self.replicas_asked(())))
+    def test_both_replicas_are_chosen_if_none_is_avoided(self) -> None:
+        self.assertEqual({FIRST, SECOND}, set(self.chosen_replicas(())))
 
-    def test_an_avoided_one_is_passed_over(self) -> None:
-        self.assertEqual({SECOND}, set(self.replicas_asked((FIRST,))))
-        self.assertEqual({FIRST}, set(self.replicas_asked((SECOND,))))
+    def test_an_avoided_replica_is_not_chosen(self) -> None:
+        self.assertEqual({SECOND}, set(self.chosen_replicas((FIRST,))))
+        self.assertEqual({FIRST}, set(self.chosen_replicas((SECOND,))))
 
-    def test_with_all_avoided_any_is_asked(self) -> None:
-        self.assertEqual(6, len(self.replicas_asked((FIRST, SECOND))))
+    def test_the_list_is_ignored_if_all_replicas_are_avoided(self) -> None:
+        self.assertEqual(6, len(self.chosen_replicas((FIRST, SECOND))))
--- a/tests/query/test_class_order.py
+++ b/tests/query/test_class_order.py
@@ -1,4 +1,4 @@
-"""Order between classes, refusals, hedges and budgets at one owner."""
+"""Class order, refusals, hedge delays and hedge budgets at one owner."""
 
 import random
 
@@ -55,7 +55,7 @@
 
 
 class ClassQueueTest(TestCase):
-    def test_a_late_top_class_arrival_is_served_next(self) -> None:
+    def test_a_new_item_of_the_top_class_is_popped_next(self) -> None:
         queue = ClassQueue()
         for index in range(50):
             queue.push(work(f"bulk{index}", "bulk", 1))
@@ -63,7 +63,7 @@
         queue.push(work("gold", "gold", 100))
         self.assertEqual(["gold"], pop_names(queue, 1))
 
-    def test_shares_follow_prices_and_nobody_starves(self) -> None:
+    def test_shares_are_proportional_to_prices_without_starvation(self) -> None:
         queue = ClassQueue()
         for index in range(300):
             queue.push(work(f"gold{index}", "gold", 3))
@@ -72,13 +72,13 @@
         bulk = sum(name.startswith("bulk") for name in first)
         self.assertTrue(22 <= bulk <= 28, bulk)
 
-    def test_without_classes_arrival_decides(self) -> None:
+    def test_without_classes_items_are_popped_in_order_of_arrival(self) -> None:
         queue = ClassQueue(by_class=False)
         queue.push(work("bulk", "bulk", 1))
         queue.push(work("gold", "gold", 100))
         self.assertEqual(["bulk", "gold"], pop_names(queue, 2))
 
-    def test_expected_delay_counts_the_own_class_by_its_share(self) -> None:
+    def test_the_expected_delay_depends_on_the_share_of_the_class(self) -> None:
         queue = ClassQueue()
         for index in range(10):
             queue.push(work(f"bulk{index}", "bulk", 1, cost_seconds=0.1))
@@ -102,26 +102,26 @@
         assert delay is not None
         self.assertTrue(0.0055 <= delay <= 0.0062, delay)
 
-    def test_nothing_is_hedged_that_is_merely_slower_than_the_median(self) -> None:
+    def test_the_delay_is_at_least_the_least_factor_times_the_median(self) -> None:
         delay = self.policy(least_factor=3.0).delay_seconds("k", 0, 1.0)
         assert delay is not None
         self.assertTrue(0.0145 <= delay <= 0.0155, delay)
 
-    def test_a_kind_without_samples_is_hedged_by_its_expected_time(self) -> None:
+    def test_without_samples_the_delay_depends_on_the_expected_service_time(self) -> None:
         delay = self.policy().delay_seconds("new", 0, 0.01)
         self.assertEqual(0.01 * AdmissionSettings().hedge_initial_factor, delay)
 
-    def test_the_budget_bounds_hedges_to_its_ratio(self) -> None:
+    def test_the_budget_limits_hedges_to_its_ratio_plus_burst(self) -> None:
         policy = self.policy()
         granted = 0
         for _ in range(1000):
             policy.on_first_attempt("gold")
             granted += policy.try_acquire("gold")
         settings = AdmissionSettings()
-        most = settings.hedge_budget_burst + 1000 * settings.hedge_budget_ratio
-        self.assertTrue(granted <= most, granted)
+        max_granted = settings.hedge_budget_burst + 1000 * settings.hedge_budget_ratio
+        self.assertTrue(granted <= max_granted, granted)
 
-    def test_one_class_cannot_spend_anothers_budget(self) -> None:
+    def test_each_class_has_its_own_hedge_budget(self) -> None:
         policy = self.policy()
         while policy.try_acquire("bulk"):
             pass
@@ -133,26 +133,26 @@
         settings = NodeMachineSettings(disabled=frozenset(disabled))
         tier = SmallTier(settings, shard_count=1, replicas_per_shard=1)
         tier.run_until(2.0)
-        tier.ask("n0", "warm")
+        tier.send_request("n0", "warm")
         tier.run_until(2.5)
         for index in range(60):
-            tier.ask("n0", f"sweep{index}", deadline_seconds=5.0)
+            tier.send_request("n0", f"sweep{index}", deadline_seconds=5.0)
         return tier
 
     def latency_of_ping(self, tier: SmallTier) -> float:
-        asked_at = tier.now
-        tier.ask("n1", "ping", "outage-ping", (KeyRange.of_key("village-0001"),))
+        sent_at = tier.now
+        tier.send_request("n1", "ping", "outage-ping", (KeyRange.of_key("village-0001"),))
         tier.run_until(tier.now + 3.0)
-        return tier.answered_at["ping"] - asked_at
+        return tier.answered_at["ping"] - sent_at
 
-    def test_a_ping_overtakes_waiting_sweeps(self) -> None:
+    def test_a_ping_overtakes_queued_sweeps(self) -> None:
         in_order = self.latency_of_ping(self.saturated_tier())
         without = self.latency_of_ping(self.saturated_tier(Mechanism.CLASS_ORDER))
         self.assertTrue(in_order * 2 < without, (in_order, without))
 
     def test_a_request_that_cannot_meet_its_deadline_is_refused_at_once(self) -> None:
         tier = self.saturated_tier()
-        tier.ask("n0", "late", deadline_seconds=0.02)
+        tier.send_request("n0", "late", deadline_seconds=0.02)
         tier.run_until(tier.now + 0.01)
         answer = tier.answers["late"]
         self.assertEqual(Outcome.REFUSED_NOT_RUN, answer.outcome)
--- a/tests/query/test_query_table.py
+++ b/tests/query/test_query_table.py
@@ -1,4 +1,4 @@
-"""What the table of open requests remembers of sub-requests that are given up on."""
+"""A request with cancelled sub-requests counts as possibly run."""
 
 from types import SimpleNamespace
 
@@ -14,19 +14,19 @@
     )
 
 
-class TestGivingUp(testtools.TestCase):
+class TestCancelPending(testtools.TestCase):
     def setUp(self) -> None:
         super().setUp()
         self.table = QueryTable(True)
         self.state = SimpleNamespace(
-            request_id="query-1", outstanding={}, answered={}, may_have_run=False
+            request_id="query-1", pending_sub_requests={}, answered={}, may_have_run=False
         )
 
-    def test_what_is_given_up_on_may_have_run(self) -> None:
+    def test_a_cancelled_sub_request_may_have_run(self) -> None:
         self.table.add_pending(self.state, pending(1))
         self.table.cancel_pending(self.state)
         self.assertTrue(self.state.may_have_run)
 
-    def test_nothing_given_up_on_proves_nothing(self) -> None:
+    def test_without_pending_sub_requests_may_have_run_stays_false(self) -> None:
         self.table.cancel_pending(self.state)
         self.assertFalse(self.state.may_have_run)
--- a/tests/query/test_recovery.py
+++ b/tests/query/test_recovery.py
@@ -1,4 +1,4 @@
-"""A tier that was driven far past its capacity, with stragglers, comes back by itself."""
+"""A tier with stragglers recovers by itself from an overload far above its capacity."""
 
 import random
 from dataclasses import replace
@@ -27,24 +27,26 @@
             self.tier.backends[replica_id] = BackendModel(settings, source, self.tier.dataset)
         self.tier.run_until(2.0)
 
-    def slow_pings(self, name: str) -> list[float]:
-        """Return the latencies of spaced pings, slowest last."""
+    def sorted_ping_latencies(self, name: str) -> list[float]:
+        """Return the latencies of pings sent 0.2 s apart, in ascending order."""
         latencies: list[float] = []
         for index in range(PINGS):
-            asked_at = self.tier.now
-            self.tier.ask("n0", f"{name}{index}", "outage-ping", (KeyRange.of_key("village-0001"),))
-            self.tier.run_until(asked_at + 0.2)
-            latencies.append(self.tier.answered_at[f"{name}{index}"] - asked_at)
+            sent_at = self.tier.now
+            self.tier.send_request(
+                "n0", f"{name}{index}", "outage-ping", (KeyRange.of_key("village-0001"),)
+            )
+            self.tier.run_until(sent_at + 0.2)
+            latencies.append(self.tier.answered_at[f"{name}{index}"] - sent_at)
         return sorted(latencies)
 
     def test_pings_are_as_fast_after_a_burst_as_before(self) -> None:
-        self.slow_pings("warm")
-        before = self.slow_pings("before")
+        self.sorted_ping_latencies("warm")
+        before = self.sorted_ping_latencies("before")
         for index in range(BURST):
-            self.tier.ask("n0", f"sweep{index}", deadline_seconds=3.0)
+            self.tier.send_request("n0", f"sweep{index}", deadline_seconds=3.0)
         self.tier.run_until(self.tier.now + 4.0)
-        after = self.slow_pings("after")
-        ninety = int(PINGS * 0.9)
-        self.assertLess(after[ninety], before[ninety] * 1.5)
+        after = self.sorted_ping_latencies("after")
+        p90_index = int(PINGS * 0.9)
+        self.assertLess(after[p90_index], before[p90_index] * 1.5)
         self.assertEqual(0, self.tier.nodes["n0"].in_flight())
         self.assertEqual(0, self.tier.nodes["n1"].in_flight())
--- a/tests/query/test_unrepeatable.py
+++ b/tests/query/test_unrepeatable.py
@@ -1,4 +1,4 @@
-"""What is said of an unrepeatable request before and after its claim is decided."""
+"""An unrepeatable request must not be reported as not run before its claim is decided."""
 
 import random
 
@@ -43,7 +43,7 @@
 
 
 class UnrepeatableTest(TestCase):
-    """A node that refuses everything because it is stopping."""
+    """Requests to a node that refuses all requests because it is stopping."""
 
     def setUp(self) -> None:
         super().setUp()
@@ -51,7 +51,7 @@
         owner_selector = OwnerSelector(identity, 0, random.Random(1))
         self.coordinator = Coordinator(identity, QuerySettings(), owner_selector)
 
-    def ask_while_stopping(self) -> list[Action]:
+    def send_request_while_stopping(self) -> list[Action]:
         in_force = ConfigurationInForce(configuration((EVERYTHING,), 1))
         self.coordinator.handle(in_force, 0.0)
         self.coordinator.handle(LeavingStarted(), 0.0)
@@ -60,24 +60,24 @@
     def decide(self, decision: ClaimDecisionKind, outcome: bytes | None = None) -> list[Action]:
         return self.coordinator.handle(ClaimDecided(REQUEST_ID, decision, outcome), 100.1)
 
-    def test_a_refusal_waits_for_the_claim(self) -> None:
-        actions = self.ask_while_stopping()
+    def test_a_refusal_waits_for_the_claim_decision(self) -> None:
+        actions = self.send_request_while_stopping()
         self.assertEqual([], answers(actions))
         wanted = [a for a in actions if isinstance(a, Notify) and isinstance(a.event, ClaimWanted)]
         self.assertEqual(1, len(wanted))
 
-    def test_a_repeat_of_what_ran_gets_the_stored_answer_not_a_refusal(self) -> None:
-        self.ask_while_stopping()
+    def test_a_repeat_of_a_finished_request_gets_its_stored_answer(self) -> None:
+        self.send_request_while_stopping()
         stored = encode_answer(Answer(RequestId("edit"), Outcome.COMPLETE))
-        decided = answers(self.decide(ClaimDecisionKind.ALREADY_DONE, stored))
-        self.assertEqual([Outcome.COMPLETE], [answer.outcome for answer in decided])
+        answered = answers(self.decide(ClaimDecisionKind.ALREADY_DONE, stored))
+        self.assertEqual([Outcome.COMPLETE], [answer.outcome for answer in answered])
 
-    def test_a_granted_claim_of_a_refused_request_is_given_back(self) -> None:
-        self.ask_while_stopping()
+    def test_a_granted_claim_of_a_refused_request_is_released(self) -> None:
+        self.send_request_while_stopping()
         actions = self.decide(ClaimDecisionKind.GRANTED)
         self.assertEqual([Outcome.REFUSED_NOT_RUN], [a.outcome for a in answers(actions)])
         self.assertIn(Notify(ClaimFinished(REQUEST_ID, None)), actions)
 
-    def test_without_a_configuration_nothing_is_said_of_earlier_submissions(self) -> None:
-        decided = answers(self.coordinator.handle(CallerRequest(REQUEST), 0.0))
-        self.assertEqual([Outcome.UNKNOWN], [answer.outcome for answer in decided])
+    def test_without_a_configuration_the_outcome_is_unknown(self) -> None:
+        answered = answers(self.coordinator.handle(CallerRequest(REQUEST), 0.0))
+        self.assertEqual([Outcome.UNKNOWN], [answer.outcome for answer in answered])
--- a/wingquay/query/__init__.py
+++ b/wingquay/query/__init__.py
@@ -1,1 +1,1 @@
-"""One query's life at the node that received it: plan, sub-requests, snapshot, merge, answer."""
+"""The coordinator of queries: plans sub-requests, pins a snapshot, merges results, answers."""
--- a/wingquay/query/admission_gate.py
+++ b/wingquay/query/admission_gate.py
@@ -1,6 +1,6 @@
-"""Decides on arrival whether a request is refused, before any part of it leaves.
+"""Refuses requests on arrival, before any sub-request is sent.
 
-Source: brief, "refused rather than delayed"; docs/design/admission-and-classes.md.
+See docs/design/admission-and-classes.md.
 """
 
 from ..model.answer import Answer, SubAnswer, SubResult
@@ -8,21 +8,23 @@
 from .delay_table import DelayTable
 from .node_pressure import NodePressure
 from .query_state import QueryState, ResolvedRequest
-from .service_time_floor import ServiceTimeFloor
+from .service_floor import ServiceTimeFloor
 from .settings import QuerySettings
 from .sub_request_sender import SubRequestSender
 
 MIN_SERVICE_TIME_SHARE = 0.5
-"""A deadline below this share of the usual service time cannot be met."""
+"""Share of the usual service time below which a deadline is assumed impossible to meet."""
 
 
 class AdmissionGate:
-    """Refuses what cannot keep its promise or deadline.
+    """Refuses requests that are expected to miss their class's promise or their deadline.
+
+    Also refuses requests for the node's own load and during a planned stop.
 
     Parameters
     ----------
     enabled
-        Whether anything is refused for load.
+        Whether requests are refused because of load. If false, only a planned stop refuses them.
     """
 
     def __init__(self, settings: QuerySettings, sender: SubRequestSender, enabled: bool) -> None:
@@ -33,14 +35,14 @@
         self._service_time_floors: dict[str, ServiceTimeFloor] = {}
         self._refuses_from: float | None = None
         self.pressure = NodePressure(settings.loop_lag_limit_seconds)
-        """Refusals for the node's own load."""
+        """Load of this node's event loop and the classes refused because of it."""
 
     def start_leaving(self, now: float) -> None:
-        """Refuse everything after a while: the planned stop has begun."""
+        """Start a planned stop; refuse all requests after ``stop_linger_seconds``."""
         self._refuses_from = now + self._settings.stop_linger_seconds
 
     def record_result(self, state: QueryState, result: SubResult, now: float) -> None:
-        """Take in what a sub-result says of waits and service times."""
+        """Record the queueing delay and the service time of a sub-result."""
         class_name = state.resolved.priority_class.name
         self._delays.record(result.shard_id, class_name, result.class_delay_seconds, now)
         if isinstance(result.result, SubAnswer):
@@ -54,15 +56,17 @@
             floor.record(service_seconds, now)
 
     def refusal(self, resolved: ResolvedRequest, now: float) -> Answer | None:
-        """Return the refusal of a request, or ``None`` if it is let in."""
+        """Return the refusal of a request, or ``None`` if it is admitted."""
         request_id = resolved.request.request_id
         retry_after = self._settings.retry_after_seconds
         if self._refuses_from is not None and now >= self._refuses_from:
-            return refused_answer(request_id, "this node is stopping; ask another", retry_after)
+            return refused_answer(
+                request_id, "this node is stopping; use another node", retry_after
+            )
         if not self._enabled:
             return None
         if self.pressure.refuses(resolved.priority_class.price):
-            reason = "this node is overloaded and serves more important classes"
+            reason = "this node is overloaded and admits only classes of higher price"
             return refused_answer(request_id, reason, self._settings.pressure_retry_seconds)
         return self._refusal_for_wait(resolved, now)
 
@@ -70,15 +74,15 @@
         request_id = resolved.request.request_id
         retry_after = self._settings.retry_after_seconds
         wait = self._expected_wait(resolved, now)
-        promise = resolved.priority_class.promise_seconds * self._settings.promise_share
-        if wait > promise:
-            reason = f"would wait {wait:.3f} s for a slot; the class allows {promise:.3f} s"
-            return refused_answer(request_id, reason, max(retry_after, wait - promise))
+        max_wait = resolved.priority_class.promise_seconds * self._settings.promise_share
+        if wait > max_wait:
+            reason = f"expected wait {wait:.3f} s exceeds the class limit of {max_wait:.3f} s"
+            return refused_answer(request_id, reason, max(retry_after, wait - max_wait))
         deadline = resolved.deadline_seconds
         floor = self._service_time_floors.get(_kind_key(resolved))
-        service = 0.0 if floor is None else floor.seconds(now) * MIN_SERVICE_TIME_SHARE
-        if wait + service > deadline:
-            reason = f"takes at least {wait + service:.3f} s; the deadline is {deadline:.3f} s"
+        min_service = 0.0 if floor is None else floor.seconds(now) * MIN_SERVICE_TIME_SHARE
+        if wait + min_service > deadline:
+            reason = f"takes at least {wait + min_service:.3f} s; the deadline is {deadline:.3f} s"
             return refused_answer(request_id, reason, max(retry_after, wait))
         return None
 
--- a/wingquay/query/answer_builders.py
+++ b/wingquay/query/answer_builders.py
@@ -1,4 +1,4 @@
-"""Turns a query's state into its answer."""
+"""Builds answers from the state of a query, and answers to requests that are not run."""
 
 from dataclasses import replace
 
@@ -19,7 +19,7 @@
 
 
 def invalid_answer(request_id: RequestId, reason: str) -> Answer:
-    """Return the answer to a request that cannot be understood."""
+    """Return the answer to an invalid request."""
     return Answer(request_id, Outcome.INVALID, reason=reason)
 
 
@@ -34,16 +34,16 @@
 
 
 def build_answer(state: QueryState, now: float, retry_after_seconds: float) -> Answer:
-    """Return the answer for what has been merged so far.
+    """Return the answer for the results merged so far.
 
-    Sub-requests without a result may have run.
+    Sub-requests without a result are counted as possibly run.
     """
-    may_have_run = state.may_have_run or bool(state.outstanding)
+    may_have_run = state.may_have_run or bool(state.pending_sub_requests)
     answer = _merged_answer(state, now)
     if answer.outcome is Outcome.COMPLETE:
         return answer
     request_id = answer.request_id
-    reason = state.reason or "no back end answered in time"
+    reason = state.reason or "no back end answered before the deadline"
     if not state.resolved.repeatable:
         if may_have_run:
             return unknown_answer(request_id, reason, retry_after_seconds)
--- a/wingquay/query/answer_codec.py
+++ b/wingquay/query/answer_codec.py
@@ -1,4 +1,4 @@
-"""Stored answers of unrepeatable requests, as JSON (by pydantic)."""
+"""Encodes the stored answers of unrepeatable requests as JSON."""
 
 from dataclasses import replace
 
@@ -11,12 +11,12 @@
 
 
 def encode_answer(answer: Answer) -> bytes:
-    """Return the answer as JSON."""
+    """Return an answer as JSON."""
     return _ADAPTER.dump_json(answer)
 
 
 def decode_answer(stored: bytes, request_id: RequestId) -> Answer | None:
-    """Return a stored answer for a repeat called ``request_id``; ``None`` if it is malformed."""
+    """Return a stored answer with ``request_id`` set; ``None`` if it is malformed."""
     try:
         answer = _ADAPTER.validate_json(stored)
     except ValidationError:
--- a/wingquay/query/claim_decision_handler.py
+++ b/wingquay/query/claim_decision_handler.py
@@ -1,4 +1,4 @@
-"""What follows the claims machine's decision on an unrepeatable request."""
+"""Handles the decision of the claims machine on an unrepeatable request."""
 
 from ..model.answer import Answer
 from ..ports.internal import ClaimDecided, ClaimDecisionKind, ClaimFinished, Notify
@@ -12,7 +12,7 @@
 
 
 class ClaimDecisionHandler:
-    """Runs a request whose claim was granted; answers the others."""
+    """Starts a request whose claim is granted; answers the others without running them."""
 
     def __init__(
         self,
@@ -29,11 +29,11 @@
         self._retry_after_seconds = retry_after_seconds
 
     def on_decided(self, event: ClaimDecided, now: float) -> list[Action]:
-        """Take in the decision."""
+        """Handle a claim decision."""
         state = self._table.state(event.request_id)
         granted = event.decision is ClaimDecisionKind.GRANTED
         if state is None:
-            # Too late to run it: give the claim back, it certainly did not run.
+            # The request is answered already and did not run, so release the claim.
             return [Notify(ClaimFinished(event.request_id, None))] if granted else []
         if state.is_claimed:
             return []
@@ -42,7 +42,7 @@
         state.is_claimed = True
         if state.caller_gone:
             return self._completion.send_answer(
-                state, refused_answer(event.request_id, "caller gone", 0.0), now
+                state, refused_answer(event.request_id, "the caller disconnected", 0.0), now
             )
         refused = self._gate.refusal(state.resolved, now)
         if refused is not None:
@@ -54,14 +54,16 @@
         match event.decision:
             case ClaimDecisionKind.ALREADY_DONE:
                 stored = decode_answer(event.outcome or b"", request_id)
-                reason = "it ran before; its answer is not known any more"
+                reason = "the request ran earlier; its answer is no longer stored"
                 return stored or unknown_answer(request_id, reason, self._retry_after_seconds)
             case ClaimDecisionKind.KEY_REUSED:
-                reason = "Idempotency-Key: used before for a request with other content"
+                reason = "Idempotency-Key: already used for a request with different content"
                 return invalid_answer(request_id, reason)
             case ClaimDecisionKind.IN_PROGRESS:
-                reason = "an earlier submission may be running; this one did not run"
+                reason = "an earlier submission may still be running; this one did not run"
                 return unknown_answer(request_id, reason, self._retry_after_seconds)
             case _:
-                reason = "whether it ran before cannot be told; this submission did not run"
+                reason = (
+                    "it is unknown whether the request ran earlier; this submission did not run"
+                )
                 return unknown_answer(request_id, reason, self._retry_after_seconds)
--- a/wingquay/query/coordinator.py
+++ b/wingquay/query/coordinator.py
@@ -1,7 +1,7 @@
-"""The coordinator: takes requests from callers and sees them to their answers.
+"""The coordinator: receives requests from callers and answers them.
 
-Free of I/O; see ``ports/machine.py``. Sub-requests travel to the owners of their shards as
-``SubRequestBatch`` messages, to this node's own owner machine in the same way.
+Performs no I/O; see ``ports/machine.py``. Sends sub-requests to the owners of their shards in
+``SubRequestBatch`` messages, also to the owner machine of its own node.
 """
 
 from typing import ClassVar
@@ -47,12 +47,15 @@
 
 
 class Coordinator:
-    """Answers callers' requests.
+    """State machine that answers the requests of callers.
+
+    Checks and admits each request, plans its sub-requests, sends them to owners and merges
+    their results. Unrepeatable requests wait for a claim first.
 
     Parameters
     ----------
-    links
-        Chooses owners.
+    owner_selector
+        Chooses the owners that sub-requests are sent to.
     """
 
     EVENTS: ClassVar[tuple[type[Event], ...]] = (
@@ -88,7 +91,7 @@
         retry_after = settings.retry_after_seconds
         self._completion = QueryCompletion(self._table, retry_after)
         self.kind_statistics = self._completion.kind_statistics
-        """Rates and latencies of what was answered lately."""
+        """Rates and latencies of recently answered requests."""
         self._planner = QueryPlanner(
             settings,
             self._table,
@@ -119,11 +122,11 @@
 
     @property
     def in_flight(self) -> int:
-        """Requests that wait for their answer."""
+        """Number of requests without an answer."""
         return len(self._table)
 
     def handle(self, event: Event, now: float) -> list[Action]:
-        """Take in one event."""
+        """Handle one event and return the resulting actions."""
         actions = self._route(event, now)
         return actions + self._owner_failover.schedule_check(now)
 
@@ -197,8 +200,8 @@
         self._table.add(state)
         actions: list[Action] = [Schedule(state.answer_at, AnswerDue(request.request_id))]
         if not resolved.repeatable:
-            # Whether it is refused is decided once the claim is granted: before that, nobody
-            # can say that an earlier submission of it did not run.
+            # A refusal states that the request did not run. Until the claim is decided, an
+            # earlier submission may have run, so the admission check waits for the claim.
             state.awaits_claim = True
             return [*actions, Notify(ClaimWanted(request, state.remaining_seconds(now)))]
         if resolved.coverage_preference is CoveragePreference.LATENCY_FIRST:
@@ -220,11 +223,11 @@
             return AnswerCaller(invalid_answer(request.request_id, failure.reason))
         retry_after = self._settings.retry_after_seconds
         if request.idempotency_key is not None:
-            # An earlier submission with this key may have run through another node.
+            # An earlier submission with this key may have run at another node.
             return AnswerCaller(unknown_answer(request.request_id, failure.reason, retry_after))
         return AnswerCaller(refused_answer(request.request_id, failure.reason, retry_after))
 
-    # Before the end ----------------------------------------------------------------------
+    # Before the deadline -----------------------------------------------------------------
 
     def _on_promise_due(self, event: PromiseDue, now: float) -> list[Action]:
         state = self._table.state(event.request_id)
@@ -239,6 +242,6 @@
             return []
         state.caller_gone = True
         if not state.resolved.repeatable:
-            # It goes on, so that a repeat can be told what came of it.
+            # The request continues, so that a repeat receives its stored answer.
             return []
         return [Count("wingquay_callers_gone_total"), *self._table.remove(state)]
--- a/wingquay/query/coordinator_events.py
+++ b/wingquay/query/coordinator_events.py
@@ -1,4 +1,4 @@
-"""Events that the coordinator schedules for itself."""
+"""Timer events of the coordinator."""
 
 from dataclasses import dataclass
 
@@ -9,21 +9,31 @@
 
 @dataclass(frozen=True, slots=True)
 class AnswerDue(Event):
-    """The answer must leave now to arrive by the deadline."""
+    """The answer must be sent now to arrive before the deadline."""
 
     request_id: RequestId
 
 
 @dataclass(frozen=True, slots=True)
 class PromiseDue(Event):
-    """The class's promise has passed for a request that puts latency first."""
+    """The promised latency has passed for a request that prefers latency to coverage."""
 
     request_id: RequestId
 
 
 @dataclass(frozen=True, slots=True)
 class SubRequestRetryDue(Event):
-    """Keys whose replicas failed are to be asked for again."""
+    """A retry for keys without an answer is due.
+
+    Parameters
+    ----------
+    generation
+        ``QueryState.generation`` at scheduling time; the event is ignored if it has changed.
+    retries
+        Number of this retry, from 1.
+    avoid
+        Replicas that left out these keys.
+    """
 
     request_id: RequestId
     generation: int
@@ -34,4 +44,4 @@
 
 @dataclass(frozen=True, slots=True)
 class OwnerCheckDue(Event):
-    """It is time to look for silent owners."""
+    """The check for silent owners is due."""
--- a/wingquay/query/delay_table.py
+++ b/wingquay/query/delay_table.py
@@ -1,10 +1,10 @@
-"""How long each class would wait at each shard, as owners last reported it.
+"""Queueing delays by shard and class, as reported by owners with every sub-result.
 
-A request is refused before any part of it leaves when one of its shards would keep it waiting
-too long. Reports come with every sub-result; between two of them a queue is taken to drain at
-the speed of the clock, so that a class that is refused altogether is tried again by itself.
-Source: Breakwater (OSDI 2020) and DAGOR (SoCC 2018): decide at the caller's side on the
-server's queueing delay.
+The coordinator refuses a request if one of its shards would delay it too long. Between two
+reports the delay is assumed to decrease by one second per second. A class that is refused
+entirely, and so brings no reports, is therefore admitted again after a while. Deciding at the
+client side on the queueing delay of the server follows Breakwater (OSDI 2020) and DAGOR
+(SoCC 2018).
 """
 
 from dataclasses import dataclass
@@ -17,13 +17,13 @@
 
 
 class DelayTable:
-    """Last reported queueing delays by shard and class."""
+    """Latest reported queueing delays by shard and class."""
 
     def __init__(self) -> None:
         self._reports: dict[tuple[str, str], _Report] = {}
 
     def record(self, shard_id: str, class_name: str, delay_seconds: float, now: float) -> None:
-        """Take in a report; only delays worth remembering are kept."""
+        """Record a reported delay; a delay of 0 removes the entry."""
         key = (shard_id, class_name)
         if delay_seconds <= 0.0:
             self._reports.pop(key, None)
@@ -36,7 +36,7 @@
         report.reported_at = now
 
     def expected_seconds(self, shard_id: str, class_name: str, now: float) -> float:
-        """Return how long a sub-request of the class would wait now."""
+        """Return the expected queueing delay of a new sub-request of the class."""
         report = self._reports.get((shard_id, class_name))
         if report is None:
             return 0.0
--- a/wingquay/query/kind_statistics.py
+++ b/wingquay/query/kind_statistics.py
@@ -1,4 +1,4 @@
-"""What this node lately saw of each kind of request, for the outlook in operators' plans."""
+"""Recent rates and latencies by request kind, for the forecast in operators' plans."""
 
 from ..model.identifiers import RequestKindName, ServiceName
 from ..ports.internal import KindLoad
@@ -9,7 +9,7 @@
 
 
 class KindStatistics:
-    """Rates and latencies by service and kind."""
+    """Rates and latencies of answered requests by service and kind."""
 
     def __init__(self) -> None:
         self._latencies: dict[tuple[ServiceName, RequestKindName], LatencyTracker] = {}
@@ -17,7 +17,7 @@
         self._counting_since = 0.0
 
     def record(self, resolved: ResolvedRequest, latency_seconds: float, now: float) -> None:
-        """Take in an answered request."""
+        """Record an answered request."""
         key = (resolved.service.name, resolved.kind.name)
         tracker = self._latencies.get(key)
         if tracker is None:
@@ -27,7 +27,10 @@
         self._counts[key] = self._counts.get(key, 0) + 1
 
     def collect_and_reset(self, now: float) -> tuple[KindLoad, ...]:
-        """Return the loads since the last call and count anew."""
+        """Return the loads since the last call and reset the counts.
+
+        Latencies cover the last ``QUANTILE_WINDOW_SECONDS``.
+        """
         elapsed = max(1e-9, now - self._counting_since)
         self._counting_since = now
         counts, self._counts = self._counts, {}
--- a/wingquay/query/merge.py
+++ b/wingquay/query/merge.py
@@ -1,6 +1,6 @@
-"""Merges sub-answers of one snapshot, counting no key twice and claiming no key unheard.
+"""Merges sub-answers of one snapshot and tracks which keys they cover.
 
-Source: brief, "Every answer comes from one index snapshot" and "states its coverage truly".
+Each key is covered by at most one sub-answer; only answered keys count as covered.
 """
 
 from collections.abc import Iterable
@@ -21,10 +21,12 @@
 
     Parameters
     ----------
-    wanted
-        The keys that were asked for.
+    requested
+        Requested keys.
     snapshot
-        The pinned version; ``None`` for an unrepeatable request.
+        Pinned version; ``None`` for an unrepeatable request.
+    checks_snapshot
+        Whether answers of another version are rejected.
     """
 
     def __init__(
@@ -41,14 +43,14 @@
         self._missing_reasons: list[MissingPart] = []
 
     def add(self, requested: tuple[KeyRange, ...], answer: SubAnswer) -> tuple[KeyRange, ...]:
-        """Merge a sub-answer; return the keys of ``asked`` that it left out.
+        """Merge the answer to a sub-request; return the ``requested`` keys it does not cover.
 
-        An answer of another snapshot is left out whole.
+        An answer of another snapshot is rejected, which leaves all keys uncovered.
         """
         if self._checks_snapshot and answer.snapshot != self._snapshot:
             return requested
-        # Pieces of one plan are disjoint and each asks only for what is still uncovered, so what
-        # is asked here cannot be covered yet; each sub-request's result is merged once.
+        # The requested keys are not covered yet: sub-requests of one plan are disjoint, retries
+        # request only uncovered keys, and each result is merged once.
         if answer.covered == requested:
             self._covered += requested
             self._rows += _rows_within(requested, answer.rows)
@@ -60,25 +62,25 @@
 
     @property
     def snapshot(self) -> SnapshotVersion | None:
-        """The pinned version."""
+        """Pinned version."""
         return self._snapshot
 
     def record_missing(self, key_ranges: Iterable[KeyRange], reason: MissingReason) -> None:
-        """Remember why keys have no answer; it counts only if they stay without one."""
+        """Record why keys have no answer; ignored for keys that are covered later."""
         self._missing_reasons += [MissingPart(key_range, reason) for key_range in key_ranges]
 
     @property
     def covered(self) -> tuple[KeyRange, ...]:
-        """The keys that are covered."""
+        """Covered keys."""
         return normalize(self._covered)
 
     @property
     def rows(self) -> tuple[Row, ...]:
-        """The merged rows by key."""
+        """Merged rows, sorted by key."""
         return tuple(sorted(self._rows, key=lambda row: row.key))
 
     def missing(self, default_reason: MissingReason) -> tuple[MissingPart, ...]:
-        """Return the keys that are not covered, each with the last reason noted for it."""
+        """Return the uncovered keys, each with its latest recorded or the default reason."""
         remaining = subtract(self._requested, self._covered)
         parts: list[MissingPart] = []
         for recorded in reversed(self._missing_reasons):
@@ -90,7 +92,7 @@
 
 
 def _rows_within(key_ranges: tuple[KeyRange, ...], rows: tuple[Row, ...]) -> list[Row]:
-    """Return the rows whose keys lie in ``key_ranges``; rows need not be sorted."""
+    """Return the rows with keys in ``key_ranges``; rows need not be sorted."""
     if len(key_ranges) != 1:
         return [row for row in rows if contains_key(key_ranges, row.key)]
     start, end = key_ranges[0].start, key_ranges[0].end
--- a/wingquay/query/node_pressure.py
+++ b/wingquay/query/node_pressure.py
@@ -1,29 +1,30 @@
-"""Refuses the cheapest classes while this node's own event loop cannot keep up.
+"""Refuses the classes of lowest price while this node's event loop is overloaded.
 
-Back ends' queues say nothing of a node whose processor is the bottleneck; how late its timers
-fire does. The level rises by one class with every few late probes and falls slowly, as in DAGOR
-(SoCC 2018), section 4. The class with the highest price is never refused here.
+If the processor of the node is the bottleneck, its timers fire late although the queues of the
+back ends are short. Several late timers in a row raise the number of refused classes by one, and
+a longer series of punctual ones lowers it, as in DAGOR (SoCC 2018), section 4. The class of the
+highest price is never refused.
 """
 
 from ..model.configuration import Configuration
 
 LATE_PROBES_TO_RAISE = 3
-"""Late probes in a row after which one more class is refused: one alone may be a pause."""
+"""Late probes in a row after which one more class is refused."""
 
 ON_TIME_LAG_SHARE = 0.2
-"""Lag below this share of the limit counts as calm."""
+"""Share of the lag limit up to which a probe counts as on time."""
 
 ON_TIME_PROBES_TO_LOWER = 10
-"""Calm probes in a row after which one more class is let in."""
+"""On-time probes in a row after which one more class is admitted."""
 
 
 class NodePressure:
-    """The lowest price that is let in.
+    """Lowest class price that is admitted, adjusted to the lag of the event loop.
 
     Parameters
     ----------
     lag_limit_seconds
-        Lateness of the event loop from which a class more is refused.
+        Lag of the event loop from which a probe counts as late.
     """
 
     def __init__(self, lag_limit_seconds: float) -> None:
@@ -34,12 +35,12 @@
         self._late_probes = 0
 
     def apply(self, configuration: Configuration) -> None:
-        """Follow the configured classes."""
+        """Apply the configured classes."""
         self._prices = sorted({entry.price for entry in configuration.classes})
         self._level = min(self._level, max(0, len(self._prices) - 1))
 
     def on_lag(self, lag_seconds: float) -> None:
-        """Take in how late the event loop was at a probe."""
+        """Record the lag of the event loop measured by a probe."""
         if lag_seconds >= self._lag_limit_seconds:
             self._on_time_probes = 0
             self._on_late_probe()
@@ -60,5 +61,5 @@
             self._level = min(self._level + 1, max(0, len(self._prices) - 1))
 
     def refuses(self, price: float) -> bool:
-        """Whether a class of ``price`` is refused now."""
+        """Return whether a class of ``price`` is refused now."""
         return self._level > 0 and price < self._prices[self._level]
--- a/wingquay/query/owner_failover.py
+++ b/wingquay/query/owner_failover.py
@@ -1,4 +1,4 @@
-"""Notices owners that are lost or silent and asks others for what they were asked."""
+"""Sends the sub-requests of lost or silent owners to other owners."""
 
 from ..model.identifiers import NodeId
 from ..ports.internal import MembershipChanged
@@ -12,14 +12,15 @@
 
 
 class OwnerFailover:
-    """Owner failover.
+    """Detects lost and silent owners and fails over their pending sub-requests.
 
     Parameters
     ----------
     silence_seconds
-        Silence of an owner that owes results after which another one is asked.
+        Time without a message from an owner with pending sub-requests after which it is
+        considered silent.
     enabled
-        Whether anything is done about it.
+        Whether sub-requests are failed over.
     """
 
     def __init__(
@@ -42,14 +43,14 @@
         self._check_scheduled = False
 
     def schedule_check(self, now: float) -> list[Action]:
-        """Have owners looked at soon if any of them owes a result."""
+        """Schedule a check for silent owners while any sub-request is pending."""
         if self._check_scheduled or not self._table.has_pending:
             return []
         self._check_scheduled = True
         return [Schedule(now + self._silence_seconds / 2.0, OwnerCheckDue())]
 
     def on_check(self, now: float) -> list[Action]:
-        """Look for silent owners."""
+        """Fail over the sub-requests of silent owners."""
         self._check_scheduled = False
         oldest: dict[NodeId, float] = {}
         for _, pending in self._table.pending_sub_requests():
@@ -62,7 +63,7 @@
         return actions + self.schedule_check(now)
 
     def on_membership(self, event: MembershipChanged, now: float) -> list[Action]:
-        """Ask others for what nodes were asked that are gone."""
+        """Fail over the sub-requests of owners that have left the membership."""
         present = {node.node_id for node in (*event.available, *event.leaving)}
         asked = {pending.owner.node_id for _, pending in self._table.pending_sub_requests()}
         gone = sorted(asked - present - {self._identity.node_id})
@@ -70,15 +71,18 @@
 
     def _on_node_lost(self, node_id: NodeId, now: float) -> list[Action]:
         actions = self.fail_over(node_id, now)
-        # What is still open there cannot be repeated, and its owner will never speak again.
+        # The remaining sub-requests are unrepeatable, and the owner cannot report a result.
         for state, pending in self._table.pending_sub_requests():
             if pending.owner.node_id == node_id and self._enabled:
-                state.reason = "the node that ran it was lost"
+                state.reason = "the owner that ran the request was lost"
                 actions += self._completion.finish(state, now)
         return actions
 
     def fail_over(self, node_id: NodeId, now: float) -> list[Action]:
-        """Ask other owners for what a lost or silent one was asked."""
+        """Send the sub-requests of a lost or silent owner to other owners.
+
+        Unrepeatable sub-requests stay pending at the owner.
+        """
         if not self._enabled:
             return []
         self._owner_selector.exclude(node_id, now)
@@ -91,7 +95,7 @@
         for state, pending in lost:
             state.may_have_run = True
             if not state.resolved.repeatable:
-                # It may run there; only the owner's own word could say more.
+                # It may have run; only a result of the same owner could tell.
                 continue
             self._table.close_pending(state, pending)
             actions.append(Count("wingquay_owner_failovers_total"))
--- a/wingquay/query/owner_selector.py
+++ b/wingquay/query/owner_selector.py
@@ -1,4 +1,4 @@
-"""Chooses the owner that a sub-request is sent to, and notices owners that fall silent."""
+"""Chooses the owners that sub-requests are sent to, excluding silent ones for a while."""
 
 import random
 from collections.abc import Sequence
@@ -9,19 +9,19 @@
 from ..routing.ownership import OwnerTable
 
 INITIAL_EXCLUSION_SECONDS = 1.0
-"""Time for which a silent owner is passed over before it is tried again, the first time."""
+"""Time a silent owner is excluded; doubles with each further silence without a message."""
 
 MAX_EXCLUSION_SECONDS = 8.0
-"""The time doubles with each silence in a row, up to this."""
+"""Upper bound of the exclusion time of a silent owner."""
 
 
 class OwnerSelector:
-    """The owners of shards as one coordinator sees them.
+    """Selects owners of shards and tracks which owners send no messages.
 
     Parameters
     ----------
     owners_per_shard
-        0: this node sends to replicas itself.
+        Number of owners of each shard; with 0 the node itself acts as owner of all shards.
     """
 
     def __init__(
@@ -40,7 +40,7 @@
         self._consecutive_silences: dict[str, int] = {}
 
     def on_membership(self, event: MembershipChanged) -> None:
-        """Follow the nodes that may be asked."""
+        """Apply a change of the available nodes."""
         self._available = event.available
         present = {node.node_id for node in event.available}
         for known in (self._received_at, self._excluded_until, self._consecutive_silences):
@@ -63,7 +63,12 @@
     def choose(
         self, service: Service, shard_id: str, tried: Sequence[str], now: float
     ) -> NodeIdentity:
-        """Return the owner to ask: an untried one that is not silent, else this node."""
+        """Return an owner for a sub-request to the shard.
+
+        Prefers this node, then owners in the same zone, then other owners. If no owner is
+        eligible, returns the first eligible node in the shard's node order, else this node.
+        Eligible are nodes that are neither in ``tried`` nor excluded.
+        """
         if self._owners_per_shard == 0:
             return self._identity
         table = self._table(service.deployment)
@@ -90,7 +95,7 @@
         return self._random.choice(same_zone or owners)
 
     def on_message_from(self, node_id: str, now: float) -> None:
-        """Take in that an owner sent something."""
+        """Record that an owner has sent a message; this ends its exclusion."""
         self._received_at[node_id] = now
         self._excluded_until.pop(node_id, None)
         self._consecutive_silences.pop(node_id, None)
@@ -98,14 +103,18 @@
     def is_silent(
         self, node_id: str, oldest_sent_at: float, now: float, limit_seconds: float
     ) -> bool:
-        """Whether an owner asked at ``oldest_sent_at`` has sent nothing for ``limit`` seconds."""
+        """Return whether an owner has sent nothing for ``limit_seconds``.
+
+        The time counts from its last message or from ``oldest_sent_at``, when the oldest pending
+        sub-request was sent to it, whichever is later. The node itself is never silent.
+        """
         if node_id == self._identity.node_id:
             return False
         last = max(self._received_at.get(node_id, oldest_sent_at), oldest_sent_at)
         return now - last >= limit_seconds
 
     def exclude(self, node_id: str, now: float) -> None:
-        """Ask other owners for a while."""
+        """Exclude a silent or lost owner for a while."""
         if node_id == self._identity.node_id or self._excluded_until.get(node_id, 0.0) > now:
             return
         silences = self._consecutive_silences.get(node_id, 0)
--- a/wingquay/query/plan.py
+++ b/wingquay/query/plan.py
@@ -1,4 +1,4 @@
-"""Splits a request's keys over the shards of a service."""
+"""Splits the keys of a request over the shards of a service."""
 
 from bisect import bisect_right
 from dataclasses import dataclass
@@ -7,12 +7,12 @@
 from ..model.key_range import KeyRange, intersect, normalize, subtract
 
 MAX_CACHED_PLANS = 1024
-"""Plans kept for a service: many requests ask for the same ranges."""
+"""Maximum number of cached plans for each service; many requests have the same ranges."""
 
 
 @dataclass(frozen=True, slots=True)
 class ShardAssignment:
-    """The keys that one shard is asked for."""
+    """Requested keys that one shard holds."""
 
     shard: Shard
     key_ranges: tuple[KeyRange, ...]
@@ -20,14 +20,20 @@
 
 @dataclass(frozen=True, slots=True)
 class ShardPlan:
-    """The pieces of a request, and keys that no shard holds."""
+    """Assignment of requested keys to shards.
+
+    Parameters
+    ----------
+    unassigned
+        Requested keys that no shard holds.
+    """
 
     assignments: tuple[ShardAssignment, ...]
     unassigned: tuple[KeyRange, ...]
 
 
 class ShardIndex:
-    """Finds the shards of one service by key; shards do not overlap."""
+    """Index of the shards of one service by key. Shards must not overlap."""
 
     def __init__(self, service: Service) -> None:
         self.service = service
@@ -37,7 +43,7 @@
         self._plans: dict[tuple[KeyRange, ...], ShardPlan] = {}
 
     def plan(self, key_ranges: tuple[KeyRange, ...]) -> ShardPlan:
-        """Return which shards hold which of ``key_ranges``."""
+        """Return the assignment of ``key_ranges`` to shards; plans are cached."""
         plan = self._plans.get(key_ranges)
         if plan is None:
             plan = self._make_plan(key_ranges)
--- a/wingquay/query/query_completion.py
+++ b/wingquay/query/query_completion.py
@@ -1,4 +1,4 @@
-"""Ends requests: concludes, answers the caller, and tells the claims machine what came of it."""
+"""Completes requests: answers the caller and reports the outcome to the claims machine."""
 
 from ..model.answer import Answer, Outcome
 from ..ports.caller import AnswerCaller
@@ -12,40 +12,46 @@
 
 
 class QueryCompletion:
-    """Gives every request its one answer.
+    """Sends exactly one answer for each request.
 
     Parameters
     ----------
     retry_after_seconds
-        What callers that may come back are told to wait.
+        Retry-After value for callers that may retry.
     """
 
     def __init__(self, table: QueryTable, retry_after_seconds: float) -> None:
         self._table = table
         self._retry_after_seconds = retry_after_seconds
         self.kind_statistics = KindStatistics()
-        """Rates and latencies of what was answered lately."""
+        """Rates and latencies of recently answered requests."""
 
     def finish_if_done(self, state: QueryState, now: float) -> list[Action]:
-        """Answer if nothing is awaited any more."""
+        """Answer if no results or retries are pending.
+
+        After the promise of a latency-first request has passed, answer as soon as any keys are
+        covered.
+        """
         if self._table.state(state.request_id) is None:
             return []
         if state.answers_on_first_result and state.merge.covered:
             return self.finish(state, now)
-        if state.outstanding or state.scheduled_retries:
+        if state.pending_sub_requests or state.scheduled_retries:
             return []
         return self.finish(state, now)
 
     def finish(self, state: QueryState, now: float) -> list[Action]:
-        """Answer with what there is."""
+        """Answer with the results received so far."""
         answer = build_answer(state, now, self._retry_after_seconds)
         if state.awaits_claim and not state.is_claimed:
-            reason = "whether it ran before could not be found out in time"
+            reason = (
+                "the claim was not decided before the deadline; an earlier submission may have run"
+            )
             answer = unknown_answer(state.request_id, reason, self._retry_after_seconds)
         return self.send_answer(state, answer, now)
 
     def send_answer(self, state: QueryState, answer: Answer, now: float) -> list[Action]:
-        """Answer with ``answer``."""
+        """Send ``answer`` to the caller, remove the request and finish its claim."""
         actions = self._table.remove(state)
         self.kind_statistics.record(state.resolved, now - state.arrived_at, now)
         if state.is_claimed:
--- a/wingquay/query/query_planner.py
+++ b/wingquay/query/query_planner.py
@@ -1,4 +1,4 @@
-"""Plans requests: pins a snapshot, sends the pieces, plans anew, asks again for what is missing."""
+"""Plans requests: pins a snapshot, sends sub-requests, replans and retries missing keys."""
 
 from ..model.answer import MissingReason
 from ..model.configuration import Configuration, Service
@@ -16,12 +16,12 @@
 
 
 class QueryPlanner:
-    """Plans and re-plans requests.
+    """Plans requests, replans them with another snapshot, and retries missing keys.
 
     Parameters
     ----------
     checks_snapshot
-        Whether sub-answers of another version are left out of the merge.
+        Whether sub-answers of another version than the pinned one are rejected.
     """
 
     def __init__(
@@ -38,17 +38,17 @@
         self._completion = completion
         self._checks_snapshot = checks_snapshot
         self.versions = VersionTable()
-        """Which snapshots the replicas hold."""
+        """Snapshot versions held by replicas."""
         self.configuration: Configuration | None = None
-        """The configuration in force."""
+        """Configuration in force; ``None`` before the first one."""
 
     def apply(self, configuration: Configuration) -> None:
-        """Follow the configuration."""
+        """Apply a new configuration."""
         self.configuration = configuration
         self.versions.apply(configuration)
 
     def start(self, state: QueryState, now: float) -> list[Action]:
-        """Pin a snapshot and send out a sub-request for each shard."""
+        """Pin a snapshot and send a sub-request to each shard that holds requested keys."""
         resolved = state.resolved
         snapshot = (
             self.versions.best_version(resolved.service.name) if resolved.repeatable else None
@@ -77,7 +77,7 @@
     # Snapshots ---------------------------------------------------------------------------
 
     def should_replan(self, state: QueryState) -> bool:
-        """Whether another snapshot would cover more shards than the pinned one."""
+        """Return whether another snapshot covers more shards than the pinned one."""
         if not state.resolved.repeatable or state.replans >= self._settings.most_replans:
             return False
         service: ServiceName = state.resolved.service.name
@@ -89,7 +89,7 @@
         return better > self.versions.shards_holding(service, pinned)
 
     def replan(self, state: QueryState, now: float) -> list[Action]:
-        """Start the whole query anew with another snapshot: versions never mix."""
+        """Restart the whole query with another snapshot, since versions must not be mixed."""
         state.replans += 1
         state.scheduled_retries = 0
         dropped = self._table.cancel_pending(state)
@@ -105,7 +105,10 @@
         now: float,
         avoid: tuple[ReplicaId, ...] = (),
     ) -> list[Action]:
-        """Schedule a second try for keys without an answer, if there is time for one."""
+        """Schedule a retry for keys without an answer, if the deadline and limits allow it.
+
+        The wait doubles with each retry.
+        """
         if pending.retries >= self._settings.most_piece_retries:
             return []
         wait = self._settings.piece_retry_seconds * 2.0**pending.retries
@@ -122,7 +125,7 @@
         return [Schedule(now + wait, due)]
 
     def on_retry_due(self, event: SubRequestRetryDue, now: float) -> list[Action]:
-        """Ask again for keys without an answer, by the configuration now in force."""
+        """Retry keys without an answer, using the configuration now in force."""
         state = self._table.state(event.request_id)
         if state is None or state.generation != event.generation:
             return []
--- a/wingquay/query/query_state.py
+++ b/wingquay/query/query_state.py
@@ -1,4 +1,4 @@
-"""The state of one request at its coordinator."""
+"""State of a request at its coordinator, from arrival to answer."""
 
 from dataclasses import dataclass, field
 
@@ -18,7 +18,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ResolvedRequest:
-    """A request checked against the configuration, with every default filled in."""
+    """A valid request with defaults filled in from the configuration."""
 
     request: QueryRequest
     service: Service
@@ -31,7 +31,15 @@
 
 @dataclass(slots=True)
 class PendingSubRequest:
-    """A sub-request that has no result yet, and the owner that was asked."""
+    """A sub-request without a result and the owner it was sent to.
+
+    Parameters
+    ----------
+    retries
+        Number of earlier sub-requests for the same keys that failed.
+    owners_tried
+        Owners that the sub-request was sent to before ``owner``.
+    """
 
     sub_request: SubRequest
     owner: NodeIdentity
@@ -42,27 +50,35 @@
 
 @dataclass(slots=True)
 class QueryState:
-    """One request from arrival to answer.
+    """State of one request.
 
     Parameters
     ----------
     answer_at
-        When the answer leaves at the latest (before the caller's deadline).
+        Latest time to send the answer; a margin before the caller's deadline.
+    answered
+        Sub-requests with a result; used only if the duplicate filter is disabled.
+    generation
+        Number of plans made so far; distinguishes the retries of the current plan.
+    sub_requests, attempts, replans
+        Numbers of sub-requests sent, attempts at replicas, and plans with another snapshot.
+    scheduled_retries
+        Number of scheduled retries.
     may_have_run
         Whether any back end may have run any part of it.
     answers_on_first_result
-        Whether the promise has passed and the first coverage ends the wait.
-    scheduled_retries
-        Pieces whose retry is scheduled.
-    answered
-        Pieces with a result; kept only when the duplicate filter is taken out.
+        Whether the promise has passed, so that the first covered keys complete the request.
+    awaits_claim, is_claimed
+        Whether the request needs a claim, and whether the claim was granted.
+    reason
+        Latest failure, for the answer.
     """
 
     resolved: ResolvedRequest
     arrived_at: float
     answer_at: float
     merge: AnswerMerge
-    outstanding: dict[SubRequestId, PendingSubRequest] = field(default_factory=dict)
+    pending_sub_requests: dict[SubRequestId, PendingSubRequest] = field(default_factory=dict)
     answered: dict[SubRequestId, PendingSubRequest] = field(default_factory=dict)
     generation: int = 0
     sub_requests: int = 0
@@ -79,31 +95,31 @@
 
     @property
     def request_id(self) -> RequestId:
-        """The request's id."""
+        """Request id."""
         return self.resolved.request.request_id
 
-    def pending_sub_request(self, sub_request_id: SubRequestId) -> PendingSubRequest:
-        """Return an open sub-request.
+    def get_pending(self, sub_request_id: SubRequestId) -> PendingSubRequest:
+        """Return a pending sub-request, or an answered one if duplicates are not filtered.
 
         Raises
         ------
         KeyError
-            If it is not one of this request's open sub-requests.
+            If the request has no such sub-request.
         """
-        pending = self.outstanding.get(sub_request_id)
+        pending = self.pending_sub_requests.get(sub_request_id)
         return self.answered[sub_request_id] if pending is None else pending
 
     def remaining_seconds(self, now: float) -> float:
-        """Return the time left for sub-requests."""
+        """Return the time left until the answer must be sent; never negative."""
         return max(0.0, self.answer_at - now)
 
     def record_timing(self, queue_seconds: float, service_seconds: float) -> None:
-        """Keep the parts of the slowest sub-request."""
+        """Record the timing of a sub-request; only the slowest one is kept."""
         slowest = self.timings.queue_seconds + self.timings.service_seconds
         if queue_seconds + service_seconds > slowest:
             self.timings = Timings(0.0, queue_seconds, service_seconds)
 
     @property
     def requested_keys(self) -> tuple[KeyRange, ...]:
-        """The keys that were asked for."""
+        """Requested key ranges."""
         return self.resolved.request.key_ranges
--- a/wingquay/query/query_table.py
+++ b/wingquay/query/query_table.py
@@ -1,4 +1,4 @@
-"""The requests that a coordinator has not answered yet, and their open sub-requests."""
+"""Unanswered requests of a coordinator and their pending sub-requests."""
 
 from ..model.identifiers import RequestId, SubRequestId
 from ..ports.machine import Action
@@ -7,12 +7,12 @@
 
 
 class QueryTable:
-    """Requests by id, and the request of each open sub-request.
+    """Unanswered requests by id and by pending sub-request.
 
     Parameters
     ----------
     cancels
-        Whether owners are told of sub-requests that nobody waits for any more.
+        Whether owners are sent cancellations for dropped sub-requests.
     """
 
     def __init__(self, cancels: bool) -> None:
@@ -21,73 +21,74 @@
         self._state_by_sub_request: dict[SubRequestId, QueryState] = {}
 
     def __len__(self) -> int:
-        """Return the number of requests."""
+        """Return the number of unanswered requests."""
         return len(self._states)
 
     def add(self, state: QueryState) -> None:
-        """Remember a request."""
+        """Add a request."""
         self._states[state.request_id] = state
 
     def state(self, request_id: RequestId) -> QueryState | None:
-        """Return a request that is not answered yet, or ``None``."""
+        """Return an unanswered request, or ``None``."""
         return self._states.get(request_id)
 
     def state_of_sub_request(self, sub_request_id: SubRequestId) -> QueryState | None:
-        """Return the request of an open sub-request, or ``None``."""
+        """Return the request of a pending sub-request, or ``None``."""
         return self._state_by_sub_request.get(sub_request_id)
 
     @property
     def has_pending(self) -> bool:
-        """Whether any sub-request has no result yet."""
+        """Whether any sub-request is pending."""
         return bool(self._state_by_sub_request)
 
     def pending_sub_requests(self) -> list[tuple[QueryState, PendingSubRequest]]:
-        """Return every sub-request without a result."""
+        """Return all pending sub-requests with their requests."""
         return [
             (state, pending)
             for state in self._states.values()
-            for pending in state.outstanding.values()
+            for pending in state.pending_sub_requests.values()
         ]
 
     def add_pending(self, state: QueryState, pending: PendingSubRequest) -> None:
-        """Remember a sub-request that was sent."""
+        """Add a sub-request that was sent."""
         sub_request_id = pending.sub_request.sub_request_id
-        state.outstanding[sub_request_id] = pending
+        state.pending_sub_requests[sub_request_id] = pending
         self._state_by_sub_request[sub_request_id] = state
 
     def close_pending(
         self, state: QueryState, pending: PendingSubRequest, keeps_open: bool = False
     ) -> None:
-        """Take in that a sub-request has its result.
+        """Mark a sub-request as no longer pending.
 
-        ``keeps_open`` leaves it open for a second result; for tests of the duplicate filter.
+        With ``keeps_open`` a second result is still accepted, for tests without the duplicate
+        filter.
         """
         sub_request_id = pending.sub_request.sub_request_id
-        state.outstanding.pop(sub_request_id, None)
+        state.pending_sub_requests.pop(sub_request_id, None)
         if keeps_open:
             state.answered[sub_request_id] = pending
         else:
             self._state_by_sub_request.pop(sub_request_id, None)
 
     def remove(self, state: QueryState) -> list[Action]:
-        """Forget a request and give up on its open sub-requests."""
+        """Remove a request and cancel its pending sub-requests."""
         self._states.pop(state.request_id, None)
         for sub_request_id in state.answered:
             self._state_by_sub_request.pop(sub_request_id, None)
         return self.cancel_pending(state)
 
     def cancel_pending(self, state: QueryState) -> list[Action]:
-        """Give up on every open sub-request of a request and tell its owner.
+        """Drop all pending sub-requests of a request and send cancellations to their owners.
 
-        Their results will not be heard any more, so that each of them may have run.
+        Their results are ignored from now on, so each of them may have run.
         """
-        state.may_have_run = state.may_have_run or bool(state.outstanding)
+        state.may_have_run = state.may_have_run or bool(state.pending_sub_requests)
         by_owner: dict[str, tuple[NodeIdentity, list[SubRequestId]]] = {}
-        for sub_request_id, pending in state.outstanding.items():
+        for sub_request_id, pending in state.pending_sub_requests.items():
             self._state_by_sub_request.pop(sub_request_id, None)
             entry = by_owner.setdefault(pending.owner.node_id, (pending.owner, []))
             entry[1].append(sub_request_id)
-        state.outstanding.clear()
+        state.pending_sub_requests.clear()
         if not self._cancels:
             return []
         return [
--- a/wingquay/query/request_check.py
+++ b/wingquay/query/request_check.py
@@ -1,4 +1,4 @@
-"""Checks a request against the configuration and fills in defaults."""
+"""Validates a request against the configuration and fills in defaults."""
 
 from enum import Enum
 
@@ -11,7 +11,7 @@
 
 
 class QueryFailureKind(Enum):
-    """Why a request is not planned."""
+    """Reason why a request is rejected before planning."""
 
     NO_CONFIGURATION = "no_configuration"
     INVALID = "invalid"
@@ -20,9 +20,11 @@
 def resolve_request(
     request: QueryRequest, configuration: Configuration | None
 ) -> ResolvedRequest | Failure[QueryFailureKind]:
-    """Return the request with every default filled in, or what is wrong with it."""
+    """Return the request with all defaults filled in, or the reason why it is rejected."""
     if configuration is None:
-        return Failure(QueryFailureKind.NO_CONFIGURATION, "no confirmed configuration yet")
+        return Failure(
+            QueryFailureKind.NO_CONFIGURATION, "this node has no confirmed configuration yet"
+        )
     service = configuration.service(request.service)
     caller = configuration.caller(request.caller)
     allowed = () if caller is None else caller.services
@@ -65,9 +67,9 @@
             return f"key_ranges: end {key_range.end!r} must be after start {key_range.start!r}"
     deadline = _deadline(request, kind)
     if not 0.0 < deadline <= MAX_DEADLINE_SECONDS:
-        return f"deadline: {deadline} s is not in 0 to {MAX_DEADLINE_SECONDS:.0f} s"
+        return f"deadline: {deadline} s is not above 0 and at most {MAX_DEADLINE_SECONDS:.0f} s"
     if not repeatable and not request.idempotency_key:
-        return "Idempotency-Key: required for a request that may not be repeated"
+        return "Idempotency-Key: required for an unrepeatable request"
     return ""
 
 
--- a/wingquay/query/service_time_floor.py
+++ b/wingquay/query/service_floor.py
@@ -1,8 +1,8 @@
-"""The service time that a kind of request rarely stays below, and that is forgotten in time.
+"""Low estimate of the service time of a request kind.
 
-It follows shorter times quickly and longer ones slowly, so that a straggler or a paused node does
-not raise it much. Without new samples it fades: a kind that is refused because of it brings no
-samples, and must be tried again by itself.
+The estimate follows shorter times quickly and longer ones slowly, so that a straggler or a paused
+node hardly raises it. It decays without new samples. A kind that is refused because of the
+estimate brings no samples and is admitted again once the estimate has decayed.
 """
 
 from dataclasses import dataclass
@@ -14,26 +14,28 @@
 
 @dataclass(slots=True)
 class ServiceTimeFloor:
-    """A low estimate of a service time.
+    """Low estimate of a service time.
 
     Parameters
     ----------
-    estimate_seconds, sampled_at
-        The estimate and when it was last confirmed by a sample.
+    estimate_seconds
+        Estimate at the time of the last sample.
+    sampled_at
+        Time of the last sample.
     """
 
     estimate_seconds: float
     sampled_at: float
 
     def record(self, service_seconds: float, now: float) -> None:
-        """Take in a service time."""
+        """Add a service time to the estimate."""
         estimate = self.seconds(now)
         weight = DECREASE_WEIGHT if service_seconds < estimate else INCREASE_WEIGHT
         self.estimate_seconds = estimate + weight * (service_seconds - estimate)
         self.sampled_at = now
 
     def seconds(self, now: float) -> float:
-        """Return the estimate, faded by the time since the last sample."""
+        """Return the estimate, decayed by the time since the last sample."""
         age = max(0.0, now - self.sampled_at)
         decay: float = 0.5 ** (age / HALF_LIFE_SECONDS)
         return self.estimate_seconds * decay
--- a/wingquay/query/sub_request_sender.py
+++ b/wingquay/query/sub_request_sender.py
@@ -1,4 +1,4 @@
-"""Makes sub-requests of a plan's pieces and sends them to owners, grouped by owner."""
+"""Creates the sub-requests of a plan and sends them to owners, one batch for each owner."""
 
 from collections.abc import Sequence
 from dataclasses import replace
@@ -15,16 +15,16 @@
 from .query_table import QueryTable
 
 MAX_RETURN_MARGIN_SECONDS = 0.005
-"""Time kept for an owner's result to come back before the answer leaves."""
+"""Upper bound of the time reserved for the owner's result to return before the answer is due."""
 
 
 class SubRequestSender:
-    """Sends sub-requests.
+    """Sends sub-requests to owners and adds them to the table of pending ones.
 
     Parameters
     ----------
     table
-        The coordinator's open sub-requests; kept up to date here.
+        Requests of the coordinator and their pending sub-requests.
     """
 
     def __init__(self, owner_selector: OwnerSelector, table: QueryTable) -> None:
@@ -33,7 +33,7 @@
         self._indexes: dict[str, ShardIndex] = {}
 
     def plan(self, service: Service, key_ranges: tuple[KeyRange, ...]) -> ShardPlan:
-        """Return which shards hold which keys."""
+        """Return the assignment of ``key_ranges`` to the shards of a service."""
         index = self._indexes.get(service.name)
         if index is None or index.service is not service:
             index = ShardIndex(service)
@@ -62,7 +62,7 @@
         ]
 
     def resend(self, state: QueryState, pending: PendingSubRequest, now: float) -> list[Action]:
-        """Ask another owner for a piece whose owner is lost, under a new id."""
+        """Send a sub-request to another owner under a new id."""
         tried = (*pending.owners_tried, pending.owner.node_id)
         shard_id = pending.sub_request.shard_id
         owner = self._owner_selector.choose(state.resolved.service, shard_id, tried, now)
--- a/wingquay/query/sub_result_handler.py
+++ b/wingquay/query/sub_result_handler.py
@@ -1,4 +1,4 @@
-"""Takes in sub-results: merges answers, decides what follows a failure."""
+"""Handles sub-results: merges answers; retries, replans or resends after failures."""
 
 from ..model.answer import MissingReason, SubAnswer, SubFailureKind, SubResult
 from ..model.configuration import CoveragePreference
@@ -25,16 +25,16 @@
 _RETRIED_KINDS = frozenset(
     {SubFailureKind.NO_REPLICA, SubFailureKind.BACKEND_ERROR, SubFailureKind.NOT_OWNED}
 )
-"""Failures after which missing keys are asked for again while the deadline allows."""
+"""Failures after which missing keys are retried if the deadline allows it."""
 
 
 class SubResultHandler:
-    """Merges sub-results into their requests.
+    """Applies sub-results to the state of their requests.
 
     Parameters
     ----------
     filters_duplicates
-        Whether a sub-request's second result is dropped.
+        Whether a second result of the same sub-request is dropped.
     """
 
     def __init__(
@@ -54,13 +54,13 @@
         self._filters_duplicates = filters_duplicates
 
     def handle(self, result: SubResult, now: float) -> list[Action]:
-        """Take in one sub-result."""
+        """Handle one sub-result and answer the request if it is complete."""
         for held in result.held:
             self._planner.versions.record(held)
         state = self._table.state_of_sub_request(result.sub_request_id)
         if state is None:
             return [Count("wingquay_late_sub_results_total")]
-        pending = state.pending_sub_request(result.sub_request_id)
+        pending = state.get_pending(result.sub_request_id)
         self._record(state, result, now)
         self._table.close_pending(state, pending, keeps_open=not self._filters_duplicates)
         if isinstance(result.result, SubAnswer):
--- a/wingquay/query/version_table.py
+++ b/wingquay/query/version_table.py
@@ -1,8 +1,8 @@
-"""Which snapshots the replicas of a service hold, and the choice of the one to pin.
+"""Snapshot versions held by the replicas of each service, and the choice of the version to pin.
 
-A snapshot is chosen that the least well served shard holds as widely as possible; among equals
-the newest. So a version that is just being installed is not used until it is as widely held as
-the one before it.
+The best version is the one held by most shards. Ties are decided by the smallest share of
+replicas, over all shards, that hold the version; then by the newer version. A version that is
+being installed is therefore not used until it is held as widely as the previous one.
 """
 
 from ..model.answer import HeldVersions
@@ -10,11 +10,11 @@
 from ..model.identifiers import ServiceName, SnapshotVersion
 
 UNKNOWN_SNAPSHOT = SnapshotVersion(0)
-"""Pinned while nothing is known: no replica holds it, and each says what it does hold."""
+"""Pinned while no held versions are known; replicas reject it and report what they hold."""
 
 
 class VersionTable:
-    """Held versions by replica, and the best version of each service."""
+    """Held versions by replica and the best version of each service."""
 
     def __init__(self) -> None:
         self._services: dict[str, Service] = {}
@@ -24,7 +24,7 @@
         self._best_versions: dict[str, SnapshotVersion] = {}
 
     def apply(self, configuration: Configuration) -> None:
-        """Follow the configuration's services and replicas."""
+        """Apply the services and replicas of a configuration."""
         self._services = {service.name: service for service in configuration.services}
         self._service_of_replica = {
             replica.replica_id: service.name
@@ -37,7 +37,7 @@
         self._best_versions.clear()
 
     def record(self, held: HeldVersions) -> None:
-        """Take in what a replica holds."""
+        """Record the versions held by a replica."""
         known = self._assigned.get(held.replica_id)
         if known is held or known == held:
             return
@@ -45,7 +45,7 @@
         self._invalidate_best(held.replica_id)
 
     def set_excluded(self, replica_id: str, excluded: bool) -> None:
-        """Say whether a replica is leaving or gone, so that what it holds does not count."""
+        """Set whether a replica is ignored in the choice because it is leaving or gone."""
         if self._excluded.get(replica_id, False) != excluded:
             self._excluded[replica_id] = excluded
             self._invalidate_best(replica_id)
@@ -82,7 +82,7 @@
         return max(sorted(candidates), key=lambda version: _rank(known, version))
 
     def shards_holding(self, service_name: ServiceName, version: SnapshotVersion) -> int:
-        """Return how many shards of the service have a replica known to hold ``version``."""
+        """Return the number of shards with at least one replica known to hold ``version``."""
         service = self._services.get(service_name)
         if service is None:
             return 0
