--- a/wingquay/forwarding/peers/connections_ahead.py
+++ b/wingquay/forwarding/peers/connection_prewarmer.py
@@ -19,7 +19,7 @@
 seconds, and spends 2 ms of processor time on it each time."""
 
 
-class ConnectionsAhead:
+class ConnectionPrewarmer:
     """Chooses the replicas to connect to.
 
     Parameters
@@ -54,7 +54,7 @@
         shard_sets.add(self._coming())
         wanted: list[ReplicaState] = []
         for shards in sorted(shard_sets):
-            if len(shards) >= self._settings.delegate_least_shards:
+            if len(shards) >= self._settings.delegate_min_shards:
                 wanted += self._wanted(shards, now)
         chosen = wanted[:MOST_OPENED]
         self._opened.update(state.life for state in chosen)
