--- a/wingquay/admission/dispatcher.py
+++ b/wingquay/admission/dispatcher.py
@@ -44,7 +44,7 @@
 
     Parameters
     ----------
-    lanes
+    shards
         The shards; shared with the health prober, which updates the replica trackers.
     """
 
@@ -139,7 +139,7 @@
             free = self._choice.with_free_slot(usable, now)
             tracker = self._choice.choose(free, work.tried, work.sub_request.snapshot)
             if tracker is not None:
-                return self._start_first(work, shard_state, tracker, now)
+                return self._start_attempt(work, shard_state, tracker, now)
         shard_state.queue.push(work)
         return self._dispatch(shard_state, now)
 
@@ -199,7 +199,7 @@
         tracker = self._choice.choose(free, work.tried, work.sub_request.snapshot)
         if tracker is None:
             return self._work_table.finish(work, _no_candidate_failure(work), now)
-        return self._start_first(work, shard_state, tracker, now)
+        return self._start_attempt(work, shard_state, tracker, now)
 
     def _is_expired(self, work: WorkItem, now: float) -> bool:
         return Mechanism.DEADLINE_CHECK not in self._disabled and now >= work.deadline_at
@@ -223,7 +223,7 @@
 
         return accepts
 
-    def _start_first(
+    def _start_attempt(
         self, work: WorkItem, shard_state: ShardState, tracker: ReplicaTracker, now: float
     ) -> list[Action]:
         if work.first_started_at is None:
@@ -303,7 +303,7 @@
         is_free = kind is BackendFailureKind.NOT_HELD
         return self._retrying.try_acquire(work.sub_request.service, work.retries, is_free)
 
-    # Results -----------------------------------------------------------------------------
+    # Queued work -------------------------------------------------------------------------
 
     def _fail_queued(
         self, shard_state: ShardState, failure: Failure[SubFailureKind], now: float
--- a/wingquay/admission/health_prober.py
+++ b/wingquay/admission/health_prober.py
@@ -74,10 +74,10 @@
         report = event.result
         held = self._apply_report(event.replica_id, report, now, from_answer=False)
         if report.draining:
-            return self._observe(event.replica_id, ReplicaState.LEAVING, held, now)
+            return self._report_state(event.replica_id, ReplicaState.LEAVING, held, now)
         if not self._may_clear_leaving(event.replica_id, report, now):
             return []
-        return self._observe(event.replica_id, ReplicaState.SERVING, held, now)
+        return self._report_state(event.replica_id, ReplicaState.SERVING, held, now)
 
     def _may_clear_leaving(self, replica_id: str, report: LoadReport, now: float) -> bool:
         """Return whether a health page may clear the leaving state; pages lag behind a drain."""
@@ -97,11 +97,11 @@
         if event.load is not None:
             held = self._apply_report(replica_id, event.load, now, from_answer=True)
             if event.load.draining:
-                return self._observe(replica_id, ReplicaState.LEAVING, held, now)
+                return self._report_state(replica_id, ReplicaState.LEAVING, held, now)
         state = self._state_after(event)
         if state is None:
             return []
-        return self._observe(replica_id, state, held, now)
+        return self._report_state(replica_id, state, held, now)
 
     def _state_after(self, event: AttemptFinished) -> ReplicaState | None:
         if isinstance(event.result, BackendAnswer):
@@ -132,7 +132,7 @@
         replica_id = tracker.replica.replica_id
         return HeldVersions(replica_id, report.oldest_version, report.newest_version)
 
-    def _observe(
+    def _report_state(
         self, replica_id: ReplicaId, state: ReplicaState, held: HeldVersions | None, now: float
     ) -> list[Action]:
         if state is ReplicaState.LEAVING:
--- a/wingquay/admission/owner_machine.py
+++ b/wingquay/admission/owner_machine.py
@@ -189,9 +189,9 @@
             self._heartbeat_scheduled = False
             return []
         interval = self._admission.owner_heartbeat_seconds
-        silent = requesters.take_unsent_since(now - interval, now)
+        due_nodes = requesters.take_unsent_since(now - interval, now)
         actions: list[Action] = [Schedule(now + interval, HeartbeatDue())]
-        for identity in silent:
+        for identity in due_nodes:
             if identity.node_id != self._identity.node_id:
                 actions.append(SendToPeer(identity, SubResultBatch(())))
         return actions
--- a/wingquay/admission/requesters.py
+++ b/wingquay/admission/requesters.py
@@ -6,7 +6,7 @@
 
 
 @dataclass(slots=True)
-class _Waiting:
+class _WaitingNode:
     identity: NodeIdentity
     outstanding: int
     last_sent_at: float
@@ -16,7 +16,7 @@
     """Number of outstanding sub-requests by requesting node."""
 
     def __init__(self) -> None:
-        self._waiting: dict[str, _Waiting] = {}
+        self._waiting: dict[str, _WaitingNode] = {}
 
     def __bool__(self) -> bool:
         """Return whether any node waits for results."""
@@ -26,12 +26,12 @@
         """Count a new sub-request of ``requester``."""
         waiting = self._waiting.get(requester.node_id)
         if waiting is None:
-            waiting = _Waiting(requester, 0, now)
+            waiting = _WaitingNode(requester, 0, now)
             self._waiting[requester.node_id] = waiting
         waiting.outstanding += 1
 
     def on_finished(self, requester: NodeIdentity, now: float) -> None:
-        """Uncount a finished sub-request of ``requester``."""
+        """Subtract a finished sub-request of ``requester`` from its count."""
         waiting = self._waiting.get(requester.node_id)
         if waiting is None:
             return
@@ -42,7 +42,7 @@
 
     def take_unsent_since(self, before: float, now: float) -> list[NodeIdentity]:
         """Return the nodes last sent a message at ``before`` or earlier; mark them as sent now."""
-        silent = [waiting for waiting in self._waiting.values() if waiting.last_sent_at <= before]
-        for waiting in silent:
+        idle = [waiting for waiting in self._waiting.values() if waiting.last_sent_at <= before]
+        for waiting in idle:
             waiting.last_sent_at = now
-        return [waiting.identity for waiting in silent]
+        return [waiting.identity for waiting in idle]
--- a/wingquay/query/admission_gate.py
+++ b/wingquay/query/admission_gate.py
@@ -17,14 +17,15 @@
 
 
 class AdmissionGate:
-    """Refuses requests that are expected to miss their class's promise or their deadline.
+    """Refuses requests that are expected to miss the promise of their class or their deadline.
 
-    Also refuses requests for the node's own load and during a planned stop.
+    Also refuses requests because of the load of the node itself and during a planned stop.
 
     Parameters
     ----------
     enabled
-        Whether requests are refused because of load. If false, only a planned stop refuses them.
+        Whether requests are refused because of load or deadlines. If false, only a planned stop
+        refuses them.
     """
 
     def __init__(self, settings: QuerySettings, sender: SubRequestSender, enabled: bool) -> None:
--- a/wingquay/query/coordinator.py
+++ b/wingquay/query/coordinator.py
@@ -144,7 +144,7 @@
             case SubRequestRetryDue():
                 return self._planner.on_retry_due(event, now)
             case OwnerCheckDue():
-                return self._owner_failover.on_check(now)
+                return self._owner_failover.on_check_due(now)
             case _:
                 return self._route_other(event, now)
 
--- a/wingquay/query/node_pressure.py
+++ b/wingquay/query/node_pressure.py
@@ -1,9 +1,10 @@
 """Refuses the classes of lowest price while this node's event loop is overloaded.
 
 If the processor of the node is the bottleneck, its timers fire late although the queues of the
-back ends are short. Several late timers in a row raise the number of refused classes by one, and
-a longer series of punctual ones lowers it, as in DAGOR (SoCC 2018), section 4. The class of the
-highest price is never refused.
+back ends are short. A probe measures this lag. ``LATE_PROBES_TO_RAISE`` late probes in a row
+raise the number of refused classes by one, ``ON_TIME_PROBES_TO_LOWER`` probes on time in a row
+lower it by one, as in DAGOR (SoCC 2018), section 4. The class of the highest price is never
+refused.
 """
 
 from ..model.configuration import Configuration
--- a/wingquay/query/owner_failover.py
+++ b/wingquay/query/owner_failover.py
@@ -49,7 +49,7 @@
         self._check_scheduled = True
         return [Schedule(now + self._silence_seconds / 2.0, OwnerCheckDue())]
 
-    def on_check(self, now: float) -> list[Action]:
+    def on_check_due(self, now: float) -> list[Action]:
         """Fail over the sub-requests of silent owners."""
         self._check_scheduled = False
         oldest: dict[NodeId, float] = {}
@@ -65,8 +65,8 @@
     def on_membership(self, event: MembershipChanged, now: float) -> list[Action]:
         """Fail over the sub-requests of owners that have left the membership."""
         present = {node.node_id for node in (*event.available, *event.leaving)}
-        asked = {pending.owner.node_id for _, pending in self._table.pending_sub_requests()}
-        gone = sorted(asked - present - {self._identity.node_id})
+        owner_ids = {pending.owner.node_id for _, pending in self._table.pending_sub_requests()}
+        gone = sorted(owner_ids - present - {self._identity.node_id})
         return [action for node_id in gone for action in self._on_node_lost(node_id, now)]
 
     def _on_node_lost(self, node_id: NodeId, now: float) -> list[Action]:
--- a/wingquay/query/sub_request_sender.py
+++ b/wingquay/query/sub_request_sender.py
@@ -48,7 +48,15 @@
         retries: int = 0,
         avoid: tuple[ReplicaId, ...] = (),
     ) -> list[Action]:
-        """Send a sub-request for each of ``pieces``."""
+        """Send a sub-request for each assignment.
+
+        Parameters
+        ----------
+        retries
+            Number of earlier sub-requests for the same keys that failed.
+        avoid
+            Replicas that left out keys earlier; owners use them only if no others are usable.
+        """
         batches: dict[str, tuple[NodeIdentity, list[SubRequest]]] = {}
         for assignment in assignments:
             sub_request = self._sub_request(state, assignment, now, avoid)
--- a/wingquay/query/sub_result_handler.py
+++ b/wingquay/query/sub_result_handler.py
@@ -84,16 +84,16 @@
         avoid: tuple[ReplicaId, ...],
         now: float,
     ) -> list[Action]:
-        leftover = state.merge.add(pending.sub_request.key_ranges, answer)
-        if not leftover:
+        uncovered = state.merge.add(pending.sub_request.key_ranges, answer)
+        if not uncovered:
             return []
         reason = MissingReason.NO_SHARD
         if answer.snapshot != state.merge.snapshot:
             reason = MissingReason.SNAPSHOT_UNAVAILABLE
-        state.merge.record_missing(leftover, reason)
+        state.merge.record_missing(uncovered, reason)
         if not state.resolved.repeatable:
             return []
-        return self._planner.schedule_retry(state, pending, leftover, now, avoid)
+        return self._planner.schedule_retry(state, pending, uncovered, now, avoid)
 
     def _on_failure(
         self,
--- a/wingquay/query/version_table.py
+++ b/wingquay/query/version_table.py
@@ -1,8 +1,9 @@
 """Snapshot versions held by the replicas of each service, and the choice of the version to pin.
 
-The best version is the one held by most shards. Ties are decided by the smallest share of
-replicas, over all shards, that hold the version; then by the newer version. A version that is
-being installed is therefore not used until it is held as widely as the previous one.
+The best version is the one held by most shards. A tie is decided by comparing, in the shard where
+it is smallest, the share of replicas that hold the version; a further tie goes to the newest
+version. A version that is being installed is therefore not used until it is held as widely as the
+previous one.
 """
 
 from ..model.answer import HeldVersions
@@ -19,7 +20,7 @@
     def __init__(self) -> None:
         self._services: dict[str, Service] = {}
         self._service_of_replica: dict[str, str] = {}
-        self._assigned: dict[str, HeldVersions] = {}
+        self._held: dict[str, HeldVersions] = {}
         self._excluded: dict[str, bool] = {}
         self._best_versions: dict[str, SnapshotVersion] = {}
 
@@ -33,15 +34,15 @@
             for replica in shard.replicas
         }
         known = self._service_of_replica
-        self._assigned = {name: held for name, held in self._assigned.items() if name in known}
+        self._held = {name: held for name, held in self._held.items() if name in known}
         self._best_versions.clear()
 
     def record(self, held: HeldVersions) -> None:
         """Record the versions held by a replica."""
-        known = self._assigned.get(held.replica_id)
+        known = self._held.get(held.replica_id)
         if known is held or known == held:
             return
-        self._assigned[held.replica_id] = held
+        self._held[held.replica_id] = held
         self._invalidate_best(held.replica_id)
 
     def set_excluded(self, replica_id: str, excluded: bool) -> None:
@@ -68,9 +69,9 @@
     def _choose(self, service: Service) -> SnapshotVersion:
         held_by_shard = [
             [
-                self._assigned[replica.replica_id]
+                self._held[replica.replica_id]
                 for replica in shard.replicas
-                if replica.replica_id in self._assigned
+                if replica.replica_id in self._held
                 and not self._excluded.get(replica.replica_id, False)
             ]
             for shard in service.shards
@@ -92,7 +93,7 @@
         )
 
     def _holds(self, replica_id: str, version: SnapshotVersion) -> bool:
-        held = self._assigned.get(replica_id)
+        held = self._held.get(replica_id)
         return held is not None and held.oldest <= version <= held.newest
 
 
