--- a/tests/query/test_avoided_replicas.py
+++ b/tests/query/test_avoided_replicas.py
@@ -6,7 +6,7 @@
 from testtools import TestCase
 
 from tests.query.small_tier import ZONES, configuration
-from tests.query.test_class_order import REQUESTER, work
+from tests.query.test_class_order import REQUESTER, work_item
 from wingquay.admission.owner_machine import OwnerMachine
 from wingquay.admission.settings import AdmissionSettings
 from wingquay.model.identifiers import DeploymentName, NodeId, ReplicaId, SubRequestId
@@ -24,7 +24,7 @@
         identity = NodeIdentity(NodeId("n"), DeploymentName("ro-nord"), ZONES[0], "127.0.0.1", 1)
         owner = OwnerMachine(identity, RoutingSettings(), AdmissionSettings(), random.Random(1))
         owner.handle(ConfigurationInForce(configuration((EVERYTHING,), 2)), 0.0)
-        sub_request = work("q", "gold", 1).sub_request
+        sub_request = work_item("q", "gold", 1).sub_request
         batch = SubRequestBatch(
             tuple(
                 replace(sub_request, sub_request_id=SubRequestId(f"q{index}"), avoid=avoid)
--- a/tests/query/test_class_order.py
+++ b/tests/query/test_class_order.py
@@ -31,7 +31,7 @@
 REQUESTER = NodeIdentity(NodeId("n"), DeploymentName("d"), ZoneName("z"), "127.0.0.1", 1)
 
 
-def work(name: str, class_name: str, price: float, cost_seconds: float = 0.01) -> WorkItem:
+def work_item(name: str, class_name: str, price: float, cost_seconds: float = 0.01) -> WorkItem:
     sub_request = SubRequest(
         sub_request_id=SubRequestId(name),
         request_id=RequestId(name),
@@ -58,31 +58,31 @@
     def test_a_new_item_of_the_top_class_is_popped_next(self) -> None:
         queue = ClassQueue()
         for index in range(50):
-            queue.push(work(f"bulk{index}", "bulk", 1))
+            queue.push(work_item(f"bulk{index}", "bulk", 1))
         pop_names(queue, 10)
-        queue.push(work("gold", "gold", 100))
+        queue.push(work_item("gold", "gold", 100))
         self.assertEqual(["gold"], pop_names(queue, 1))
 
     def test_shares_are_proportional_to_prices_without_starvation(self) -> None:
         queue = ClassQueue()
         for index in range(300):
-            queue.push(work(f"gold{index}", "gold", 3))
-            queue.push(work(f"bulk{index}", "bulk", 1))
+            queue.push(work_item(f"gold{index}", "gold", 3))
+            queue.push(work_item(f"bulk{index}", "bulk", 1))
         first = pop_names(queue, 100)
         bulk = sum(name.startswith("bulk") for name in first)
         self.assertTrue(22 <= bulk <= 28, bulk)
 
     def test_without_classes_items_are_popped_in_order_of_arrival(self) -> None:
         queue = ClassQueue(by_class=False)
-        queue.push(work("bulk", "bulk", 1))
-        queue.push(work("gold", "gold", 100))
+        queue.push(work_item("bulk", "bulk", 1))
+        queue.push(work_item("gold", "gold", 100))
         self.assertEqual(["bulk", "gold"], pop_names(queue, 2))
 
     def test_the_expected_delay_depends_on_the_share_of_the_class(self) -> None:
         queue = ClassQueue()
         for index in range(10):
-            queue.push(work(f"bulk{index}", "bulk", 1, cost_seconds=0.1))
-        gold, bulk = work("g", "gold", 99).sub_request, work("b", "bulk", 1).sub_request
+            queue.push(work_item(f"bulk{index}", "bulk", 1, cost_seconds=0.1))
+        gold, bulk = work_item("g", "gold", 99).sub_request, work_item("b", "bulk", 1).sub_request
         self.assertEqual(0.0, queue.class_delay_seconds(gold, 5, 0.0))
         self.assertAlmostEqual(0.2, queue.class_delay_seconds(bulk, 5, 0.0))
 
@@ -147,8 +147,8 @@
 
     def test_a_ping_overtakes_queued_sweeps(self) -> None:
         in_order = self.latency_of_ping(self.saturated_tier())
-        without = self.latency_of_ping(self.saturated_tier(Mechanism.CLASS_ORDER))
-        self.assertTrue(in_order * 2 < without, (in_order, without))
+        without_order = self.latency_of_ping(self.saturated_tier(Mechanism.CLASS_ORDER))
+        self.assertTrue(in_order * 2 < without_order, (in_order, without_order))
 
     def test_a_request_that_cannot_meet_its_deadline_is_refused_at_once(self) -> None:
         tier = self.saturated_tier()
--- a/wingquay/query/merge.py
+++ b/wingquay/query/merge.py
@@ -42,23 +42,23 @@
         self._rows: list[Row] = []
         self._missing_reasons: list[MissingPart] = []
 
-    def add(self, requested: tuple[KeyRange, ...], answer: SubAnswer) -> tuple[KeyRange, ...]:
-        """Merge the answer to a sub-request; return the ``requested`` keys it does not cover.
+    def add(self, key_ranges: tuple[KeyRange, ...], answer: SubAnswer) -> tuple[KeyRange, ...]:
+        """Merge the answer to a sub-request; return the keys it does not cover.
 
         An answer of another snapshot is rejected, which leaves all keys uncovered.
         """
         if self._checks_snapshot and answer.snapshot != self._snapshot:
-            return requested
+            return key_ranges
         # The requested keys are not covered yet: sub-requests of one plan are disjoint, retries
         # request only uncovered keys, and each result is merged once.
-        if answer.covered == requested:
-            self._covered += requested
-            self._rows += _rows_within(requested, answer.rows)
+        if answer.covered == key_ranges:
+            self._covered += key_ranges
+            self._rows += _rows_within(key_ranges, answer.rows)
             return ()
-        newly_covered = intersect(requested, answer.covered)
+        newly_covered = intersect(key_ranges, answer.covered)
         self._covered += newly_covered
         self._rows += _rows_within(newly_covered, answer.rows)
-        return subtract(requested, answer.covered)
+        return subtract(key_ranges, answer.covered)
 
     @property
     def snapshot(self) -> SnapshotVersion | None:
