--- a/wingquay/query/owner_failover.py
+++ b/wingquay/query/owner_failover.py
@@ -95,7 +95,7 @@
         for state, pending in lost:
             state.may_have_run = True
             if not state.resolved.repeatable:
-                # It may have run; only a result of the same owner could tell.
+                # It may have run there, so it waits for the result of this owner.
                 continue
             self._table.close_pending(state, pending)
             actions.append(Count("wingquay_owner_failovers_total"))
--- a/wingquay/query/owner_selector.py
+++ b/wingquay/query/owner_selector.py
@@ -9,10 +9,10 @@
 from ..routing.ownership import OwnerTable
 
 INITIAL_EXCLUSION_SECONDS = 1.0
-"""Time a silent owner is excluded; doubles with each further silence without a message."""
+"""First exclusion time of a silent owner; doubles with each exclusion until it sends a message."""
 
 MAX_EXCLUSION_SECONDS = 8.0
-"""Upper bound of the exclusion time of a silent owner."""
+"""Longest exclusion time of a silent owner."""
 
 
 class OwnerSelector:
--- a/wingquay/query/request_check.py
+++ b/wingquay/query/request_check.py
@@ -67,7 +67,7 @@
             return f"key_ranges: end {key_range.end!r} must be after start {key_range.start!r}"
     deadline = _deadline(request, kind)
     if not 0.0 < deadline <= MAX_DEADLINE_SECONDS:
-        return f"deadline: {deadline} s is not above 0 and at most {MAX_DEADLINE_SECONDS:.0f} s"
+        return f"deadline: {deadline} s must be above 0 and at most {MAX_DEADLINE_SECONDS:.0f} s"
     if not repeatable and not request.idempotency_key:
         return "Idempotency-Key: required for an unrepeatable request"
     return ""
