--- a/wingquay/admission/class_queue.py
+++ b/wingquay/admission/class_queue.py
@@ -17,17 +17,17 @@
     """
 
     def __init__(self, by_class: bool = True) -> None:
-        super().__init__(self._place)
+        super().__init__(self._position)
         self._by_class = by_class
 
     def class_delay_seconds(self, sub_request: SubRequest, parallelism: int, now: float) -> float:
         """Return the expected wait of a new sub-request, given ``parallelism`` slots."""
-        return self.delay_seconds(self._place_of_class(sub_request, 1.0), parallelism, now)
+        return self.delay_seconds(self._position_of_class(sub_request, 1.0), parallelism, now)
 
-    def _place(self, work: WorkItem) -> Place:
-        return self._place_of_class(work.sub_request, work.cost_seconds)
+    def _position(self, work: WorkItem) -> Place:
+        return self._position_of_class(work.sub_request, work.cost_seconds)
 
-    def _place_of_class(self, sub_request: SubRequest, cost_seconds: float) -> Place:
+    def _position_of_class(self, sub_request: SubRequest, cost_seconds: float) -> Place:
         if not self._by_class:
             return Place(0, "", 1.0, cost_seconds)
         return Place(0, sub_request.class_name, sub_request.price, cost_seconds)
