--- a/tests/admission/test_health_pages.py
+++ b/tests/admission/test_health_pages.py
@@ -3,7 +3,7 @@
 from testtools import TestCase
 
 from tests.query.small_tier import configuration
-from wingquay.admission.health_prober import LEAVING_HOLD_PERIOD_SECONDS, HealthProber
+from wingquay.admission.replica_observer import LEAVING_HOLD_PERIOD_SECONDS, ReplicaObserver
 from wingquay.admission.shard_table import ShardTable
 from wingquay.model.failure import Failure
 from wingquay.model.identifiers import AttemptId, ReplicaId
@@ -26,22 +26,22 @@
         super().setUp()
         shards = ShardTable(RoutingSettings(), by_class=True)
         shards.apply(configuration((EVERYTHING,), 1))
-        self.prober = HealthProber("n", RoutingSettings(), shards)
+        self.observer = ReplicaObserver("n", RoutingSettings(), shards)
         refused = Failure(BackendFailureKind.DRAINING, "leaving")
-        self.prober.on_attempt_finished(AttemptFinished(AttemptId("a"), REPLICA, refused), 10.0)
+        self.observer.on_attempt_finished(AttemptFinished(AttemptId("a"), REPLICA, refused), 10.0)
 
     def observes_serving(self, now: float, cold: bool) -> bool:
         page = ReplicaProbed(REPLICA, LoadReport(cold=cold))
         observed = [
             action.event.state
-            for action in self.prober.on_probed(page, now)
+            for action in self.observer.on_probed(page, now)
             if isinstance(action, Notify) and isinstance(action.event, ReplicaObserved)
         ]
         return ReplicaState.SERVING in observed
 
     def become_unreachable(self) -> None:
         failure = Failure(BackendFailureKind.TIMED_OUT, "no page")
-        self.prober.on_probed(ReplicaProbed(REPLICA, failure), 11.0)
+        self.observer.on_probed(ReplicaProbed(REPLICA, failure), 11.0)
 
     def test_a_cold_page_alone_does_not_clear_leaving(self) -> None:
         self.assertFalse(self.observes_serving(12.0, cold=True))
--- a/tests/admission/two_regions.py
+++ b/tests/admission/two_regions.py
@@ -51,16 +51,16 @@
     return zone.rpartition("-")[0]
 
 
-def node_identity(index: int, generation: int) -> NodeIdentity:
+def node_identity(index: int, incarnation: int) -> NodeIdentity:
     """Return the identity of node ``index``; nodes are assigned to the zones in turn.
 
-    ``generation`` distinguishes successive nodes with the same index.
+    ``incarnation`` distinguishes successive nodes with the same index.
     """
     zones = all_zones()
     zone_index, number = index % len(zones), index // len(zones)
     zone = zones[zone_index]
     return NodeIdentity(
-        node_id=NodeId(f"{zone}-{number:03d}-{generation}"),
+        node_id=NodeId(f"{zone}-{number:03d}-{incarnation}"),
         deployment=DeploymentName(region_of(zone)),
         zone=zone,
         host=_address(100 + zone_index, number),
--- a/tests/query/test_admission_gate.py
+++ b/tests/query/test_admission_gate.py
@@ -46,9 +46,9 @@
     def test_one_slow_answer_does_not_keep_a_kind_refused(self) -> None:
         floor = ServiceTimeFloor(0.005, 0.0)
         floor.record(6.4, 1.0)
-        self.assertLess(floor.seconds(1.0), 0.1)
+        self.assertLess(floor.current_seconds(1.0), 0.1)
         stuck = ServiceTimeFloor(6.4, 0.0)
-        self.assertLess(stuck.seconds(10.0), 0.01)
+        self.assertLess(stuck.current_seconds(10.0), 0.01)
 
     def test_a_refused_class_is_admitted_again_after_on_time_probes(self) -> None:
         self.report_lag(0.5, LATE_PROBES_TO_RAISE)
--- a/tests/query/test_class_order.py
+++ b/tests/query/test_class_order.py
@@ -31,7 +31,9 @@
 REQUESTER = NodeIdentity(NodeId("n"), DeploymentName("d"), ZoneName("z"), "127.0.0.1", 1)
 
 
-def work_item(name: str, class_name: str, price: float, cost_seconds: float = 0.01) -> WorkItem:
+def work_item(
+    name: str, class_name: str, price: float, expected_service_seconds: float = 0.01
+) -> WorkItem:
     sub_request = SubRequest(
         sub_request_id=SubRequestId(name),
         request_id=RequestId(name),
@@ -46,7 +48,7 @@
         promise_seconds=0.1,
         repeatable=True,
     )
-    return WorkItem(sub_request, REQUESTER, 0.0, 1.0, cost_seconds)
+    return WorkItem(sub_request, REQUESTER, 0.0, 1.0, expected_service_seconds)
 
 
 def pop_names(queue: ClassQueue, count: int) -> list[str]:
@@ -81,7 +83,7 @@
     def test_the_expected_delay_depends_on_the_share_of_the_class(self) -> None:
         queue = ClassQueue()
         for index in range(10):
-            queue.push(work_item(f"bulk{index}", "bulk", 1, cost_seconds=0.1))
+            queue.push(work_item(f"bulk{index}", "bulk", 1, expected_service_seconds=0.1))
         gold, bulk = work_item("g", "gold", 99).sub_request, work_item("b", "bulk", 1).sub_request
         self.assertEqual(0.0, queue.class_delay_seconds(gold, 5, 0.0))
         self.assertAlmostEqual(0.2, queue.class_delay_seconds(bulk, 5, 0.0))
@@ -97,18 +99,18 @@
         return policy
 
     def test_the_delay_is_a_high_quantile_of_service_times(self) -> None:
-        delay = self.policy().delay_seconds("k", 0, 1.0)
+        delay = self.policy().hedge_delay_seconds("k", 0, 1.0)
         self.assertIsNotNone(delay)
         assert delay is not None
         self.assertTrue(0.0055 <= delay <= 0.0062, delay)
 
     def test_the_delay_is_at_least_the_least_factor_times_the_median(self) -> None:
-        delay = self.policy(least_factor=3.0).delay_seconds("k", 0, 1.0)
+        delay = self.policy(least_factor=3.0).hedge_delay_seconds("k", 0, 1.0)
         assert delay is not None
         self.assertTrue(0.0145 <= delay <= 0.0155, delay)
 
     def test_without_samples_the_delay_depends_on_the_expected_service_time(self) -> None:
-        delay = self.policy().delay_seconds("new", 0, 0.01)
+        delay = self.policy().hedge_delay_seconds("new", 0, 0.01)
         self.assertEqual(0.01 * AdmissionSettings().hedge_initial_factor, delay)
 
     def test_the_budget_limits_hedges_to_its_ratio_plus_burst(self) -> None:
@@ -146,9 +148,9 @@
         return tier.answered_at["ping"] - sent_at
 
     def test_a_ping_overtakes_queued_sweeps(self) -> None:
-        in_order = self.latency_of_ping(self.saturated_tier())
-        without_order = self.latency_of_ping(self.saturated_tier(Mechanism.CLASS_ORDER))
-        self.assertTrue(in_order * 2 < without_order, (in_order, without_order))
+        by_class = self.latency_of_ping(self.saturated_tier())
+        by_arrival = self.latency_of_ping(self.saturated_tier(Mechanism.CLASS_ORDER))
+        self.assertTrue(by_class * 2 < by_arrival, (by_class, by_arrival))
 
     def test_a_request_that_cannot_meet_its_deadline_is_refused_at_once(self) -> None:
         tier = self.saturated_tier()
--- a/wingquay/admission/arrival.py
+++ b/wingquay/admission/arrival.py
@@ -6,7 +6,7 @@
 from ..model.request import SubRequest
 from ..ports.machine import Action, Schedule
 from ..routing.replica_tracker import ReplicaTracker
-from .dispatcher_events import WorkExpired
+from .owner_events import WorkExpired
 from .shard_state import ShardState
 from .work_item import WorkItem
 
@@ -15,7 +15,9 @@
     shard_state: ShardState, work: WorkItem, now: float
 ) -> Failure[SubFailureKind] | None:
     """Return a refusal if the deadline is expected to be missed, else ``None``."""
-    expected = shard_state.class_delay_seconds(work.sub_request, now) + work.cost_seconds
+    expected = (
+        shard_state.class_delay_seconds(work.sub_request, now) + work.expected_service_seconds
+    )
     remaining = work.sub_request.remaining_seconds
     if expected <= remaining:
         return None
--- a/wingquay/admission/attempt_runner.py
+++ b/wingquay/admission/attempt_runner.py
@@ -8,8 +8,8 @@
 from ..ports.machine import Action, Schedule
 from ..routing.replica_tracker import ReplicaTracker
 from .backend_failures import EJECTION_FAILURE_KINDS
-from .dispatcher_events import HedgeDue
 from .hedging import HedgePolicy
+from .owner_events import HedgeDue
 from .service_times import ServiceTimes
 from .settings import AdmissionSettings
 from .shard_state import ShardState
@@ -18,7 +18,7 @@
 
 @value
 class AttemptContext:
-    """A running attempt with its sub-request, shard and replica."""
+    """Sub-request, shard and replica of a running attempt."""
 
     work: WorkItem
     shard_state: ShardState
@@ -58,9 +58,9 @@
         """Return the context of a running attempt, or ``None`` if it is not running."""
         return self._contexts.get(attempt_id)
 
-    def expected_seconds(self, sub_request: SubRequest) -> float:
+    def expected_service_seconds(self, sub_request: SubRequest) -> float:
         """Return the expected service time of a sub-request."""
-        return self._service_times.expected_seconds(kind_key(sub_request))
+        return self._service_times.expected_service_seconds(kind_key(sub_request))
 
     def may_repeat(self, work: WorkItem) -> bool:
         """Return whether a sub-request may run more than once."""
@@ -101,8 +101,10 @@
     def _schedule_hedge(self, work: WorkItem, attempt: RunningAttempt, now: float) -> list[Action]:
         if not self.may_repeat(work):
             return []
-        delay = self.hedging.delay_seconds(
-            kind_key(work.sub_request), work.hedges, self.expected_seconds(work.sub_request)
+        delay = self.hedging.hedge_delay_seconds(
+            kind_key(work.sub_request),
+            work.hedge_count,
+            self.expected_service_seconds(work.sub_request),
         )
         if delay is None or now + delay >= work.deadline_at:
             return []
--- a/wingquay/admission/backend_failures.py
+++ b/wingquay/admission/backend_failures.py
@@ -33,5 +33,5 @@
 
 
 def may_have_run(failure: Failure[BackendFailureKind]) -> bool:
-    """Return whether a back end may have run the attempt."""
+    """Return whether the replica may have run the attempt."""
     return failure.kind not in NOT_RUN_KINDS
--- a/wingquay/admission/class_queue.py
+++ b/wingquay/admission/class_queue.py
@@ -1,4 +1,4 @@
-"""Queue of one shard: a weighted fair queue over classes, weighted by price."""
+"""Weighted fair queue of one shard; the price of a class is its weight."""
 
 from ..model.request import SubRequest
 from ..routing.fair_line import FairLine
@@ -25,7 +25,7 @@
         return self.delay_seconds(self._position_of_class(sub_request, 1.0), parallelism, now)
 
     def _position(self, work: WorkItem) -> Place:
-        return self._position_of_class(work.sub_request, work.cost_seconds)
+        return self._position_of_class(work.sub_request, work.expected_service_seconds)
 
     def _position_of_class(self, sub_request: SubRequest, cost_seconds: float) -> Place:
         if not self._by_class:
--- a/wingquay/admission/dispatcher.py
+++ b/wingquay/admission/dispatcher.py
@@ -23,7 +23,7 @@
 from .arrival import early_refusal, replicas_to_avoid, schedule_expiry
 from .attempt_runner import AttemptContext, AttemptRunner
 from .backend_failures import may_have_run, to_sub_failure
-from .dispatcher_events import HedgeDue, WorkExpired
+from .owner_events import HedgeDue, WorkExpired
 from .requesters import Requesters
 from .retrying import RetryPolicy
 from .settings import AdmissionSettings
@@ -33,7 +33,7 @@
 from .work_table import WorkTable
 
 _NO_REPLICA = Failure(SubFailureKind.NO_REPLICA, "the shard has no usable replica")
-_OWNER_LEAVING = Failure(SubFailureKind.OWNER_LEAVING, "the owner is stopping; use another owner")
+_OWNER_LEAVING = Failure(SubFailureKind.OWNER_LEAVING, "the owner of the shard is stopping")
 _SHARD_REMOVED = Failure(SubFailureKind.NOT_OWNED, "the shard was removed from the configuration")
 _EXPIRED_IN_QUEUE = Failure(SubFailureKind.DEADLINE, "the deadline passed in the queue")
 _EXPIRED_RUNNING = Failure(SubFailureKind.DEADLINE, "no complete answer before the deadline")
@@ -45,7 +45,7 @@
     Parameters
     ----------
     shards
-        The shards; shared with the health prober, which updates the replica trackers.
+        The shards; shared with the replica observer, which updates the replica trackers.
     """
 
     def __init__(
@@ -60,10 +60,10 @@
         self._shards = shards
         self._choice = choice
         self._disabled = disabled
-        self._attempts = AttemptRunner(node_id, settings, disabled)
-        self._work_table = WorkTable(shards, self._attempts, disabled)
+        self._attempt_runner = AttemptRunner(node_id, settings, disabled)
+        self._work_table = WorkTable(shards, self._attempt_runner, disabled)
         self._retrying = RetryPolicy(settings, Mechanism.RETRY_BUDGET not in disabled)
-        self.is_leaving = False
+        self.is_stopping = False
         """Whether this node is stopping and refuses new sub-requests of other nodes."""
 
     @property
@@ -77,11 +77,11 @@
         return self._work_table.requesters
 
     def on_batch(self, batch: SubRequestBatch, sender: NodeIdentity, now: float) -> list[Action]:
-        """Accept the sub-requests of ``sender``; ignore those already accepted."""
+        """Handle the sub-requests of ``sender``; ignore those already queued or running here."""
         actions: list[Action] = []
         for sub_request in batch.sub_requests:
             if sub_request.sub_request_id not in self._work_table:
-                actions += self._accept(sub_request, sender, now)
+                actions += self._on_sub_request(sub_request, sender, now)
         return actions
 
     def on_cancel(self, message: CancelSubRequests, now: float) -> list[Action]:
@@ -109,14 +109,16 @@
 
     def on_replica_changed(self, replica_id: str, now: float) -> list[Action]:
         """Start queued sub-requests that can run after a change of a replica's state."""
-        found = self._shards.tracker(replica_id)
+        found = self._shards.find_replica(replica_id)
         return [] if found is None else self._dispatch(found[0], now)
 
     # Arrival -----------------------------------------------------------------------------
 
-    def _accept(self, sub_request: SubRequest, sender: NodeIdentity, now: float) -> list[Action]:
+    def _on_sub_request(
+        self, sub_request: SubRequest, sender: NodeIdentity, now: float
+    ) -> list[Action]:
         work = self._work_table.add(sub_request, sender, now)
-        if self.is_leaving and sender.node_id != self._node_id:
+        if self.is_stopping and sender.node_id != self._node_id:
             return self._work_table.finish(work, _OWNER_LEAVING, now)
         shard_state = self._shards.shard_state(sub_request.shard_id)
         if shard_state is None:
@@ -125,7 +127,7 @@
         usable = self._choice.usable(shard_state.tracker_list, now)
         if not usable:
             return self._work_table.finish(work, _NO_REPLICA, now)
-        work.tried += replicas_to_avoid(sub_request, usable)
+        work.excluded_replicas += replicas_to_avoid(sub_request, usable)
         refuses_early = Mechanism.EARLY_REFUSAL not in self._disabled
         refusal = early_refusal(shard_state, work, now) if refuses_early else None
         if refusal is not None:
@@ -137,7 +139,7 @@
     ) -> list[Action]:
         if not shard_state.queue and not shard_state.hedge_queue:
             free = self._choice.with_free_slot(usable, now)
-            tracker = self._choice.choose(free, work.tried, work.sub_request.snapshot)
+            tracker = self._choice.choose(free, work.excluded_replicas, work.sub_request.snapshot)
             if tracker is not None:
                 return self._start_attempt(work, shard_state, tracker, now)
         shard_state.queue.push(work)
@@ -161,12 +163,12 @@
             free = self._choice.with_free_slot(usable, now)
             if not free:
                 return actions
-            started = self._start_hedge(shard_state, free, now)
-            if started is None:
-                started = self._start_queued(shard_state, free, usable, now)
-            if started is None:
+            new_actions = self._start_hedge(shard_state, free, now)
+            if new_actions is None:
+                new_actions = self._process_next_queued(shard_state, free, usable, now)
+            if new_actions is None:
                 return actions
-            actions += started
+            actions += new_actions
 
     def _start_hedge(
         self, shard_state: ShardState, free: list[ReplicaTracker], now: float
@@ -174,17 +176,17 @@
         work = shard_state.next_hedge()
         if work is None:
             return None
-        tracker = self._choice.choose(free, work.tried, work.sub_request.snapshot)
+        tracker = self._choice.choose(free, work.excluded_replicas, work.sub_request.snapshot)
         if tracker is None:
             return None
         shard_state.hedge_queue.popleft()
         work.awaits_hedge = False
-        work.hedges += 1
+        work.hedge_count += 1
         labels = (("class", work.sub_request.class_name),)
-        started = self._attempts.start(work, shard_state, tracker, now)
+        started = self._attempt_runner.start(work, shard_state, tracker, now)
         return [Count("wingquay_hedges_total", labels=labels), *started]
 
-    def _start_queued(
+    def _process_next_queued(
         self,
         shard_state: ShardState,
         free: list[ReplicaTracker],
@@ -196,7 +198,7 @@
             return None
         if self._is_expired(work, now):
             return self._work_table.finish(work, work.last_failure or _EXPIRED_IN_QUEUE, now)
-        tracker = self._choice.choose(free, work.tried, work.sub_request.snapshot)
+        tracker = self._choice.choose(free, work.excluded_replicas, work.sub_request.snapshot)
         if tracker is None:
             return self._work_table.finish(work, _no_candidate_failure(work), now)
         return self._start_attempt(work, shard_state, tracker, now)
@@ -217,9 +219,9 @@
             snapshot = work.sub_request.snapshot
             if self._is_expired(work, now):
                 return True
-            if self._choice.choose(free, work.tried, snapshot) is not None:
+            if self._choice.choose(free, work.excluded_replicas, snapshot) is not None:
                 return True
-            return self._choice.choose(usable, work.tried, snapshot) is None
+            return self._choice.choose(usable, work.excluded_replicas, snapshot) is None
 
         return accepts
 
@@ -227,23 +229,25 @@
         self, work: WorkItem, shard_state: ShardState, tracker: ReplicaTracker, now: float
     ) -> list[Action]:
         if work.first_started_at is None:
-            self._attempts.hedging.on_first_attempt(work.sub_request.class_name)
+            self._attempt_runner.hedging.on_first_attempt(work.sub_request.class_name)
             self._retrying.on_first_attempt(work.sub_request.service)
-        return self._attempts.start(work, shard_state, tracker, now)
+        return self._attempt_runner.start(work, shard_state, tracker, now)
 
     def on_hedge_due(self, event: HedgeDue, now: float) -> list[Action]:
         """Queue a hedge for a slow attempt if the budget allows it, else check again later."""
-        context = self._attempts.find(event.attempt_id)
+        context = self._attempt_runner.find(event.attempt_id)
         if context is None or context.work.is_finished or context.work.awaits_hedge:
             return []
         work, shard_state = context.work, context.shard_state
         usable = self._choice.usable(shard_state.tracker_list, now)
-        if self._choice.choose(usable, work.tried, work.sub_request.snapshot) is None:
+        if self._choice.choose(usable, work.excluded_replicas, work.sub_request.snapshot) is None:
             return []
         class_name = work.sub_request.class_name
-        if now < shard_state.shedding_until or not self._attempts.hedging.try_acquire(class_name):
+        if now < shard_state.shedding_until or not self._attempt_runner.hedging.try_acquire(
+            class_name
+        ):
             withheld = Count("wingquay_hedges_withheld_total")
-            return [withheld, *self._attempts.reschedule_hedge(context, now)]
+            return [withheld, *self._attempt_runner.reschedule_hedge(context, now)]
         work.awaits_hedge = True
         shard_state.hedge_queue.append(work)
         return self._dispatch(shard_state, now)
@@ -252,15 +256,15 @@
 
     def on_attempt_finished(self, event: AttemptFinished, now: float) -> list[Action]:
         """Handle a finished attempt: send the result, retry, or wait for other attempts."""
-        context = self._attempts.remove(event.attempt_id)
+        context = self._attempt_runner.remove(event.attempt_id)
         if context is None:
             return [Count("wingquay_stray_attempts_total")]
         if isinstance(event.result, BackendAnswer):
-            self._attempts.record_answer(context, now)
-            self._attempts.record_lost_races(context, now)
+            self._attempt_runner.record_answer(context, now)
+            self._attempt_runner.record_lost_races(context, now)
             actions = self._on_answer(context.work, event.result, now)
         else:
-            self._attempts.record_failure(context, event.result.kind, now)
+            self._attempt_runner.record_failure(context, event.result.kind, now)
             actions = self._on_failure(context, event.result, now)
         return actions + self._dispatch(context.shard_state, now)
 
@@ -281,8 +285,8 @@
         work.last_failure = to_sub_failure(failure)
         if work.is_finished or work.running:
             return []
-        if self._may_retry(shard_state, work, failure.kind, now):
-            work.retries += 1
+        if self._try_acquire_retry(shard_state, work, failure.kind, now):
+            work.retry_count += 1
             work.awaits_hedge = False
             shard_state.queue.push_front(work)
             return [
@@ -290,18 +294,18 @@
             ]
         return self._work_table.finish(work, work.last_failure, now)
 
-    def _may_retry(
+    def _try_acquire_retry(
         self, shard_state: ShardState, work: WorkItem, kind: BackendFailureKind, now: float
     ) -> bool:
-        if work.may_have_run and not self._attempts.may_repeat(work):
+        if work.may_have_run and not self._attempt_runner.may_repeat(work):
             return False
         if now >= work.deadline_at:
             return False
         usable = self._choice.usable(shard_state.tracker_list, now)
-        if self._choice.choose(usable, work.tried, work.sub_request.snapshot) is None:
+        if self._choice.choose(usable, work.excluded_replicas, work.sub_request.snapshot) is None:
             return False
-        is_free = kind is BackendFailureKind.NOT_HELD
-        return self._retrying.try_acquire(work.sub_request.service, work.retries, is_free)
+        is_unbudgeted = kind is BackendFailureKind.NOT_HELD
+        return self._retrying.try_acquire(work.sub_request.service, work.retry_count, is_unbudgeted)
 
     # Queued work -------------------------------------------------------------------------
 
@@ -319,5 +323,5 @@
 def _no_candidate_failure(work: WorkItem) -> Failure[SubFailureKind]:
     if work.last_failure is not None:
         return work.last_failure
-    reason = f"no usable replica holds snapshot {work.sub_request.snapshot}"
+    reason = f"no untried usable replica holds snapshot {work.sub_request.snapshot}"
     return Failure(SubFailureKind.NOT_HELD, reason)
--- a/wingquay/admission/hedging.py
+++ b/wingquay/admission/hedging.py
@@ -42,20 +42,19 @@
             self._trackers[kind_key] = tracker
         tracker.record(service_seconds, now)
 
-    def delay_seconds(
-        self, kind_key: str, hedges_so_far: int, expected_seconds: float
+    def hedge_delay_seconds(
+        self, kind_key: str, hedges_so_far: int, expected_service_seconds: float
     ) -> float | None:
         """Return the time from an attempt's start to its hedge; ``None`` for no hedge.
 
-        Uses a multiple of ``expected_seconds``, the expected service time, until enough service
-        times are recorded.
+        Uses a multiple of ``expected_service_seconds`` until enough service times are recorded.
         """
         if not self._enabled or hedges_so_far >= self._settings.most_hedges:
             return None
         tracker = self._trackers.get(kind_key)
         delay = None if tracker is None else self._quantile_delay(tracker)
         if delay is None:
-            return expected_seconds * self._settings.hedge_initial_factor
+            return expected_service_seconds * self._settings.hedge_initial_factor
         return delay
 
     def _quantile_delay(self, tracker: LatencyTracker) -> float | None:
--- a/wingquay/admission/dispatcher_events.py
+++ b/wingquay/admission/owner_events.py
@@ -1,4 +1,4 @@
-"""Timer events of the owner machine."""
+"""Timer events of the owner role."""
 
 from dataclasses import dataclass
 
--- a/wingquay/admission/owner_machine.py
+++ b/wingquay/admission/owner_machine.py
@@ -28,20 +28,20 @@
 from ..routing.replica_choice import ReplicaChoice
 from ..routing.settings import RoutingSettings
 from .dispatcher import Dispatcher
-from .dispatcher_events import (
+from .owner_events import (
     HeartbeatDue,
     HedgeDue,
     ProbeDue,
     WorkExpired,
 )
-from .health_prober import HealthProber
+from .replica_observer import ReplicaObserver
 from .settings import AdmissionSettings
 from .shard_state import ShardState
 from .shard_table import ShardTable
 
 
 class OwnerMachine:
-    """Routes the events of a shard owner to its dispatcher and its health prober.
+    """Passes the events of a shard owner to its dispatcher and its replica observer.
 
     Also sends heartbeats to the nodes that wait for results.
     """
@@ -89,7 +89,7 @@
             ejection=Mechanism.OUTLIER_EJECTION not in disabled,
         )
         self._dispatcher = Dispatcher(identity.node_id, admission, self._shards, choice, disabled)
-        self._prober = HealthProber(identity.node_id, routing, self._shards)
+        self._replica_observer = ReplicaObserver(identity.node_id, routing, self._shards)
 
     @property
     def in_flight(self) -> int:
@@ -123,8 +123,8 @@
         """Handle one event and return the resulting actions."""
         match event:
             case AttemptFinished():
-                # The prober comes first: the result states the versions that replicas hold.
-                actions = self._prober.on_attempt_finished(event, now)
+                # Update the held versions first: the dispatcher sends them with the result.
+                actions = self._replica_observer.on_attempt_finished(event, now)
                 return actions + self._dispatcher.on_attempt_finished(event, now)
             case PeerReceived():
                 return self._on_peer(event, now)
@@ -133,7 +133,7 @@
             case WorkExpired():
                 return self._dispatcher.on_work_expired(event, now)
             case _:
-                return self._handle_other(event, now)
+                return self._handle_rare_event(event, now)
 
     def _on_peer(self, event: PeerReceived, now: float) -> list[Action]:
         if isinstance(event.message, SubRequestBatch):
@@ -143,7 +143,7 @@
             return self._dispatcher.on_cancel(event.message, now)
         return []
 
-    def _handle_other(self, event: Event, now: float) -> list[Action]:
+    def _handle_rare_event(self, event: Event, now: float) -> list[Action]:
         match event:
             case Start():
                 phase = self._random.random() * self._routing.health_interval_seconds
@@ -156,16 +156,16 @@
                 self._owners.set_nodes(own)
                 self._owned = None
             case LeavingStarted():
-                self._dispatcher.is_leaving = True
+                self._dispatcher.is_stopping = True
             case ReplicaBelief() if Mechanism.REPLICA_LEAVING not in self._disabled:
-                self._prober.on_replica_belief(event)
+                self._replica_observer.on_replica_belief(event)
                 return self._dispatcher.on_replica_changed(event.replica_id, now)
             case ReplicaProbed():
-                actions = self._prober.on_probed(event, now)
+                actions = self._replica_observer.on_probed(event, now)
                 return actions + self._dispatcher.on_replica_changed(event.replica_id, now)
             case ProbeDue():
                 due = Schedule(now + self._routing.health_interval_seconds, ProbeDue())
-                return [due, *self._prober.probe_owned(self._owned_shards())]
+                return [due, *self._replica_observer.probe_owned(self._owned_shards())]
             case HeartbeatDue():
                 return self._on_heartbeat_due(now)
         return []
@@ -175,7 +175,7 @@
         for shard_state in self._shards.apply(configuration):
             actions += self._dispatcher.on_shard_removed(shard_state, now)
         self._owned = None
-        return actions + self._prober.probe_owned(self._owned_shards())
+        return actions + self._replica_observer.probe_owned(self._owned_shards())
 
     def _schedule_heartbeat(self, sender: NodeIdentity, now: float) -> list[Action]:
         if self._heartbeat_scheduled or sender.node_id == self._identity.node_id:
--- a/wingquay/admission/health_prober.py
+++ b/wingquay/admission/replica_observer.py
@@ -1,7 +1,8 @@
-"""Tracks the state of an owner's replicas from health pages, load reports and membership.
+"""Derives the state of an owner's replicas from attempts, health pages and membership.
 
-Reported health and load can be stale or wrong. They set the draining state, the held versions
-and the cold state of a replica, but are never proof that it works.
+A replica that reports ``draining`` is in the state LEAVING. Reported health and load can be stale
+or wrong. They set whether a replica is leaving or cold and which versions it holds, but are never
+proof that it works.
 """
 
 from collections.abc import Iterable
@@ -30,10 +31,10 @@
 """Interval after which an unchanged observation is sent again, because observations expire."""
 
 LEAVING_HOLD_PERIOD_SECONDS = 30.0
-"""Time since a replica was last seen leaving during which its health page cannot clear that.
+"""Time after the last sign of leaving in which a health page alone does not clear that state.
 
-A replica that was unreachable in between and then reports being cold has restarted and is
-cleared at once.
+A replica that was unreachable in between and then reports being cold has restarted, so its page
+clears the state at once.
 """
 
 
@@ -44,8 +45,8 @@
     at: float
 
 
-class HealthProber:
-    """Probes owned replicas and reports observations of their state."""
+class ReplicaObserver:
+    """Probes replicas and reports their observed states to the membership machine."""
 
     def __init__(self, node_id: str, settings: RoutingSettings, shards: ShardTable) -> None:
         self._node_id = node_id
@@ -72,7 +73,7 @@
             self._unreachable_since_leaving.add(event.replica_id)
             return []
         report = event.result
-        held = self._apply_report(event.replica_id, report, now, from_answer=False)
+        held = self._apply_report(event.replica_id, report, now, from_attempt=False)
         if report.draining:
             return self._report_state(event.replica_id, ReplicaState.LEAVING, held, now)
         if not self._may_clear_leaving(event.replica_id, report, now):
@@ -80,7 +81,7 @@
         return self._report_state(event.replica_id, ReplicaState.SERVING, held, now)
 
     def _may_clear_leaving(self, replica_id: str, report: LoadReport, now: float) -> bool:
-        """Return whether a health page may clear the leaving state; pages lag behind a drain."""
+        """Return whether a health page may clear the leaving state; it may be out of date."""
         leaving_at = self._leaving_at.get(replica_id)
         if leaving_at is None:
             return True
@@ -95,7 +96,7 @@
         replica_id = event.replica_id
         held: HeldVersions | None = None
         if event.load is not None:
-            held = self._apply_report(replica_id, event.load, now, from_answer=True)
+            held = self._apply_report(replica_id, event.load, now, from_attempt=True)
             if event.load.draining:
                 return self._report_state(replica_id, ReplicaState.LEAVING, held, now)
         state = self._state_after(event)
@@ -109,21 +110,22 @@
         kind = event.result.kind
         if kind is BackendFailureKind.DRAINING:
             return ReplicaState.LEAVING
-        found = self._shards.tracker(event.replica_id)
+        found = self._shards.find_replica(event.replica_id)
         if kind is not BackendFailureKind.CONNECT_FAILED or found is None:
             return None
+        # Adds 1 for this failure: the dispatcher counts it after this method.
         is_gone = found[1].failures_in_row + 1 >= self._settings.ejection_failures
         return ReplicaState.GONE if is_gone else None
 
     def _apply_report(
-        self, replica_id: str, report: LoadReport, now: float, from_answer: bool
+        self, replica_id: str, report: LoadReport, now: float, from_attempt: bool
     ) -> HeldVersions | None:
-        found = self._shards.tracker(replica_id)
+        found = self._shards.find_replica(replica_id)
         if found is None:
             return None
         tracker = found[1]
         held = self._held_versions(tracker, report)
-        tracker.on_report(report.cold, report.utilization, held, now, from_answer)
+        tracker.on_report(report.cold, report.utilization, held, now, from_attempt)
         return tracker.held
 
     def _held_versions(self, tracker: ReplicaTracker, report: LoadReport) -> HeldVersions | None:
@@ -138,7 +140,7 @@
         if state is ReplicaState.LEAVING:
             self._leaving_at[replica_id] = now
             self._unreachable_since_leaving.discard(replica_id)
-        if self._shards.tracker(replica_id) is None:
+        if self._shards.find_replica(replica_id) is None:
             return []
         last = self._last_observed.get(replica_id)
         has_changed = last is None or (last.state, last.held) != (state, held)
@@ -153,7 +155,7 @@
 
     def on_replica_belief(self, event: ReplicaBelief) -> None:
         """Apply the replica state that the membership machine derived from all evidence."""
-        found = self._shards.tracker(event.replica_id)
+        found = self._shards.find_replica(event.replica_id)
         if found is None:
             return
         tracker = found[1]
--- a/wingquay/admission/requesters.py
+++ b/wingquay/admission/requesters.py
@@ -22,7 +22,7 @@
         """Return whether any node waits for results."""
         return bool(self._waiting)
 
-    def on_accepted(self, requester: NodeIdentity, now: float) -> None:
+    def on_received(self, requester: NodeIdentity, now: float) -> None:
         """Count a new sub-request of ``requester``."""
         waiting = self._waiting.get(requester.node_id)
         if waiting is None:
@@ -41,7 +41,7 @@
             del self._waiting[requester.node_id]
 
     def take_unsent_since(self, before: float, now: float) -> list[NodeIdentity]:
-        """Return the nodes last sent a message at ``before`` or earlier; mark them as sent now."""
+        """Return the nodes sent no message after ``before``; set their last send time to now."""
         idle = [waiting for waiting in self._waiting.values() if waiting.last_sent_at <= before]
         for waiting in idle:
             waiting.last_sent_at = now
--- a/wingquay/admission/retrying.py
+++ b/wingquay/admission/retrying.py
@@ -25,11 +25,11 @@
         """Add the retries that a first attempt earns to the budget of its service."""
         self._budget(service).earn()
 
-    def try_acquire(self, service: str, retries_so_far: int, is_free: bool) -> bool:
-        """Return whether a retry is allowed; take it from the budget unless ``is_free``."""
+    def try_acquire(self, service: str, retries_so_far: int, is_unbudgeted: bool) -> bool:
+        """Return whether a retry is allowed; take it from the budget unless ``is_unbudgeted``."""
         if retries_so_far >= self._settings.most_retries:
             return False
-        return is_free or not self._budgeted or self._budget(service).spend()
+        return is_unbudgeted or not self._budgeted or self._budget(service).spend()
 
     def _budget(self, service: str) -> RatioBudget:
         budget = self._budgets.get(service)
--- a/wingquay/admission/service_times.py
+++ b/wingquay/admission/service_times.py
@@ -21,6 +21,6 @@
         average = self._averages.get(kind_key, service_seconds)
         self._averages[kind_key] = average + EWMA_WEIGHT * (service_seconds - average)
 
-    def expected_seconds(self, kind_key: str) -> float:
+    def expected_service_seconds(self, kind_key: str) -> float:
         """Return the expected service time of a kind."""
         return self._averages.get(kind_key, self._initial_seconds)
--- a/wingquay/admission/shard_state.py
+++ b/wingquay/admission/shard_state.py
@@ -36,7 +36,7 @@
     shedding_until: float = 0.0
 
     def parallelism(self) -> int:
-        """Return the total number of slots of the replicas that are not leaving."""
+        """Return the total number of slots of the replicas in service."""
         staying = [tracker for tracker in self.tracker_list if not tracker.leaving]
         return sum(tracker.replica.slots for tracker in staying)
 
@@ -47,7 +47,7 @@
         return self.queue.class_delay_seconds(sub_request, self.parallelism(), now)
 
     def held(self) -> tuple[HeldVersions, ...]:
-        """Return the known versions held by the replicas that are not leaving."""
+        """Return the known versions held by the replicas in service."""
         return tuple(
             tracker.held
             for tracker in self.tracker_list
--- a/wingquay/admission/shard_table.py
+++ b/wingquay/admission/shard_table.py
@@ -32,8 +32,8 @@
         """Return the state of a shard, or ``None`` if it is not configured."""
         return self._shards.get(shard_id)
 
-    def tracker(self, replica_id: str) -> tuple[ShardState, ReplicaTracker] | None:
-        """Return the shard and the tracker of a replica, or ``None`` if it is not configured."""
+    def find_replica(self, replica_id: str) -> tuple[ShardState, ReplicaTracker] | None:
+        """Return the shard and the tracker of a replica; ``None`` if it is not configured."""
         shard_state = self._shard_of_replica.get(replica_id)
         if shard_state is None:
             return None
@@ -63,13 +63,17 @@
         shard_state.shard = shard
         known = shard_state.trackers
         shard_state.trackers = {
-            replica.replica_id: self._tracker(known.get(replica.replica_id), replica)
+            replica.replica_id: self._create_or_update_tracker(
+                known.get(replica.replica_id), replica
+            )
             for replica in shard.replicas
         }
         shard_state.tracker_list = list(shard_state.trackers.values())
         return shard_state
 
-    def _tracker(self, known: ReplicaTracker | None, replica: Replica) -> ReplicaTracker:
+    def _create_or_update_tracker(
+        self, known: ReplicaTracker | None, replica: Replica
+    ) -> ReplicaTracker:
         owner_count = max(1, self._settings.owners_per_shard)
         if known is None or (known.replica.host, known.replica.port) != (
             replica.host,
--- a/wingquay/admission/work_item.py
+++ b/wingquay/admission/work_item.py
@@ -31,23 +31,23 @@
     tried
         Replicas already tried or to be avoided; not chosen for further attempts.
     may_have_run
-        Whether any back end may have run it; never reset.
+        Whether any replica may have run it; never reset.
     awaits_hedge
         Whether it waits for a free slot for a hedge.
     last_replica
-        Replica of the latest attempt; empty before the first.
+        Replica of the latest attempt, not necessarily of the answer; empty before the first.
     """
 
     sub_request: SubRequest
     requester: NodeIdentity
-    accepted_at: float
+    received_at: float
     deadline_at: float
-    cost_seconds: float
+    expected_service_seconds: float
     running: dict[AttemptId, RunningAttempt] = field(default_factory=dict)
-    tried: list[ReplicaId] = field(default_factory=list)
-    attempts: int = 0
-    hedges: int = 0
-    retries: int = 0
+    excluded_replicas: list[ReplicaId] = field(default_factory=list)
+    attempt_count: int = 0
+    hedge_count: int = 0
+    retry_count: int = 0
     first_started_at: float | None = None
     may_have_run: bool = False
     is_finished: bool = False
@@ -59,8 +59,8 @@
     def on_started(self, attempt: RunningAttempt) -> None:
         """Record a started attempt."""
         self.running[attempt.attempt_id] = attempt
-        self.tried.append(attempt.replica_id)
-        self.attempts += 1
+        self.excluded_replicas.append(attempt.replica_id)
+        self.attempt_count += 1
         self.last_replica = attempt.replica_id
         if self.first_started_at is None:
             self.first_started_at = attempt.started_at
@@ -68,7 +68,7 @@
     def queue_seconds(self, now: float) -> float:
         """Return the time from arrival to the first attempt, or to ``now`` before it."""
         ended_at = now if self.first_started_at is None else self.first_started_at
-        return ended_at - self.accepted_at
+        return ended_at - self.received_at
 
     def service_seconds(self, now: float) -> float:
         """Return the time since the first attempt started; 0 before it."""
--- a/wingquay/admission/work_table.py
+++ b/wingquay/admission/work_table.py
@@ -13,7 +13,7 @@
 
 
 class WorkTable:
-    """Unfinished sub-requests by id; sends exactly one result for each.
+    """Unfinished sub-requests by id; sends at most one result for each.
 
     Parameters
     ----------
@@ -24,10 +24,10 @@
     """
 
     def __init__(
-        self, shards: ShardTable, attempts: AttemptRunner, disabled: frozenset[Mechanism]
+        self, shards: ShardTable, attempt_runner: AttemptRunner, disabled: frozenset[Mechanism]
     ) -> None:
         self._shards = shards
-        self._attempts = attempts
+        self._attempt_runner = attempt_runner
         self._disabled = disabled
         self._work: dict[str, WorkItem] = {}
         self.requesters = Requesters()
@@ -48,21 +48,21 @@
         work = WorkItem(
             sub_request=sub_request,
             requester=sender,
-            accepted_at=now,
+            received_at=now,
             deadline_at=now + sub_request.remaining_seconds,
-            cost_seconds=self._attempts.expected_seconds(sub_request),
+            expected_service_seconds=self._attempt_runner.expected_service_seconds(sub_request),
         )
         self._work[sub_request.sub_request_id] = work
-        self.requesters.on_accepted(sender, now)
+        self.requesters.on_received(sender, now)
         return work
 
     def finish(
         self, work: WorkItem, result: SubAnswer | Failure[SubFailureKind], now: float
     ) -> list[Action]:
         """Remove ``work``, cancel its attempts and send its result."""
-        has_run = isinstance(result, SubAnswer) or work.may_have_run or bool(work.running)
+        may_have_run = isinstance(result, SubAnswer) or work.may_have_run or bool(work.running)
         if Mechanism.RUN_TRACKING in self._disabled and not isinstance(result, SubAnswer):
-            has_run = False
+            may_have_run = False
         actions = self.discard(work, now)
         sub_request = work.sub_request
         shard_state = self._shards.shard_state(sub_request.shard_id)
@@ -70,8 +70,8 @@
             sub_request_id=sub_request.sub_request_id,
             shard_id=sub_request.shard_id,
             result=result,
-            may_have_run=has_run,
-            attempts=work.attempts,
+            may_have_run=may_have_run,
+            attempts=work.attempt_count,
             queue_seconds=work.queue_seconds(now),
             service_seconds=work.service_seconds(now),
             held=() if shard_state is None else shard_state.held(),
@@ -89,5 +89,5 @@
         self.requesters.on_finished(work.requester, now)
         if work.awaits_hedge:
             work.awaits_hedge = False
-            self._attempts.hedging.refund(work.sub_request.class_name)
-        return self._attempts.cancel_all(work, now)
+            self._attempt_runner.hedging.refund(work.sub_request.class_name)
+        return self._attempt_runner.cancel_all(work, now)
--- a/wingquay/query/admission_gate.py
+++ b/wingquay/query/admission_gate.py
@@ -13,7 +13,7 @@
 from .sub_request_sender import SubRequestSender
 
 MIN_SERVICE_TIME_SHARE = 0.5
-"""Share of the usual service time below which a deadline is assumed impossible to meet."""
+"""Share of the low service time estimate; a shorter deadline is assumed impossible to meet."""
 
 
 class AdmissionGate:
@@ -34,13 +34,13 @@
         self._enabled = enabled
         self._delays = DelayTable()
         self._service_time_floors: dict[str, ServiceTimeFloor] = {}
-        self._refuses_from: float | None = None
+        self._refuses_all_from: float | None = None
         self.pressure = NodePressure(settings.loop_lag_limit_seconds)
         """Load of this node's event loop and the classes refused because of it."""
 
-    def start_leaving(self, now: float) -> None:
+    def start_stopping(self, now: float) -> None:
         """Start a planned stop; refuse all requests after ``stop_linger_seconds``."""
-        self._refuses_from = now + self._settings.stop_linger_seconds
+        self._refuses_all_from = now + self._settings.stop_linger_seconds
 
     def record_result(self, state: QueryState, result: SubResult, now: float) -> None:
         """Record the queueing delay and the service time of a sub-result."""
@@ -60,7 +60,7 @@
         """Return the refusal of a request, or ``None`` if it is admitted."""
         request_id = resolved.request.request_id
         retry_after = self._settings.retry_after_seconds
-        if self._refuses_from is not None and now >= self._refuses_from:
+        if self._refuses_all_from is not None and now >= self._refuses_all_from:
             return refused_answer(
                 request_id, "this node is stopping; use another node", retry_after
             )
@@ -81,18 +81,22 @@
             return refused_answer(request_id, reason, max(retry_after, wait - max_wait))
         deadline = resolved.deadline_seconds
         floor = self._service_time_floors.get(_kind_key(resolved))
-        min_service = 0.0 if floor is None else floor.seconds(now) * MIN_SERVICE_TIME_SHARE
+        min_service = 0.0 if floor is None else floor.current_seconds(now) * MIN_SERVICE_TIME_SHARE
         if wait + min_service > deadline:
-            reason = f"takes at least {wait + min_service:.3f} s; the deadline is {deadline:.3f} s"
+            reason = (
+                f"expected to take {wait + min_service:.3f} s; the deadline is {deadline:.3f} s"
+            )
             return refused_answer(request_id, reason, max(retry_after, wait))
         return None
 
     def _expected_wait(self, resolved: ResolvedRequest, now: float) -> float:
         class_name = resolved.priority_class.name
-        assignments = self._sender.plan(resolved.service, resolved.request.key_ranges).assignments
+        assignments = self._sender.partition(
+            resolved.service, resolved.request.key_ranges
+        ).assignments
         return max(
             (
-                self._delays.expected_seconds(assignment.shard.shard_id, class_name, now)
+                self._delays.expected_delay_seconds(assignment.shard.shard_id, class_name, now)
                 for assignment in assignments
             ),
             default=0.0,
--- a/wingquay/query/answer_builders.py
+++ b/wingquay/query/answer_builders.py
@@ -43,7 +43,7 @@
     if answer.outcome is Outcome.COMPLETE:
         return answer
     request_id = answer.request_id
-    reason = state.reason or "no back end answered before the deadline"
+    reason = state.reason or "some keys have no answer"
     if not state.resolved.repeatable:
         if may_have_run:
             return unknown_answer(request_id, reason, retry_after_seconds)
@@ -56,7 +56,7 @@
 def _merged_answer(state: QueryState, now: float) -> Answer:
     merge: AnswerMerge = state.merge
     missing = merge.missing(MissingReason.DEADLINE)
-    snapshot = merge.snapshot if merge.covered else None
+    snapshot = merge.pinned_version if merge.covered else None
     return Answer(
         request_id=state.resolved.request.request_id,
         outcome=Outcome.PARTIAL if missing else Outcome.COMPLETE,
@@ -65,6 +65,6 @@
         missing=missing,
         rows=merge.rows,
         timings=replace(state.timings, total_seconds=now - state.arrived_at),
-        sub_requests=state.sub_requests,
-        attempts=state.attempts,
+        sub_requests=state.sub_request_count,
+        attempts=state.attempt_count,
     )
--- a/wingquay/query/claim_decision_handler.py
+++ b/wingquay/query/claim_decision_handler.py
@@ -54,7 +54,7 @@
         match event.decision:
             case ClaimDecisionKind.ALREADY_DONE:
                 stored = decode_answer(event.outcome or b"", request_id)
-                reason = "the request ran earlier; its answer is no longer stored"
+                reason = "the request ran earlier; its stored answer is missing or unreadable"
                 return stored or unknown_answer(request_id, reason, self._retry_after_seconds)
             case ClaimDecisionKind.KEY_REUSED:
                 reason = "Idempotency-Key: already used for a request with different content"
--- a/wingquay/query/coordinator.py
+++ b/wingquay/query/coordinator.py
@@ -127,10 +127,10 @@
 
     def handle(self, event: Event, now: float) -> list[Action]:
         """Handle one event and return the resulting actions."""
-        actions = self._route(event, now)
+        actions = self._handle_frequent_event(event, now)
         return actions + self._owner_failover.schedule_check(now)
 
-    def _route(self, event: Event, now: float) -> list[Action]:
+    def _handle_frequent_event(self, event: Event, now: float) -> list[Action]:
         match event:
             case PeerReceived():
                 return self._on_peer(event, now)
@@ -146,9 +146,9 @@
             case OwnerCheckDue():
                 return self._owner_failover.on_check_due(now)
             case _:
-                return self._route_other(event, now)
+                return self._handle_rare_event(event, now)
 
-    def _route_other(self, event: Event, now: float) -> list[Action]:
+    def _handle_rare_event(self, event: Event, now: float) -> list[Action]:
         match event:
             case CallerGone():
                 return self._on_caller_gone(event)
@@ -163,7 +163,7 @@
             case ReplicaBelief():
                 self._on_replica_belief(event)
             case LeavingStarted():
-                self._gate.start_leaving(now)
+                self._gate.start_stopping(now)
             case EventLoopLag():
                 self._gate.pressure.on_lag(event.lag_seconds)
             case PeerLinkBroken():
@@ -202,7 +202,7 @@
         if not resolved.repeatable:
             # A refusal states that the request did not run. Until the claim is decided, an
             # earlier submission may have run, so the admission check waits for the claim.
-            state.awaits_claim = True
+            state.needs_claim = True
             return [*actions, Notify(ClaimWanted(request, state.remaining_seconds(now)))]
         if resolved.coverage_preference is CoveragePreference.LATENCY_FIRST:
             promise_at = now + resolved.priority_class.promise_seconds
--- a/wingquay/query/coordinator_events.py
+++ b/wingquay/query/coordinator_events.py
@@ -27,18 +27,18 @@
 
     Parameters
     ----------
-    generation
-        ``QueryState.generation`` at scheduling time; the event is ignored if it has changed.
-    retries
+    plan_number
+        ``QueryState.plan_number`` at scheduling time; the event is ignored if it has changed.
+    retry_number
         Number of this retry, from 1.
     avoid
         Replicas that left out these keys.
     """
 
     request_id: RequestId
-    generation: int
+    plan_number: int
     key_ranges: tuple[KeyRange, ...]
-    retries: int
+    retry_number: int
     avoid: tuple[ReplicaId, ...] = ()
 
 
--- a/wingquay/query/delay_table.py
+++ b/wingquay/query/delay_table.py
@@ -1,10 +1,9 @@
 """Queueing delays by shard and class, as reported by owners with every sub-result.
 
-The coordinator refuses a request if one of its shards would delay it too long. Between two
-reports the delay is assumed to decrease by one second per second. A class that is refused
-entirely, and so brings no reports, is therefore admitted again after a while. Deciding at the
-client side on the queueing delay of the server follows Breakwater (OSDI 2020) and DAGOR
-(SoCC 2018).
+The coordinator refuses a request if one of its shards would delay it too long. The time since the
+report is subtracted from a reported delay. A class that is refused entirely, and so brings no new
+reports, is therefore admitted again after a while. Admission by the coordinator from the delay of
+the owner follows Breakwater (OSDI 2020) and DAGOR (SoCC 2018).
 """
 
 from dataclasses import dataclass
@@ -35,7 +34,7 @@
         report.delay_seconds = delay_seconds
         report.reported_at = now
 
-    def expected_seconds(self, shard_id: str, class_name: str, now: float) -> float:
+    def expected_delay_seconds(self, shard_id: str, class_name: str, now: float) -> float:
         """Return the expected queueing delay of a new sub-request of the class."""
         report = self._reports.get((shard_id, class_name))
         if report is None:
--- a/wingquay/query/plan.py
+++ b/wingquay/query/key_partition.py
@@ -6,8 +6,8 @@
 from ..model.configuration import Service, Shard
 from ..model.key_range import KeyRange, intersect, normalize, subtract
 
-MAX_CACHED_PLANS = 1024
-"""Maximum number of cached plans for each service; many requests have the same ranges."""
+MAX_CACHED_PARTITIONS = 1024
+"""Maximum number of cached partitions for each service; many requests have the same ranges."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -19,8 +19,8 @@
 
 
 @dataclass(frozen=True, slots=True)
-class ShardPlan:
-    """Assignment of requested keys to shards.
+class KeyPartition:
+    """Requested keys, partitioned by shard.
 
     Parameters
     ----------
@@ -39,31 +39,31 @@
         self.service = service
         self._shards = sorted(service.shards, key=lambda shard: shard.start)
         self._starts = [shard.start for shard in self._shards]
-        self._assigned = normalize(shard.key_range for shard in self._shards)
-        self._plans: dict[tuple[KeyRange, ...], ShardPlan] = {}
-
-    def plan(self, key_ranges: tuple[KeyRange, ...]) -> ShardPlan:
-        """Return the assignment of ``key_ranges`` to shards; plans are cached."""
-        plan = self._plans.get(key_ranges)
-        if plan is None:
-            plan = self._make_plan(key_ranges)
-            if len(self._plans) >= MAX_CACHED_PLANS:
-                self._plans.clear()
-            self._plans[key_ranges] = plan
-        return plan
-
-    def _make_plan(self, key_ranges: tuple[KeyRange, ...]) -> ShardPlan:
-        requested = normalize(key_ranges)
-        overlapping = {index for key_range in requested for index in self._overlapping(key_range)}
+        self._shard_keys = normalize(shard.key_range for shard in self._shards)
+        self._cache: dict[tuple[KeyRange, ...], KeyPartition] = {}
+
+    def partition(self, key_ranges: tuple[KeyRange, ...]) -> KeyPartition:
+        """Return ``key_ranges`` partitioned by shard; results are cached."""
+        partition = self._cache.get(key_ranges)
+        if partition is None:
+            partition = self._partition(key_ranges)
+            if len(self._cache) >= MAX_CACHED_PARTITIONS:
+                self._cache.clear()
+            self._cache[key_ranges] = partition
+        return partition
+
+    def _partition(self, key_ranges: tuple[KeyRange, ...]) -> KeyPartition:
+        wanted = normalize(key_ranges)
+        touched = {index for key_range in wanted for index in self._touched(key_range)}
         assignments: list[ShardAssignment] = []
-        for index in sorted(overlapping):
+        for index in sorted(touched):
             shard = self._shards[index]
-            overlap = intersect(requested, (shard.key_range,))
+            overlap = intersect(wanted, (shard.key_range,))
             if overlap:
                 assignments.append(ShardAssignment(shard, overlap))
-        return ShardPlan(tuple(assignments), subtract(requested, self._assigned))
+        return KeyPartition(tuple(assignments), subtract(wanted, self._shard_keys))
 
-    def _overlapping(self, key_range: KeyRange) -> range:
+    def _touched(self, key_range: KeyRange) -> range:
         first = max(0, bisect_right(self._starts, key_range.start) - 1)
         if key_range.end is None:
             return range(first, len(self._shards))
--- a/wingquay/query/merge.py
+++ b/wingquay/query/merge.py
@@ -24,7 +24,7 @@
     requested
         Requested keys.
     snapshot
-        Pinned version; ``None`` for an unrepeatable request.
+        Pinned snapshot version; ``None`` for an unrepeatable request.
     checks_snapshot
         Whether answers of another version are rejected.
     """
@@ -49,8 +49,8 @@
         """
         if self._checks_snapshot and answer.snapshot != self._snapshot:
             return key_ranges
-        # The requested keys are not covered yet: sub-requests of one plan are disjoint, retries
-        # request only uncovered keys, and each result is merged once.
+        # None of these keys is covered yet: sub-requests of one plan are disjoint, retries request
+        # only uncovered keys, and the duplicate filter drops second results.
         if answer.covered == key_ranges:
             self._covered += key_ranges
             self._rows += _rows_within(key_ranges, answer.rows)
@@ -61,8 +61,8 @@
         return subtract(key_ranges, answer.covered)
 
     @property
-    def snapshot(self) -> SnapshotVersion | None:
-        """Pinned version."""
+    def pinned_version(self) -> SnapshotVersion | None:
+        """Pinned snapshot version."""
         return self._snapshot
 
     def record_missing(self, key_ranges: Iterable[KeyRange], reason: MissingReason) -> None:
--- a/wingquay/query/owner_failover.py
+++ b/wingquay/query/owner_failover.py
@@ -64,9 +64,9 @@
 
     def on_membership(self, event: MembershipChanged, now: float) -> list[Action]:
         """Fail over the sub-requests of owners that have left the membership."""
-        present = {node.node_id for node in (*event.available, *event.leaving)}
+        member_ids = {node.node_id for node in (*event.available, *event.leaving)}
         owner_ids = {pending.owner.node_id for _, pending in self._table.pending_sub_requests()}
-        gone = sorted(owner_ids - present - {self._identity.node_id})
+        gone = sorted(owner_ids - member_ids - {self._identity.node_id})
         return [action for node_id in gone for action in self._on_node_lost(node_id, now)]
 
     def _on_node_lost(self, node_id: NodeId, now: float) -> list[Action]:
--- a/wingquay/query/owner_selector.py
+++ b/wingquay/query/owner_selector.py
@@ -37,14 +37,14 @@
         self._available: tuple[NodeIdentity, ...] = (identity,)
         self._received_at: dict[str, float] = {}
         self._excluded_until: dict[str, float] = {}
-        self._consecutive_silences: dict[str, int] = {}
+        self._consecutive_exclusions: dict[str, int] = {}
 
     def on_membership(self, event: MembershipChanged) -> None:
         """Apply a change of the available nodes."""
         self._available = event.available
-        present = {node.node_id for node in event.available}
-        for known in (self._received_at, self._excluded_until, self._consecutive_silences):
-            for node_id in [name for name in known if name not in present]:
+        available_ids = {node.node_id for node in event.available}
+        for known in (self._received_at, self._excluded_until, self._consecutive_exclusions):
+            for node_id in [name for name in known if name not in available_ids]:
                 del known[node_id]
         for deployment, table in self._tables.items():
             table.set_nodes(self._nodes_of(deployment))
@@ -63,11 +63,16 @@
     def choose(
         self, service: Service, shard_id: str, tried: Sequence[str], now: float
     ) -> NodeIdentity:
-        """Return an owner for a sub-request to the shard.
+        """Return the owner that a sub-request to the shard is sent to.
 
-        Prefers this node, then owners in the same zone, then other owners. If no owner is
-        eligible, returns the first eligible node in the shard's node order, else this node.
-        Eligible are nodes that are neither in ``tried`` nor excluded.
+        A node is eligible if it is neither in ``tried`` nor excluded as silent. The order of
+        preference is:
+
+        1. this node, if it is an eligible owner
+        2. a random eligible owner in its zone
+        3. a random eligible owner
+        4. the first eligible node of ``OwnerTable.nodes_for``
+        5. this node
         """
         if self._owners_per_shard == 0:
             return self._identity
@@ -98,15 +103,15 @@
         """Record that an owner has sent a message; this ends its exclusion."""
         self._received_at[node_id] = now
         self._excluded_until.pop(node_id, None)
-        self._consecutive_silences.pop(node_id, None)
+        self._consecutive_exclusions.pop(node_id, None)
 
     def is_silent(
         self, node_id: str, oldest_sent_at: float, now: float, limit_seconds: float
     ) -> bool:
         """Return whether an owner has sent nothing for ``limit_seconds``.
 
-        The time counts from its last message or from ``oldest_sent_at``, when the oldest pending
-        sub-request was sent to it, whichever is later. The node itself is never silent.
+        The time counts from the later of its last message and ``oldest_sent_at``, the send time
+        of its oldest pending sub-request. The node itself is never silent.
         """
         if node_id == self._identity.node_id:
             return False
@@ -117,7 +122,7 @@
         """Exclude a silent or lost owner for a while."""
         if node_id == self._identity.node_id or self._excluded_until.get(node_id, 0.0) > now:
             return
-        silences = self._consecutive_silences.get(node_id, 0)
-        exclusion_seconds = min(INITIAL_EXCLUSION_SECONDS * 2.0**silences, MAX_EXCLUSION_SECONDS)
-        self._consecutive_silences[node_id] = silences + 1
+        exclusions = self._consecutive_exclusions.get(node_id, 0)
+        exclusion_seconds = min(INITIAL_EXCLUSION_SECONDS * 2.0**exclusions, MAX_EXCLUSION_SECONDS)
+        self._consecutive_exclusions[node_id] = exclusions + 1
         self._excluded_until[node_id] = now + exclusion_seconds
--- a/wingquay/query/query_completion.py
+++ b/wingquay/query/query_completion.py
@@ -12,7 +12,7 @@
 
 
 class QueryCompletion:
-    """Sends exactly one answer for each request.
+    """Sends at most one answer for each request; none if the caller has disconnected.
 
     Parameters
     ----------
@@ -36,14 +36,14 @@
             return []
         if state.answers_on_first_result and state.merge.covered:
             return self.finish(state, now)
-        if state.pending_sub_requests or state.scheduled_retries:
+        if state.pending_sub_requests or state.scheduled_retry_count:
             return []
         return self.finish(state, now)
 
     def finish(self, state: QueryState, now: float) -> list[Action]:
         """Answer with the results received so far."""
         answer = build_answer(state, now, self._retry_after_seconds)
-        if state.awaits_claim and not state.is_claimed:
+        if state.needs_claim and not state.is_claimed:
             reason = (
                 "the claim was not decided before the deadline; an earlier submission may have run"
             )
--- a/wingquay/query/query_planner.py
+++ b/wingquay/query/query_planner.py
@@ -1,4 +1,4 @@
-"""Plans requests: pins a snapshot, sends sub-requests, replans and retries missing keys."""
+"""Plans requests: pins a snapshot version, sends sub-requests, replans, retries missing keys."""
 
 from ..model.answer import MissingReason
 from ..model.configuration import Configuration, Service
@@ -16,7 +16,7 @@
 
 
 class QueryPlanner:
-    """Plans requests, replans them with another snapshot, and retries missing keys.
+    """Plans requests, replans them with another snapshot version, and retries missing keys.
 
     Parameters
     ----------
@@ -48,13 +48,13 @@
         self.versions.apply(configuration)
 
     def start(self, state: QueryState, now: float) -> list[Action]:
-        """Pin a snapshot and send a sub-request to each shard that holds requested keys."""
+        """Pin a snapshot version and send a sub-request to each shard with requested keys."""
         resolved = state.resolved
         snapshot = (
             self.versions.best_version(resolved.service.name) if resolved.repeatable else None
         )
         state.merge = AnswerMerge(state.requested_keys, snapshot, self._checks_snapshot)
-        state.generation += 1
+        state.plan_number += 1
         return self._send(state, resolved.service, state.requested_keys, 0, now)
 
     def _send(
@@ -62,26 +62,26 @@
         state: QueryState,
         service: Service,
         key_ranges: tuple[KeyRange, ...],
-        retries: int,
+        retry_number: int,
         now: float,
         avoid: tuple[ReplicaId, ...] = (),
     ) -> list[Action]:
-        plan = self._sender.plan(service, key_ranges)
-        state.merge.record_missing(plan.unassigned, MissingReason.NO_SHARD)
-        if not state.resolved.repeatable and len(plan.assignments) > 1:
+        partition = self._sender.partition(service, key_ranges)
+        state.merge.record_missing(partition.unassigned, MissingReason.NO_SHARD)
+        if not state.resolved.repeatable and len(partition.assignments) > 1:
             state.reason = "an unrepeatable request must address one shard"
             return self._completion.finish(state, now)
-        actions = self._sender.send(state, plan.assignments, now, retries, avoid)
+        actions = self._sender.send(state, partition.assignments, now, retry_number, avoid)
         return actions + self._completion.finish_if_done(state, now)
 
     # Snapshots ---------------------------------------------------------------------------
 
     def should_replan(self, state: QueryState) -> bool:
-        """Return whether another snapshot covers more shards than the pinned one."""
-        if not state.resolved.repeatable or state.replans >= self._settings.most_replans:
+        """Return whether the best version is held by more shards than the pinned one."""
+        if not state.resolved.repeatable or state.replan_count >= self._settings.most_replans:
             return False
         service: ServiceName = state.resolved.service.name
-        pinned = state.merge.snapshot
+        pinned = state.merge.pinned_version
         best = self.versions.best_version(service)
         if pinned is None or best == pinned:
             return False
@@ -89,9 +89,9 @@
         return better > self.versions.shards_holding(service, pinned)
 
     def replan(self, state: QueryState, now: float) -> list[Action]:
-        """Restart the whole query with another snapshot, since versions must not be mixed."""
-        state.replans += 1
-        state.scheduled_retries = 0
+        """Restart the whole request with the best version, since versions must not be mixed."""
+        state.replan_count += 1
+        state.scheduled_retry_count = 0
         dropped = self._table.cancel_pending(state)
         return [Count("wingquay_replans_total"), *dropped, *self.start(state, now)]
 
@@ -109,17 +109,17 @@
 
         The wait doubles with each retry.
         """
-        if pending.retries >= self._settings.most_piece_retries:
+        if pending.retry_number >= self._settings.most_piece_retries:
             return []
-        wait = self._settings.piece_retry_seconds * 2.0**pending.retries
+        wait = self._settings.piece_retry_seconds * 2.0**pending.retry_number
         if now + wait >= state.answer_at:
             return []
-        state.scheduled_retries += 1
+        state.scheduled_retry_count += 1
         due = SubRequestRetryDue(
             request_id=state.request_id,
-            generation=state.generation,
+            plan_number=state.plan_number,
             key_ranges=key_ranges,
-            retries=pending.retries + 1,
+            retry_number=pending.retry_number + 1,
             avoid=avoid,
         )
         return [Schedule(now + wait, due)]
@@ -127,11 +127,11 @@
     def on_retry_due(self, event: SubRequestRetryDue, now: float) -> list[Action]:
         """Retry keys without an answer, using the configuration now in force."""
         state = self._table.state(event.request_id)
-        if state is None or state.generation != event.generation:
+        if state is None or state.plan_number != event.plan_number:
             return []
-        state.scheduled_retries -= 1
+        state.scheduled_retry_count -= 1
         service = self._current_service(state)
-        return self._send(state, service, event.key_ranges, event.retries, now, event.avoid)
+        return self._send(state, service, event.key_ranges, event.retry_number, now, event.avoid)
 
     def _current_service(self, state: QueryState) -> Service:
         before = state.resolved.service
--- a/wingquay/query/query_state.py
+++ b/wingquay/query/query_state.py
@@ -35,8 +35,8 @@
 
     Parameters
     ----------
-    retries
-        Number of earlier sub-requests for the same keys that failed.
+    retry_number
+        Number of earlier sub-requests for the same keys that failed; 0 for the first one.
     owners_tried
         Owners that the sub-request was sent to before ``owner``.
     """
@@ -44,7 +44,7 @@
     sub_request: SubRequest
     owner: NodeIdentity
     sent_at: float
-    retries: int = 0
+    retry_number: int = 0
     owners_tried: tuple[str, ...] = ()
 
 
@@ -58,17 +58,17 @@
         Latest time to send the answer; a margin before the caller's deadline.
     answered
         Sub-requests with a result; used only if the duplicate filter is disabled.
-    generation
+    plan_number
         Number of plans made so far; distinguishes the retries of the current plan.
-    sub_requests, attempts, replans
-        Numbers of sub-requests sent, attempts at replicas, and plans with another snapshot.
-    scheduled_retries
-        Number of scheduled retries.
+    replan_count
+        Number of restarts with another snapshot version.
+    scheduled_retry_count
+        Number of retries that wait for their timer.
     may_have_run
-        Whether any back end may have run any part of it.
+        Whether any replica may have run any part of it.
     answers_on_first_result
         Whether the promise has passed, so that the first covered keys complete the request.
-    awaits_claim, is_claimed
+    needs_claim, is_claimed
         Whether the request needs a claim, and whether the claim was granted.
     reason
         Latest failure, for the answer.
@@ -80,15 +80,15 @@
     merge: AnswerMerge
     pending_sub_requests: dict[SubRequestId, PendingSubRequest] = field(default_factory=dict)
     answered: dict[SubRequestId, PendingSubRequest] = field(default_factory=dict)
-    generation: int = 0
-    sub_requests: int = 0
-    attempts: int = 0
-    replans: int = 0
-    scheduled_retries: int = 0
+    plan_number: int = 0
+    sub_request_count: int = 0
+    attempt_count: int = 0
+    replan_count: int = 0
+    scheduled_retry_count: int = 0
     may_have_run: bool = False
     answers_on_first_result: bool = False
     is_claimed: bool = False
-    awaits_claim: bool = False
+    needs_claim: bool = False
     caller_gone: bool = False
     reason: str = ""
     timings: Timings = field(default_factory=Timings)
--- a/wingquay/query/query_table.py
+++ b/wingquay/query/query_table.py
@@ -56,16 +56,15 @@
         self._state_by_sub_request[sub_request_id] = state
 
     def close_pending(
-        self, state: QueryState, pending: PendingSubRequest, keeps_open: bool = False
+        self, state: QueryState, pending: PendingSubRequest, accepts_duplicates: bool = False
     ) -> None:
         """Mark a sub-request as no longer pending.
 
-        With ``keeps_open`` a second result is still accepted, for tests without the duplicate
-        filter.
+        With ``accepts_duplicates`` a second result is still accepted.
         """
         sub_request_id = pending.sub_request.sub_request_id
         state.pending_sub_requests.pop(sub_request_id, None)
-        if keeps_open:
+        if accepts_duplicates:
             state.answered[sub_request_id] = pending
         else:
             self._state_by_sub_request.pop(sub_request_id, None)
--- a/wingquay/query/service_floor.py
+++ b/wingquay/query/service_floor.py
@@ -29,12 +29,12 @@
 
     def record(self, service_seconds: float, now: float) -> None:
         """Add a service time to the estimate."""
-        estimate = self.seconds(now)
+        estimate = self.current_seconds(now)
         weight = DECREASE_WEIGHT if service_seconds < estimate else INCREASE_WEIGHT
         self.estimate_seconds = estimate + weight * (service_seconds - estimate)
         self.sampled_at = now
 
-    def seconds(self, now: float) -> float:
+    def current_seconds(self, now: float) -> float:
         """Return the estimate, decayed by the time since the last sample."""
         age = max(0.0, now - self.sampled_at)
         decay: float = 0.5 ** (age / HALF_LIFE_SECONDS)
--- a/wingquay/query/sub_request_sender.py
+++ b/wingquay/query/sub_request_sender.py
@@ -1,4 +1,4 @@
-"""Creates the sub-requests of a plan and sends them to owners, one batch for each owner."""
+"""Creates a sub-request for each shard and sends them to owners, one batch for each owner."""
 
 from collections.abc import Sequence
 from dataclasses import replace
@@ -9,8 +9,8 @@
 from ..model.request import SubRequest
 from ..ports.machine import Action
 from ..ports.peer import NodeIdentity, SendToPeer, SubRequestBatch
+from .key_partition import KeyPartition, ShardAssignment, ShardIndex
 from .owner_selector import OwnerSelector
-from .plan import ShardAssignment, ShardIndex, ShardPlan
 from .query_state import PendingSubRequest, QueryState
 from .query_table import QueryTable
 
@@ -32,27 +32,27 @@
         self._table = table
         self._indexes: dict[str, ShardIndex] = {}
 
-    def plan(self, service: Service, key_ranges: tuple[KeyRange, ...]) -> ShardPlan:
-        """Return the assignment of ``key_ranges`` to the shards of a service."""
+    def partition(self, service: Service, key_ranges: tuple[KeyRange, ...]) -> KeyPartition:
+        """Return ``key_ranges`` partitioned by the shards of a service."""
         index = self._indexes.get(service.name)
         if index is None or index.service is not service:
             index = ShardIndex(service)
             self._indexes[service.name] = index
-        return index.plan(key_ranges)
+        return index.partition(key_ranges)
 
     def send(
         self,
         state: QueryState,
         assignments: Sequence[ShardAssignment],
         now: float,
-        retries: int = 0,
+        retry_number: int = 0,
         avoid: tuple[ReplicaId, ...] = (),
     ) -> list[Action]:
         """Send a sub-request for each assignment.
 
         Parameters
         ----------
-        retries
+        retry_number
             Number of earlier sub-requests for the same keys that failed.
         avoid
             Replicas that left out keys earlier; owners use them only if no others are usable.
@@ -62,7 +62,7 @@
             sub_request = self._sub_request(state, assignment, now, avoid)
             service = state.resolved.service
             owner = self._owner_selector.choose(service, assignment.shard.shard_id, (), now)
-            self._table.add_pending(state, PendingSubRequest(sub_request, owner, now, retries))
+            self._table.add_pending(state, PendingSubRequest(sub_request, owner, now, retry_number))
             batches.setdefault(owner.node_id, (owner, []))[1].append(sub_request)
         return [
             SendToPeer(owner, SubRequestBatch(tuple(sub_requests)))
@@ -80,14 +80,14 @@
             remaining_seconds=self._remaining(state, now),
         )
         self._table.add_pending(
-            state, PendingSubRequest(sub_request, owner, now, pending.retries, tried)
+            state, PendingSubRequest(sub_request, owner, now, pending.retry_number, tried)
         )
         return [SendToPeer(owner, SubRequestBatch((sub_request,)))]
 
     def _next_id(self, state: QueryState) -> SubRequestId:
-        state.sub_requests += 1
+        state.sub_request_count += 1
         request_id = state.resolved.request.request_id
-        return SubRequestId(f"{request_id}/{state.generation}.{state.sub_requests}")
+        return SubRequestId(f"{request_id}/{state.plan_number}.{state.sub_request_count}")
 
     def _remaining(self, state: QueryState, now: float) -> float:
         remaining = state.remaining_seconds(now)
@@ -109,7 +109,7 @@
             kind=resolved.kind.name,
             shard_id=assignment.shard.shard_id,
             key_ranges=assignment.key_ranges,
-            snapshot=state.merge.snapshot,
+            snapshot=state.merge.pinned_version,
             remaining_seconds=self._remaining(state, now),
             class_name=resolved.priority_class.name,
             price=resolved.priority_class.price,
--- a/wingquay/query/sub_result_handler.py
+++ b/wingquay/query/sub_result_handler.py
@@ -25,7 +25,7 @@
 _RETRIED_KINDS = frozenset(
     {SubFailureKind.NO_REPLICA, SubFailureKind.BACKEND_ERROR, SubFailureKind.NOT_OWNED}
 )
-"""Failures after which missing keys are retried if the deadline allows it."""
+"""Failures after which missing keys may be retried; see ``_may_retry``."""
 
 
 class SubResultHandler:
@@ -62,7 +62,7 @@
             return [Count("wingquay_late_sub_results_total")]
         pending = state.get_pending(result.sub_request_id)
         self._record(state, result, now)
-        self._table.close_pending(state, pending, keeps_open=not self._filters_duplicates)
+        self._table.close_pending(state, pending, accepts_duplicates=not self._filters_duplicates)
         if isinstance(result.result, SubAnswer):
             avoid = (ReplicaId(result.replica_id),)
             actions = self._on_answer(state, pending, result.result, avoid, now)
@@ -72,7 +72,7 @@
 
     def _record(self, state: QueryState, result: SubResult, now: float) -> None:
         self._gate.record_result(state, result, now)
-        state.attempts += result.attempts
+        state.attempt_count += result.attempts
         state.may_have_run = state.may_have_run or result.may_have_run
         state.record_timing(result.queue_seconds, result.service_seconds)
 
@@ -88,7 +88,7 @@
         if not uncovered:
             return []
         reason = MissingReason.NO_SHARD
-        if answer.snapshot != state.merge.snapshot:
+        if answer.snapshot != state.merge.pinned_version:
             reason = MissingReason.SNAPSHOT_UNAVAILABLE
         state.merge.record_missing(uncovered, reason)
         if not state.resolved.repeatable:
--- a/wingquay/query/version_table.py
+++ b/wingquay/query/version_table.py
@@ -1,16 +1,16 @@
 """Snapshot versions held by the replicas of each service, and the choice of the version to pin.
 
-The best version is the one held by most shards. A tie is decided by comparing, in the shard where
-it is smallest, the share of replicas that hold the version; a further tie goes to the newest
-version. A version that is being installed is therefore not used until it is held as widely as the
-previous one.
+The best version is held by at least one replica in the largest number of shards. Ties are decided
+by the higher minimum, over the shards, of the share of replicas that hold the version; then by the
+newer version. A version that is being installed is therefore not used until it is held as widely
+as the previous one.
 """
 
 from ..model.answer import HeldVersions
 from ..model.configuration import Configuration, Service
 from ..model.identifiers import ServiceName, SnapshotVersion
 
-UNKNOWN_SNAPSHOT = SnapshotVersion(0)
+UNKNOWN_VERSION = SnapshotVersion(0)
 """Pinned while no held versions are known; replicas reject it and report what they hold."""
 
 
@@ -33,14 +33,14 @@
             for shard in service.shards
             for replica in shard.replicas
         }
-        known = self._service_of_replica
-        self._held = {name: held for name, held in self._held.items() if name in known}
+        configured = self._service_of_replica
+        self._held = {name: held for name, held in self._held.items() if name in configured}
         self._best_versions.clear()
 
     def record(self, held: HeldVersions) -> None:
         """Record the versions held by a replica."""
-        known = self._held.get(held.replica_id)
-        if known is held or known == held:
+        previous = self._held.get(held.replica_id)
+        if previous is held or previous == held:
             return
         self._held[held.replica_id] = held
         self._invalidate_best(held.replica_id)
@@ -57,12 +57,12 @@
             self._best_versions.pop(service, None)
 
     def best_version(self, service_name: ServiceName) -> SnapshotVersion:
-        """Return the version to pin, or ``UNKNOWN_SNAPSHOT``."""
+        """Return the version to pin, or ``UNKNOWN_VERSION``."""
         cached = self._best_versions.get(service_name)
         if cached is not None:
             return cached
         service = self._services.get(service_name)
-        best = UNKNOWN_SNAPSHOT if service is None else self._choose(service)
+        best = UNKNOWN_VERSION if service is None else self._choose(service)
         self._best_versions[service_name] = best
         return best
 
@@ -76,14 +76,19 @@
             ]
             for shard in service.shards
         ]
-        known = [shard for shard in held_by_shard if shard]
-        candidates = {version for shard in known for held in shard for version in _bounds(held)}
+        reported_shards = [shard for shard in held_by_shard if shard]
+        candidates = {
+            version for shard in reported_shards for held in shard for version in _bounds(held)
+        }
         if not candidates:
-            return UNKNOWN_SNAPSHOT
-        return max(sorted(candidates), key=lambda version: _rank(known, version))
+            return UNKNOWN_VERSION
+        return max(sorted(candidates), key=lambda version: _rank(reported_shards, version))
 
     def shards_holding(self, service_name: ServiceName, version: SnapshotVersion) -> int:
-        """Return the number of shards with at least one replica known to hold ``version``."""
+        """Return the number of shards with at least one replica known to hold ``version``.
+
+        Includes replicas that are excluded from the choice.
+        """
         service = self._services.get(service_name)
         if service is None:
             return 0
