--- a/wingquay/forwarding/peers/delegation_reports.py
+++ b/wingquay/forwarding/peers/delegation_reports.py
@@ -50,7 +50,7 @@
         """Leave further attempts to a node that is there, unless this node has stepped in."""
         delegation.is_heard = True
         self._takeover.heard(now - delegation.sent_at)
-        self._groups.trust(delegation.node.node_id)
+        self._groups.clear_suspicion(delegation.node.node_id)
         most = delegation.exchange.route.max_attempts
         if delegation.is_lost or most <= 1:
             return []
@@ -71,7 +71,7 @@
             call.delegated_attempts = 0
             call.arrivals -= 1
             call.history.append("declined")
-        return self._starter.start_all(calls, now)
+        return self._starter.send_or_queue_all(calls, now)
 
     def _given_back(
         self, delegation: Delegation, message: DelegatedAnswer, now: float
@@ -89,7 +89,9 @@
             call.history.append(f"given back after {arrivals}")
             exchange.unexplained_disconnects += arrivals
         exchange.failures += len(calls)
-        return self._starter.start_all([call for call in calls if call.attempts_left > 0], now)
+        return self._starter.send_or_queue_all(
+            [call for call in calls if call.attempts_left > 0], now
+        )
 
     def _exhausted(self, delegation: Delegation, message: DelegatedAnswer) -> None:
         """Take in that nothing comes of shards any more."""
@@ -121,4 +123,4 @@
         if not message.shards:
             return []
         actions = self._guard.answered(exchange, now)
-        return actions + (self._sequential.go_on(exchange, now) if was_sequential else [])
+        return actions + (self._sequential.send_remaining(exchange, now) if was_sequential else [])
