--- a/wingquay/admission/backend_failures.py
+++ b/wingquay/admission/backend_failures.py
@@ -1,10 +1,10 @@
-"""Turns failures of the back-end port into those of a sub-request."""
+"""Maps failures of attempts to failures of sub-requests."""
 
 from ..model.answer import SubFailureKind
 from ..model.failure import Failure
 from ..ports.backend import NOT_RUN_KINDS, BackendFailureKind
 
-_TRANSLATION = {
+_SUB_FAILURE_KINDS = {
     BackendFailureKind.CONNECT_FAILED: SubFailureKind.NO_REPLICA,
     BackendFailureKind.NO_CONNECTION_FREE: SubFailureKind.REFUSED,
     BackendFailureKind.SHED: SubFailureKind.REFUSED,
@@ -16,7 +16,7 @@
     BackendFailureKind.ERROR: SubFailureKind.BACKEND_ERROR,
 }
 
-REPLICA_AT_FAULT = frozenset(
+EJECTION_FAILURE_KINDS = frozenset(
     {
         BackendFailureKind.CONNECT_FAILED,
         BackendFailureKind.BROKEN,
@@ -24,14 +24,14 @@
         BackendFailureKind.ERROR,
     }
 )
-"""Failures that count towards ejecting a replica."""
+"""Failures that count towards the ejection of a replica."""
 
 
 def to_sub_failure(failure: Failure[BackendFailureKind]) -> Failure[SubFailureKind]:
-    """Return the sub-request's failure for an attempt's."""
-    return Failure(_TRANSLATION[failure.kind], failure.reason)
+    """Return the sub-request failure that corresponds to an attempt failure."""
+    return Failure(_SUB_FAILURE_KINDS[failure.kind], failure.reason)
 
 
 def may_have_run(failure: Failure[BackendFailureKind]) -> bool:
-    """Whether a back end may have run the attempt."""
+    """Return whether the replica may have run the attempt."""
     return failure.kind not in NOT_RUN_KINDS
--- a/wingquay/admission/owner_machine.py
+++ b/wingquay/admission/owner_machine.py
@@ -1,4 +1,4 @@
-"""The machine of a node's role as owner: routes events to the dispatcher and the prober."""
+"""State machine of a node's owner role."""
 
 import random
 from typing import ClassVar
@@ -28,20 +28,23 @@
 from ..routing.replica_choice import ReplicaChoice
 from ..routing.settings import RoutingSettings
 from .dispatcher import Dispatcher
-from .dispatcher_events import (
+from .owner_events import (
     HeartbeatDue,
     HedgeDue,
     ProbeDue,
     WorkExpired,
 )
-from .health_prober import HealthProber
-from .lane_table import LaneTable
+from .replica_observer import ReplicaObserver
 from .settings import AdmissionSettings
-from .shard_lane import ShardLane
+from .shard_state import ShardState
+from .shard_table import ShardTable
 
 
 class OwnerMachine:
-    """Owns shards: see ``Dispatcher`` and ``HealthProber``."""
+    """Passes the events of a shard owner to its dispatcher and its replica observer.
+
+    Also sends heartbeats to the nodes that wait for results.
+    """
 
     EVENTS: ClassVar[tuple[type[Event], ...]] = (
         Start,
@@ -75,8 +78,8 @@
         self._random = random_source
         self._disabled = disabled
         self._owners = OwnerTable(routing.owners_per_shard)
-        self._lanes = LaneTable(routing, Mechanism.CLASS_ORDER not in disabled)
-        self._owned: list[ShardLane] | None = None
+        self._shards = ShardTable(routing, Mechanism.CLASS_ORDER not in disabled)
+        self._owned: list[ShardState] | None = None
         self._heartbeat_scheduled = False
         choice = ReplicaChoice(
             identity.zone,
@@ -85,43 +88,43 @@
             slow_start=Mechanism.SLOW_START not in disabled,
             ejection=Mechanism.OUTLIER_EJECTION not in disabled,
         )
-        self._dispatcher = Dispatcher(identity.node_id, admission, self._lanes, choice, disabled)
-        self._prober = HealthProber(identity.node_id, routing, self._lanes)
+        self._dispatcher = Dispatcher(identity.node_id, admission, self._shards, choice, disabled)
+        self._replica_observer = ReplicaObserver(identity.node_id, routing, self._shards)
 
     @property
     def in_flight(self) -> int:
-        """Sub-requests that wait or run here."""
+        """Number of sub-requests that are queued or running."""
         return self._dispatcher.in_flight
 
     def service_loads(self) -> tuple[ServiceLoad, ...]:
-        """Return the share in use of the slots that this owner queues for, by service."""
+        """Return the share of slots in use by this owner, by service."""
         slots: dict[ServiceName, int] = {}
         in_flight: dict[ServiceName, int] = {}
-        for lane in self._owned_lanes():
-            name = lane.service.name
-            for tracker in lane.tracker_list:
+        for shard_state in self._owned_shards():
+            name = shard_state.service.name
+            for tracker in shard_state.tracker_list:
                 slots[name] = slots.get(name, 0) + tracker.replica.slots
                 in_flight[name] = in_flight.get(name, 0) + tracker.in_flight
         return tuple(ServiceLoad(name, in_flight[name] / slots[name]) for name in sorted(in_flight))
 
-    def _owned_lanes(self) -> list[ShardLane]:
-        """Return the lanes of the shards that this node owns; found anew after a change."""
+    def _owned_shards(self) -> list[ShardState]:
+        """Return the shards this node owns; cached until configuration or membership changes."""
         if self._owned is None:
-            self._owned = [lane for lane in self._lanes if self._owns(lane)]
+            self._owned = [shard_state for shard_state in self._shards if self._owns(shard_state)]
         return self._owned
 
-    def _owns(self, lane: ShardLane) -> bool:
-        if lane.service.deployment != self._identity.deployment:
+    def _owns(self, shard_state: ShardState) -> bool:
+        if shard_state.service.deployment != self._identity.deployment:
             return False
-        owners = self._owners.owners_of(lane.shard.shard_id)
+        owners = self._owners.owners_of(shard_state.shard.shard_id)
         return any(node.node_id == self._identity.node_id for node in owners)
 
     def handle(self, event: Event, now: float) -> list[Action]:
-        """Take in one event."""
+        """Handle one event and return the resulting actions."""
         match event:
             case AttemptFinished():
-                # Reports first: the result that leaves says which versions replicas hold.
-                actions = self._prober.on_attempt_finished(event, now)
+                # Update the held versions first: the dispatcher sends them with the result.
+                actions = self._replica_observer.on_attempt_finished(event, now)
                 return actions + self._dispatcher.on_attempt_finished(event, now)
             case PeerReceived():
                 return self._on_peer(event, now)
@@ -130,7 +133,7 @@
             case WorkExpired():
                 return self._dispatcher.on_work_expired(event, now)
             case _:
-                return self._on_rare(event, now)
+                return self._handle_rare_event(event, now)
 
     def _on_peer(self, event: PeerReceived, now: float) -> list[Action]:
         if isinstance(event.message, SubRequestBatch):
@@ -140,7 +143,7 @@
             return self._dispatcher.on_cancel(event.message, now)
         return []
 
-    def _on_rare(self, event: Event, now: float) -> list[Action]:
+    def _handle_rare_event(self, event: Event, now: float) -> list[Action]:
         match event:
             case Start():
                 phase = self._random.random() * self._routing.health_interval_seconds
@@ -153,26 +156,26 @@
                 self._owners.set_nodes(own)
                 self._owned = None
             case LeavingStarted():
-                self._dispatcher.is_leaving = True
+                self._dispatcher.is_stopping = True
             case ReplicaBelief() if Mechanism.REPLICA_LEAVING not in self._disabled:
-                self._prober.on_belief(event)
+                self._replica_observer.on_replica_belief(event)
                 return self._dispatcher.on_replica_changed(event.replica_id, now)
             case ReplicaProbed():
-                actions = self._prober.on_probed(event, now)
+                actions = self._replica_observer.on_probed(event, now)
                 return actions + self._dispatcher.on_replica_changed(event.replica_id, now)
             case ProbeDue():
                 due = Schedule(now + self._routing.health_interval_seconds, ProbeDue())
-                return [due, *self._prober.probe_owned(self._owned_lanes())]
+                return [due, *self._replica_observer.probe_owned(self._owned_shards())]
             case HeartbeatDue():
                 return self._on_heartbeat_due(now)
         return []
 
     def _on_configuration(self, configuration: Configuration, now: float) -> list[Action]:
         actions: list[Action] = []
-        for lane in self._lanes.apply(configuration):
-            actions += self._dispatcher.on_lane_gone(lane, now)
+        for shard_state in self._shards.apply(configuration):
+            actions += self._dispatcher.on_shard_removed(shard_state, now)
         self._owned = None
-        return actions + self._prober.probe_owned(self._owned_lanes())
+        return actions + self._replica_observer.probe_owned(self._owned_shards())
 
     def _schedule_heartbeat(self, sender: NodeIdentity, now: float) -> list[Action]:
         if self._heartbeat_scheduled or sender.node_id == self._identity.node_id:
@@ -186,9 +189,9 @@
             self._heartbeat_scheduled = False
             return []
         interval = self._admission.owner_heartbeat_seconds
-        silent = requesters.silent_since(now - interval, now)
+        due_nodes = requesters.take_unsent_since(now - interval, now)
         actions: list[Action] = [Schedule(now + interval, HeartbeatDue())]
-        for identity in silent:
+        for identity in due_nodes:
             if identity.node_id != self._identity.node_id:
                 actions.append(SendToPeer(identity, SubResultBatch(())))
         return actions
--- a/wingquay/admission/health_prober.py
+++ b/wingquay/admission/replica_observer.py
@@ -1,7 +1,8 @@
-"""Keeps an owner's view of its replicas fresh: health pages, reports on answers, beliefs.
+"""Derives the state of an owner's replicas from attempts, health pages and membership.
 
-Health and load reported by back ends lag or mislead (brief, "What the platform gives"), so they
-are hints: they set draining, versions and warmth, and never count as proof that a replica works.
+A replica that reports ``draining`` is in the state LEAVING. Reported health and load can be stale
+or wrong. They set whether a replica is leaving or cold and which versions it holds, but are never
+proof that it works.
 """
 
 from collections.abc import Iterable
@@ -23,16 +24,17 @@
 from ..ports.peer import ReplicaState
 from ..routing.replica_tracker import ReplicaTracker
 from ..routing.settings import RoutingSettings
-from .lane_table import LaneTable
-from .shard_lane import ShardLane
+from .shard_state import ShardState
+from .shard_table import ShardTable
 
-OBSERVATION_REPEAT_SECONDS = 0.5
-"""Evidence that did not change is repeated so often: it counts only while it is fresh."""
+OBSERVATION_REPEAT_INTERVAL_SECONDS = 0.5
+"""Interval after which an unchanged observation is sent again, because observations expire."""
 
-PAGE_TRUST_SECONDS = 30.0
-"""Time after the last sign that a replica is leaving in which its health page cannot clear it.
+LEAVING_HOLD_PERIOD_SECONDS = 30.0
+"""Time after the last sign of leaving in which a health page alone does not clear that state.
 
-A replica that was unreachable meanwhile and then says that it is cold has been started again.
+A replica that was unreachable in between and then reports being cold has restarted, so its page
+clears the state at once.
 """
 
 
@@ -43,20 +45,22 @@
     at: float
 
 
-class HealthProber:
-    """Probes owned replicas and turns what is seen of them into observations."""
+class ReplicaObserver:
+    """Probes replicas and reports their observed states to the membership machine."""
 
-    def __init__(self, node_id: str, settings: RoutingSettings, lanes: LaneTable) -> None:
+    def __init__(self, node_id: str, settings: RoutingSettings, shards: ShardTable) -> None:
         self._node_id = node_id
         self._settings = settings
-        self._lanes = lanes
+        self._shards = shards
         self._last_observed: dict[str, _Observation] = {}
         self._leaving_at: dict[str, float] = {}
         self._unreachable_since_leaving: set[str] = set()
 
-    def probe_owned(self, owned: Iterable[ShardLane]) -> list[Action]:
-        """Read the health pages of the replicas whose shards this node owns."""
-        return [self._probe(tracker) for lane in owned for tracker in lane.tracker_list]
+    def probe_owned(self, owned: Iterable[ShardState]) -> list[Action]:
+        """Read the health pages of all replicas of the owned shards."""
+        return [
+            self._probe(tracker) for shard_state in owned for tracker in shard_state.tracker_list
+        ]
 
     def _probe(self, tracker: ReplicaTracker) -> ProbeReplica:
         replica = tracker.replica
@@ -64,41 +68,41 @@
         return ProbeReplica(replica.replica_id, replica.host, replica.port, timeout)
 
     def on_probed(self, event: ReplicaProbed, now: float) -> list[Action]:
-        """Take in a health page."""
+        """Handle a health page or the failure to read it."""
         if isinstance(event.result, Failure):
             self._unreachable_since_leaving.add(event.replica_id)
             return []
         report = event.result
-        held = self._take_report(event.replica_id, report, now, is_on_answer=False)
+        held = self._apply_report(event.replica_id, report, now, from_attempt=False)
         if report.draining:
-            return self._observe(event.replica_id, ReplicaState.LEAVING, held, now)
-        if not self._page_may_clear(event.replica_id, report, now):
+            return self._report_state(event.replica_id, ReplicaState.LEAVING, held, now)
+        if not self._may_clear_leaving(event.replica_id, report, now):
             return []
-        return self._observe(event.replica_id, ReplicaState.SERVING, held, now)
+        return self._report_state(event.replica_id, ReplicaState.SERVING, held, now)
 
-    def _page_may_clear(self, replica_id: str, report: LoadReport, now: float) -> bool:
-        """Whether "serving" on a health page says anything: pages lag behind a drain."""
+    def _may_clear_leaving(self, replica_id: str, report: LoadReport, now: float) -> bool:
+        """Return whether a health page may clear the leaving state; it may be out of date."""
         leaving_at = self._leaving_at.get(replica_id)
         if leaving_at is None:
             return True
-        # A process that went away and comes back cold has forgotten that it was leaving. Either
-        # sign alone is not enough: the network may have been cut, the page may be an old one.
+        # A process that was unreachable and is cold has restarted. Either sign alone is not
+        # enough: the network may have been partitioned, or the page may be stale.
         if report.cold and replica_id in self._unreachable_since_leaving:
             return True
-        return now - leaving_at >= PAGE_TRUST_SECONDS
+        return now - leaving_at >= LEAVING_HOLD_PERIOD_SECONDS
 
     def on_attempt_finished(self, event: AttemptFinished, now: float) -> list[Action]:
-        """Take in what an exchange says of its replica."""
+        """Update the state of a replica from a finished attempt."""
         replica_id = event.replica_id
         held: HeldVersions | None = None
         if event.load is not None:
-            held = self._take_report(replica_id, event.load, now, is_on_answer=True)
+            held = self._apply_report(replica_id, event.load, now, from_attempt=True)
             if event.load.draining:
-                return self._observe(replica_id, ReplicaState.LEAVING, held, now)
+                return self._report_state(replica_id, ReplicaState.LEAVING, held, now)
         state = self._state_after(event)
         if state is None:
             return []
-        return self._observe(replica_id, state, held, now)
+        return self._report_state(replica_id, state, held, now)
 
     def _state_after(self, event: AttemptFinished) -> ReplicaState | None:
         if isinstance(event.result, BackendAnswer):
@@ -106,47 +110,52 @@
         kind = event.result.kind
         if kind is BackendFailureKind.DRAINING:
             return ReplicaState.LEAVING
-        found = self._lanes.tracker(event.replica_id)
+        found = self._shards.find_replica(event.replica_id)
         if kind is not BackendFailureKind.CONNECT_FAILED or found is None:
             return None
-        refused_often = found[1].failures_in_row + 1 >= self._settings.ejection_failures
-        return ReplicaState.GONE if refused_often else None
+        # Adds 1 for this failure: the dispatcher counts it after this method.
+        is_gone = found[1].failures_in_row + 1 >= self._settings.ejection_failures
+        return ReplicaState.GONE if is_gone else None
 
-    def _take_report(
-        self, replica_id: str, report: LoadReport, now: float, is_on_answer: bool
+    def _apply_report(
+        self, replica_id: str, report: LoadReport, now: float, from_attempt: bool
     ) -> HeldVersions | None:
-        found = self._lanes.tracker(replica_id)
+        found = self._shards.find_replica(replica_id)
         if found is None:
             return None
         tracker = found[1]
-        held = self._held(tracker, report)
-        tracker.on_report(report.cold, report.utilization, held, now, is_on_answer)
+        held = self._held_versions(tracker, report)
+        tracker.on_report(report.cold, report.utilization, held, now, from_attempt)
         return tracker.held
 
-    def _held(self, tracker: ReplicaTracker, report: LoadReport) -> HeldVersions | None:
+    def _held_versions(self, tracker: ReplicaTracker, report: LoadReport) -> HeldVersions | None:
         if report.oldest_version is None or report.newest_version is None:
             return None
         replica_id = tracker.replica.replica_id
         return HeldVersions(replica_id, report.oldest_version, report.newest_version)
 
-    def _observe(
+    def _report_state(
         self, replica_id: ReplicaId, state: ReplicaState, held: HeldVersions | None, now: float
     ) -> list[Action]:
         if state is ReplicaState.LEAVING:
             self._leaving_at[replica_id] = now
             self._unreachable_since_leaving.discard(replica_id)
-        if self._lanes.tracker(replica_id) is None:
+        if self._shards.find_replica(replica_id) is None:
             return []
         last = self._last_observed.get(replica_id)
-        is_news = last is None or (last.state, last.held) != (state, held)
-        if last is not None and not is_news and now - last.at < OBSERVATION_REPEAT_SECONDS:
+        has_changed = last is None or (last.state, last.held) != (state, held)
+        if (
+            last is not None
+            and not has_changed
+            and now - last.at < OBSERVATION_REPEAT_INTERVAL_SECONDS
+        ):
             return []
         self._last_observed[replica_id] = _Observation(state, held, now)
         return [Notify(ReplicaObserved(replica_id, state, held))]
 
-    def on_belief(self, event: ReplicaBelief) -> None:
-        """Take in what the membership machine makes of all evidence about a replica."""
-        found = self._lanes.tracker(event.replica_id)
+    def on_replica_belief(self, event: ReplicaBelief) -> None:
+        """Apply the replica state that the membership machine derived from all evidence."""
+        found = self._shards.find_replica(event.replica_id)
         if found is None:
             return
         tracker = found[1]
--- a/wingquay/query/__init__.py
+++ b/wingquay/query/__init__.py
@@ -1,1 +1,4 @@
-"""One query's life at the node that received it: plan, sub-requests, snapshot, merge, answer."""
+"""The coordinator: plans sub-requests, pins a snapshot version, merges results, answers.
+
+A query is a caller's request while its coordinator processes it.
+"""
--- a/wingquay/query/merge.py
+++ b/wingquay/query/merge.py
@@ -1,6 +1,6 @@
-"""Merges sub-answers of one snapshot, counting no key twice and claiming no key unheard.
+"""Merges sub-answers of one snapshot and tracks which keys they cover.
 
-Source: brief, "Every answer comes from one index snapshot" and "states its coverage truly".
+Each key is covered by at most one sub-answer; only answered keys count as covered.
 """
 
 from collections.abc import Iterable
@@ -21,76 +21,78 @@
 
     Parameters
     ----------
-    wanted
-        The keys that were asked for.
+    requested
+        Requested keys.
     snapshot
-        The pinned version; ``None`` for an unrepeatable request.
+        Pinned snapshot version; ``None`` for an unrepeatable request.
+    checks_snapshot
+        Whether answers of another version are rejected.
     """
 
     def __init__(
         self,
-        wanted: tuple[KeyRange, ...],
+        requested: tuple[KeyRange, ...],
         snapshot: SnapshotVersion | None,
         checks_snapshot: bool = True,
     ) -> None:
-        self._wanted = normalize(wanted)
+        self._requested = normalize(requested)
         self._snapshot = snapshot
         self._checks_snapshot = checks_snapshot
         self._covered: list[KeyRange] = []
         self._rows: list[Row] = []
-        self._reasons: list[MissingPart] = []
+        self._missing_reasons: list[MissingPart] = []
 
-    def add(self, asked: tuple[KeyRange, ...], answer: SubAnswer) -> tuple[KeyRange, ...]:
-        """Merge a sub-answer; return the keys of ``asked`` that it left out.
+    def add(self, key_ranges: tuple[KeyRange, ...], answer: SubAnswer) -> tuple[KeyRange, ...]:
+        """Merge the answer to a sub-request; return the keys it does not cover.
 
-        An answer of another snapshot is left out whole.
+        An answer of another snapshot is rejected, which leaves all keys uncovered.
         """
         if self._checks_snapshot and answer.snapshot != self._snapshot:
-            return asked
-        # Pieces of one plan are disjoint and each asks only for what is still uncovered, so what
-        # is asked here cannot be covered yet; each sub-request's result is merged once.
-        if answer.covered == asked:
-            self._covered += asked
-            self._rows += _rows_within(asked, answer.rows)
+            return key_ranges
+        # None of these keys is covered yet: sub-requests of one plan are disjoint, retries request
+        # only uncovered keys, and the duplicate filter drops second results.
+        if answer.covered == key_ranges:
+            self._covered += key_ranges
+            self._rows += _rows_within(key_ranges, answer.rows)
             return ()
-        fresh = intersect(asked, answer.covered)
-        self._covered += fresh
-        self._rows += _rows_within(fresh, answer.rows)
-        return subtract(asked, answer.covered)
+        newly_covered = intersect(key_ranges, answer.covered)
+        self._covered += newly_covered
+        self._rows += _rows_within(newly_covered, answer.rows)
+        return subtract(key_ranges, answer.covered)
 
     @property
-    def snapshot(self) -> SnapshotVersion | None:
-        """The pinned version."""
+    def pinned_version(self) -> SnapshotVersion | None:
+        """Pinned snapshot version."""
         return self._snapshot
 
-    def note_missing(self, key_ranges: Iterable[KeyRange], reason: MissingReason) -> None:
-        """Remember why keys have no answer; it counts only if they stay without one."""
-        self._reasons += [MissingPart(key_range, reason) for key_range in key_ranges]
+    def record_missing(self, key_ranges: Iterable[KeyRange], reason: MissingReason) -> None:
+        """Record why keys have no answer; ignored for keys that are covered later."""
+        self._missing_reasons += [MissingPart(key_range, reason) for key_range in key_ranges]
 
     @property
     def covered(self) -> tuple[KeyRange, ...]:
-        """The keys that are covered."""
+        """Covered keys."""
         return normalize(self._covered)
 
     @property
     def rows(self) -> tuple[Row, ...]:
-        """The merged rows by key."""
+        """Merged rows, sorted by key."""
         return tuple(sorted(self._rows, key=lambda row: row.key))
 
-    def missing(self, otherwise: MissingReason) -> tuple[MissingPart, ...]:
-        """Return the keys that are not covered, each with the last reason noted for it."""
-        remaining = subtract(self._wanted, self._covered)
+    def missing(self, default_reason: MissingReason) -> tuple[MissingPart, ...]:
+        """Return the uncovered keys, each with its latest recorded or the default reason."""
+        remaining = subtract(self._requested, self._covered)
         parts: list[MissingPart] = []
-        for noted in reversed(self._reasons):
-            hit = intersect(remaining, (noted.key_range,))
-            parts += [MissingPart(key_range, noted.reason) for key_range in hit]
+        for recorded in reversed(self._missing_reasons):
+            hit = intersect(remaining, (recorded.key_range,))
+            parts += [MissingPart(key_range, recorded.reason) for key_range in hit]
             remaining = subtract(remaining, hit)
-        parts += [MissingPart(key_range, otherwise) for key_range in remaining]
+        parts += [MissingPart(key_range, default_reason) for key_range in remaining]
         return tuple(sorted(parts, key=lambda part: part.key_range.start))
 
 
 def _rows_within(key_ranges: tuple[KeyRange, ...], rows: tuple[Row, ...]) -> list[Row]:
-    """Return the rows whose keys lie in ``key_ranges``; rows need not be sorted."""
+    """Return the rows with keys in ``key_ranges``; rows need not be sorted."""
     if len(key_ranges) != 1:
         return [row for row in rows if contains_key(key_ranges, row.key)]
     start, end = key_ranges[0].start, key_ranges[0].end
