--- a/tests/forwarding/crashing/test_guard.py
+++ b/tests/forwarding/crashing/test_guard.py
@@ -12,7 +12,7 @@
     table,
 )
 from wingquay.adapters.held_record import held_value, parse_held
-from wingquay.forwarding.crashing.guard import TELL_SECONDS
+from wingquay.forwarding.crashing.guard import REPORT_DELAY_SECONDS
 from wingquay.forwarding.crashing.suspects import HOLD_SECONDS
 from wingquay.ports.crash_news import CrashNews, HeldRequest, ToldEnd
 from wingquay.ports.delegation import DelegatedAnswer, DelegatedRequest
@@ -73,7 +73,7 @@
         if not one.sends:
             one.request("/one/crash")
         one.crash_replica(one.sends[0])
-        one.advance(TELL_SECONDS + 0.05)
+        one.advance(REPORT_DELAY_SECONDS + 0.05)
 
 
 class EndsOfOneNodeTest(TestCase):
@@ -216,7 +216,7 @@
         one.request("/one/x")
         one.crash_replica(one.sends[0])
         one.answer(one.sends[0])
-        one.advance(TELL_SECONDS + 0.05)
+        one.advance(REPORT_DELAY_SECONDS + 0.05)
         self.assertEqual([], [item for item in told(one, CrashNews) if item.ends])  # type: ignore[attr-defined]
 
     def test_ends_under_an_attempt_that_failed_are_told_before_anything_is_held(self) -> None:
@@ -350,7 +350,7 @@
         one = held_node()
         value = self.stored(one, self.held_identity(one))
         one.change(values=(value,))
-        gone = one.machine._held_keys.missing_from(set())
+        gone = one.machine._held_request_keys.missing_from(set())
         self.assertEqual((value.key,), gone)
 
     def test_a_key_that_cannot_be_read_is_told_and_passed_over(self) -> None:
--- a/tests/forwarding/crashing/test_suspects.py
+++ b/tests/forwarding/crashing/test_suspects.py
@@ -2,35 +2,35 @@
 
 from testtools import TestCase
 
-from wingquay.forwarding.crashing.evidence import (
-    TOLD_TOLERANCE_SECONDS,
-    ReplicaEnd,
-    separate_ends,
+from wingquay.forwarding.crashing.replica_crash import (
+    REPORT_TOLERANCE_SECONDS,
+    ReplicaCrash,
+    select_independent_crashes,
 )
 from wingquay.forwarding.crashing.suspects import (
-    CLEARED_SECONDS,
-    FORGET_SECONDS,
+    CLEARED_EXPIRY_SECONDS,
+    EXPIRY_SECONDS,
     HOLD_SECONDS,
-    MOST_HOLD_SECONDS,
-    MOST_SUSPECTS,
-    Suspects,
+    MAX_HOLD_SECONDS,
+    MAX_SUSPECTS,
+    SuspectTable,
     SuspicionLevel,
 )
 
 IDENTITY = b"i" * 16
 
 
-def end(replica_id: str, sent_at: float, node_id: str = "n1", took: float = 0.05) -> ReplicaEnd:
-    return ReplicaEnd(replica_id, node_id, sent_at, sent_at + took)
+def end(replica_id: str, sent_at: float, node_id: str = "n1", took: float = 0.05) -> ReplicaCrash:
+    return ReplicaCrash(replica_id, node_id, sent_at, sent_at + took)
 
 
-def ends_in_row(number: int, sent_at: float = 0.0) -> list[ReplicaEnd]:
+def ends_in_row(number: int, sent_at: float = 0.0) -> list[ReplicaCrash]:
     return [end(f"r{place}", sent_at + place) for place in range(number)]
 
 
 class SeparateEndsTest(TestCase):
-    def check(self, expected: list[str], *ends: ReplicaEnd) -> None:
-        self.assertEqual(expected, [item.life for item in separate_ends(ends)])
+    def check(self, expected: list[str], *ends: ReplicaCrash) -> None:
+        self.assertEqual(expected, [item.incarnation for item in select_independent_crashes(ends)])
 
     def test_ends_that_overlap_count_once(self) -> None:
         self.check(["a"], end("a", 0.0), end("b", 0.01), end("c", 0.04, took=0.4))
@@ -39,7 +39,7 @@
         self.check(["a", "c"], end("a", 0.0), end("b", 0.04), end("c", 0.05))
 
     def test_an_end_that_another_node_tells_must_lie_further_apart(self) -> None:
-        late = 0.05 + TOLD_TOLERANCE_SECONDS
+        late = 0.05 + REPORT_TOLERANCE_SECONDS
         self.check(["a"], end("a", 0.0), end("b", late - 0.01, "n2"))
         self.check(["a", "b"], end("a", 0.0), end("b", late + 0.01, "n2"))
 
@@ -50,7 +50,7 @@
 class SuspectsTest(TestCase):
     def setUp(self) -> None:
         super().setUp()
-        self.suspects = Suspects()
+        self.suspects = SuspectTable()
 
     def verdict(self, now: float) -> SuspicionLevel:
         return self.suspects.suspicion_level(IDENTITY, now)
@@ -59,7 +59,7 @@
         verdicts = []
         for item in ends_in_row(3):
             verdicts.append(self.verdict(item.sent_at))
-            self.suspects.add(IDENTITY, [item], item.ended_at)
+            self.suspects.add(IDENTITY, [item], item.crashed_at)
         verdicts.append(self.verdict(3.0))
         usual, suspect, held = SuspicionLevel.NORMAL, SuspicionLevel.SUSPECT, SuspicionLevel.HELD
         self.assertEqual([usual, suspect, suspect, held], verdicts)
@@ -94,31 +94,31 @@
         self.assertEqual(SuspicionLevel.HELD, self.verdict(over_at - 0.1))
         self.assertEqual(SuspicionLevel.SUSPECT, self.verdict(over_at))
         self.suspects.add(IDENTITY, [end("again", over_at + 1.0)], over_at + 2.0)
-        self.assertEqual(MOST_HOLD_SECONDS, self.suspects.held_seconds(IDENTITY, over_at + 2.0))
+        self.assertEqual(MAX_HOLD_SECONDS, self.suspects.held_seconds(IDENTITY, over_at + 2.0))
 
     def test_a_lifted_hold_ends_at_once(self) -> None:
         self.suspects.add(IDENTITY, ends_in_row(3), 3.0)
-        self.assertTrue(self.suspects.lift(IDENTITY, 4.0))
-        self.assertFalse(self.suspects.lift(IDENTITY, 4.0))
+        self.assertTrue(self.suspects.release(IDENTITY, 4.0))
+        self.assertFalse(self.suspects.release(IDENTITY, 4.0))
         self.assertEqual(SuspicionLevel.SUSPECT, self.verdict(4.0))
 
     def test_what_does_not_come_again_is_forgotten(self) -> None:
         self.suspects.add(IDENTITY, ends_in_row(1), 1.0)
-        self.assertEqual(SuspicionLevel.SUSPECT, self.verdict(1.0 + FORGET_SECONDS))
-        self.assertEqual(SuspicionLevel.NORMAL, self.verdict(1.1 + FORGET_SECONDS))
+        self.assertEqual(SuspicionLevel.SUSPECT, self.verdict(1.0 + EXPIRY_SECONDS))
+        self.assertEqual(SuspicionLevel.NORMAL, self.verdict(1.1 + EXPIRY_SECONDS))
 
     def test_the_table_has_a_bound_and_keeps_what_is_held(self) -> None:
         self.suspects.add(IDENTITY, ends_in_row(3), 3.0)
-        for number in range(2 * MOST_SUSPECTS):
+        for number in range(2 * MAX_SUSPECTS):
             self.suspects.add(number.to_bytes(16), ends_in_row(1), 4.0)
-        self.assertEqual(MOST_SUSPECTS, len(self.suspects))
+        self.assertEqual(MAX_SUSPECTS, len(self.suspects))
         self.assertEqual(SuspicionLevel.HELD, self.verdict(4.0))
 
     def test_so_has_the_memory_of_those_that_were_cleared(self) -> None:
-        for number in range(2 * MOST_SUSPECTS):
+        for number in range(2 * MAX_SUSPECTS):
             self.suspects.add(number.to_bytes(16), ends_in_row(1), 4.0)
             self.suspects.clear(number.to_bytes(16), 4.0)
-        self.assertEqual(MOST_SUSPECTS, len(self.suspects._cleared))
-        self.suspects.add(IDENTITY, ends_in_row(1), 5.0 + CLEARED_SECONDS)
-        self.suspects.clear(IDENTITY, 5.0 + CLEARED_SECONDS)
+        self.assertEqual(MAX_SUSPECTS, len(self.suspects._cleared))
+        self.suspects.add(IDENTITY, ends_in_row(1), 5.0 + CLEARED_EXPIRY_SECONDS)
+        self.suspects.clear(IDENTITY, 5.0 + CLEARED_EXPIRY_SECONDS)
         self.assertEqual([IDENTITY], list(self.suspects._cleared))
--- a/tests/forwarding/test_sharded_service.py
+++ b/tests/forwarding/test_sharded_service.py
@@ -4,7 +4,7 @@
 
 from tests.forwarding.one_node import OneNode, replica, sharded_route, table
 from wingquay.forwarding.settings import ForwardingSettings
-from wingquay.forwarding.settling.cutoff import in_time_seconds
+from wingquay.forwarding.settling.cutoff import compute_cutoff_seconds
 from wingquay.forwarding.settling.merging import RECORD_BYTES, merge_top_records
 from wingquay.ports.forwarding import (
     ForwardFailureKind,
@@ -256,5 +256,7 @@
 class MarginTest(TestCase):
     def test_an_answer_of_many_shards_leaves_earlier(self) -> None:
         settings = ForwardingSettings(zone="a")
-        narrow, wide = (in_time_seconds(sharded_route(count), 0.0, settings) for count in (4, 104))
+        narrow, wide = (
+            compute_cutoff_seconds(sharded_route(count), 0.0, settings) for count in (4, 104)
+        )
         self.assertAlmostEqual(0.005, narrow - wide)
--- a/tests/forwarding/test_suspension.py
+++ b/tests/forwarding/test_suspension.py
@@ -3,7 +3,7 @@
 from testtools import TestCase
 
 from tests.forwarding.one_node import OneNode, replica, sharded_route, single_route, table
-from wingquay.forwarding.forwarding_node import WAKING_SECONDS
+from wingquay.forwarding.forwarding_node import RESUME_SECONDS
 from wingquay.ports.forwarding import ForwardFailureKind, ReplyFailure
 from wingquay.ports.machine import Woken
 from wingquay.ports.store import StartWatch
@@ -61,7 +61,7 @@
     def test_requests_that_come_after_that_are_served(self) -> None:
         one = node()
         suspend(one, 3.0)
-        one.advance(WAKING_SECONDS + 0.01)
+        one.advance(RESUME_SECONDS + 0.01)
         one.request("/one/x", deadline_seconds=2.0)
         self.assertEqual(1, len(one.sends))
 
--- a/tests/forwarding/test_tenants_at_other_nodes.py
+++ b/tests/forwarding/test_tenants_at_other_nodes.py
@@ -35,7 +35,7 @@
     table,
 )
 from wingquay.forwarding.arrival.request_identity import compute_identity
-from wingquay.forwarding.crashing.guard import TELL_SECONDS
+from wingquay.forwarding.crashing.guard import REPORT_DELAY_SECONDS
 from wingquay.model.routing_table import RoutingTable
 from wingquay.ports.crash_news import CrashNews
 from wingquay.ports.delegation import CancelDelegation, DelegatedAnswer, DelegatedRequest
@@ -173,7 +173,7 @@
             if not node.sends:
                 ask(node, number, key, "/one/crash")
             node.crash_replica(node.sends[0])
-            node.advance(TELL_SECONDS + 0.05)
+            node.advance(REPORT_DELAY_SECONDS + 0.05)
 
     def test_it_is_made_of_the_bare_request_and_the_tenant(self) -> None:
         expected = compute_identity(CRASHING, "kiosk")
--- a/tests/platform_adapter/test_crashing_request.py
+++ b/tests/platform_adapter/test_crashing_request.py
@@ -9,7 +9,7 @@
 from tests.adapters.raw_http import LOOPBACK
 from tests.platform_adapter.stand_in_platform import StandInReplica, StandInStore, read_request
 from tests.platform_adapter.test_node import Platform, play, request
-from wingquay.forwarding.crashing.suspects import HOLD_ENDS, HOLD_SECONDS
+from wingquay.forwarding.crashing.suspects import CRASHES_BEFORE_HOLD, HOLD_SECONDS
 
 CRASHING = "/one/crash"
 REPLICAS = 5
@@ -52,7 +52,9 @@
                 replicas = await with_ending_replicas(platform.store)
                 await platform.configure()
                 heads = [await status_of(platform, CRASHING) for _ in range(6)]
-                self.assertEqual(HOLD_ENDS, sum(replica.has_ended for replica in replicas))
+                self.assertEqual(
+                    CRASHES_BEFORE_HOLD, sum(replica.has_ended for replica in replicas)
+                )
                 self.assertIn("HTTP/1.1 503", heads[-1])
                 self.assertIn("retry-after: ", heads[-1].lower())
                 self.assertIn("HTTP/1.1 200", await status_of(platform, "/one/other"))
@@ -80,7 +82,9 @@
                     await later.configure()
                     self.assertIn("HTTP/1.1 503", await status_of(later, CRASHING))
                     self.assertEqual(0, sum(replica.has_ended for replica in fresh))
-                self.assertEqual(HOLD_ENDS, sum(replica.has_ended for replica in replicas))
+                self.assertEqual(
+                    CRASHES_BEFORE_HOLD, sum(replica.has_ended for replica in replicas)
+                )
 
         play(test())
 
--- a/wingquay/forwarding/crashing/end_watch.py
+++ b/wingquay/forwarding/crashing/crash_prober.py
@@ -11,24 +11,24 @@
 from ...ports.machine import Action
 from ..choice.replica_state import ReplicaState
 from ..exchange import Attempt, Exchange
-from .evidence import ReplicaEnd
+from .replica_crash import ReplicaCrash
 
-MOST_PER_EXCHANGE = 3
+MAX_PROBES_PER_EXCHANGE = 3
 """Replicas whose end is looked into for one request at a time: more would prove no more."""
-MOST_REPLICAS = 128
+MAX_PROBED_REPLICAS = 128
 """Replicas whose end is looked into at a time; each look is a connection."""
 
 
 @dataclass(slots=True, eq=False)
-class LostAttempt:
+class DisconnectedAttempt:
     """An attempt whose connection ended without an answer."""
 
     exchange: Exchange
     replica: ReplicaState
-    end: ReplicaEnd
+    crash: ReplicaCrash
 
 
-class EndWatch:
+class CrashProber:
     """Opens connections to replicas that may have ended.
 
     Parameters
@@ -39,37 +39,37 @@
 
     def __init__(self, node_id: str) -> None:
         self._node_id = node_id
-        self._lost: dict[str, list[LostAttempt]] = {}
+        self._pending: dict[str, list[DisconnectedAttempt]] = {}
         """Attempts by the life of the replica that is being looked into."""
 
-    def lost(self, attempt: Attempt, now: float) -> list[Action]:
+    def start_probe(self, attempt: Attempt, now: float) -> list[Action]:
         """Look into the end of a connection; an end that was expected is passed over."""
         exchange = attempt.call.exchange
-        lost = self.known(attempt, now)
-        if lost is None or exchange.open_looks >= MOST_PER_EXCHANGE:
+        lost = self.describe_crash(attempt, now)
+        if lost is None or exchange.open_probes >= MAX_PROBES_PER_EXCHANGE:
             return []
         life = attempt.replica.life
-        known = self._lost.get(life)
-        if known is None and len(self._lost) >= MOST_REPLICAS:
+        known = self._pending.get(life)
+        if known is None and len(self._pending) >= MAX_PROBED_REPLICAS:
             return []
-        exchange.open_looks += 1
+        exchange.open_probes += 1
         if known is not None:
             known.append(lost)
             return []
-        self._lost[life] = [lost]
+        self._pending[life] = [lost]
         return [OpenConnection(attempt.replica.record)]
 
-    def known(self, attempt: Attempt, now: float) -> LostAttempt | None:
+    def describe_crash(self, attempt: Attempt, now: float) -> DisconnectedAttempt | None:
         """Return the end that an attempt saw if its replica has ended; ``None``: it was leaving."""
         replica = attempt.replica
         if replica.record.is_draining or replica.vanished_at is not None:
             return None
-        end = ReplicaEnd(replica.life, self._node_id, attempt.sent_at, now)
-        return LostAttempt(attempt.call.exchange, replica, end)
+        end = ReplicaCrash(replica.life, self._node_id, attempt.sent_at, now)
+        return DisconnectedAttempt(attempt.call.exchange, replica, end)
 
-    def tried(self, event: ConnectionTried) -> list[LostAttempt]:
+    def finish_probe(self, event: ConnectionTried) -> list[DisconnectedAttempt]:
         """Return the attempts whose replica has been looked into."""
-        found = self._lost.pop(event.life, [])
+        found = self._pending.pop(event.life, [])
         for lost in found:
-            lost.exchange.open_looks -= 1
+            lost.exchange.open_probes -= 1
         return found
--- a/wingquay/forwarding/crashing/guard.py
+++ b/wingquay/forwarding/crashing/guard.py
@@ -17,19 +17,19 @@
 from ..exchange import Attempt, Exchange
 from ..knowledge.loop_lag import LoopLag
 from ..timers import CrashNewsDue
-from .end_watch import EndWatch, LostAttempt
-from .evidence import ReplicaEnd
-from .suspects import Suspects, SuspicionLevel
+from .crash_prober import CrashProber, DisconnectedAttempt
+from .replica_crash import ReplicaCrash
+from .suspects import SuspectTable, SuspicionLevel
 
-NEWS_PEERS = 8
+MAX_REPORT_PEERS = 8
 """Nodes that are told what is new; each tells as many others when it first hears it. That reaches
 500 nodes in three steps, and each of them sends 8 messages."""
-TELL_SECONDS = 0.2
+REPORT_DELAY_SECONDS = 0.2
 """Time after an end for which an answer may clear the request before other nodes are told.
 
 Its end is not waited for: one that waits for another replica may take 8 s, and come elsewhere."""
-MOST_NEWS_PER_SECOND = 50
-MOST_TARGET_CHARACTERS = 120
+MAX_REPORTS_PER_SECOND = 50
+MAX_TARGET_CHARACTERS = 120
 
 
 class CrashGuard:
@@ -54,15 +54,15 @@
         self._node_id = node_id
         self._lag = lag
         self._random = random_source
-        self._suspects = Suspects()
-        self._ends = EndWatch(node_id)
-        self._news_second = 0
-        self._news_count = 0
+        self._suspects = SuspectTable()
+        self._prober = CrashProber(node_id)
+        self._report_second = 0
+        self._report_count = 0
         self.peers: Callable[[float], list[NodeIdentity]] = _no_peers
         """Returns the nodes that can be told."""
-        self.on_held: Callable[[bytes, float], list[Action]] = _nothing_open
+        self.on_held: Callable[[bytes, float], list[Action]] = _no_open_exchanges
         """Ends what is under way of a request that is held back from now on."""
-        self.write: Callable[[bytes, HeldRequest, float], list[Action]] = _nothing_written
+        self.write: Callable[[bytes, HeldRequest, float], list[Action]] = _write_nothing
         """Lets nodes that start later know of a request that is held back."""
 
     def suspicion_level(
@@ -77,13 +77,15 @@
         """Return how much longer a request is held back."""
         return self._suspects.held_seconds(identity, now)
 
-    def refused(self, identity: bytes, event: ForwardRequested, now: float) -> list[Action]:
+    def held_request_repeated(
+        self, identity: bytes, event: ForwardRequested, now: float
+    ) -> list[Action]:
         """Take in that a request that is held back has come again: nodes that start must know."""
         return self._write(identity, event, now)
 
     # Evidence of this node
 
-    def lost(self, attempt: Attempt, now: float) -> list[Action]:
+    def disconnected(self, attempt: Attempt, now: float) -> list[Action]:
         """Take in that a connection ended without a byte of an answer."""
         exchange = attempt.call.exchange
         if exchange.is_cleared:
@@ -93,9 +95,9 @@
             # The node that asked looks into it: it knows of all parts of the request.
             return []
         if attempt.replica.is_over:
-            known = self._ends.known(attempt, now)
-            return [] if known is None else self._ended(known, now)
-        return self._ends.lost(attempt, now)
+            known = self._prober.describe_crash(attempt, now)
+            return [] if known is None else self._add_crash(known, now)
+        return self._prober.start_probe(attempt, now)
 
     def connection_tried(
         self, event: ConnectionTried, now: float
@@ -105,42 +107,42 @@
         Returns also the requests of which more is known by it.
         """
         actions: list[Action] = []
-        found = self._ends.tried(event)
+        found = self._prober.finish_probe(event)
         for lost in found:
             if event.is_refused or lost.replica.is_over:
-                actions += self._ended(lost, now)
+                actions += self._add_crash(lost, now)
             elif event.is_open:
                 lost.exchange.unexplained_disconnects -= 1
         return actions, [lost.exchange for lost in found]
 
-    def _ended(self, lost: LostAttempt, now: float) -> list[Action]:
+    def _add_crash(self, lost: DisconnectedAttempt, now: float) -> list[Action]:
         exchange = lost.exchange
         if exchange.is_cleared:
             return []
         was_held = self._is_held(exchange.identity, now)
-        if not self._suspects.add(exchange.identity, [lost.end], now):
+        if not self._suspects.add(exchange.identity, [lost.crash], now):
             return []
         fields = (
-            *_fields(exchange),
-            ("replica", lost.end.life),
-            ("ends", self._ends_known(exchange.identity)),
+            *_log_fields(exchange),
+            ("replica", lost.crash.incarnation),
+            ("ends", self._crash_count(exchange.identity)),
         )
         actions: list[Action] = [
             Log("replica_ended_under_request", LogLevel.WARNING, fields),
             Count("replica_ends_under_requests_total"),
         ]
         if not was_held and self._is_held(exchange.identity, now):
-            actions += self._hold_found(exchange, now)
+            actions += self._start_hold(exchange, now)
         else:
-            actions.append(Schedule(now + TELL_SECONDS, CrashNewsDue(exchange.identity)))
+            actions.append(Schedule(now + REPORT_DELAY_SECONDS, CrashNewsDue(exchange.identity)))
         return actions
 
-    def tell_due(self, event: CrashNewsDue, now: float) -> list[Action]:
+    def report_due(self, event: CrashNewsDue, now: float) -> list[Action]:
         """Tell others of ends under a request that no answer has cleared."""
         suspect = self._suspects.get(event.identity)
         if suspect is None or now < suspect.held_until:
             return []
-        return self._tell(event.identity, now)
+        return self._report(event.identity, now)
 
     def answered(self, exchange: Exchange, now: float) -> list[Action]:
         """Take in that a replica has run a request to an end: it is innocent."""
@@ -148,66 +150,66 @@
         if not len(self._suspects) or not self._suspects.clear(exchange.identity, now):
             return []
         return [
-            Log("request_cleared", LogLevel.INFO, _fields(exchange)),
+            Log("request_cleared", LogLevel.INFO, _log_fields(exchange)),
             Count("requests_cleared_total"),
-            *self._tell(exchange.identity, now, is_cleared=True),
+            *self._report(exchange.identity, now, is_cleared=True),
         ]
 
     # What others say
 
-    def news(self, sender: NodeIdentity, news: CrashNews, now: float) -> list[Action]:
+    def handle_report(self, sender: NodeIdentity, news: CrashNews, now: float) -> list[Action]:
         """Take in what another node has found, and tell others if it is new here."""
         identity = news.identity
         if news.is_cleared:
             is_new = self._suspects.clear(identity, now)
-            return self._tell(identity, now, sender, True) if is_new else []
+            return self._report(identity, now, sender, True) if is_new else []
         was_held = self._is_held(identity, now)
-        is_new = self._suspects.add(identity, _ends_of(news, now - self._lag.seconds), now)
+        is_new = self._suspects.add(identity, _crashes_from(news, now - self._lag.seconds), now)
         if news.held_seconds:
             is_new = self._suspects.hold(identity, news.held_seconds, now) or is_new
         if not is_new:
             return []
-        actions = self._tell(identity, now, sender)
+        actions = self._report(identity, now, sender)
         if not was_held and self._is_held(identity, now):
-            actions += self._held(identity, sender.node_id, now)
+            actions += self._hold_started(identity, sender.node_id, now)
         return actions
 
-    def hold(self, identity: bytes, seconds: float, told_by: str, now: float) -> list[Action]:
+    def hold(self, identity: bytes, seconds: float, reported_by: str, now: float) -> list[Action]:
         """Hold a request back as another node or the store says."""
         if not self._suspects.hold(identity, seconds, now):
             return []
-        return [*self._held(identity, told_by, now), *self._tell(identity, now)]
+        return [*self._hold_started(identity, reported_by, now), *self._report(identity, now)]
 
-    def lift(self, identity: bytes, now: float) -> list[Action]:
+    def release(self, identity: bytes, now: float) -> list[Action]:
         """Let a request be tried again, at one replica at a time."""
-        if not self._suspects.lift(identity, now):
+        if not self._suspects.release(identity, now):
             return []
         return [Log("request_hold_ended", LogLevel.INFO, (("digest", identity.hex()),))]
 
     # Holding back and telling
 
-    def _hold_found(self, exchange: Exchange, now: float) -> list[Action]:
+    def _start_hold(self, exchange: Exchange, now: float) -> list[Action]:
         """Hold back a request that this node has found to end replicas."""
         found = self._write(exchange.identity, exchange.event, now)
-        told = self._tell(exchange.identity, now)
-        return [*self._held(exchange.identity, self._node_id, now, exchange), *told, *found]
+        told = self._report(exchange.identity, now)
+        return [*self._hold_started(exchange.identity, self._node_id, now, exchange), *told, *found]
 
     def _write(self, identity: bytes, event: ForwardRequested, now: float) -> list[Action]:
         seconds = self._suspects.held_seconds(identity, now)
         held = HeldRequest(seconds, _target_text(event), event.caller, self._node_id)
         return self.write(identity, held, now)
 
-    def _held(
-        self, identity: bytes, told_by: str, now: float, exchange: Exchange | None = None
+    def _hold_started(
+        self, identity: bytes, reported_by: str, now: float, exchange: Exchange | None = None
     ) -> list[Action]:
         fields: tuple[tuple[str, str | int | float], ...] = (("digest", identity.hex()),)
         if exchange is not None:
-            fields = _fields(exchange)
+            fields = _log_fields(exchange)
         fields += (
-            ("told_by", told_by),
-            ("ends", self._ends_known(identity)),
+            ("told_by", reported_by),
+            ("ends", self._crash_count(identity)),
             ("seconds", round(self._suspects.held_seconds(identity, now), 1)),
-            ("held", self._suspects.held(now)),
+            ("held", self._suspects.count_held(now)),
         )
         return [
             Log("request_held", LogLevel.WARNING, fields),
@@ -215,7 +217,7 @@
             *self.on_held(identity, now),
         ]
 
-    def _tell(
+    def _report(
         self,
         identity: bytes,
         now: float,
@@ -224,42 +226,42 @@
     ) -> list[Action]:
         """Tell a few other nodes what is known of a request."""
         others = [peer for peer in self.peers(now) if peer != sender]
-        if not others or not self._may_tell(now):
+        if not others or not self._may_report(now):
             return [Count("crash_news_left_out_total")] if others else []
-        told = self._random.sample(others, min(NEWS_PEERS, len(others)))
+        told = self._random.sample(others, min(MAX_REPORT_PEERS, len(others)))
         message = CrashNews(identity, is_cleared=True)
         if not is_cleared:
             suspect = self._suspects.get(identity)
-            ends = () if suspect is None else tuple(suspect.ends.values())
+            ends = () if suspect is None else tuple(suspect.crashes.values())
             held_seconds = self._suspects.held_seconds(identity, now)
-            message = CrashNews(identity, tuple(_told(end, now) for end in ends), held_seconds)
+            message = CrashNews(identity, tuple(_to_report(end, now) for end in ends), held_seconds)
         return [
             *(SendToPeer(peer, message) for peer in told),
             Count("crash_news_total", len(told)),
         ]
 
-    def _may_tell(self, now: float) -> bool:
-        if int(now) != self._news_second:
-            self._news_second = int(now)
-            self._news_count = 0
-        self._news_count += 1
-        return self._news_count <= MOST_NEWS_PER_SECOND
+    def _may_report(self, now: float) -> bool:
+        if int(now) != self._report_second:
+            self._report_second = int(now)
+            self._report_count = 0
+        self._report_count += 1
+        return self._report_count <= MAX_REPORTS_PER_SECOND
 
     def _is_held(self, identity: bytes, now: float) -> bool:
         return self._suspects.suspicion_level(identity, now) is SuspicionLevel.HELD
 
-    def _ends_known(self, identity: bytes) -> int:
+    def _crash_count(self, identity: bytes) -> int:
         suspect = self._suspects.get(identity)
-        return 0 if suspect is None else len(suspect.ends)
+        return 0 if suspect is None else len(suspect.crashes)
 
 
-def _told(end: ReplicaEnd, now: float) -> ToldEnd:
-    return ToldEnd(end.life, end.node_id, now - end.sent_at, now - end.ended_at)
+def _to_report(end: ReplicaCrash, now: float) -> ToldEnd:
+    return ToldEnd(end.incarnation, end.node_id, now - end.sent_at, now - end.crashed_at)
 
 
-def _ends_of(news: CrashNews, told_at: float) -> list[ReplicaEnd]:
+def _crashes_from(news: CrashNews, told_at: float) -> list[ReplicaCrash]:
     return [
-        ReplicaEnd(
+        ReplicaCrash(
             end.life,
             end.node_id,
             told_at - end.sent_seconds,
@@ -269,7 +271,7 @@
     ]
 
 
-def _fields(exchange: Exchange) -> tuple[tuple[str, str | int | float], ...]:
+def _log_fields(exchange: Exchange) -> tuple[tuple[str, str | int | float], ...]:
     event = exchange.event
     return (
         ("digest", exchange.identity.hex()),
@@ -282,16 +284,16 @@
 
 
 def _target_text(event: ForwardRequested) -> str:
-    return event.request.target.decode("latin-1")[:MOST_TARGET_CHARACTERS]
+    return event.request.target.decode("latin-1")[:MAX_TARGET_CHARACTERS]
 
 
 def _no_peers(_now: float) -> list[NodeIdentity]:
     return []
 
 
-def _nothing_open(_identity: bytes, _now: float) -> list[Action]:
+def _no_open_exchanges(_identity: bytes, _now: float) -> list[Action]:
     return []
 
 
-def _nothing_written(_identity: bytes, _held: HeldRequest, _now: float) -> list[Action]:
+def _write_nothing(_identity: bytes, _hold_started: HeldRequest, _now: float) -> list[Action]:
     return []
--- a/wingquay/forwarding/crashing/held_keys.py
+++ b/wingquay/forwarding/crashing/held_request_keys.py
@@ -20,31 +20,31 @@
     SwapResult,
 )
 from ..store_formats import StoreFormats
-from .suspects import MOST_HOLD_SECONDS
+from .suspects import MAX_HOLD_SECONDS
 
 OPERATION_PREFIX = "held-request-"
 TIMEOUT_SECONDS = 2.0
-TRIES = 3
+MAX_WRITE_ATTEMPTS = 3
 """Calls for one key that may fail before it is left to the node that next rejects the request."""
-AGAIN_SECONDS = 10.0
+MIN_REWRITE_SECONDS = 10.0
 """Least time between two times that this node begins to write the same key."""
-MOST_KEYS = 64
+MAX_KEYS = 64
 """Keys in the store from which on none is written: nodes tell each other all the same."""
 
 
 @dataclass(slots=True, eq=False)
-class _Writing:
+class _KeyWrite:
     """A key that is being written."""
 
     identity: bytes
     held: HeldRequest
-    begun_at: float
-    tries: int = 0
+    started_at: float
+    attempts: int = 0
     lease_id: int = 0
-    is_under_way: bool = True
+    is_pending: bool = True
 
 
-class HeldKeys:
+class HeldRequestKeys:
     """One key for each request that is held back.
 
     Parameters
@@ -60,19 +60,19 @@
         self,
         formats: StoreFormats,
         hold: Callable[[bytes, float, str, float], list[Action]],
-        lift: Callable[[bytes, float], list[Action]],
+        release: Callable[[bytes, float], list[Action]],
     ) -> None:
         self._formats = formats
         self._hold = hold
-        self._lift = lift
+        self._release = release
         self._known: set[str] = set()
-        self._writings: dict[str, _Writing] = {}
+        self._writes: dict[str, _KeyWrite] = {}
 
-    def is_mine(self, key: str) -> bool:
+    def owns_key(self, key: str) -> bool:
         """Whether a key tells of a request that is held back."""
         return key.startswith(self._formats.held_prefix)
 
-    def is_answer(self, event: StoreResponse) -> bool:
+    def owns_response(self, event: StoreResponse) -> bool:
         """Whether the answer is to one of this part's requests."""
         return event.operation_id.startswith(OPERATION_PREFIX)
 
@@ -88,56 +88,56 @@
             fields = (("key", item.key), ("reason", "not a request that is held back"))
             return [Log("held_request_unreadable", LogLevel.WARNING, fields)]
         self._known.add(item.key)
-        return self._hold(identity, min(held.seconds, MOST_HOLD_SECONDS), held.found_by, now)
+        return self._hold(identity, min(held.seconds, MAX_HOLD_SECONDS), held.found_by, now)
 
     def remove(self, key: str, now: float) -> list[Action]:
         """Take in that a key is gone."""
         self._known.discard(key)
         identity = self._identity(key)
-        return [] if identity is None else self._lift(identity, now)
+        return [] if identity is None else self._release(identity, now)
 
     def write(self, identity: bytes, held: HeldRequest, now: float) -> list[Action]:
         """Write the key of a request that is held back, unless it stands there already."""
         key = self._formats.held_prefix + identity.hex()
-        known = self._writings.get(key)
-        is_recent = known is not None and now - known.begun_at < AGAIN_SECONDS
-        if key in self._known or is_recent or len(self._known) >= MOST_KEYS:
+        known = self._writes.get(key)
+        is_recent = known is not None and now - known.started_at < MIN_REWRITE_SECONDS
+        if key in self._known or is_recent or len(self._known) >= MAX_KEYS:
             return []
-        for old in [name for name, item in self._writings.items() if _is_done(item, now)]:
-            del self._writings[old]
-        if len(self._writings) >= MOST_KEYS:
+        for old in [name for name, item in self._writes.items() if _is_done(item, now)]:
+            del self._writes[old]
+        if len(self._writes) >= MAX_KEYS:
             return []
-        self._writings[key] = _Writing(identity, held, now)
+        self._writes[key] = _KeyWrite(identity, held, now)
         return [self._lease_request(key)]
 
-    def answered(self, event: StoreResponse) -> list[Action]:
+    def handle_response(self, event: StoreResponse) -> list[Action]:
         """Take in the store's answer."""
         key = event.operation_id.removeprefix(OPERATION_PREFIX)
-        writing = self._writings.get(key)
-        if writing is None or not writing.is_under_way:
+        key_write = self._writes.get(key)
+        if key_write is None or not key_write.is_pending:
             return []
         result = event.result
         if isinstance(result, LeaseState):
-            writing.lease_id = result.lease_id
-            value = self._formats.held_value(writing.held)
-            operation = CompareAndSwap(key, 0, value, writing.lease_id)
+            key_write.lease_id = result.lease_id
+            value = self._formats.held_value(key_write.held)
+            operation = CompareAndSwap(key, 0, value, key_write.lease_id)
             return [StoreRequest(event.operation_id, operation, TIMEOUT_SECONDS)]
         if isinstance(result, SwapResult):
-            writing.is_under_way = False
+            key_write.is_pending = False
             return []
-        return self._failed(key, writing, result)
+        return self._failed(key, key_write, result)
 
-    def _failed(self, key: str, writing: _Writing, result: object) -> list[Action]:
-        writing.tries += 1
-        writing.is_under_way = writing.tries < TRIES
-        if writing.is_under_way:
+    def _failed(self, key: str, key_write: _KeyWrite, result: object) -> list[Action]:
+        key_write.attempts += 1
+        key_write.is_pending = key_write.attempts < MAX_WRITE_ATTEMPTS
+        if key_write.is_pending:
             return [self._lease_request(key)]
         reason = result.reason if isinstance(result, Failure) else "unexpected answer"
-        fields = (("digest", writing.identity.hex()), ("reason", reason))
+        fields = (("digest", key_write.identity.hex()), ("reason", reason))
         return [Log("held_request_not_written", LogLevel.WARNING, fields)]
 
     def _lease_request(self, key: str) -> StoreRequest:
-        seconds = int(min(self._writings[key].held.seconds, MOST_HOLD_SECONDS))
+        seconds = int(min(self._writes[key].held.seconds, MAX_HOLD_SECONDS))
         operation = GrantLease(max(seconds, 1))
         return StoreRequest(OPERATION_PREFIX + key, operation, TIMEOUT_SECONDS)
 
@@ -148,5 +148,5 @@
             return None
 
 
-def _is_done(writing: _Writing, now: float) -> bool:
-    return not writing.is_under_way and now - writing.begun_at >= AGAIN_SECONDS
+def _is_done(key_write: _KeyWrite, now: float) -> bool:
+    return not key_write.is_pending and now - key_write.started_at >= MIN_REWRITE_SECONDS
--- a/wingquay/forwarding/crashing/suspects.py
+++ b/wingquay/forwarding/crashing/suspects.py
@@ -4,26 +4,26 @@
 from dataclasses import dataclass, field
 from enum import Enum
 
-from .evidence import ReplicaEnd, separate_ends
+from .replica_crash import ReplicaCrash, select_independent_crashes
 
-HOLD_ENDS = 3
+CRASHES_BEFORE_HOLD = 3
 """Replicas that end one after the other under a request until it is held back.
 
 With two, a neighbour of the request that ends them is held as well if their second tries meet."""
 HOLD_SECONDS = 300.0
 """How long a request is held back for the first time. The try after that ends one replica; an
 innocent request gets through with it."""
-MOST_HOLD_SECONDS = 600.0
+MAX_HOLD_SECONDS = 600.0
 """The same when a try after a hold ends a replica again: the longest lease of the store."""
-FORGET_SECONDS = 600.0
+EXPIRY_SECONDS = 600.0
 """Time after the last end, and after the end of a hold, at which a request is forgotten."""
-CLEARED_SECONDS = 10.0
+CLEARED_EXPIRY_SECONDS = 10.0
 """Time for which it is remembered that a request was answered: news of older ends may be on their
 way."""
-MOST_SUSPECTS = 512
+MAX_SUSPECTS = 512
 """Requests that are remembered; those longest ago are forgotten first. With all their ends they
 take 2.3 kB each, 1.2 MB in all (allocations traced)."""
-MOST_ENDS = 8
+MAX_CRASHES = 8
 """Ends that are remembered of a request; further ones change nothing."""
 
 
@@ -47,20 +47,20 @@
         How many times it was held back.
     """
 
-    ends: dict[str, ReplicaEnd] = field(default_factory=dict)
+    crashes: dict[str, ReplicaCrash] = field(default_factory=dict)
     """Ends that came one after the other, by the life of the replica: what two nodes tell of
     one counts once."""
     held_until: float = float("-inf")
     holds: int = 0
     changed_at: float = 0.0
 
-    def is_ended_again(self, ends: Iterable[ReplicaEnd], now: float) -> bool:
+    def has_crashed_after_hold(self, ends: Iterable[ReplicaCrash], now: float) -> bool:
         """Whether replicas ended under it when it was tried after a hold."""
         was_held = self.holds > 0 and now >= self.held_until
         return was_held and any(end.sent_at >= self.held_until for end in ends)
 
 
-class Suspects:
+class SuspectTable:
     """A table of bounded size."""
 
     def __init__(self) -> None:
@@ -78,7 +78,7 @@
     def suspicion_level(self, identity: bytes, now: float) -> SuspicionLevel:
         """Return how a request is to be treated."""
         suspect = self._by_identity.get(identity)
-        if suspect is None or self._is_over(suspect, now):
+        if suspect is None or self._is_expired(suspect, now):
             return SuspicionLevel.NORMAL
         return SuspicionLevel.HELD if now < suspect.held_until else SuspicionLevel.SUSPECT
 
@@ -87,31 +87,35 @@
         suspect = self._by_identity.get(identity)
         return 0.0 if suspect is None else max(suspect.held_until - now, 0.0)
 
-    def held(self, now: float) -> int:
+    def count_held(self, now: float) -> int:
         """Return how many requests are held back."""
         return sum(now < suspect.held_until for suspect in self._by_identity.values())
 
-    def add(self, identity: bytes, ends: Iterable[ReplicaEnd], now: float) -> bool:
+    def add(self, identity: bytes, ends: Iterable[ReplicaCrash], now: float) -> bool:
         """Take in ends under a request; return whether more is known of it than before."""
         cleared_at = self._cleared.get(identity, float("-inf"))
         known = self._by_identity.get(identity)
-        present = {} if known is None else known.ends
-        fresh = [end for end in ends if end.ended_at > cleared_at and end.life not in present]
-        separate = separate_ends([*present.values(), *fresh])[:MOST_ENDS]
-        is_tried_again = known is not None and known.is_ended_again(fresh, now)
-        if len(separate) <= len(present) and not is_tried_again:
+        present = {} if known is None else known.crashes
+        fresh = [
+            end for end in ends if end.crashed_at > cleared_at and end.incarnation not in present
+        ]
+        separate = select_independent_crashes([*present.values(), *fresh])[:MAX_CRASHES]
+        crashed_after_hold = known is not None and known.has_crashed_after_hold(fresh, now)
+        if len(separate) <= len(present) and not crashed_after_hold:
             return False
-        suspect = self._touched(identity, now)
-        suspect.ends = {end.life: end for end in separate}
-        if now >= suspect.held_until and (is_tried_again or len(separate) >= HOLD_ENDS):
-            self._hold(suspect, MOST_HOLD_SECONDS if suspect.holds else HOLD_SECONDS, now)
+        suspect = self._refresh_entry(identity, now)
+        suspect.crashes = {end.incarnation: end for end in separate}
+        if now >= suspect.held_until and (
+            crashed_after_hold or len(separate) >= CRASHES_BEFORE_HOLD
+        ):
+            self._hold(suspect, MAX_HOLD_SECONDS if suspect.holds else HOLD_SECONDS, now)
         return True
 
     def hold(self, identity: bytes, seconds: float, now: float) -> bool:
         """Hold a request back as another node does; return whether that is news."""
         if now < self.held_until(identity):
             return False
-        self._hold(self._touched(identity, now), seconds, now)
+        self._hold(self._refresh_entry(identity, now), seconds, now)
         return True
 
     def held_until(self, identity: bytes) -> float:
@@ -119,7 +123,7 @@
         suspect = self._by_identity.get(identity)
         return float("-inf") if suspect is None else suspect.held_until
 
-    def lift(self, identity: bytes, now: float) -> bool:
+    def release(self, identity: bytes, now: float) -> bool:
         """Let a request be tried again, at one replica at a time; return whether it was held."""
         suspect = self._by_identity.get(identity)
         if suspect is None or now >= suspect.held_until:
@@ -133,9 +137,9 @@
         if self._by_identity.pop(identity, None) is None:
             return False
         self._cleared[identity] = now
-        for old in [key for key, at in self._cleared.items() if now - at > CLEARED_SECONDS]:
+        for old in [key for key, at in self._cleared.items() if now - at > CLEARED_EXPIRY_SECONDS]:
             del self._cleared[old]
-        if len(self._cleared) > MOST_SUSPECTS:
+        if len(self._cleared) > MAX_SUSPECTS:
             del self._cleared[next(iter(self._cleared))]
         return True
 
@@ -144,23 +148,23 @@
         suspect.held_until = now + seconds
         suspect.holds += 1
 
-    def _touched(self, identity: bytes, now: float) -> Suspect:
+    def _refresh_entry(self, identity: bytes, now: float) -> Suspect:
         """Return a request's entry as the latest one; make one, and room for it, if need be."""
         suspect = self._by_identity.pop(identity, None)
-        if suspect is None or self._is_over(suspect, now):
+        if suspect is None or self._is_expired(suspect, now):
             suspect = Suspect()
         suspect.changed_at = now
         self._by_identity[identity] = suspect
-        if len(self._by_identity) > MOST_SUSPECTS:
-            self._forget_one(now)
+        if len(self._by_identity) > MAX_SUSPECTS:
+            self._evict_one(now)
         return suspect
 
-    def _forget_one(self, now: float) -> None:
+    def _evict_one(self, now: float) -> None:
         """Forget the entry that changed longest ago, one that is not held if there is any."""
         waiting = (key for key, item in self._by_identity.items() if now >= item.held_until)
         oldest = next(waiting, None) or next(iter(self._by_identity))
         del self._by_identity[oldest]
 
     @staticmethod
-    def _is_over(suspect: Suspect, now: float) -> bool:
-        return now > max(suspect.changed_at, suspect.held_until) + FORGET_SECONDS
+    def _is_expired(suspect: Suspect, now: float) -> bool:
+        return now > max(suspect.changed_at, suspect.held_until) + EXPIRY_SECONDS
--- a/wingquay/forwarding/exchange.py
+++ b/wingquay/forwarding/exchange.py
@@ -10,7 +10,7 @@
 from .arrival.request_identity import compute_identity
 from .choice.replica_state import ReplicaState
 
-CAREFUL_ENDS = 2
+SEQUENTIAL_AFTER_DISCONNECTS = 2
 """Connections that end under a request that nobody has answered, from which on one replica is asked
 at a time. So one that ends replicas leaves the second replica of most of its shards."""
 
@@ -108,7 +108,7 @@
     def record_answer(self, answer: ReplicaAnswer, now: float) -> None:
         """Take in the shard's answer, or a better one than before."""
         if self.answer is None:
-            self.exchange.shards_in += 1
+            self.exchange.answered_shards += 1
         self.answer = answer
         self.answered_at = now
 
@@ -149,7 +149,7 @@
     """When it is given up on."""
     calls: list[ServiceCall] = field(default_factory=list)
     signatures: set[str] = field(default_factory=set)
-    shards_in: int = 0
+    answered_shards: int = 0
     """Calls whose answer is in."""
     failures: int = 0
     """Attempts and nodes that brought nothing: no more calls than that can be exhausted."""
@@ -164,7 +164,7 @@
     """Whether replicas ended under an earlier attempt of its caller."""
     is_cleared: bool = False
     """Whether a replica has run it to an end: it does not end replicas."""
-    open_looks: int = 0
+    open_probes: int = 0
     """Replicas whose end under it is being looked into."""
     _identity: bytes = b""
 
@@ -198,15 +198,17 @@
     @property
     def is_sequential(self) -> bool:
         """Whether one replica is asked at a time: it may end those that run it."""
-        is_doubtful = self.is_suspect or self.unexplained_disconnects >= CAREFUL_ENDS
-        return is_doubtful and not self.is_cleared
+        may_crash_replicas = (
+            self.is_suspect or self.unexplained_disconnects >= SEQUENTIAL_AFTER_DISCONNECTS
+        )
+        return may_crash_replicas and not self.is_cleared
 
     def has_recent_attempt(self, now: float) -> bool:
         """Whether an attempt is open that was sent within the time that an answer should take.
 
         So is one whose replica may have ended, until that is known.
         """
-        if self.open_looks:
+        if self.open_probes:
             return True
         latest = now - self.route.objective_seconds
         attempts = (attempt for call in self.calls for attempt in call.attempts.values())
--- a/wingquay/forwarding/exchange_opening.py
+++ b/wingquay/forwarding/exchange_opening.py
@@ -14,7 +14,7 @@
 from .sending.latencies import RouteLatencies
 from .sending.waiting import Waiting
 from .settings import ForwardingSettings
-from .settling.cutoff import in_time_seconds
+from .settling.cutoff import compute_cutoff_seconds
 from .settling.settlement import Settlement
 from .timers import CutoffDue, ExchangeEndDue, HedgeDue, RetryDue
 
@@ -48,7 +48,9 @@
         self._sequential = sequential
         self._weights = WeightedChoice(random_source)
         self._held: set[int] = set()
-        self.ask_nodes: Callable[[Exchange, list[ServiceCall], float], list[Action]] | None = None
+        self.delegate_calls: Callable[[Exchange, list[ServiceCall], float], list[Action]] | None = (
+            None
+        )
         """Asks other nodes for shards, once the link to them is open."""
 
     @property
@@ -71,8 +73,8 @@
         event = arrival.event
         route = arrival.route
         ends_at = max(self.ends_at(arrival), now)
-        in_time = in_time_seconds(route, event.transit_seconds, self._settings)
-        cutoff_at = min(arrival.arrived_at + in_time, ends_at)
+        cutoff_seconds = compute_cutoff_seconds(route, event.transit_seconds, self._settings)
+        cutoff_at = min(arrival.arrived_at + cutoff_seconds, ends_at)
         exchange = Exchange(event, arrival.table, route, arrival.arrived_at, cutoff_at, ends_at)
         exchange.tenant = arrival.tenant
         exchange.is_suspect = is_suspect
@@ -87,13 +89,13 @@
         deadline_seconds = arrival.event.deadline_seconds
         if deadline_seconds is not None:
             seconds = min(seconds, deadline_seconds)
-        return arrival.sent_at + max(seconds - self._settings.end_margin_seconds, seconds / 2)
+        return arrival.sent_at + max(seconds - self._settings.timeout_margin_seconds, seconds / 2)
 
     def begin_or_hold(self, exchange: Exchange, now: float) -> list[Action]:
         """Begin a request if replicas can be asked; hold it while records are missing."""
-        if self._settlement.can_be_enough(exchange, now):
+        if self._settlement.can_meet_min_share(exchange, now):
             return self.begin(exchange, now)
-        return self._hold_or_refuse(exchange, now)
+        return self._hold_or_reject(exchange, now)
 
     def begin(self, exchange: Exchange, now: float) -> list[Action]:
         """Send all calls and set the timers."""
@@ -103,8 +105,8 @@
         actions: list[Action] = []
         if exchange.is_sequential and exchange.origin is None:
             actions += self._sequential.send_next(exchange, now)
-        elif self.ask_nodes is not None and route.shards and exchange.origin is None:
-            actions += self.ask_nodes(exchange, exchange.calls, now)
+        elif self.delegate_calls is not None and route.shards and exchange.origin is None:
+            actions += self.delegate_calls(exchange, exchange.calls, now)
         else:
             actions += self._starter.begin_all(exchange.calls, now)
         actions.append(Schedule(exchange.ends_at, ExchangeEndDue(event.exchange_id)))
@@ -115,7 +117,7 @@
             actions.append(Schedule(hedge_at, HedgeDue(event.exchange_id)))
         return actions + self._settlement.settle(exchange, now)
 
-    def _hold_or_refuse(self, exchange: Exchange, now: float) -> list[Action]:
+    def _hold_or_reject(self, exchange: Exchange, now: float) -> list[Action]:
         """Hold a request that no replica can take, as long as that is better than coming back."""
         match self._waiting.decide(exchange, now):
             case Reject() as rejection:
@@ -129,6 +131,6 @@
         """Whether a request is held for missing records of replicas."""
         return exchange.exchange_id in self._held
 
-    def not_held(self, exchange: Exchange) -> None:
+    def stop_holding(self, exchange: Exchange) -> None:
         """Take in that a request ends."""
         self._held.discard(exchange.exchange_id)
--- a/wingquay/forwarding/forwarding_machine.py
+++ b/wingquay/forwarding/forwarding_machine.py
@@ -138,14 +138,14 @@
         """Whether work of other nodes is rejected."""
 
     @property
-    def is_asked(self) -> bool:
+    def has_received_request(self) -> bool:
         """Whether a request has arrived."""
-        return self._arrival.is_asked
+        return self._arrival.has_received_request
 
     @property
     def open_exchanges(self) -> int:
         """The number of requests without an answer."""
-        return len(self._settlement) + self._arrival.kept
+        return len(self._settlement) + self._arrival.pending_count
 
     @property
     def held_exchanges(self) -> int:
@@ -182,7 +182,7 @@
         )
         self._limits.placement = delegations.placement
         self._sequential.begin_all = delegations.start
-        self._opening.ask_nodes = delegations.start
+        self._opening.delegate_calls = delegations.start
         self.guard.peers = groups.reachable
         groups.evidence = self._sender.evidence
 
@@ -202,7 +202,7 @@
             case ForwardRequested():
                 return self._arrival.requested(event, now)
             case HedgeDue():
-                return self._hedging.due(event, now)
+                return self._hedging.handle_due(event, now)
             case SendFailed():
                 return self._outcomes.send_failed(event, now)
             case AbandonDue() | ReconnectDue() | ConnectionTried():
@@ -224,9 +224,9 @@
                 | PeerLinkBroken()
             ):
                 return self._peer_event(event, now)
-        return self._arrival.kept_event(event, now)
+        return self._arrival.pending_event(event, now)
 
-    def woken(self, event: Woken, now: float) -> list[Action]:
+    def resumed(self, event: Woken, now: float) -> list[Action]:
         """End what is too late after a suspension; attempts are as old as before it."""
         self.lag.seconds = event.seconds
         self._sender.suspended(event.seconds)
@@ -249,9 +249,9 @@
     ) -> list[Action]:
         match event:
             case CrashNewsDue():
-                return self.guard.tell_due(event, now)
+                return self.guard.report_due(event, now)
             case PeerReceived(sender=sender, message=CrashNews() as news):
-                return self.guard.news(sender, news, now)
+                return self.guard.handle_report(sender, news, now)
         if self._peers is None:
             return []
         table = None if self.is_stopping else self._table
@@ -270,9 +270,9 @@
             case ConnectionTried():
                 return self._outcomes.connection_tried(event, now)
 
-    def life_over(self, replica: ReplicaState, now: float) -> list[Action]:
+    def replica_restarted(self, replica: ReplicaState, now: float) -> list[Action]:
         """Give up the work at a replica that has started again, and ask for it elsewhere."""
-        return self._outcomes.life_over(replica, now)
+        return self._outcomes.replica_restarted(replica, now)
 
     def _abandon_due(self, event: AbandonDue, now: float) -> list[Action]:
         attempt = self._sender.get(event.attempt_id)
@@ -288,7 +288,7 @@
     ) -> list[Action]:
         exchange = self._settlement.get(event.exchange_id)
         if exchange is None:
-            return self._arrival.kept_event(event, now)
+            return self._arrival.pending_event(event, now)
         match event:
             case BeginDue():
                 return self._begin_due(exchange, now)
@@ -299,7 +299,7 @@
             case ReportDue():
                 return [] if exchange.origin is None else exchange.origin.report(exchange)
             case CallerLeft():
-                self._opening.not_held(exchange)
+                self._opening.stop_holding(exchange)
                 return self._settlement.caller_left(exchange, now)
             case ExchangeEndDue():
                 return self._settlement.out_of_time(exchange, now)
--- a/wingquay/forwarding/forwarding_node.py
+++ b/wingquay/forwarding/forwarding_node.py
@@ -29,7 +29,7 @@
 from .arrival.limits.limit_manager import LimitManager
 from .arrival.limits.limit_settings import LimitSettings
 from .choice.replica_directory import ReplicaDirectory
-from .crashing.held_keys import HeldKeys
+from .crashing.held_request_keys import HeldRequestKeys
 from .crashing.suspects import SuspicionLevel
 from .forwarding_machine import ForwardingMachine
 from .knowledge.node_membership import NodeMembership
@@ -43,9 +43,9 @@
     StoreFollower,
 )
 from .knowledge.update_exchange import UpdateExchange
-from .line_budget import LineBudget
-from .own_time import WAKING_SECONDS as WAKING_SECONDS
-from .own_time import LagDue, OwnTime, SweepDue
+from .log_limiter import LogLimiter
+from .periodic_work import RESUME_SECONDS as RESUME_SECONDS
+from .periodic_work import LagDue, PeriodicWork, SweepDue
 from .readiness.departure import Departure
 from .readiness.node_readiness import NodeReadiness, ReadyDue, StopCheckDue
 from .readiness.reachability_monitor import ReachabilityMonitor
@@ -57,7 +57,7 @@
 from .store_formats import StoreFormats as StoreFormats
 
 CLUSTER_KEY_BYTES = 32
-ASK_NUMBER_BITS = 62
+PROOF_REQUEST_ID_BITS = 62
 
 
 class ForwardingNode:
@@ -89,11 +89,11 @@
         self._nodes = NodeCount(settings)
         key = formats.node_prefix + name
         self._presence = Presence(key, settings, random_source)
-        self._keeper = ProofManager(
+        self._proof_manager = ProofManager(
             follower.proof_poll_times,
             lambda: self._members.rank() * settings.poll_rank_delay_seconds,
             lambda now: self._follower.next_answer_at(now),
-            random_source.getrandbits(ASK_NUMBER_BITS) if follower.proof_poll_times else 0,
+            random_source.getrandbits(PROOF_REQUEST_ID_BITS) if follower.proof_poll_times else 0,
         )
         self._forwarding = ForwardingMachine(
             settings,
@@ -104,10 +104,10 @@
             name,
             waiting,
         )
-        self._forwarding.admission.proof = self._keeper.proof
+        self._forwarding.admission.proof = self._proof_manager.proof
         guard = self._forwarding.guard
-        self._held_keys = HeldKeys(formats, guard.hold, guard.lift)
-        guard.write = self._held_keys.write
+        self._held_request_keys = HeldRequestKeys(formats, guard.hold, guard.release)
+        guard.write = self._held_request_keys.write
         hooks = FollowerHooks(
             lambda values, now: self._contents.listed(values, now) + self._callers.update(now),
             lambda written, deleted, now: (
@@ -119,11 +119,11 @@
             lambda: self._members.rank() == 0,
             lambda: self._callers.can_serve,
         )
-        self._follower = StoreFollower(follower, hooks, self._keeper)
+        self._follower = StoreFollower(follower, hooks, self._proof_manager)
         self._table: RoutingTable | None = None
-        self._told_by = ""
+        self._update_source = ""
         """By which way the present news of the store came: a look, a listing, or a node's id."""
-        self._lines = LineBudget()
+        self._log_limiter = LogLimiter()
         candidate = random_source.randbytes(CLUSTER_KEY_BYTES)
         self._members = NodeMembership(
             name, settings, formats, self._nodes, self._presence, candidate
@@ -132,27 +132,27 @@
             name, limits, self._members, self._forwarding.admission, self._forwarding.limit_answered
         )
         self._lateness = ProcessingLag()
-        self._time = OwnTime(
+        self._periodic_work = PeriodicWork(
             settings,
             self._directory,
             self._forwarding,
             self._members,
             self._follower,
             self._lateness,
-            self._keeper,
+            self._proof_manager,
         )
         self._news = UpdateExchange(
-            settings, self._members, self._follower, self._lateness, self._keeper
+            settings, self._members, self._follower, self._lateness, self._proof_manager
         )
         self._contents = StoreContents(
             formats,
             self._directory,
-            self._held_keys,
+            self._held_request_keys,
             self._members,
             self._follower,
             self._news.rewritten,
             self._configure,
-            self._forwarding.life_over,
+            self._forwarding.replica_restarted,
         )
         departure = Departure()
         asked = RouteDemand(self._directory)
@@ -172,7 +172,7 @@
         actions += self._limits.handle(event, self._table, now)
         if self._reach.is_relevant(event, now):
             actions = actions + self._reach.handle(event, now) + self._callers.update(now)
-        return self._lines.admit(actions, now)
+        return self._log_limiter.admit(actions, now)
 
     def store_snapshot(self) -> ReadResult | None:
         """Return what this node knows of the store, for a node that cannot reach it."""
@@ -181,7 +181,7 @@
     @property
     def proof(self) -> ConfigurationProof:
         """Whether the configuration is proven to be the one in force."""
-        return self._keeper.proof
+        return self._proof_manager.proof
 
     def suspicion_level(self, request: OpaqueRequest, now: float) -> SuspicionLevel:
         """Return how this node treats a request that may end replicas."""
@@ -202,9 +202,9 @@
             ):
                 return self._membership_event(event, now)
             case PeerLinkBroken():
-                self._keeper.link_broken(event)
+                self._proof_manager.link_broken(event)
             case SweepDue() | LagDue() | Woken():
-                return self._time.handle(event, now)
+                return self._periodic_work.handle(event, now)
             case StopRequested():
                 return self._callers.stop(now)
             case StopCheckDue():
@@ -212,17 +212,21 @@
             case ReadyDue():
                 return self._callers.update(now)
         actions = self._forwarding.handle(event, now)
-        return actions + self._time.pace(now) if self._forwarding.held_exchanges else actions
+        return (
+            actions + self._periodic_work.adjust_poll_interval(now)
+            if self._forwarding.held_exchanges
+            else actions
+        )
 
     def _membership_event(
         self, event: PresenceDue | PeerLinkOpened | PeerReceived, now: float
     ) -> list[Action]:
         match event:
             case PeerReceived(sender=sender, message=StoreNews() as news):
-                self._told_by = sender.node_id
+                self._update_source = sender.node_id
                 return [
                     *self._news.receive_update(news, now),
-                    *self._keeper.handle_update_from(sender, now),
+                    *self._proof_manager.handle_update_from(sender, now),
                 ]
             case PeerReceived(sender=sender, message=AskProof() | ProofGiven() as message):
                 return self._news.handle_proof_message(sender, message, now)
@@ -232,22 +236,22 @@
                 actions = self._members.handle_link_opened(event, self._table, now)
                 self._forwarding.enable_peers(self._members.groups)
                 self._reach.enable_peers(self._members.groups)
-                return [*actions, *self._keeper.sweep(self._members.update_recipients, now)]
+                return [*actions, *self._proof_manager.sweep(self._members.update_recipients, now)]
         return []
 
     def _store_event(self, event: Event, now: float) -> list[Action]:
         if isinstance(event, StoreResponse) and self._members.handles(event):
             return self._members.handle_response(event, now)
-        if isinstance(event, StoreResponse) and self._held_keys.is_answer(event):
-            return self._held_keys.answered(event)
-        self._told_by = "look" if isinstance(event, WatchChanged) else "listing"
+        if isinstance(event, StoreResponse) and self._held_request_keys.owns_response(event):
+            return self._held_request_keys.handle_response(event)
+        self._update_source = "look" if isinstance(event, WatchChanged) else "listing"
         return self._follower.handle(event, now)
 
     def _start(self, event: Start, now: float) -> list[Action]:
         return [
             *self._follower.handle(event, now),
             *self._presence.handle(event, now),
-            *self._time.start(now),
+            *self._periodic_work.start(now),
         ]
 
     def _presence_due(self, event: PresenceDue, now: float) -> list[Action]:
@@ -267,11 +271,11 @@
         self._reach.set_table(table)
         self._forwarding.set_table(table)
         self._members.configure(table)
-        self._keeper.configure(table)
+        self._proof_manager.configure(table)
         line = (
             ("version", table.version),
             ("routes", len(table.routes)),
-            ("told_by", self._told_by),
+            ("told_by", self._update_source),
         )
         return [
             Log("configuration_adopted", LogLevel.INFO, line),
--- a/wingquay/forwarding/line_budget.py
+++ b/wingquay/forwarding/log_limiter.py
@@ -28,10 +28,10 @@
 class _Kind:
     second: int = -1
     lines: int = 0
-    left_out: int = 0
+    dropped: int = 0
 
 
-class LineBudget:
+class LogLimiter:
     """Lets log lines through within their budgets."""
 
     def __init__(self) -> None:
@@ -56,10 +56,10 @@
             kind.lines = 0
         kind.lines += 1
         if kind.lines > LINES_PER_SECOND.get(name, OTHER_LINES_PER_SECOND):
-            kind.left_out += 1
+            kind.dropped += 1
             return Count("log_lines_left_out_total", labels=(("kind", name),))
-        if not kind.left_out:
+        if not kind.dropped:
             return action
-        fields = (*action.fields, ("lines_left_out", kind.left_out))
-        kind.left_out = 0
+        fields = (*action.fields, ("lines_left_out", kind.dropped))
+        kind.dropped = 0
         return Log(action.message, action.level, fields)
--- a/wingquay/forwarding/own_time.py
+++ b/wingquay/forwarding/periodic_work.py
@@ -16,7 +16,7 @@
 LAG_SECONDS = 0.2
 """Time between two looks how late this node is. It matters where requests wait for half a second;
 ten looks a second cost 0.03 of the credit of 16 nodes of 0.12 core (two seeds)."""
-WAKING_SECONDS = 0.05
+RESUME_SECONDS = 0.05
 """Time after waking for which requests that are read count as having waited all the while."""
 
 
@@ -34,7 +34,7 @@
     due_at: float
 
 
-class OwnTime:
+class PeriodicWork:
     """The regular work of a node.
 
     Parameters
@@ -61,7 +61,7 @@
         members: NodeMembership,
         follower: StoreFollower,
         lateness: ProcessingLag,
-        keeper: ProofManager,
+        proof_manager: ProofManager,
     ) -> None:
         self._settings = settings
         self._directory = directory
@@ -69,7 +69,7 @@
         self._members = members
         self._follower = follower
         self._lateness = lateness
-        self._keeper = keeper
+        self._proof_manager = proof_manager
 
     def start(self, now: float) -> list[Action]:
         """Begin the regular looks."""
@@ -86,33 +86,35 @@
                 self._directory.forget_vanished(now)
                 due_at = now + SWEEP_SECONDS
                 greetings = self._forwarding.handle(PeerConnectDue(), now)
-                proving = self._keeper.sweep(self._members.update_recipients, now)
+                proving = self._proof_manager.sweep(self._members.update_recipients, now)
                 sweep = Schedule(due_at, SweepDue(due_at))
-                return [*greetings, *proving, *self.pace(now), sweep]
+                return [*greetings, *proving, *self.adjust_poll_interval(now), sweep]
             case LagDue():
                 return self._lag_due(event, now)
             case Woken():
-                return self._woken(event, now)
+                return self._resumed(event, now)
 
-    def pace(self, now: float) -> list[Action]:
+    def adjust_poll_interval(self, now: float) -> list[Action]:
         """Look at the store more often while records of replicas or nodes are missing."""
         is_old = self._directory.is_contradicted(now)
         if is_old or self._forwarding.held_exchanges > 0:
-            return self._follower.set_poll_interval(self._settings.settle_poll_seconds, now)
+            return self._follower.set_poll_interval(
+                self._settings.settle_poll_interval_seconds, now
+            )
         if self._members.is_joining(now):
-            seconds = self._settings.join_idle_poll_seconds
-            if self._forwarding.is_asked:
-                seconds = self._settings.join_poll_seconds
+            seconds = self._settings.join_idle_poll_interval_seconds
+            if self._forwarding.has_received_request:
+                seconds = self._settings.join_poll_interval_seconds
             return self._follower.set_poll_interval(seconds, now)
         return self._follower.set_poll_interval(None, now)
 
-    def _woken(self, event: Woken, now: float) -> list[Action]:
+    def _resumed(self, event: Woken, now: float) -> list[Action]:
         """Behave as a node whose store was away for as long, and give up what is too late."""
         self._directory.note_outage(now)
         self._lateness.timer_lag_seconds = event.seconds
-        self._keeper.poll_failed("suspended")
+        self._proof_manager.poll_failed("suspended")
         open_requests = self._forwarding.open_exchanges
-        actions = self._forwarding.woken(event, now)
+        actions = self._forwarding.resumed(event, now)
         fields = (
             ("suspended_seconds", round(event.seconds, 3)),
             ("open_requests", open_requests),
@@ -123,7 +125,7 @@
             Count("suspensions_total"),
             *actions,
             *self._follower.poll_now(now),
-            *self._schedule_lag(now, WAKING_SECONDS),
+            *self._schedule_lag(now, RESUME_SECONDS),
         ]
 
     def _lag_due(self, event: LagDue, now: float) -> list[Action]:
--- a/wingquay/forwarding/request_arrival.py
+++ b/wingquay/forwarding/request_arrival.py
@@ -21,11 +21,11 @@
 from .timers import LimitAnswerDue
 
 UNCONFIGURED_RETRY_SECONDS = 0.3
-LIMIT_WORD_RATIO = 0.2
+LIMIT_WAIT_RATIO = 0.2
 """Share of the objective for which a request waits for word on its tenant's limit: a caller that is
 refused by then can still be served in time by another node."""
 LATE_REASON = "its time was over before it could be read"
-NO_WORD_REASON = "no word on the limit of its tenant came in time"
+NO_LIMIT_ANSWER_REASON = "no word on the limit of its tenant came in time"
 
 
 class RequestArrival:
@@ -51,18 +51,18 @@
         self._ending = ending
         self._ranks = TenantPriorities()
         self._counts = TenantMetrics()
-        self._kept = PendingArrivals()
+        self._pending = PendingArrivals()
         self._table: RoutingTable | None = None
         self.admission = ArrivalAdmission()
         """Asks whether requests may be begun."""
-        self.is_asked = False
+        self.has_received_request = False
         """Whether a request has arrived."""
         settlement.on_not_run = self._give_back
 
     @property
-    def kept(self) -> int:
+    def pending_count(self) -> int:
         """The number of requests that wait for word on their tenant's limit."""
-        return len(self._kept)
+        return len(self._pending)
 
     def set_table(self, table: RoutingTable) -> None:
         """Use a configuration for requests that arrive from now on."""
@@ -73,7 +73,7 @@
 
     def requested(self, event: ForwardRequested, now: float) -> list[Action]:
         """Decide about a request that has arrived."""
-        self.is_asked = True
+        self.has_received_request = True
         table = self._table
         if table is None:
             reason = "no configuration yet"
@@ -109,13 +109,13 @@
         """Count a request that nothing else keeps from running, and open it."""
         verdict = self._verdict(arrival, now)
         if verdict is SuspicionLevel.HELD:
-            return self._refuse_held(arrival, now)
+            return self._reject_held(arrival, now)
         tenant = arrival.tenant
         if tenant is None:
             return self._open(arrival, verdict, now)
         match self.admission.admit(tenant, arrival.event.exchange_id, now):
             case AwaitsLimit():
-                return self._keep(arrival, now)
+                return self._await_limit(arrival, now)
             case Rejected() as rejected:
                 return self._reject(arrival.event, rejected, tenant.name)
             case Admitted():
@@ -126,29 +126,29 @@
         return self._opening.open(arrival, verdict is SuspicionLevel.SUSPECT, now)
 
     def _verdict(self, arrival: Arrival, now: float) -> SuspicionLevel:
-        return self._guard.suspicion_level(arrival.event.request, now, _name(arrival))
+        return self._guard.suspicion_level(arrival.event.request, now, _tenant_name(arrival))
 
-    def _refuse_held(self, arrival: Arrival, now: float) -> list[Action]:
+    def _reject_held(self, arrival: Arrival, now: float) -> list[Action]:
         """Refuse a request under which replicas have ended, and say when it may come back."""
         event = arrival.event
-        name = _name(arrival)
+        name = _tenant_name(arrival)
         identity = compute_identity(event.request, name)
         held_seconds = self._guard.held_seconds(identity, now)
         refused = self._ending.reject_arrival_not_run(event, HELD_REASON, held_seconds, name)
         if arrival.tenant is not None:
             refused.append(self._counts.count(name, "held"))
-        return [*refused, *self._guard.refused(identity, event, now)]
+        return [*refused, *self._guard.held_request_repeated(identity, event, now)]
 
     # Waiting for word on a tenant's limit
 
-    def _keep(self, arrival: Arrival, now: float) -> list[Action]:
+    def _await_limit(self, arrival: Arrival, now: float) -> list[Action]:
         """Keep a request until word on its tenant's limit comes; not for long.
 
         Its caller is told that it has not run while another try is still worth it.
         """
-        if not self._kept.add(arrival):
-            return self._refuse_unanswered(arrival, "too many requests wait for limits", now)
-        offer_seconds = arrival.route.objective_seconds * LIMIT_WORD_RATIO
+        if not self._pending.add(arrival):
+            return self._reject_unanswered(arrival, "too many requests wait for limits", now)
+        offer_seconds = arrival.route.objective_seconds * LIMIT_WAIT_RATIO
         due_at = min(now + offer_seconds, self._opening.ends_at(arrival))
         return [Schedule(due_at, LimitAnswerDue(arrival.event.exchange_id))]
 
@@ -156,7 +156,7 @@
         self, exchange_id: int, answer: Admitted | Rejected, now: float
     ) -> list[Action]:
         """Go on with a request that waited for word on its tenant's limit."""
-        arrival = self._kept.remove(exchange_id)
+        arrival = self._pending.remove(exchange_id)
         if arrival is None or arrival.tenant is None:
             return []
         if isinstance(answer, Rejected):
@@ -164,32 +164,32 @@
         verdict = self._verdict(arrival, now)
         if verdict is SuspicionLevel.HELD:
             self.admission.give_back(arrival.tenant, exchange_id, now)
-            return self._refuse_held(arrival, now)
+            return self._reject_held(arrival, now)
         opened = self._open(arrival, verdict, now)
         return [self._counts.count(arrival.tenant.name, "allowed"), *opened]
 
-    def kept_event(self, event: Event, now: float) -> list[Action]:
+    def pending_event(self, event: Event, now: float) -> list[Action]:
         """Take in an event of a request that is not open: it may wait for a limit."""
         match event:
             case LimitAnswerDue(exchange_id):
-                arrival = self._kept.remove(exchange_id)
+                arrival = self._pending.remove(exchange_id)
                 if arrival is not None:
-                    return self._refuse_unanswered(arrival, NO_WORD_REASON, now)
+                    return self._reject_unanswered(arrival, NO_LIMIT_ANSWER_REASON, now)
             case CallerLeft(exchange_id):
-                arrival = self._kept.remove(exchange_id)
+                arrival = self._pending.remove(exchange_id)
                 if arrival is not None:
                     return self._left(arrival, now)
         return []
 
-    def _refuse_unanswered(self, arrival: Arrival, reason: str, now: float) -> list[Action]:
+    def _reject_unanswered(self, arrival: Arrival, reason: str, now: float) -> list[Action]:
         self._give_back_arrival(arrival, now)
         rejected = Rejected(ForwardFailureKind.NOT_RUN, reason, LEAST_RETURN_SECONDS)
-        return self._reject(arrival.event, rejected, _name(arrival))
+        return self._reject(arrival.event, rejected, _tenant_name(arrival))
 
     def _left(self, arrival: Arrival, now: float) -> list[Action]:
         self._give_back_arrival(arrival, now)
-        name = _name(arrival)
-        left = self._ending.left_arrival(arrival.event, name)
+        name = _tenant_name(arrival)
+        left = self._ending.caller_left_arrival(arrival.event, name)
         return [*left, self._counts.count(name, "caller_left")]
 
     def _give_back_arrival(self, arrival: Arrival, now: float) -> None:
@@ -204,5 +204,5 @@
         return [self._counts.count(exchange.tenant.name, "given_back")]
 
 
-def _name(arrival: Arrival) -> str:
+def _tenant_name(arrival: Arrival) -> str:
     return "" if arrival.tenant is None else arrival.tenant.name
--- a/wingquay/forwarding/settings.py
+++ b/wingquay/forwarding/settings.py
@@ -45,7 +45,7 @@
         The same where routes are narrow: requests go first, and far shards wait for the link.
     join_wide_delay_seconds
         The same where a route is wide: by itself a node answers such requests too late anyway.
-    join_seconds, join_poll_seconds, join_idle_poll_seconds
+    join_seconds, join_poll_interval_seconds, join_idle_poll_interval_seconds
         Time after the link to other nodes opened in which their keys are looked for more often, and
         the least time between two looks in it, once requests arrive and before: nodes that start
         together have written their keys within 1.5 s, so an idle one looks once.
@@ -59,7 +59,7 @@
     reply_margin_seconds, reply_margin_ratio, reply_margin_shard_seconds
         Time kept, besides the network's, for handing over an answer: a constant, a share of the
         route's objective, and a time for each shard whose answer is taken in and merged.
-    end_margin_seconds
+    timeout_margin_seconds
         How long before the end of a request's time it is given up on.
     hedge_quantile
         A second replica is asked once an attempt takes longer than this share of attempts.
@@ -92,7 +92,7 @@
     stale_record_seconds
         Time for which the store is looked at more often once a replica has shown that its record
         is old: new ones may be there already.
-    settle_poll_seconds
+    settle_poll_interval_seconds
         Least time between two looks at the store while records are missing.
     delegate_min_shards
         Shards of a route from which on other nodes are asked for most of them: below, a node
@@ -152,15 +152,15 @@
     join_delay_seconds: float = 0.6
     join_wide_delay_seconds: float = 0.02
     join_seconds: float = 2.5
-    join_poll_seconds: float = 0.8
-    join_idle_poll_seconds: float = 1.6
+    join_poll_interval_seconds: float = 0.8
+    join_idle_poll_interval_seconds: float = 1.6
     presence_lease_seconds: float = 36.0
     presence_retry_seconds: float = 2.0
     first_connections_seconds: float = 5.0
     reply_margin_seconds: float = 0.003
     reply_margin_ratio: float = 0.03
     reply_margin_shard_seconds: float = 0.00005
-    end_margin_seconds: float = 0.02
+    timeout_margin_seconds: float = 0.02
     hedge_quantile: float = 0.9
     hedge_min_factor: float = 1.3
     hedge_initial_ratio: float = 0.3
@@ -176,7 +176,7 @@
     vanished_outage_grace_seconds: float = 2.5
     settle_seconds: float = 3.3
     stale_record_seconds: float = 0.6
-    settle_poll_seconds: float = 0.3
+    settle_poll_interval_seconds: float = 0.3
     delegate_min_shards: int = 40
     delegate_min_nodes: int = 3
     poll_rank_delay_seconds: float = 0.04
--- a/wingquay/forwarding/settling/cutoff.py
+++ b/wingquay/forwarding/settling/cutoff.py
@@ -11,7 +11,9 @@
 SHARE_TOLERANCE = 1e-9
 
 
-def in_time_seconds(route: Route, transit_seconds: float, settings: ForwardingSettings) -> float:
+def compute_cutoff_seconds(
+    route: Route, transit_seconds: float, settings: ForwardingSettings
+) -> float:
     """Return the time after arrival at which an answer still reaches its caller in time.
 
     Parameters
@@ -25,8 +27,8 @@
     return max(objective - margin - transit_seconds, objective / 2)
 
 
-def is_enough(route: Route, shards_in: int) -> bool:
-    """Whether an answer of ``shards_in`` shards is a success."""
-    if shards_in == 0:
+def meets_min_share(route: Route, answered_shards: int) -> bool:
+    """Whether an answer of ``answered_shards`` shards is a success."""
+    if answered_shards == 0:
         return False
-    return shards_in / len(route.shards) >= route.least_share - SHARE_TOLERANCE
+    return answered_shards / len(route.shards) >= route.least_share - SHARE_TOLERANCE
--- a/wingquay/forwarding/settling/ending.py
+++ b/wingquay/forwarding/settling/ending.py
@@ -19,7 +19,7 @@
 from .merging import merge_top_records
 
 MILLISECONDS_PER_SECOND = 1000.0
-MOST_CALLS_TOLD = 4
+MAX_LOGGED_CALLS = 4
 """Calls whose attempts a log line tells."""
 
 HELD_REASON = "replicas ended under this request; it is held back"
@@ -52,28 +52,31 @@
         outcome = "refused" if kind is ForwardFailureKind.NOT_RUN else kind.value
         return [
             ReplyFailure(event.exchange_id, kind, reason, rejected.retry_after_seconds),
-            _count(outcome),
-            _arrival_line(event, outcome, reason, tenant),
+            _count_outcome(outcome),
+            _arrival_log_line(event, outcome, reason, tenant),
         ]
 
-    def left_arrival(self, event: ForwardRequested, tenant: str) -> list[Action]:
+    def caller_left_arrival(self, event: ForwardRequested, tenant: str) -> list[Action]:
         """Take note that nobody waits any more for a request that was not begun."""
         reason = "it waited for its tenant's limit"
-        return [_count("caller_left"), _arrival_line(event, "caller_left", reason, tenant)]
+        return [
+            _count_outcome("caller_left"),
+            _arrival_log_line(event, "caller_left", reason, tenant),
+        ]
 
     def no_route(self, event: ForwardRequested, version: int) -> list[Action]:
         """Say that no route fits."""
         reason = f"no route for host {event.host!r} and path {event.path!r}"
         return [
             ReplyFailure(event.exchange_id, ForwardFailureKind.NO_ROUTE, reason),
-            _count("no_route"),
-            _arrival_line(event, "no_route", f"{reason} in version {version}"),
+            _count_outcome("no_route"),
+            _arrival_log_line(event, "no_route", f"{reason} in version {version}"),
         ]
 
     def unchanged(self, exchange: Exchange, answer: ReplicaAnswer, now: float) -> list[Action]:
         """Pass on a replica's answer."""
         outcome = "late" if now > exchange.cutoff_at else "served"
-        return [ReplyUnchanged(exchange.exchange_id, answer), *_end(exchange, outcome, "", now)]
+        return [ReplyUnchanged(exchange.exchange_id, answer), *_finish(exchange, outcome, "", now)]
 
     def merged(self, exchange: Exchange, answered: list[ServiceCall], now: float) -> list[Action]:
         """Answer with what the shards brought."""
@@ -87,22 +90,22 @@
             outcome = "partial"
         elif now > exchange.cutoff_at + 0.001:
             outcome = "late"
-        return [reply, *_end(exchange, outcome, "", now)]
+        return [reply, *_finish(exchange, outcome, "", now)]
 
     def failed(self, exchange: Exchange, call: ServiceCall, now: float) -> list[Action]:
         """Answer after every allowed replica failed."""
         if call.failure is not None:
             reply: Action = ReplyUnchanged(exchange.exchange_id, call.failure)
-            return [reply, *_end(exchange, "replica_failure", "passed on", now)]
+            return [reply, *_finish(exchange, "replica_failure", "passed on", now)]
         reason = "the replicas asked brought no answer"
         reply = ReplyFailure(exchange.exchange_id, ForwardFailureKind.FAILED, reason)
-        return [reply, *_end(exchange, "failed", reason, now)]
+        return [reply, *_finish(exchange, "failed", reason, now)]
 
     def too_few(self, exchange: Exchange, now: float) -> list[Action]:
         """Answer when too many shards have failed for a success."""
         reason = "too few shards can still answer"
         reply = ReplyFailure(exchange.exchange_id, ForwardFailureKind.FAILED, reason)
-        return [reply, *_end(exchange, "failed", reason, now)]
+        return [reply, *_finish(exchange, "failed", reason, now)]
 
     def reject_not_run(
         self, exchange: Exchange, reason: str, usable_after_seconds: float, now: float
@@ -116,7 +119,7 @@
         """
         seconds = return_seconds(usable_after_seconds, self._random.random())
         reply = ReplyFailure(exchange.exchange_id, ForwardFailureKind.NOT_RUN, reason, seconds)
-        return [reply, *_end(exchange, "refused", reason, now)]
+        return [reply, *_finish(exchange, "refused", reason, now)]
 
     def reject(self, exchange: Exchange, rejection: Reject, now: float) -> list[Action]:
         """Reject a request that has run nowhere."""
@@ -132,7 +135,7 @@
         if exchange.may_have_run:
             kind = ForwardFailureKind.FAILED
         reply = ReplyFailure(exchange.exchange_id, kind, HELD_REASON, held_seconds)
-        return [reply, *_end(exchange, "held", HELD_REASON, now)]
+        return [reply, *_finish(exchange, "held", HELD_REASON, now)]
 
     def out_of_time(self, exchange: Exchange, now: float) -> list[Action]:
         """Answer when the time of the exchange is over."""
@@ -142,38 +145,38 @@
         if len(exchange.calls) == 1 and exchange.calls[0].failure is not None:
             return self.failed(exchange, exchange.calls[0], now)
         reply = ReplyFailure(exchange.exchange_id, ForwardFailureKind.TIMED_OUT, reason)
-        return [reply, *_end(exchange, "timed_out", reason, now)]
+        return [reply, *_finish(exchange, "timed_out", reason, now)]
 
-    def for_node(self, exchange: Exchange, now: float) -> list[Action]:
+    def close_delegated(self, exchange: Exchange, now: float) -> list[Action]:
         """Take note of what another node asked for and did not get or no longer wants."""
-        line = _line(exchange, "delegated_open", "", now - exchange.arrived_at)
-        return [_count("delegated_open"), line]
+        line = _log_line(exchange, "delegated_open", "", now - exchange.arrived_at)
+        return [_count_outcome("delegated_open"), line]
 
     def caller_left(self, exchange: Exchange, now: float) -> list[Action]:
         """Take note that nobody waits any more."""
-        return _end(exchange, "caller_left", "", now)
+        return _finish(exchange, "caller_left", "", now)
 
 
-def _end(exchange: Exchange, outcome: str, reason: str, now: float) -> list[Action]:
+def _finish(exchange: Exchange, outcome: str, reason: str, now: float) -> list[Action]:
     seconds = now - exchange.arrived_at
     labels = (("route", exchange.route.name),)
     actions: list[Action] = [
-        _count(outcome),
+        _count_outcome(outcome),
         Observe("forwarded_request_seconds", seconds, labels),
     ]
     if outcome != "served":
-        actions.append(_line(exchange, outcome, reason, seconds))
+        actions.append(_log_line(exchange, outcome, reason, seconds))
     return actions
 
 
-def _count(outcome: str) -> Count:
+def _count_outcome(outcome: str) -> Count:
     return Count("forwarded_requests_total", labels=(("outcome", outcome),))
 
 
-def _line(exchange: Exchange, outcome: str, reason: str, seconds: float) -> Log:
-    told = [call for call in exchange.calls if call.answer is None]
-    if not told:
-        told = sorted(exchange.calls, key=lambda call: call.answered_at, reverse=True)
+def _log_line(exchange: Exchange, outcome: str, reason: str, seconds: float) -> Log:
+    logged_calls = [call for call in exchange.calls if call.answer is None]
+    if not logged_calls:
+        logged_calls = sorted(exchange.calls, key=lambda call: call.answered_at, reverse=True)
     fields: tuple[tuple[str, str | int | float], ...] = (
         ("request_id", exchange.event.request_id),
         ("outcome", outcome),
@@ -192,9 +195,9 @@
         fields += (("asked_by", exchange.origin.name),)
     if reason:
         fields += (("reason", reason),)
-    detail = "; ".join(_call_text(call) for call in told[:MOST_CALLS_TOLD])
+    detail = "; ".join(_call_text(call) for call in logged_calls[:MAX_LOGGED_CALLS])
     if detail:
-        fields += (("slowest" if told[0].answer is not None else "unanswered", detail),)
+        fields += (("slowest" if logged_calls[0].answer is not None else "unanswered", detail),)
     return Log("request_ended", LogLevel.INFO, fields)
 
 
@@ -205,7 +208,7 @@
     return f"{call.service}: " + (", ".join(call.history + open_attempts) or "never sent")
 
 
-def _arrival_line(event: ForwardRequested, outcome: str, reason: str, tenant: str = "") -> Log:
+def _arrival_log_line(event: ForwardRequested, outcome: str, reason: str, tenant: str = "") -> Log:
     fields: tuple[tuple[str, str], ...] = (
         ("request_id", event.request_id),
         ("outcome", outcome),
--- a/wingquay/forwarding/settling/hedging.py
+++ b/wingquay/forwarding/settling/hedging.py
@@ -8,13 +8,13 @@
 from ..timers import HedgeDue
 from .settlement import Settlement
 
-RECHECK_SECONDS = 0.012
+MIN_RECHECK_SECONDS = 0.012
 """Least time between two looks at attempts that take too long."""
-DUE_SHARE = 0.99
+DUE_RATIO = 0.99
 """Part of the delay after which an attempt is due: timers may fire a little early."""
-UNANSWERED_SHARDS = 4
+MIN_UNANSWERED_ATTEMPTS = 4
 """Attempts under way from which on it says something that none was answered."""
-UNANSWERED_SHARE = 0.5
+FIRST_ANSWER_WAIT_RATIO = 0.5
 """Part of the objective for which second replicas are then not asked: a request that ends replicas
 would end the second ones as well, before the first end is heard."""
 
@@ -46,7 +46,7 @@
         self._sender = sender
         self._settlement = settlement
 
-    def due(self, event: HedgeDue, now: float) -> list[Action]:
+    def handle_due(self, event: HedgeDue, now: float) -> list[Action]:
         """Ask second replicas where attempts take too long, and look again later."""
         exchange = self._settlement.get(event.exchange_id)
         if exchange is None:
@@ -66,7 +66,7 @@
             if len(call.attempts) == 1 and _is_overdue(call, delay, now):
                 actions += self._sender.try_send(call, now, False, is_hedge=True)
         if may_need_more and now < exchange.ends_at:
-            again_at = now + max(RECHECK_SECONDS, delay / 4)
+            again_at = now + max(MIN_RECHECK_SECONDS, delay / 4)
             actions.append(Schedule(again_at, event))
         return actions
 
@@ -75,10 +75,10 @@
     """Whether it is early and none of several replicas has answered the request."""
     if exchange.is_cleared:
         return False
-    if now >= exchange.arrived_at + exchange.route.objective_seconds * UNANSWERED_SHARE:
+    if now >= exchange.arrived_at + exchange.route.objective_seconds * FIRST_ANSWER_WAIT_RATIO:
         return False
-    return sum(len(call.attempts) for call in exchange.calls) >= UNANSWERED_SHARDS
+    return sum(len(call.attempts) for call in exchange.calls) >= MIN_UNANSWERED_ATTEMPTS
 
 
 def _is_overdue(call: ServiceCall, delay: float, now: float) -> bool:
-    return all(now - attempt.sent_at >= delay * DUE_SHARE for attempt in call.attempts.values())
+    return all(now - attempt.sent_at >= delay * DUE_RATIO for attempt in call.attempts.values())
--- a/wingquay/forwarding/settling/merging.py
+++ b/wingquay/forwarding/settling/merging.py
@@ -6,15 +6,15 @@
 RECORD_BYTES = 16
 
 
-def records_of(body: bytes) -> list[bytes]:
+def split_records(body: bytes) -> list[bytes]:
     """Return the whole records of a body; remaining bytes form no record."""
     end = len(body) - len(body) % RECORD_BYTES
     return [body[start : start + RECORD_BYTES] for start in range(0, end, RECORD_BYTES)]
 
 
-def merge_top_records(bodies: Iterable[bytes], most_records: int) -> bytes:
+def merge_top_records(bodies: Iterable[bytes], max_records: int) -> bytes:
     """Return the greatest records of all bodies, greatest first; equal ones all count."""
     records: list[bytes] = []
     for body in bodies:
-        records += records_of(body)
-    return b"".join(heapq.nlargest(most_records, records))
+        records += split_records(body)
+    return b"".join(heapq.nlargest(max_records, records))
--- a/wingquay/forwarding/settling/replica_outcomes.py
+++ b/wingquay/forwarding/settling/replica_outcomes.py
@@ -63,13 +63,13 @@
             actions += self._guard.answered(exchange, now)
             if not answer.is_success and answer.status >= FIRST_SERVER_ERROR_STATUS:
                 attempt.replica.on_trouble(now)
-        self._note(attempt, f"{answer.status}{' not run' if answer.not_run else ''}", now)
-        actions += self._take_answer(attempt, answer, now)
+        self._record_history(attempt, f"{answer.status}{' not run' if answer.not_run else ''}", now)
+        actions += self._apply_answer(attempt, answer, now)
         if was_sequential and not exchange.is_sequential and self._settlement.is_open(exchange):
             actions += self._sequential.send_remaining(exchange, now)
         return actions + self._starter.serve_waiting(attempt.call.service, now)
 
-    def _take_answer(self, attempt: Attempt, answer: ReplicaAnswer, now: float) -> list[Action]:
+    def _apply_answer(self, attempt: Attempt, answer: ReplicaAnswer, now: float) -> list[Action]:
         call = attempt.call
         exchange = call.exchange
         not_run = answer.not_run or answer.is_other_replica
@@ -99,7 +99,7 @@
         call = attempt.call
         call.exchange.failures += 1
         self._sender.finish(attempt)
-        self._note(attempt, _failure_text(event), now)
+        self._record_history(attempt, _failure_text(event), now)
         was_sent = event.kind is not SendFailureKind.NOT_SENT
         actions: list[Action] = []
         if not was_sent:
@@ -111,25 +111,25 @@
         if not was_sent:
             self._sender.not_arrived(attempt)
         if event.is_unanswered:
-            actions += self._guard.lost(attempt, now)
+            actions += self._guard.disconnected(attempt, now)
         return actions + self._after_failure(attempt, was_sent, now)
 
-    def life_over(self, replica: ReplicaState, now: float) -> list[Action]:
+    def replica_restarted(self, replica: ReplicaState, now: float) -> list[Action]:
         """Take in that a replica has started again: nothing more comes from the life before."""
         actions: list[Action] = []
         for attempt_id in tuple(replica.in_flight):
             attempt = self._sender.get(attempt_id)
             if attempt is not None:
-                actions += self._given_up(attempt, now)
+                actions += self._abort_attempt(attempt, now)
         return actions + self._starter.serve_waiting(replica.record.service, now)
 
-    def _given_up(self, attempt: Attempt, now: float) -> list[Action]:
+    def _abort_attempt(self, attempt: Attempt, now: float) -> list[Action]:
         """End an attempt at a life that is over; the life may have run it."""
         attempt.call.exchange.failures += 1
         self._sender.finish(attempt)
-        self._note(attempt, "started again", now)
+        self._record_history(attempt, "started again", now)
         actions: list[Action] = [CancelSend(attempt.attempt_id)]
-        actions += self._guard.lost(attempt, now)
+        actions += self._guard.disconnected(attempt, now)
         return actions + self._after_failure(attempt, was_sent=True, now=now)
 
     def _after_failure(self, attempt: Attempt, was_sent: bool, now: float) -> list[Action]:
@@ -148,16 +148,16 @@
     def connection_tried(self, event: ConnectionTried, now: float) -> list[Action]:
         """Take in whether a replica is in reach; calls that wait for one go on."""
         actions = self._sender.connection_tried(event, now)
-        looked_into, exchanges = self._guard.connection_tried(event, now)
-        actions += looked_into
+        probe_actions, exchanges = self._guard.connection_tried(event, now)
+        actions += probe_actions
         for exchange in exchanges:
-            actions += self._go_on(exchange, now)
+            actions += self._resume(exchange, now)
         replica = self._directory.of_life(event.life)
         if replica is None or not event.is_open:
             return actions
         return actions + self._starter.serve_waiting(replica.record.service, now)
 
-    def _go_on(self, exchange: Exchange, now: float) -> list[Action]:
+    def _resume(self, exchange: Exchange, now: float) -> list[Action]:
         """Send what waited until it was known whether replicas had ended under a request."""
         if not self._settlement.is_open(exchange) or exchange.origin is not None:
             return []
@@ -173,7 +173,7 @@
         return actions + self._settlement.settle(call.exchange, now)
 
     @staticmethod
-    def _note(attempt: Attempt, outcome: str, now: float) -> None:
+    def _record_history(attempt: Attempt, outcome: str, now: float) -> None:
         took_ms = round((now - attempt.sent_at) * MILLISECONDS_PER_SECOND)
         kind = "hedge" if attempt.is_hedge else "send"
         replica_id = attempt.replica.record.replica_id
--- a/wingquay/forwarding/settling/settlement.py
+++ b/wingquay/forwarding/settling/settlement.py
@@ -8,7 +8,7 @@
 from ..sending.attempts import AttemptSender
 from ..sending.decision import Reject
 from ..sending.waiting import Waiting
-from .cutoff import is_enough
+from .cutoff import meets_min_share
 from .ending import ExchangeEnding
 
 TIME_TOLERANCE_SECONDS = 1e-6
@@ -41,9 +41,9 @@
         self._sender = sender
         self._ending = ending
         self._exchanges: dict[int, Exchange] = {}
-        self.on_closed: Callable[[Exchange], list[Action]] = _nothing_more
+        self.on_closed: Callable[[Exchange], list[Action]] = _no_actions
         """Returns what else is to be done when an exchange ends."""
-        self.on_not_run: Callable[[Exchange, float], list[Action]] = _nothing_to_give_back
+        self.on_not_run: Callable[[Exchange, float], list[Action]] = _no_refund
         """Takes in that a tenant's request has ended and no replica may have run it."""
 
     def __len__(self) -> int:
@@ -65,7 +65,7 @@
     def caller_left(self, exchange: Exchange, now: float) -> list[Action]:
         """End an exchange whose caller is gone."""
         if exchange.origin is not None:
-            return self._close(exchange, self._ending.for_node(exchange, now), now)
+            return self._close(exchange, self._ending.close_delegated(exchange, now), now)
         return self._close(exchange, self._ending.caller_left(exchange, now), now)
 
     def out_of_time(self, exchange: Exchange, now: float) -> list[Action]:
@@ -74,7 +74,9 @@
         if not self.is_open(exchange):
             return settled
         if exchange.origin is not None:
-            return self._close(exchange, [*settled, *self._ending.for_node(exchange, now)], now)
+            return self._close(
+                exchange, [*settled, *self._ending.close_delegated(exchange, now)], now
+            )
         return self._close(exchange, self._ending.out_of_time(exchange, now), now)
 
     def end_overdue(self, now: float) -> list[Action]:
@@ -132,40 +134,40 @@
         """
         assert exchange.origin is not None
         exhausted = [call for call in exchange.calls if call.is_exhausted]
-        told = exchange.origin.report_exhausted(exhausted) if exchange.failures else []
-        is_over = exchange.shards_in + len(exhausted) == len(exchange.calls)
+        notifications = exchange.origin.report_exhausted(exhausted) if exchange.failures else []
+        is_over = exchange.answered_shards + len(exhausted) == len(exchange.calls)
         if exhausted and not exchange.origin.may_retry:
             is_over = False
         if not is_over and now < exchange.cutoff_at - TIME_TOLERANCE_SECONDS:
-            return told
-        actions = exchange.origin.report(exchange) + told
+            return notifications
+        actions = exchange.origin.report(exchange) + notifications
         if not is_over:
             return actions
         return self._close(exchange, actions, now)
 
     def _settle_merged(self, exchange: Exchange, now: float) -> list[Action]:
-        enough = is_enough(exchange.route, exchange.shards_in)
-        is_over = exchange.shards_in == len(exchange.calls)
+        enough = meets_min_share(exchange.route, exchange.answered_shards)
+        is_over = exchange.answered_shards == len(exchange.calls)
         if not is_over and enough:
             is_over = now >= exchange.cutoff_at - TIME_TOLERANCE_SECONDS or all(
-                self._is_hopeless(call, now) for call in exchange.calls if call.answer is None
+                self._cannot_answer(call, now) for call in exchange.calls if call.answer is None
             )
         if not is_over:
-            if self._is_lost(exchange):
+            if self._is_unattainable(exchange):
                 return self._close(exchange, self._ending.too_few(exchange, now), now)
-            return self._reject_unoffered(exchange, now)
+            return self._reject_if_unsent(exchange, now)
         merged = self._ending.merged(exchange, exchange.answered_calls, now)
         return self._close(exchange, merged, now)
 
-    def _is_lost(self, exchange: Exchange) -> bool:
+    def _is_unattainable(self, exchange: Exchange) -> bool:
         """Whether too many shards certainly bring no answer any more for a success."""
         shards = len(exchange.calls)
-        if is_enough(exchange.route, shards - exchange.failures):
+        if meets_min_share(exchange.route, shards - exchange.failures):
             return False
-        return not is_enough(exchange.route, shards - self._exhausted(exchange))
+        return not meets_min_share(exchange.route, shards - self._count_exhausted(exchange))
 
     @staticmethod
-    def _exhausted(exchange: Exchange) -> int:
+    def _count_exhausted(exchange: Exchange) -> int:
         """Return how many shards certainly bring no answer any more."""
         return sum(call.is_exhausted for call in exchange.calls)
 
@@ -174,14 +176,14 @@
         if call.answer is not None:
             return self._close(exchange, self._ending.unchanged(exchange, call.answer, now), now)
         if call.attempts or not call.may_have_run:
-            return self._reject_unoffered(exchange, now)
+            return self._reject_if_unsent(exchange, now)
         match self._waiting.decide(exchange, now):
             case Reject():
                 return self._close(exchange, self._ending.failed(exchange, call, now), now)
             case _:
                 return []
 
-    def _reject_unoffered(self, exchange: Exchange, now: float) -> list[Action]:
+    def _reject_if_unsent(self, exchange: Exchange, now: float) -> list[Action]:
         """Reject a request that reaches no replica, once coming back is better than waiting."""
         if exchange.may_have_run or any(call.attempts for call in exchange.calls):
             return []
@@ -191,14 +193,14 @@
             case _:
                 return []
 
-    def can_be_enough(self, exchange: Exchange, now: float) -> bool:
+    def can_meet_min_share(self, exchange: Exchange, now: float) -> bool:
         """Whether the services of which a replica can be asked make a success."""
         if not exchange.route.shards:
             return self._directory.has_any(exchange.calls[0].service, now)
         usable = [self._directory.has_usable(call.service, now) for call in exchange.calls]
-        return is_enough(exchange.route, sum(usable))
+        return meets_min_share(exchange.route, sum(usable))
 
-    def _is_hopeless(self, call: ServiceCall, now: float) -> bool:
+    def _cannot_answer(self, call: ServiceCall, now: float) -> bool:
         """Whether nothing can come of the call before the answer must leave."""
         if call.attempts or call.is_delegated:
             return False
@@ -217,9 +219,9 @@
         return actions
 
 
-def _nothing_more(_exchange: Exchange) -> list[Action]:
+def _no_actions(_exchange: Exchange) -> list[Action]:
     return []
 
 
-def _nothing_to_give_back(_exchange: Exchange, _now: float) -> list[Action]:
+def _no_refund(_exchange: Exchange, _now: float) -> list[Action]:
     return []
--- a/wingquay/forwarding/store_contents.py
+++ b/wingquay/forwarding/store_contents.py
@@ -9,7 +9,7 @@
 from .choice.evacuations import Evacuations
 from .choice.replica_directory import ReplicaDirectory
 from .choice.replica_state import ReplicaState
-from .crashing.held_keys import HeldKeys
+from .crashing.held_request_keys import HeldRequestKeys
 from .knowledge.node_membership import NodeMembership
 from .knowledge.store_follower import StoreFollower
 from .store_formats import StoreFormats
@@ -22,7 +22,7 @@
     ----------
     formats
         Tells keys apart and reads their values.
-    directory, held_keys, members
+    directory, held_request_keys, members
         Take in replicas, evacuated zones, held requests and nodes.
     follower
         Knows up to which revision of the store everything is known.
@@ -30,7 +30,7 @@
         Where to note keys of replicas' entries that were written again without a change.
     configure
         Takes in the bytes of a configuration.
-    life_over
+    replica_restarted
         Ends the work at a replica that has started again.
     """
 
@@ -38,22 +38,22 @@
         self,
         formats: StoreFormats,
         directory: ReplicaDirectory,
-        held_keys: HeldKeys,
+        held_request_keys: HeldRequestKeys,
         members: NodeMembership,
         follower: StoreFollower,
         rewritten: set[str],
         configure: Callable[[bytes], list[Action]],
-        life_over: Callable[[ReplicaState, float], list[Action]],
+        replica_restarted: Callable[[ReplicaState, float], list[Action]],
     ) -> None:
         self._formats = formats
         self._directory = directory
         self._evacuations = Evacuations(formats.evacuation_prefix, directory)
-        self._held_keys = held_keys
+        self._held_request_keys = held_request_keys
         self._members = members
         self._follower = follower
         self._rewritten = rewritten
         self._configure = configure
-        self._end_life = life_over
+        self._on_replica_restarted = replica_restarted
 
     def listed(self, values: tuple[StoredValue, ...], now: float) -> list[Action]:
         """Take in everything that is there, after it was read anew."""
@@ -62,7 +62,7 @@
         self._directory.keep_only(ids, now, self._follower.known_revision)
         self._members.keep_only({item.key for item in values if self._is_node_key(item.key)})
         keys = {item.key for item in values}
-        gone = (*self._evacuations.missing_from(keys), *self._held_keys.missing_from(keys))
+        gone = (*self._evacuations.missing_from(keys), *self._held_request_keys.missing_from(keys))
         return self.changed(values, gone, now)
 
     def changed(
@@ -85,8 +85,8 @@
             return self._put_replica(item, now)
         if self._evacuations.is_mine(item.key):
             return self._evacuations.put(item.key)
-        if self._held_keys.is_mine(item.key):
-            return self._held_keys.put(item, now)
+        if self._held_request_keys.owns_key(item.key):
+            return self._held_request_keys.put(item, now)
         if self._is_node_key(item.key):
             self._members.put(item)
         elif item.key == self._formats.cluster_key:
@@ -98,8 +98,8 @@
         prefix = self._formats.replica_prefix
         if self._evacuations.is_mine(key):
             return self._evacuations.remove(key)
-        if self._held_keys.is_mine(key):
-            return self._held_keys.remove(key, now)
+        if self._held_request_keys.owns_key(key):
+            return self._held_request_keys.remove(key, now)
         if key.startswith(prefix):
             self._directory.vanish(key.removeprefix(prefix), now, self._follower.known_revision)
         else:
@@ -122,19 +122,21 @@
             ]
         if self._directory.holds(record):
             self._rewritten.add(item.key)
-        over = self._directory.put(record, now, item.modified_at)
-        return [] if over is None else self._life_over(over, record, now)
+        previous = self._directory.put(record, now, item.modified_at)
+        return [] if previous is None else self._log_restart(previous, record, now)
 
-    def _life_over(self, over: ReplicaState, record: ReplicaRecord, now: float) -> list[Action]:
+    def _log_restart(
+        self, previous: ReplicaState, record: ReplicaRecord, now: float
+    ) -> list[Action]:
         """Take in that a replica has started again."""
         fields: tuple[tuple[str, str | int | float], ...] = (
             ("replica", record.replica_id),
             ("service", record.service),
             ("born", -1 if record.born is None else record.born),
-            ("open_attempts", len(over.in_flight)),
+            ("open_attempts", len(previous.in_flight)),
         )
         return [
             Log("replica_born_again", LogLevel.INFO, fields),
             Count("replicas_born_again_total"),
-            *self._end_life(over, now),
+            *self._on_replica_restarted(previous, now),
         ]
