--- a/wingquay/forwarding/crashing/__init__.py
+++ b/wingquay/forwarding/crashing/__init__.py
@@ -1,1 +1,1 @@
-"""Requests under which replicas end: how they are told from innocent ones, and stopped."""
+"""Detects requests that crash replicas and keeps them away from the replicas."""
--- a/wingquay/forwarding/crashing/crash_prober.py
+++ b/wingquay/forwarding/crashing/crash_prober.py
@@ -1,8 +1,7 @@
-"""Finds out whether a replica has ended, or only a connection to it has.
+"""Distinguishes crashed replicas from lost connections.
 
-A connection that ends without an answer says little: it may have been reset on its way, or the
-answer lost. The replica has ended if the next connection is refused, or if it is known to have
-started again.
+A connection that closes without an answer is no proof of a crash: the network may have reset it.
+The replica has crashed if it refuses the next connection or is known to have restarted.
 """
 
 from dataclasses import dataclass
@@ -14,14 +13,14 @@
 from .replica_crash import ReplicaCrash
 
 MAX_PROBES_PER_EXCHANGE = 3
-"""Replicas whose end is looked into for one request at a time: more would prove no more."""
+"""Replicas that are probed for one request at a time."""
 MAX_PROBED_REPLICAS = 128
-"""Replicas whose end is looked into at a time; each look is a connection."""
+"""Replicas that are probed at a time; each probe opens a connection."""
 
 
 @dataclass(slots=True, eq=False)
 class DisconnectedAttempt:
-    """An attempt whose connection ended without an answer."""
+    """An attempt whose connection closed without an answer."""
 
     exchange: Exchange
     replica: ReplicaState
@@ -29,47 +28,47 @@
 
 
 class CrashProber:
-    """Opens connections to replicas that may have ended.
+    """Opens connections to replicas that may have crashed.
 
     Parameters
     ----------
     node_id
-        This node's name, by which others know who saw an end.
+        This node's name, which is stored with each crash that it observes.
     """
 
     def __init__(self, node_id: str) -> None:
         self._node_id = node_id
         self._pending: dict[str, list[DisconnectedAttempt]] = {}
-        """Attempts by the life of the replica that is being looked into."""
+        """Disconnected attempts by the incarnation of the replica that is being probed."""
 
     def start_probe(self, attempt: Attempt, now: float) -> list[Action]:
-        """Look into the end of a connection; an end that was expected is passed over."""
+        """Probe the replica of a closed connection unless it was already leaving."""
         exchange = attempt.call.exchange
-        lost = self.describe_crash(attempt, now)
-        if lost is None or exchange.open_probes >= MAX_PROBES_PER_EXCHANGE:
+        disconnected = self.describe_crash(attempt, now)
+        if disconnected is None or exchange.open_probes >= MAX_PROBES_PER_EXCHANGE:
             return []
-        life = attempt.replica.life
-        known = self._pending.get(life)
-        if known is None and len(self._pending) >= MAX_PROBED_REPLICAS:
+        incarnation = attempt.replica.life
+        pending = self._pending.get(incarnation)
+        if pending is None and len(self._pending) >= MAX_PROBED_REPLICAS:
             return []
         exchange.open_probes += 1
-        if known is not None:
-            known.append(lost)
+        if pending is not None:
+            pending.append(disconnected)
             return []
-        self._pending[life] = [lost]
+        self._pending[incarnation] = [disconnected]
         return [OpenConnection(attempt.replica.record)]
 
     def describe_crash(self, attempt: Attempt, now: float) -> DisconnectedAttempt | None:
-        """Return the end that an attempt saw if its replica has ended; ``None``: it was leaving."""
+        """Return the crash as seen by an attempt; ``None`` if its replica was already leaving."""
         replica = attempt.replica
         if replica.record.is_draining or replica.vanished_at is not None:
             return None
-        end = ReplicaCrash(replica.life, self._node_id, attempt.sent_at, now)
-        return DisconnectedAttempt(attempt.call.exchange, replica, end)
+        crash = ReplicaCrash(replica.life, self._node_id, attempt.sent_at, now)
+        return DisconnectedAttempt(attempt.call.exchange, replica, crash)
 
     def finish_probe(self, event: ConnectionTried) -> list[DisconnectedAttempt]:
-        """Return the attempts whose replica has been looked into."""
-        found = self._pending.pop(event.life, [])
-        for lost in found:
-            lost.exchange.open_probes -= 1
-        return found
+        """Return the attempts whose replica has been probed."""
+        probed = self._pending.pop(event.life, [])
+        for disconnected in probed:
+            disconnected.exchange.open_probes -= 1
+        return probed
--- a/wingquay/forwarding/crashing/guard.py
+++ b/wingquay/forwarding/crashing/guard.py
@@ -1,9 +1,9 @@
-"""Keeps requests that end replicas from replicas, here and on the other nodes.
+"""Keeps requests that crash replicas away from the replicas of all nodes.
 
-A request is suspect once a replica ended under it and none has answered it; then one replica is
-asked at a time. After three such ends, one after the other, it is held back. An answer of any
-replica clears it. Nodes tell each other, and what is held stands in the store as well, for those
-that start later and for operators.
+A request is suspect once a replica has crashed while running it and none has answered it; it is
+then sent to one replica at a time. After three independent crashes it is held: no replica receives
+it. An answer of any replica clears it. Nodes report crashes to each other. Held requests are also
+written to the store, for nodes that start later and for operators.
 """
 
 import random
@@ -22,27 +22,25 @@
 from .suspects import SuspectTable, SuspicionLevel
 
 MAX_REPORT_PEERS = 8
-"""Nodes that are told what is new; each tells as many others when it first hears it. That reaches
-500 nodes in three steps, and each of them sends 8 messages."""
+"""Nodes that receive a report; each of them forwards a new report to as many others, which reaches
+500 nodes in three steps."""
 REPORT_DELAY_SECONDS = 0.2
-"""Time after an end for which an answer may clear the request before other nodes are told.
-
-Its end is not waited for: one that waits for another replica may take 8 s, and come elsewhere."""
+"""Time after a crash in which an answer may clear the request before other nodes are notified."""
 MAX_REPORTS_PER_SECOND = 50
 MAX_TARGET_CHARACTERS = 120
 
 
 class CrashGuard:
-    """Decides which requests may be sent, and how.
+    """Decides which requests may be sent, and whether to one replica at a time.
 
     Parameters
     ----------
     node_id
         This node's name.
     random_source
-        Chooses the nodes that are told.
+        Selects the nodes that receive reports.
     lag
-        How late this node is: so much older are the news that it takes in.
+        Processing lag of this node, by which received reports are older than stated.
     """
 
     def __init__(
@@ -59,72 +57,72 @@
         self._report_second = 0
         self._report_count = 0
         self.peers: Callable[[float], list[NodeIdentity]] = _no_peers
-        """Returns the nodes that can be told."""
+        """Returns the nodes that can receive reports."""
         self.on_held: Callable[[bytes, float], list[Action]] = _no_open_exchanges
-        """Ends what is under way of a request that is held back from now on."""
+        """Ends the open exchanges of a request that is held from now on."""
         self.write: Callable[[bytes, HeldRequest, float], list[Action]] = _write_nothing
-        """Lets nodes that start later know of a request that is held back."""
+        """Writes a held request to the store, for nodes that start later."""
 
     def suspicion_level(
         self, request: OpaqueRequest, now: float, tenant: str = ""
     ) -> SuspicionLevel:
-        """Return how a request that has arrived, of a tenant if it is known, is to be treated."""
+        """Return the suspicion level of a request; ``tenant`` is empty if it is unknown."""
         if not len(self._suspects):
             return SuspicionLevel.NORMAL
         return self._suspects.suspicion_level(compute_identity(request, tenant), now)
 
     def held_seconds(self, identity: bytes, now: float) -> float:
-        """Return how much longer a request is held back."""
+        """Return the remaining hold period of a request; 0 if it is not held."""
         return self._suspects.held_seconds(identity, now)
 
     def held_request_repeated(
         self, identity: bytes, event: ForwardRequested, now: float
     ) -> list[Action]:
-        """Take in that a request that is held back has come again: nodes that start must know."""
+        """Ensure that a held request that has arrived again is in the store."""
         return self._write(identity, event, now)
 
-    # Evidence of this node
+    # Crashes observed by this node
 
     def disconnected(self, attempt: Attempt, now: float) -> list[Action]:
-        """Take in that a connection ended without a byte of an answer."""
+        """Handle a connection that closed before the first byte of an answer."""
         exchange = attempt.call.exchange
         if exchange.is_cleared:
             return []
         exchange.unexplained_disconnects += 1
         if exchange.origin is not None:
-            # The node that asked looks into it: it knows of all parts of the request.
+            # The delegating node probes the replica: it sees all calls of the request.
             return []
         if attempt.replica.is_over:
-            known = self._prober.describe_crash(attempt, now)
-            return [] if known is None else self._add_crash(known, now)
+            disconnected = self._prober.describe_crash(attempt, now)
+            return [] if disconnected is None else self._add_crash(disconnected, now)
         return self._prober.start_probe(attempt, now)
 
     def connection_tried(
         self, event: ConnectionTried, now: float
     ) -> tuple[list[Action], list[Exchange]]:
-        """Take in whether a replica that may have ended takes a connection.
+        """Handle the result of a crash probe.
 
-        Returns also the requests of which more is known by it.
+        Return also the exchanges for which the replica was probed.
         """
         actions: list[Action] = []
-        found = self._prober.finish_probe(event)
-        for lost in found:
-            if event.is_refused or lost.replica.is_over:
-                actions += self._add_crash(lost, now)
+        probed = self._prober.finish_probe(event)
+        for disconnected in probed:
+            if event.is_refused or disconnected.replica.is_over:
+                actions += self._add_crash(disconnected, now)
             elif event.is_open:
-                lost.exchange.unexplained_disconnects -= 1
-        return actions, [lost.exchange for lost in found]
+                disconnected.exchange.unexplained_disconnects -= 1
+        return actions, [disconnected.exchange for disconnected in probed]
 
-    def _add_crash(self, lost: DisconnectedAttempt, now: float) -> list[Action]:
-        exchange = lost.exchange
+    def _add_crash(self, disconnected: DisconnectedAttempt, now: float) -> list[Action]:
+        exchange = disconnected.exchange
         if exchange.is_cleared:
             return []
         was_held = self._is_held(exchange.identity, now)
-        if not self._suspects.add(exchange.identity, [lost.crash], now):
+        if not self._suspects.add(exchange.identity, [disconnected.crash], now):
             return []
         fields = (
             *_log_fields(exchange),
-            ("replica", lost.crash.incarnation),
+            ("replica", disconnected.crash.incarnation),
             ("ends", self._crash_count(exchange.identity)),
         )
         actions: list[Action] = [
@@ -138,14 +136,14 @@
         return actions
 
     def report_due(self, event: CrashNewsDue, now: float) -> list[Action]:
-        """Tell others of ends under a request that no answer has cleared."""
+        """Report the crashes of a request to other nodes unless it was cleared or is held."""
         suspect = self._suspects.get(event.identity)
         if suspect is None or now < suspect.held_until:
             return []
         return self._report(event.identity, now)
 
     def answered(self, exchange: Exchange, now: float) -> list[Action]:
-        """Take in that a replica has run a request to an end: it is innocent."""
+        """Clear a request that a replica has answered."""
         exchange.is_cleared = True
         if not len(self._suspects) or not self._suspects.clear(exchange.identity, now):
             return []
@@ -155,18 +153,18 @@
             *self._report(exchange.identity, now, is_cleared=True),
         ]
 
-    # What others say
+    # Reports of other nodes
 
-    def handle_report(self, sender: NodeIdentity, news: CrashNews, now: float) -> list[Action]:
-        """Take in what another node has found, and tell others if it is new here."""
-        identity = news.identity
-        if news.is_cleared:
+    def handle_report(self, sender: NodeIdentity, report: CrashNews, now: float) -> list[Action]:
+        """Apply a report of another node, and forward it if it is new to this node."""
+        identity = report.identity
+        if report.is_cleared:
             is_new = self._suspects.clear(identity, now)
             return self._report(identity, now, sender, True) if is_new else []
         was_held = self._is_held(identity, now)
-        is_new = self._suspects.add(identity, _crashes_from(news, now - self._lag.seconds), now)
-        if news.held_seconds:
-            is_new = self._suspects.hold(identity, news.held_seconds, now) or is_new
+        is_new = self._suspects.add(identity, _crashes_from(report, now - self._lag.seconds), now)
+        if report.held_seconds:
+            is_new = self._suspects.hold(identity, report.held_seconds, now) or is_new
         if not is_new:
             return []
         actions = self._report(identity, now, sender)
@@ -175,24 +173,28 @@
         return actions
 
     def hold(self, identity: bytes, seconds: float, reported_by: str, now: float) -> list[Action]:
-        """Hold a request back as another node or the store says."""
+        """Hold a request that another node or the store reports as held."""
         if not self._suspects.hold(identity, seconds, now):
             return []
         return [*self._hold_started(identity, reported_by, now), *self._report(identity, now)]
 
     def release(self, identity: bytes, now: float) -> list[Action]:
-        """Let a request be tried again, at one replica at a time."""
+        """End the hold of a request; it may be sent again to one replica at a time."""
         if not self._suspects.release(identity, now):
             return []
         return [Log("request_hold_ended", LogLevel.INFO, (("digest", identity.hex()),))]
 
-    # Holding back and telling
+    # Holding and reporting
 
     def _start_hold(self, exchange: Exchange, now: float) -> list[Action]:
-        """Hold back a request that this node has found to end replicas."""
-        found = self._write(exchange.identity, exchange.event, now)
-        told = self._report(exchange.identity, now)
-        return [*self._hold_started(exchange.identity, self._node_id, now, exchange), *told, *found]
+        """Hold a request that this node has identified as crashing replicas."""
+        write_actions = self._write(exchange.identity, exchange.event, now)
+        report_actions = self._report(exchange.identity, now)
+        return [
+            *self._hold_started(exchange.identity, self._node_id, now, exchange),
+            *report_actions,
+            *write_actions,
+        ]
 
     def _write(self, identity: bytes, event: ForwardRequested, now: float) -> list[Action]:
         seconds = self._suspects.held_seconds(identity, now)
@@ -206,7 +208,7 @@
         if exchange is not None:
             fields = _log_fields(exchange)
         fields += (
-            ("told_by", reported_by),
+            ("reported_by", reported_by),
             ("ends", self._crash_count(identity)),
             ("seconds", round(self._suspects.held_seconds(identity, now), 1)),
             ("held", self._suspects.count_held(now)),
@@ -224,20 +226,22 @@
         sender: NodeIdentity | None = None,
         is_cleared: bool = False,
     ) -> list[Action]:
-        """Tell a few other nodes what is known of a request."""
+        """Report the state of a request to a few other nodes."""
         others = [peer for peer in self.peers(now) if peer != sender]
         if not others or not self._may_report(now):
             return [Count("crash_news_left_out_total")] if others else []
-        told = self._random.sample(others, min(MAX_REPORT_PEERS, len(others)))
+        recipients = self._random.sample(others, min(MAX_REPORT_PEERS, len(others)))
         message = CrashNews(identity, is_cleared=True)
         if not is_cleared:
             suspect = self._suspects.get(identity)
-            ends = () if suspect is None else tuple(suspect.crashes.values())
+            crashes = () if suspect is None else tuple(suspect.crashes.values())
             held_seconds = self._suspects.held_seconds(identity, now)
-            message = CrashNews(identity, tuple(_to_report(end, now) for end in ends), held_seconds)
+            message = CrashNews(
+                identity, tuple(_to_report(crash, now) for crash in crashes), held_seconds
+            )
         return [
-            *(SendToPeer(peer, message) for peer in told),
-            Count("crash_news_total", len(told)),
+            *(SendToPeer(peer, message) for peer in recipients),
+            Count("crash_news_total", len(recipients)),
         ]
 
     def _may_report(self, now: float) -> bool:
@@ -255,19 +259,19 @@
         return 0 if suspect is None else len(suspect.crashes)
 
 
-def _to_report(end: ReplicaCrash, now: float) -> ToldEnd:
-    return ToldEnd(end.incarnation, end.node_id, now - end.sent_at, now - end.crashed_at)
+def _to_report(crash: ReplicaCrash, now: float) -> ToldEnd:
+    return ToldEnd(crash.incarnation, crash.node_id, now - crash.sent_at, now - crash.crashed_at)
 
 
-def _crashes_from(news: CrashNews, told_at: float) -> list[ReplicaCrash]:
+def _crashes_from(report: CrashNews, reported_at: float) -> list[ReplicaCrash]:
     return [
         ReplicaCrash(
-            end.life,
-            end.node_id,
-            told_at - end.sent_seconds,
-            told_at - end.ended_seconds,
+            crash.life,
+            crash.node_id,
+            reported_at - crash.sent_seconds,
+            reported_at - crash.ended_seconds,
         )
-        for end in news.ends
+        for crash in report.ends
     ]
 
 
--- a/wingquay/forwarding/crashing/held_request_keys.py
+++ b/wingquay/forwarding/crashing/held_request_keys.py
@@ -1,7 +1,7 @@
-"""Writes requests that are held back into the store, and follows what others have written.
+"""Writes held requests to the store and applies those that other nodes have written.
 
-Nodes that start find them there. The key goes with its lease when the hold is over, or when an
-operator takes it away; then the request may be tried again.
+Nodes that start later read them from the store. A key is removed when its lease expires at the end
+of the hold period, or when an operator deletes it; the request may then be sent again.
 """
 
 from collections.abc import Callable, Collection
@@ -25,16 +25,16 @@
 OPERATION_PREFIX = "held-request-"
 TIMEOUT_SECONDS = 2.0
 MAX_WRITE_ATTEMPTS = 3
-"""Calls for one key that may fail before it is left to the node that next rejects the request."""
+"""Failed store requests after which a write is given up until the request is rejected again."""
 MIN_REWRITE_SECONDS = 10.0
-"""Least time between two times that this node begins to write the same key."""
+"""Minimum time between two writes of the same key by this node."""
 MAX_KEYS = 64
-"""Keys in the store from which on none is written: nodes tell each other all the same."""
+"""Keys in the store above which this node writes no further ones."""
 
 
 @dataclass(slots=True, eq=False)
 class _KeyWrite:
-    """A key that is being written."""
+    """The state of writing one key."""
 
     identity: bytes
     held: HeldRequest
@@ -45,15 +45,16 @@
 
 
 class HeldRequestKeys:
-    """One key for each request that is held back.
+    """Manages the store keys of held requests, one key per request.
 
     Parameters
     ----------
     formats
-        How keys and values are written.
-    hold, lift
-        Take in that a request is held back, for how long and by whose word, and that it no longer
-        is.
+        Formats of keys and values.
+    hold
+        Starts the hold of a request: identity, hold period in s, reporting node, current time.
+    release
+        Ends the hold of a request: identity, current time.
     """
 
     def __init__(
@@ -69,49 +70,49 @@
         self._writes: dict[str, _KeyWrite] = {}
 
     def owns_key(self, key: str) -> bool:
-        """Whether a key tells of a request that is held back."""
+        """Return whether a key belongs to a held request."""
         return key.startswith(self._formats.held_prefix)
 
     def owns_response(self, event: StoreResponse) -> bool:
-        """Whether the answer is to one of this part's requests."""
+        """Return whether a store response answers a request of this object."""
         return event.operation_id.startswith(OPERATION_PREFIX)
 
     def missing_from(self, keys: Collection[str]) -> tuple[str, ...]:
-        """Return the known keys that a whole listing lacks."""
+        """Return the known keys that are missing from a complete listing."""
         return tuple(key for key in sorted(self._known) if key not in keys)
 
     def put(self, item: StoredValue, now: float) -> list[Action]:
-        """Take in a key."""
+        """Apply a key that was written."""
         held = self._formats.parse_held(item.value)
         identity = self._identity(item.key)
         if held is None or identity is None:
-            fields = (("key", item.key), ("reason", "not a request that is held back"))
+            fields = (("key", item.key), ("reason", "not a held request"))
             return [Log("held_request_unreadable", LogLevel.WARNING, fields)]
         self._known.add(item.key)
         return self._hold(identity, min(held.seconds, MAX_HOLD_SECONDS), held.found_by, now)
 
     def remove(self, key: str, now: float) -> list[Action]:
-        """Take in that a key is gone."""
+        """Apply the removal of a key."""
         self._known.discard(key)
         identity = self._identity(key)
         return [] if identity is None else self._release(identity, now)
 
     def write(self, identity: bytes, held: HeldRequest, now: float) -> list[Action]:
-        """Write the key of a request that is held back, unless it stands there already."""
+        """Write the key of a held request unless it exists or was written recently."""
         key = self._formats.held_prefix + identity.hex()
-        known = self._writes.get(key)
-        is_recent = known is not None and now - known.started_at < MIN_REWRITE_SECONDS
+        previous = self._writes.get(key)
+        is_recent = previous is not None and now - previous.started_at < MIN_REWRITE_SECONDS
         if key in self._known or is_recent or len(self._known) >= MAX_KEYS:
             return []
-        for old in [name for name, item in self._writes.items() if _is_done(item, now)]:
-            del self._writes[old]
+        for done in [name for name, item in self._writes.items() if _is_done(item, now)]:
+            del self._writes[done]
         if len(self._writes) >= MAX_KEYS:
             return []
         self._writes[key] = _KeyWrite(identity, held, now)
         return [self._lease_request(key)]
 
     def handle_response(self, event: StoreResponse) -> list[Action]:
-        """Take in the store's answer."""
+        """Continue a write with the store's response."""
         key = event.operation_id.removeprefix(OPERATION_PREFIX)
         key_write = self._writes.get(key)
         if key_write is None or not key_write.is_pending:
@@ -132,7 +133,7 @@
         key_write.is_pending = key_write.attempts < MAX_WRITE_ATTEMPTS
         if key_write.is_pending:
             return [self._lease_request(key)]
-        reason = result.reason if isinstance(result, Failure) else "unexpected answer"
+        reason = result.reason if isinstance(result, Failure) else "unexpected response"
         fields = (("digest", key_write.identity.hex()), ("reason", reason))
         return [Log("held_request_not_written", LogLevel.WARNING, fields)]
 
--- a/wingquay/forwarding/crashing/replica_crash.py
+++ b/wingquay/forwarding/crashing/replica_crash.py
@@ -1,26 +1,26 @@
-"""What speaks for it that a request ends the replicas that run it."""
+"""Crashes of replicas as evidence that a request causes them."""
 
 from collections.abc import Iterable
 
 from ...model.value import value
 
 REPORT_TOLERANCE_SECONDS = 0.1
-"""Ends that two nodes tell count as separate only if they lie this much apart: a message takes some
-milliseconds, and more on a machine that is busy."""
+"""Minimum time between crashes reported by different nodes for them to count separately: it covers
+the transmission delay of the reports."""
 
 
 @value
 class ReplicaCrash:
-    """One life of a replica that ended while it had a request.
+    """A crash of one incarnation of a replica while it had a request.
 
     Parameters
     ----------
-    life
-        Its name: further lives of the same replica end by themselves.
+    incarnation
+        Identifies the incarnation; each one crashes at most once.
     node_id
-        The node that had sent the request there.
-    sent_at, ended_at
-        When it was sent and when its connection ended, on this node's clock.
+        The node that had sent the request to the replica.
+    sent_at, crashed_at
+        When the request was sent and when its connection closed, on this node's clock, in s.
     """
 
     incarnation: str
@@ -29,20 +29,20 @@
     crashed_at: float
 
 
-def select_independent_crashes(ends: Iterable[ReplicaCrash]) -> list[ReplicaCrash]:
-    """Return the ends of replicas that came one after the other, each sent after the one before.
+def select_independent_crashes(crashes: Iterable[ReplicaCrash]) -> list[ReplicaCrash]:
+    """Return the crashes whose request was sent after the previous crash, in order of time.
 
-    Of ends that overlap in time one is left. When several replicas end for a reason of their own,
-    all requests that are popular are under way on some of them; only the one that ends them is
-    there again after that.
+    Of crashes that overlap in time, only one is kept. If several replicas crash together for
+    another reason, any frequent request is in flight at some of them; only a request that causes
+    crashes is also in flight at later ones.
     """
-    separate: list[ReplicaCrash] = []
-    for end in sorted(ends, key=lambda item: item.crashed_at):
-        if not separate or _is_after(end, separate[-1]):
-            separate.append(end)
-    return separate
+    independent: list[ReplicaCrash] = []
+    for crash in sorted(crashes, key=lambda item: item.crashed_at):
+        if not independent or _is_after(crash, independent[-1]):
+            independent.append(crash)
+    return independent
 
 
-def _is_after(end: ReplicaCrash, earlier: ReplicaCrash) -> bool:
-    tolerance = 0.0 if end.node_id == earlier.node_id else REPORT_TOLERANCE_SECONDS
-    return end.sent_at >= earlier.crashed_at + tolerance
+def _is_after(crash: ReplicaCrash, earlier: ReplicaCrash) -> bool:
+    tolerance = 0.0 if crash.node_id == earlier.node_id else REPORT_TOLERANCE_SECONDS
+    return crash.sent_at >= earlier.crashed_at + tolerance
--- a/wingquay/forwarding/crashing/sequential_sending.py
+++ b/wingquay/forwarding/crashing/sequential_sending.py
@@ -1,4 +1,4 @@
-"""Sends a request that may end replicas to one replica at a time."""
+"""Sends a request that may crash replicas to one replica at a time."""
 
 from collections.abc import Callable
 
@@ -8,15 +8,15 @@
 
 
 class SequentialSending:
-    """Takes the calls of a request one by one, and all that are left once it is cleared."""
+    """Sends the calls of a request one by one, and all remaining ones once it is cleared."""
 
     def __init__(self, starter: CallStarter) -> None:
         self._starter = starter
         self.begin_all: Callable[[Exchange, list[ServiceCall], float], list[Action]] = self._begin
-        """Begins calls of a request as usual."""
+        """Begins calls of a request in the usual way."""
 
     def send_next(self, exchange: Exchange, now: float) -> list[Action]:
-        """Ask one replica, unless one that may still answer is asked already."""
+        """Send one call, unless a recent attempt of the exchange is still in flight."""
         actions: list[Action] = []
         if exchange.has_recent_attempt(now):
             return actions
@@ -27,7 +27,7 @@
         return actions
 
     def send_remaining(self, exchange: Exchange, now: float) -> list[Action]:
-        """Ask for everything that is left of a request that was cleared."""
+        """Send all remaining calls of a request that was cleared."""
         open_calls = _open_calls(exchange)
         waiting = [call for call in open_calls if call.is_begun]
         fresh = [call for call in open_calls if not call.is_begun]
@@ -44,7 +44,7 @@
 
 
 def _open_calls(exchange: Exchange) -> list[ServiceCall]:
-    """Return the calls that are not under way and may still be asked for."""
+    """Return the calls that are not in flight and may still be sent."""
     return [
         call
         for call in exchange.calls
--- a/wingquay/forwarding/settling/__init__.py
+++ b/wingquay/forwarding/settling/__init__.py
@@ -1,1 +1,1 @@
-"""What follows a send: second replicas, answers and failures, and the reply that ends it."""
+"""Handles what follows a send: hedges, answers, failures and the reply to the caller."""
--- a/wingquay/forwarding/settling/cutoff.py
+++ b/wingquay/forwarding/settling/cutoff.py
@@ -1,8 +1,8 @@
-"""When a merged answer leaves although shards are still missing.
+"""Computes when a merged answer is sent although shards are still missing.
 
-An answer is worth the square of the share of shards that are in, and after the route's objective
-only a small part of that. So what is in leaves just in time for the objective, if it is enough
-for a success; after that, an answer leaves as soon as it is enough.
+The value of an answer grows with the square of the share of shards that it covers and drops sharply
+after the route's objective. A partial answer that meets the minimum share is therefore sent at the
+cutoff, just before the objective; after the cutoff, as soon as it meets the minimum share.
 """
 
 from ...model.routing_table import Route
@@ -14,12 +14,12 @@
 def compute_cutoff_seconds(
     route: Route, transit_seconds: float, settings: ForwardingSettings
 ) -> float:
-    """Return the time after arrival at which an answer still reaches its caller in time.
+    """Return the latest time for sending an answer that meets the objective, in s after arrival.
 
     Parameters
     ----------
     transit_seconds
-        Time that the caller spends on the network for the request, here and back.
+        Network round trip between the caller and this node.
     """
     objective = route.objective_seconds
     margin = settings.reply_margin_seconds + settings.reply_margin_ratio * objective
@@ -28,7 +28,7 @@
 
 
 def meets_min_share(route: Route, answered_shards: int) -> bool:
-    """Whether an answer of ``answered_shards`` shards is a success."""
+    """Return whether an answer from ``answered_shards`` shards is a success."""
     if answered_shards == 0:
         return False
     return answered_shards / len(route.shards) >= route.least_share - SHARE_TOLERANCE
--- a/wingquay/forwarding/settling/ending.py
+++ b/wingquay/forwarding/settling/ending.py
@@ -1,4 +1,4 @@
-"""The replies that end an exchange, and the log line of each that was not simply served."""
+"""Builds the reply that ends an exchange, its metrics, and a log line unless it was served."""
 
 import random
 
@@ -20,18 +20,18 @@
 
 MILLISECONDS_PER_SECOND = 1000.0
 MAX_LOGGED_CALLS = 4
-"""Calls whose attempts a log line tells."""
+"""Calls per log line whose attempts are listed."""
 
-HELD_REASON = "replicas ended under this request; it is held back"
+HELD_REASON = "replicas crashed while running this request; it is held back"
 
 
 class ExchangeEnding:
-    """Makes the actions that end an exchange.
+    """Builds the actions that end an exchange.
 
     Parameters
     ----------
     random_source
-        Spreads the times at which callers come back.
+        Adds jitter to the times after which callers retry.
     """
 
     def __init__(self, random_source: random.Random) -> None:
@@ -40,14 +40,14 @@
     def reject_arrival_not_run(
         self, event: ForwardRequested, reason: str, retry_after_seconds: float, tenant: str = ""
     ) -> list[Action]:
-        """Refuse a request before anything was done for it."""
+        """Reject a request with ``NOT_RUN`` before an exchange is opened for it."""
         rejected = Rejected(ForwardFailureKind.NOT_RUN, reason, retry_after_seconds)
         return self.reject_arrival(event, rejected, tenant)
 
     def reject_arrival(
         self, event: ForwardRequested, rejected: Rejected, tenant: str = ""
     ) -> list[Action]:
-        """Reject a request before anything was done for it."""
+        """Reject a request before an exchange is opened for it."""
         kind, reason = rejected.kind, rejected.reason
         outcome = "refused" if kind is ForwardFailureKind.NOT_RUN else kind.value
         return [
@@ -57,15 +57,15 @@
         ]
 
     def caller_left_arrival(self, event: ForwardRequested, tenant: str) -> list[Action]:
-        """Take note that nobody waits any more for a request that was not begun."""
-        reason = "it waited for its tenant's limit"
+        """Record that a caller left while its request was waiting for its tenant's limit."""
+        reason = "the request was waiting for its tenant's limit"
         return [
             _count_outcome("caller_left"),
             _arrival_log_line(event, "caller_left", reason, tenant),
         ]
 
     def no_route(self, event: ForwardRequested, version: int) -> list[Action]:
-        """Say that no route fits."""
+        """Reject a request that matches no route."""
         reason = f"no route for host {event.host!r} and path {event.path!r}"
         return [
             ReplyFailure(event.exchange_id, ForwardFailureKind.NO_ROUTE, reason),
@@ -74,12 +74,12 @@
         ]
 
     def unchanged(self, exchange: Exchange, answer: ReplicaAnswer, now: float) -> list[Action]:
-        """Pass on a replica's answer."""
+        """Return a replica's answer to the caller unchanged."""
         outcome = "late" if now > exchange.cutoff_at else "served"
         return [ReplyUnchanged(exchange.exchange_id, answer), *_finish(exchange, outcome, "", now)]
 
     def merged(self, exchange: Exchange, answered: list[ServiceCall], now: float) -> list[Action]:
-        """Answer with what the shards brought."""
+        """Merge the answers of the shards and return the result to the caller."""
         answers = [call.answer for call in answered if call.answer is not None]
         body = merge_top_records([answer.body for answer in answers], exchange.route.merged_records)
         signatures = tuple(str(answer.signature) for answer in answers)
@@ -93,16 +93,19 @@
         return [reply, *_finish(exchange, outcome, "", now)]
 
     def failed(self, exchange: Exchange, call: ServiceCall, now: float) -> list[Action]:
-        """Answer after every allowed replica failed."""
+        """Report a failure after all allowed attempts failed.
+
+        A failure that a replica answered is returned unchanged.
+        """
         if call.failure is not None:
             reply: Action = ReplyUnchanged(exchange.exchange_id, call.failure)
-            return [reply, *_finish(exchange, "replica_failure", "passed on", now)]
-        reason = "the replicas asked brought no answer"
+            return [reply, *_finish(exchange, "replica_failure", "returned unchanged", now)]
+        reason = "none of the contacted replicas answered"
         reply = ReplyFailure(exchange.exchange_id, ForwardFailureKind.FAILED, reason)
         return [reply, *_finish(exchange, "failed", reason, now)]
 
     def too_few(self, exchange: Exchange, now: float) -> list[Action]:
-        """Answer when too many shards have failed for a success."""
+        """Report a failure because too many shards have failed for a success."""
         reason = "too few shards can still answer"
         reply = ReplyFailure(exchange.exchange_id, ForwardFailureKind.FAILED, reason)
         return [reply, *_finish(exchange, "failed", reason, now)]
@@ -110,19 +113,19 @@
     def reject_not_run(
         self, exchange: Exchange, reason: str, usable_after_seconds: float, now: float
     ) -> list[Action]:
-        """Refuse a request that has run nowhere.
+        """Reject a request that no replica has run, with ``NOT_RUN``.
 
         Parameters
         ----------
         usable_after_seconds
-            When replicas may next be asked, from now.
+            Time from now until replicas can be expected to accept the request.
         """
         seconds = return_seconds(usable_after_seconds, self._random.random())
         reply = ReplyFailure(exchange.exchange_id, ForwardFailureKind.NOT_RUN, reason, seconds)
         return [reply, *_finish(exchange, "refused", reason, now)]
 
     def reject(self, exchange: Exchange, rejection: Reject, now: float) -> list[Action]:
-        """Reject a request that has run nowhere."""
+        """Reject a request that no replica has run, and count the reason."""
         priority = str(exchange.route.priority)
         labels = (("reason", rejection.reason), ("priority", priority))
         counted = Count("forwarded_rejections_total", labels=labels)
@@ -130,7 +133,7 @@
         return [*self.reject_not_run(exchange, rejection.reason, seconds, now), counted]
 
     def held(self, exchange: Exchange, held_seconds: float, now: float) -> list[Action]:
-        """Answer a request under which replicas end, which is held back from now on."""
+        """Report a failure because the request crashes replicas and is now held."""
         kind = ForwardFailureKind.NOT_RUN
         if exchange.may_have_run:
             kind = ForwardFailureKind.FAILED
@@ -138,8 +141,8 @@
         return [reply, *_finish(exchange, "held", HELD_REASON, now)]
 
     def out_of_time(self, exchange: Exchange, now: float) -> list[Action]:
-        """Answer when the time of the exchange is over."""
-        reason = "no answer within the time allowed"
+        """Report a failure because the deadline of the exchange has passed."""
+        reason = "no answer before the deadline"
         if not exchange.may_have_run:
             return self.reject_not_run(exchange, reason, LEAST_RETURN_SECONDS, now)
         if len(exchange.calls) == 1 and exchange.calls[0].failure is not None:
@@ -148,12 +151,12 @@
         return [reply, *_finish(exchange, "timed_out", reason, now)]
 
     def close_delegated(self, exchange: Exchange, now: float) -> list[Action]:
-        """Take note of what another node asked for and did not get or no longer wants."""
+        """Record the end of a delegated exchange that did not answer all its shards."""
         line = _log_line(exchange, "delegated_open", "", now - exchange.arrived_at)
         return [_count_outcome("delegated_open"), line]
 
     def caller_left(self, exchange: Exchange, now: float) -> list[Action]:
-        """Take note that nobody waits any more."""
+        """Record that the caller has left."""
         return _finish(exchange, "caller_left", "", now)
 
 
@@ -192,7 +195,7 @@
     if exchange.event.caller:
         fields += (("caller", exchange.event.caller),)
     if exchange.origin is not None:
-        fields += (("asked_by", exchange.origin.name),)
+        fields += (("delegated_by", exchange.origin.name),)
     if reason:
         fields += (("reason", reason),)
     detail = "; ".join(_call_text(call) for call in logged_calls[:MAX_LOGGED_CALLS])
--- a/wingquay/forwarding/settling/hedging.py
+++ b/wingquay/forwarding/settling/hedging.py
@@ -1,4 +1,4 @@
-"""When a second replica is asked because the first one takes too long."""
+"""Sends hedges: second attempts of calls whose first attempt takes too long."""
 
 from ...ports.machine import Action, Schedule
 from ..crashing.sequential_sending import SequentialSending
@@ -9,29 +9,29 @@
 from .settlement import Settlement
 
 MIN_RECHECK_SECONDS = 0.012
-"""Least time between two looks at attempts that take too long."""
+"""Minimum time between two checks of an exchange for slow attempts."""
 DUE_RATIO = 0.99
-"""Part of the delay after which an attempt is due: timers may fire a little early."""
+"""Share of the hedge delay after which an attempt is overdue: timers may fire a little early."""
 MIN_UNANSWERED_ATTEMPTS = 4
-"""Attempts under way from which on it says something that none was answered."""
+"""Attempts in flight from which on the lack of any answer delays hedges."""
 FIRST_ANSWER_WAIT_RATIO = 0.5
-"""Part of the objective for which second replicas are then not asked: a request that ends replicas
-would end the second ones as well, before the first end is heard."""
+"""Share of the objective for which hedges are then delayed: a request that crashes replicas would
+also crash the hedged ones before the first crash is reported."""
 
 
 class Hedging:
-    """Looks at the attempts of an exchange until none may need another one.
+    """Checks the attempts of an exchange until no call can be hedged any more.
 
     Parameters
     ----------
     latencies
-        Tell how long attempts of a route usually take.
+        Provides the hedge delay of a route.
     sender
         Sends to the second replica, within the budget of extra arrivals.
     settlement
-        Knows the open exchanges.
-    careful
-        Sends requests that may end replicas.
+        Holds the open exchanges.
+    sequential
+        Sends requests that may crash replicas to one replica at a time.
     """
 
     def __init__(
@@ -47,7 +47,7 @@
         self._settlement = settlement
 
     def handle_due(self, event: HedgeDue, now: float) -> list[Action]:
-        """Ask second replicas where attempts take too long, and look again later."""
+        """Hedge the calls whose attempt takes too long, and schedule the next check."""
         exchange = self._settlement.get(event.exchange_id)
         if exchange is None:
             return []
@@ -72,7 +72,7 @@
 
 
 def _waits_for_first_answer(exchange: Exchange, now: float) -> bool:
-    """Whether it is early and none of several replicas has answered the request."""
+    """Return whether hedges wait: no replica has answered yet, and it is early."""
     if exchange.is_cleared:
         return False
     if now >= exchange.arrived_at + exchange.route.objective_seconds * FIRST_ANSWER_WAIT_RATIO:
--- a/wingquay/forwarding/settling/merging.py
+++ b/wingquay/forwarding/settling/merging.py
@@ -1,4 +1,4 @@
-"""Merges the records of several shards into the greatest ones."""
+"""Merges the records of several shards and keeps the greatest ones."""
 
 import heapq
 from collections.abc import Iterable
@@ -7,13 +7,13 @@
 
 
 def split_records(body: bytes) -> list[bytes]:
-    """Return the whole records of a body; remaining bytes form no record."""
+    """Split a body into records; an incomplete record at the end is dropped."""
     end = len(body) - len(body) % RECORD_BYTES
     return [body[start : start + RECORD_BYTES] for start in range(0, end, RECORD_BYTES)]
 
 
 def merge_top_records(bodies: Iterable[bytes], max_records: int) -> bytes:
-    """Return the greatest records of all bodies, greatest first; equal ones all count."""
+    """Return the greatest records of all bodies in descending order, duplicates included."""
     records: list[bytes] = []
     for body in bodies:
         records += split_records(body)
--- a/wingquay/forwarding/settling/replica_outcomes.py
+++ b/wingquay/forwarding/settling/replica_outcomes.py
@@ -1,4 +1,4 @@
-"""What follows from the answers and failures of replicas."""
+"""Handles the answers and failures of attempts at replicas."""
 
 from ...ports.forwarding import (
     CancelSend,
@@ -24,7 +24,7 @@
 
 
 class ReplicaOutcomes:
-    """Takes in the ends of attempts: an answer, another attempt, or the end of the exchange."""
+    """Handles the end of an attempt: records the answer, retries the call or ends the exchange."""
 
     def __init__(
         self,
@@ -45,7 +45,7 @@
         self._settlement = settlement
 
     def answered(self, event: ReplicaAnswered, now: float) -> list[Action]:
-        """Take in a whole answer."""
+        """Handle a complete answer of a replica."""
         attempt = self._sender.get(event.attempt_id)
         if attempt is None:
             return []
@@ -92,7 +92,7 @@
         return self._settlement.settle(exchange, now)
 
     def send_failed(self, event: SendFailed, now: float) -> list[Action]:
-        """Take in that an attempt brought no answer."""
+        """Handle an attempt that failed without an answer."""
         attempt = self._sender.get(event.attempt_id)
         if attempt is None:
             return []
@@ -115,7 +115,7 @@
         return actions + self._after_failure(attempt, was_sent, now)
 
     def replica_restarted(self, replica: ReplicaState, now: float) -> list[Action]:
-        """Take in that a replica has started again: nothing more comes from the life before."""
+        """Abort all attempts at the previous incarnation of a replica that has restarted."""
         actions: list[Action] = []
         for attempt_id in tuple(replica.in_flight):
             attempt = self._sender.get(attempt_id)
@@ -124,16 +124,16 @@
         return actions + self._starter.serve_waiting(replica.record.service, now)
 
     def _abort_attempt(self, attempt: Attempt, now: float) -> list[Action]:
-        """End an attempt at a life that is over; the life may have run it."""
+        """Cancel an attempt at an incarnation that has ended; it may have run the request."""
         attempt.call.exchange.failures += 1
         self._sender.finish(attempt)
-        self._record_history(attempt, "started again", now)
+        self._record_history(attempt, "replica restarted", now)
         actions: list[Action] = [CancelSend(attempt.attempt_id)]
         actions += self._guard.disconnected(attempt, now)
         return actions + self._after_failure(attempt, was_sent=True, now=now)
 
     def _after_failure(self, attempt: Attempt, was_sent: bool, now: float) -> list[Action]:
-        """Ask for a call again after an attempt that brought nothing, or settle its request."""
+        """Retry a call after a failed attempt if that is allowed, or settle its exchange."""
         call = attempt.call
         actions: list[Action] = []
         if self._settlement.is_open(call.exchange) and call.answer is None:
@@ -146,7 +146,7 @@
         return actions + self._starter.serve_waiting(call.service, now)
 
     def connection_tried(self, event: ConnectionTried, now: float) -> list[Action]:
-        """Take in whether a replica is in reach; calls that wait for one go on."""
+        """Handle the result of a connection test and send calls that were waiting for it."""
         actions = self._sender.connection_tried(event, now)
         probe_actions, exchanges = self._guard.connection_tried(event, now)
         actions += probe_actions
@@ -158,7 +158,7 @@
         return actions + self._starter.serve_waiting(replica.record.service, now)
 
     def _resume(self, exchange: Exchange, now: float) -> list[Action]:
-        """Send what waited until it was known whether replicas had ended under a request."""
+        """Send calls that were waiting for the result of crash probes."""
         if not self._settlement.is_open(exchange) or exchange.origin is not None:
             return []
         if exchange.is_sequential:
@@ -166,7 +166,7 @@
         return self._sequential.send_remaining(exchange, now)
 
     def _retry(self, call: ServiceCall, now: float) -> list[Action]:
-        """Ask another replica, unless an attempt of the call is still under way."""
+        """Send a call to another replica unless an attempt of it is still in flight."""
         actions: list[Action] = []
         if not call.attempts:
             actions = self._starter.start(call, now)
@@ -181,5 +181,5 @@
 
 
 def _failure_text(event: SendFailed) -> str:
-    """Return how an attempt ended, for the log."""
+    """Return the outcome of a failed attempt for the log."""
     return f"{event.kind.value} unanswered" if event.is_unanswered else event.kind.value
--- a/wingquay/forwarding/settling/settlement.py
+++ b/wingquay/forwarding/settling/settlement.py
@@ -1,4 +1,4 @@
-"""Decides when an exchange ends and with what, and keeps account of the open ones."""
+"""Holds the open exchanges and decides when each of them ends and with which reply."""
 
 from collections.abc import Callable
 
@@ -15,18 +15,18 @@
 
 
 class Settlement:
-    """The open exchanges and their ends.
+    """Holds the open exchanges and ends them.
 
     Parameters
     ----------
     waiting
-        Decides whether requests that reach no replica wait.
+        Decides whether requests that no replica can take wait or are rejected.
     directory
-        Tells which services can be asked.
+        Provides the services that have usable replicas.
     sender
-        Ends attempts that nobody waits for any more.
+        Cancels attempts whose answer is no longer needed.
     ending
-        Makes the replies.
+        Builds the replies.
     """
 
     def __init__(
@@ -42,34 +42,34 @@
         self._ending = ending
         self._exchanges: dict[int, Exchange] = {}
         self.on_closed: Callable[[Exchange], list[Action]] = _no_actions
-        """Returns what else is to be done when an exchange ends."""
+        """Returns further actions for an exchange that has ended."""
         self.on_not_run: Callable[[Exchange, float], list[Action]] = _no_refund
-        """Takes in that a tenant's request has ended and no replica may have run it."""
+        """Handles the end of a tenant's request that no replica may have run."""
 
     def __len__(self) -> int:
         """Return the number of open exchanges."""
         return len(self._exchanges)
 
     def add(self, exchange: Exchange) -> None:
-        """Take in an exchange."""
+        """Add an open exchange."""
         self._exchanges[exchange.exchange_id] = exchange
 
     def get(self, exchange_id: int) -> Exchange | None:
-        """Return an open exchange."""
+        """Return an open exchange; ``None`` if it has ended."""
         return self._exchanges.get(exchange_id)
 
     def is_open(self, exchange: Exchange) -> bool:
-        """Whether the caller still waits for the answer."""
+        """Return whether an exchange has not ended yet."""
         return exchange.exchange_id in self._exchanges
 
     def caller_left(self, exchange: Exchange, now: float) -> list[Action]:
-        """End an exchange whose caller is gone."""
+        """End an exchange whose caller has left."""
         if exchange.origin is not None:
             return self._close(exchange, self._ending.close_delegated(exchange, now), now)
         return self._close(exchange, self._ending.caller_left(exchange, now), now)
 
     def out_of_time(self, exchange: Exchange, now: float) -> list[Action]:
-        """End an exchange whose time is over, with what is in if that is enough."""
+        """End an exchange at its deadline, with a partial answer if it meets the minimum share."""
         settled = self.settle(exchange, now)
         if not self.is_open(exchange):
             return settled
@@ -80,7 +80,7 @@
         return self._close(exchange, self._ending.out_of_time(exchange, now), now)
 
     def end_overdue(self, now: float) -> list[Action]:
-        """End every exchange whose time is over."""
+        """End every exchange whose deadline has passed."""
         actions: list[Action] = []
         for exchange in list(self._exchanges.values()):
             if now >= exchange.ends_at:
@@ -88,11 +88,11 @@
         return actions
 
     def reject(self, exchange: Exchange, rejection: Reject, now: float) -> list[Action]:
-        """End an exchange that has run nowhere, and say when there will be room for its caller."""
+        """End an exchange that no replica has run; the reply states when to retry."""
         return self._close(exchange, self._ending.reject(exchange, rejection, now), now)
 
     def end_held(self, identity: bytes, held_seconds: float, now: float) -> list[Action]:
-        """End what is under way of a request under which replicas end, at once."""
+        """End all open exchanges of a request that is now held because it crashes replicas."""
         actions: list[Action] = []
         for exchange in list(self._exchanges.values()):
             if exchange.identity == identity:
@@ -100,7 +100,7 @@
         return actions
 
     def _end_held(self, exchange: Exchange, held_seconds: float, now: float) -> list[Action]:
-        # Replicas that have not begun to run it drop it with its connection.
+        # Replicas that have not started to run the request drop it when its connection closes.
         actions: list[Action] = []
         for attempt in [item for call in exchange.calls for item in call.attempts.values()]:
             actions += self._sender.cancel(attempt, now)
@@ -110,7 +110,7 @@
         return self._close(exchange, actions + ended, now)
 
     def give_back(self, exchange: Exchange, now: float) -> list[Action]:
-        """Leave what is not under way to the node that asked for it."""
+        """Return the calls that are not in flight to the delegating node."""
         assert exchange.origin is not None
         actions = exchange.origin.give_back(exchange)
         if not exchange.calls:
@@ -118,7 +118,7 @@
         return actions + self.settle(exchange, now)
 
     def settle(self, exchange: Exchange, now: float) -> list[Action]:
-        """Answer the caller if there is nothing more to wait for."""
+        """End an exchange if nothing more needs to be waited for."""
         if not self.is_open(exchange):
             return []
         if exchange.origin is not None:
@@ -128,9 +128,9 @@
         return self._settle_single(exchange, now)
 
     def _settle_for_node(self, exchange: Exchange, now: float) -> list[Action]:
-        """Report what is in once all of it is, or once the node has to answer its caller.
+        """Report the answers to the delegating node once they are complete, or at the cutoff.
 
-        That nothing comes of a shard is told at once: it may be the one too many.
+        Exhausted shards are reported at once: the request may no longer succeed without them.
         """
         assert exchange.origin is not None
         exhausted = [call for call in exchange.calls if call.is_exhausted]
@@ -160,7 +160,7 @@
         return self._close(exchange, merged, now)
 
     def _is_unattainable(self, exchange: Exchange) -> bool:
-        """Whether too many shards certainly bring no answer any more for a success."""
+        """Return whether too many shards are exhausted for a success."""
         shards = len(exchange.calls)
         if meets_min_share(exchange.route, shards - exchange.failures):
             return False
@@ -168,7 +168,7 @@
 
     @staticmethod
     def _count_exhausted(exchange: Exchange) -> int:
-        """Return how many shards certainly bring no answer any more."""
+        """Return the number of shards that can no longer answer."""
         return sum(call.is_exhausted for call in exchange.calls)
 
     def _settle_single(self, exchange: Exchange, now: float) -> list[Action]:
@@ -184,7 +184,7 @@
                 return []
 
     def _reject_if_unsent(self, exchange: Exchange, now: float) -> list[Action]:
-        """Reject a request that reaches no replica, once coming back is better than waiting."""
+        """Reject a request that was sent to no replica once a retry by its caller is better."""
         if exchange.may_have_run or any(call.attempts for call in exchange.calls):
             return []
         match self._waiting.decide(exchange, now):
@@ -194,14 +194,14 @@
                 return []
 
     def can_meet_min_share(self, exchange: Exchange, now: float) -> bool:
-        """Whether the services of which a replica can be asked make a success."""
+        """Return whether enough services have a usable replica for a success."""
         if not exchange.route.shards:
             return self._directory.has_any(exchange.calls[0].service, now)
         usable = [self._directory.has_usable(call.service, now) for call in exchange.calls]
         return meets_min_share(exchange.route, sum(usable))
 
     def _cannot_answer(self, call: ServiceCall, now: float) -> bool:
-        """Whether nothing can come of the call before the answer must leave."""
+        """Return whether the call cannot be answered before the cutoff."""
         if call.attempts or call.is_delegated:
             return False
         if call.attempts_left <= 0:
