--- a/wingquay/forwarding/exchange.py
+++ b/wingquay/forwarding/exchange.py
@@ -1,4 +1,4 @@
-"""One caller's request while it is open: its calls to services and their attempts."""
+"""An exchange: one open request with its calls to services and their attempts at replicas."""
 
 from dataclasses import dataclass, field
 from typing import Protocol
@@ -11,43 +11,43 @@
 from .choice.replica_state import ReplicaState
 
 SEQUENTIAL_AFTER_DISCONNECTS = 2
-"""Connections that end under a request that nobody has answered, from which on one replica is asked
-at a time. So one that ends replicas leaves the second replica of most of its shards."""
+"""Disconnects of an unanswered request from which on it is sent to one replica at a time, so that a
+request that crashes replicas spares the second replica of most shards."""
 
 
 class Origin(Protocol):
-    """Another node that waits for an exchange in place of a caller."""
+    """The node that has delegated an exchange and receives its answers in place of a caller."""
 
     @property
     def name(self) -> str:
-        """The id of the node, for the log."""
+        """Id of the delegating node, for the log."""
         ...
 
     @property
     def may_retry(self) -> bool:
-        """Whether further attempts are left to this node."""
+        """Whether this node may make further attempts after failures."""
         ...
 
     def report(self, exchange: "Exchange") -> list[Action]:
-        """Return the message that tells what is in and has not been told, if there is anything."""
+        """Return the message with the answers that were not reported yet, if there are any."""
         ...
 
     def give_back(self, exchange: "Exchange") -> list[Action]:
-        """Leave the calls that are not under way to that node; return the message that says so."""
+        """Return the calls that are not in flight to the delegating node; return the message."""
         ...
 
     def report_exhausted(self, calls: "list[ServiceCall]") -> list[Action]:
-        """Return the message that nothing comes of calls any more, if that has not been told."""
+        """Return the message that calls are exhausted, unless it was sent already."""
         ...
 
     def report_held(self, held_seconds: float) -> list[Action]:
-        """Return the message that the request is held back."""
+        """Return the message that the request is held."""
         ...
 
 
 @dataclass(slots=True, eq=False)
 class Attempt:
-    """One sending of a request to one replica."""
+    """One send of a request to one replica."""
 
     attempt_id: int
     call: "ServiceCall"
@@ -55,58 +55,58 @@
     sent_at: float
     is_hedge: bool
     outstanding_before: int = 0
-    """Attempts of this node that were under way there before it."""
+    """Attempts of this node that were in flight at the replica when this one was sent."""
     was_suspended: bool = False
-    """This node's machine was suspended meanwhile: that no answer came says nothing."""
+    """Whether this node's machine was suspended meanwhile; a missing answer is then no evidence."""
     is_abandoned: bool = False
-    """Nobody waits for it any more; it may end by itself for a short time."""
+    """Whether its answer is no longer needed; it may still run for a short time."""
 
 
 @dataclass(slots=True, eq=False)
 class ServiceCall:
-    """The part of a request that one service answers."""
+    """The part of a request that one service answers, with its attempts."""
 
     exchange: "Exchange"
     service: str
     attempts: dict[int, Attempt] = field(default_factory=dict)
-    """Attempts under way, by id."""
+    """Attempts in flight, by id."""
     tried_incarnations: set[str] = field(default_factory=set)
-    """Lives of replicas that the request was sent to and that may have run it."""
+    """Incarnations of replicas that received the request and may have run it."""
     refused_incarnations: set[str] = field(default_factory=set)
-    """Lives that could not be reached or did not run it, since the last pause."""
+    """Incarnations that were unreachable or did not run the request, since the last retry timer."""
     arrivals: int = 0
-    """Sendings that may have arrived."""
+    """Number of sends that may have arrived at a replica."""
     answer: ReplicaAnswer | None = None
     answered_at: float = 0.0
     failure: ReplicaAnswer | None = None
-    """A failure that a replica answered, in case nothing better comes."""
+    """A failure that a replica answered, returned if no attempt succeeds."""
     is_begun: bool = False
-    """Whether this node or another one has begun to ask for it."""
+    """Whether this node or a delegate has begun the call."""
     is_waiting: bool = False
-    """Whether it waits for a replica that can take it."""
+    """Whether the call waits for a replica with capacity."""
     is_queued: bool = False
-    """Whether it stands in line, or did when it stopped waiting."""
+    """Whether the call is in the queue, or was when it stopped waiting."""
     delegated_attempts: int = 0
-    """How many replicas another node may send the request to."""
+    """Number of replicas to which a delegate may send the request."""
     is_delegate_lost: bool = False
-    """Whether nothing more is expected of that node."""
+    """Whether no answer of the delegate is expected any more."""
     is_owned: bool = False
-    """Whether the nodes of a group leave its service to this node."""
+    """Whether this node owns the service in its node group."""
     history: list[str] = field(default_factory=list)
-    """What became of its attempts, for the log."""
+    """Outcomes of the attempts, for the log."""
 
     @property
     def is_finished(self) -> bool:
-        """Whether it does not wait in line any more."""
+        """Whether the call no longer needs its position in the queue."""
         return not self.is_waiting or self.answer is not None or bool(self.attempts)
 
     @property
     def may_have_run(self) -> bool:
-        """Whether a replica may have run the request, or may yet for a node that was lost."""
+        """Whether a replica may have run the request, also for a delegate that was lost."""
         return bool(self.tried_incarnations) or self.delegated_attempts > 0 or self.is_delegate_lost
 
     def record_answer(self, answer: ReplicaAnswer, now: float) -> None:
-        """Take in the shard's answer, or a better one than before."""
+        """Store the answer of the service; a later answer replaces an earlier one."""
         if self.answer is None:
             self.exchange.answered_shards += 1
         self.answer = answer
@@ -114,7 +114,7 @@
 
     @property
     def attempts_left(self) -> int:
-        """How many more replicas this node may send the request to."""
+        """Number of further replicas to which this node may send the request."""
         return (
             self.exchange.route.max_attempts
             - len(self.tried_incarnations)
@@ -123,69 +123,69 @@
 
     @property
     def is_exhausted(self) -> bool:
-        """Whether it certainly brings no answer any more."""
+        """Whether the call can no longer be answered."""
         is_open = bool(self.attempts) or self.is_delegated
         return self.answer is None and self.attempts_left <= 0 and not is_open
 
     @property
     def is_delegated(self) -> bool:
-        """Whether another node asks a replica and may still bring its answer."""
+        """Whether a delegate handles the call and may still report an answer."""
         return self.delegated_attempts > 0 and not self.is_delegate_lost
 
 
 @dataclass(slots=True, eq=False)
 class Exchange:
-    """One caller's request and everything that is done for it."""
+    """One open request and its state."""
 
     event: ForwardRequested
-    """Its arrival; without its caller's secret where the configuration has tenants."""
+    """The arrival of the request, without the caller's key if the configuration has tenants."""
     table: RoutingTable
     route: Route
-    """Its priority is the tenant's, where the tenant has one."""
+    """The matched route, with the priority of the tenant if that is set."""
     arrived_at: float
     cutoff_at: float
-    """Last moment at which an answer still reaches the caller within the objective."""
+    """Latest time for sending an answer that meets the objective."""
     ends_at: float
-    """When it is given up on."""
+    """Time at which the exchange times out."""
     calls: list[ServiceCall] = field(default_factory=list)
     signatures: set[str] = field(default_factory=set)
     answered_shards: int = 0
-    """Calls whose answer is in."""
+    """Number of calls with an answer."""
     failures: int = 0
-    """Attempts and nodes that brought nothing: no more calls than that can be exhausted."""
+    """Number of failed attempts and delegates; an upper bound of the exhausted calls."""
     is_retry_scheduled: bool = False
     origin: Origin | None = None
-    """The node that waits for it; ``None``: a caller does."""
+    """The delegating node; ``None`` if a caller waits for the answer."""
     tenant: Tenant | None = None
-    """Who calls; ``None``: replicas are told nobody."""
+    """The tenant of the caller; ``None`` if the configuration has no tenants."""
     unexplained_disconnects: int = 0
-    """Connections that ended without an answer, as far as their replicas may have ended."""
+    """Connections that closed without an answer and whose replicas may have crashed."""
     is_suspect: bool = False
-    """Whether replicas ended under an earlier attempt of its caller."""
+    """Whether replicas crashed during an earlier request with the same identity."""
     is_cleared: bool = False
-    """Whether a replica has run it to an end: it does not end replicas."""
+    """Whether a replica has answered the request, so that it is no longer suspect."""
     open_probes: int = 0
-    """Replicas whose end under it is being looked into."""
+    """Replicas that are being probed for a crash during this exchange."""
     _identity: bytes = b""
 
     @property
     def exchange_id(self) -> int:
-        """The node's own number for it."""
+        """Id of the exchange, unique within this node."""
         return self.event.exchange_id
 
     @property
     def tenant_name(self) -> str:
-        """The name of the tenant that calls; empty: replicas are told nobody."""
+        """Name of the tenant; empty if there is none."""
         return "" if self.tenant is None else self.tenant.name
 
     @property
     def tenant_fields(self) -> tuple[tuple[str, str], ...]:
-        """What log lines tell of who calls."""
+        """Log fields that identify the tenant."""
         return () if self.tenant is None else (("tenant", self.tenant.name),)
 
     @property
     def identity(self) -> bytes:
-        """What its repeats have in common; worked out when it is first asked for."""
+        """Digest that repeats of the same request share; computed on first access."""
         if not self._identity:
             self._identity = compute_identity(self.event.request, self.tenant_name)
         return self._identity
@@ -197,16 +197,16 @@
 
     @property
     def is_sequential(self) -> bool:
-        """Whether one replica is asked at a time: it may end those that run it."""
+        """Whether the request is sent to one replica at a time because it may crash replicas."""
         may_crash_replicas = (
             self.is_suspect or self.unexplained_disconnects >= SEQUENTIAL_AFTER_DISCONNECTS
         )
         return may_crash_replicas and not self.is_cleared
 
     def has_recent_attempt(self, now: float) -> bool:
-        """Whether an attempt is open that was sent within the time that an answer should take.
+        """Return whether an attempt is in flight that was sent within the route's objective.
 
-        So is one whose replica may have ended, until that is known.
+        An attempt also counts while its replica is being probed for a crash.
         """
         if self.open_probes:
             return True
@@ -216,7 +216,7 @@
 
     @property
     def answered_calls(self) -> list[ServiceCall]:
-        """The calls whose answer is in."""
+        """The calls that have an answer."""
         return [call for call in self.calls if call.answer is not None]
 
     @property
--- a/wingquay/forwarding/exchange_opening.py
+++ b/wingquay/forwarding/exchange_opening.py
@@ -1,4 +1,4 @@
-"""From a request that may run to its first sendings, or to its refusal if none can be made."""
+"""Opens exchanges for admitted requests and makes their first sends, or rejects them."""
 
 import random
 from collections.abc import Callable
@@ -20,14 +20,14 @@
 
 
 class ExchangeOpening:
-    """Opens exchanges and begins them, or holds them while records of replicas are missing.
+    """Opens exchanges and begins them, or holds them while replica records are missing.
 
     Parameters
     ----------
     waiting
-        Decides on requests that no replica can take.
+        Decides whether requests that no replica can take wait or are rejected.
     random_source
-        Starts the rounds of weighted routes.
+        Sets the starting points of weighted routes.
     """
 
     def __init__(
@@ -51,24 +51,24 @@
         self.delegate_calls: Callable[[Exchange, list[ServiceCall], float], list[Action]] | None = (
             None
         )
-        """Asks other nodes for shards, once the link to them is open."""
+        """Delegates calls to other nodes; ``None`` until the links to them are open."""
 
     @property
     def held(self) -> int:
-        """The number of requests that are held for missing records of replicas."""
+        """Number of exchanges that are held because replica records are missing."""
         return len(self._held)
 
     def set_table(self, table: RoutingTable) -> None:
-        """Use a configuration for requests that arrive from now on."""
+        """Apply a configuration to requests that arrive from now on."""
         self._weights.keep_only(table.routes)
 
     def open(self, arrival: Arrival, is_suspect: bool, now: float) -> list[Action]:
-        """Open a request and begin it.
+        """Open an exchange for a request and begin it.
 
         Parameters
         ----------
         is_suspect
-            Whether replicas ended under an earlier attempt of its caller.
+            Whether replicas crashed during an earlier request with the same identity.
         """
         event = arrival.event
         route = arrival.route
@@ -84,7 +84,7 @@
         return self.begin_or_hold(exchange, now)
 
     def ends_at(self, arrival: Arrival) -> float:
-        """Return when a request is given up on."""
+        """Return the time at which a request times out."""
         seconds = arrival.route.timeout_seconds
         deadline_seconds = arrival.event.deadline_seconds
         if deadline_seconds is not None:
@@ -92,13 +92,13 @@
         return arrival.sent_at + max(seconds - self._settings.timeout_margin_seconds, seconds / 2)
 
     def begin_or_hold(self, exchange: Exchange, now: float) -> list[Action]:
-        """Begin a request if replicas can be asked; hold it while records are missing."""
+        """Begin an exchange if enough services have replicas; hold it while records are missing."""
         if self._settlement.can_meet_min_share(exchange, now):
             return self.begin(exchange, now)
         return self._hold_or_reject(exchange, now)
 
     def begin(self, exchange: Exchange, now: float) -> list[Action]:
-        """Send all calls and set the timers."""
+        """Send all calls of an exchange and schedule its timers."""
         event = exchange.event
         route = exchange.route
         self._held.discard(exchange.exchange_id)
@@ -118,7 +118,7 @@
         return actions + self._settlement.settle(exchange, now)
 
     def _hold_or_reject(self, exchange: Exchange, now: float) -> list[Action]:
-        """Hold a request that no replica can take, as long as that is better than coming back."""
+        """Hold an exchange that no replica can take, or reject it if a retry is better."""
         match self._waiting.decide(exchange, now):
             case Reject() as rejection:
                 self._held.discard(exchange.exchange_id)
@@ -128,9 +128,9 @@
         return [Schedule(due_at, RetryDue(exchange.exchange_id))]
 
     def is_held(self, exchange: Exchange) -> bool:
-        """Whether a request is held for missing records of replicas."""
+        """Return whether an exchange is held because replica records are missing."""
         return exchange.exchange_id in self._held
 
     def stop_holding(self, exchange: Exchange) -> None:
-        """Take in that a request ends."""
+        """Remove an exchange that ends from the held ones."""
         self._held.discard(exchange.exchange_id)
--- a/wingquay/forwarding/forwarding_machine.py
+++ b/wingquay/forwarding/forwarding_machine.py
@@ -1,4 +1,4 @@
-"""Passes requests on to replicas: one replica, or one of each shard with a merged answer."""
+"""Forwards requests to one replica, or to one replica of each shard with a merged answer."""
 
 import random
 from typing import TYPE_CHECKING
@@ -56,26 +56,26 @@
     from .peers.peer_event_handler import PeerEventHandler
 
 DELEGATION_ID_BITS = 62
-"""Size of the first number of what is asked of other nodes: no two lives of a node share one."""
+"""Size of the random first delegation id, so that ids differ between incarnations of a node."""
 
 
 class ForwardingMachine:
-    """Decides what happens to each request.
+    """State machine that handles the requests of one node, from arrival to reply.
 
     Parameters
     ----------
     settings
-        Times and budgets.
+        Time limits and budgets.
     directory
-        The replicas; kept up to date by another machine.
+        The replicas; updated by the owner.
     nodes
-        How many nodes there are; kept up to date by another machine.
+        The number of nodes; updated by the owner.
     key, name
         This node's key in the store, and its name.
     random_source
-        Starts the rounds of weighted routes and the numbers of what is asked of other nodes.
+        Sets the starting points of weighted routes and of delegation ids.
     waiting
-        How requests wait.
+        Settings of waiting requests.
     """
 
     def __init__(
@@ -102,9 +102,9 @@
         self._settlement = Settlement(self._waiting, directory, self._sender, ending)
         self._starter = CallStarter(self._sender, self._waiting, self._line)
         self.lag = LoopLag()
-        """How late this node is; kept up to date by its owner."""
+        """Processing lag of this node; updated by the owner."""
         self.guard = CrashGuard(name, random_source, self.lag)
-        """Keeps requests that end replicas from replicas."""
+        """Keeps requests that crash replicas away from the replicas."""
         self.guard.on_held = self._end_held
         sequential = SequentialSending(self._starter)
         self._sequential = sequential
@@ -131,34 +131,34 @@
             self._settlement, self._opening, self.guard, self.lag, ending
         )
         self.admission = self._arrival.admission
-        """Asks whether requests may be begun; who composes the node gives it who answers."""
+        """Admits arriving requests; the owner of this machine sets what it consults."""
         self._table: RoutingTable | None = None
         self._peers: PeerEventHandler | None = None
         self.is_stopping = False
-        """Whether work of other nodes is rejected."""
+        """Whether delegated requests are rejected because this node is stopping."""
 
     @property
     def has_received_request(self) -> bool:
-        """Whether a request has arrived."""
+        """Whether a request has arrived since the start."""
         return self._arrival.has_received_request
 
     @property
     def open_exchanges(self) -> int:
-        """The number of requests without an answer."""
+        """Number of requests without a reply, including those that wait for a tenant's limit."""
         return len(self._settlement) + self._arrival.pending_count
 
     @property
     def held_exchanges(self) -> int:
-        """The number of requests that are held for missing records of replicas."""
+        """Number of exchanges that are held because replica records are missing."""
         return self._opening.held
 
     @property
     def evidence(self) -> ReachabilityEvidence:
-        """Which replicas and nodes failed lately."""
+        """Recent failures of replicas and nodes."""
         return self._sender.evidence
 
     def enable_peers(self, groups: "NodeGroups") -> None:
-        """Ask other nodes for shards, and be asked by them, from now on."""
+        """Start to delegate calls to other nodes and to accept delegated requests."""
         from .peers.delegation import Delegations
         from .peers.peer_event_handler import PeerEventHandler
 
@@ -187,7 +187,7 @@
         groups.evidence = self._sender.evidence
 
     def set_table(self, table: RoutingTable) -> None:
-        """Use a configuration for requests that arrive from now on."""
+        """Apply a configuration to requests that arrive from now on."""
         self._table = table
         self._arrival.set_table(table)
         self._opening.set_table(table)
@@ -195,7 +195,7 @@
         self._line.keep_only(table.services)
 
     def handle(self, event: Event, now: float) -> list[Action]:
-        """Take in an event and return what is to be done."""
+        """Handle an event and return the resulting actions."""
         match event:
             case ReplicaAnswered():
                 return self._outcomes.answered(event, now)
@@ -227,7 +227,7 @@
         return self._arrival.pending_event(event, now)
 
     def resumed(self, event: Woken, now: float) -> list[Action]:
-        """End what is too late after a suspension; attempts are as old as before it."""
+        """Handle a suspension: end overdue exchanges; it does not count in the age of attempts."""
         self.lag.seconds = event.seconds
         self._sender.suspended(event.seconds)
         return self._settlement.end_overdue(now)
@@ -235,7 +235,7 @@
     def limit_answered(
         self, exchange_id: int, answer: Admitted | Rejected, now: float
     ) -> list[Action]:
-        """Go on with a request that waited for word on its tenant's limit."""
+        """Continue a request that was waiting for the answer on its tenant's limit."""
         return self._arrival.limit_answered(exchange_id, answer, now)
 
     def _end_held(self, identity: bytes, now: float) -> list[Action]:
@@ -257,7 +257,7 @@
         table = None if self.is_stopping else self._table
         return self._peers.handle(event, table, now)
 
-    # Time
+    # Replicas and exchanges
 
     def _replica_event(
         self, event: AbandonDue | ReconnectDue | ConnectionTried, now: float
@@ -271,7 +271,7 @@
                 return self._outcomes.connection_tried(event, now)
 
     def replica_restarted(self, replica: ReplicaState, now: float) -> list[Action]:
-        """Give up the work at a replica that has started again, and ask for it elsewhere."""
+        """Abort the attempts at a replica that has restarted, and retry their calls elsewhere."""
         return self._outcomes.replica_restarted(replica, now)
 
     def _abandon_due(self, event: AbandonDue, now: float) -> list[Action]:
