--- a/tests/platform_adapter/test_group_on_loopback.py
+++ b/tests/platform_adapter/test_group_on_loopback.py
@@ -130,14 +130,14 @@
                 machines = [node._machine for node in group.nodes]
                 while not all(item.proof.is_proven(loop.time()) for item in machines):
                     await asyncio.sleep(0.05)
-                asks = [machine._keeper._asks for machine in machines]
+                asks = [machine._proof_manager._asks for machine in machines]
                 while not all(
                     len(item._asked) == NODES - 1
                     and all(asked.given_at > 0.0 for asked in item._asked.values())
                     for item in asks
                 ):
                     await asyncio.sleep(0.05)
-                ages = [machine._keeper.age_seconds(loop.time()) for machine in machines]
+                ages = [machine._proof_manager.age_seconds(loop.time()) for machine in machines]
                 self.assertTrue(all(0.0 <= age for age in ages), ages)
 
         run(test())
--- a/wingquay/forwarding/crashing/crash_prober.py
+++ b/wingquay/forwarding/crashing/crash_prober.py
@@ -47,7 +47,7 @@
         disconnected = self.describe_crash(attempt, now)
         if disconnected is None or exchange.open_probes >= MAX_PROBES_PER_EXCHANGE:
             return []
-        incarnation = attempt.replica.life
+        incarnation = attempt.replica.incarnation
         pending = self._pending.get(incarnation)
         if pending is None and len(self._pending) >= MAX_PROBED_REPLICAS:
             return []
@@ -63,7 +63,7 @@
         replica = attempt.replica
         if replica.record.is_draining or replica.vanished_at is not None:
             return None
-        crash = ReplicaCrash(replica.life, self._node_id, attempt.sent_at, now)
+        crash = ReplicaCrash(replica.incarnation, self._node_id, attempt.sent_at, now)
         return DisconnectedAttempt(attempt.call.exchange, replica, crash)
 
     def finish_probe(self, event: ConnectionTried) -> list[DisconnectedAttempt]:
--- a/wingquay/forwarding/crashing/guard.py
+++ b/wingquay/forwarding/crashing/guard.py
@@ -92,7 +92,7 @@
         if exchange.origin is not None:
             # The delegating node probes the replica: it sees all calls of the request.
             return []
-        if attempt.replica.is_over:
+        if attempt.replica.is_superseded:
             disconnected = self._prober.describe_crash(attempt, now)
             return [] if disconnected is None else self._add_crash(disconnected, now)
         return self._prober.start_probe(attempt, now)
@@ -107,7 +107,7 @@
         actions: list[Action] = []
         probed = self._prober.finish_probe(event)
         for disconnected in probed:
-            if event.is_refused or disconnected.replica.is_over:
+            if event.is_refused or disconnected.replica.is_superseded:
                 actions += self._add_crash(disconnected, now)
             elif event.is_open:
                 disconnected.exchange.unexplained_disconnects -= 1
--- a/wingquay/forwarding/forwarding_node.py
+++ b/wingquay/forwarding/forwarding_node.py
@@ -109,15 +109,17 @@
         self._held_request_keys = HeldRequestKeys(formats, guard.hold, guard.release)
         guard.write = self._held_request_keys.write
         hooks = FollowerHooks(
-            lambda values, now: self._contents.listed(values, now) + self._callers.update(now),
+            lambda values, now: (
+                self._contents.apply_listing(values, now) + self._readiness.update(now)
+            ),
             lambda written, deleted, now: (
-                self._contents.changed(written, deleted, now) + self._callers.update(now)
+                self._contents.apply_changes(written, deleted, now) + self._readiness.update(now)
             ),
-            self._directory.note_outage,
-            lambda news, now: self._news.send_update(news, now),
+            self._directory.on_outage,
+            lambda update, now: self._updates.send_update(update, now),
             lambda: bool(self._members.update_recipients()),
             lambda: self._members.rank() == 0,
-            lambda: self._callers.can_serve,
+            lambda: self._readiness.can_serve,
         )
         self._follower = StoreFollower(follower, hooks, self._proof_manager)
         self._table: RoutingTable | None = None
@@ -131,18 +133,18 @@
         self._limits = LimitManager(
             name, limits, self._members, self._forwarding.admission, self._forwarding.limit_answered
         )
-        self._lateness = ProcessingLag()
+        self._processing_lag = ProcessingLag()
         self._periodic_work = PeriodicWork(
             settings,
             self._directory,
             self._forwarding,
             self._members,
             self._follower,
-            self._lateness,
+            self._processing_lag,
             self._proof_manager,
         )
-        self._news = UpdateExchange(
-            settings, self._members, self._follower, self._lateness, self._proof_manager
+        self._updates = UpdateExchange(
+            settings, self._members, self._follower, self._processing_lag, self._proof_manager
         )
         self._contents = StoreContents(
             formats,
@@ -150,15 +152,17 @@
             self._held_request_keys,
             self._members,
             self._follower,
-            self._news.rewritten,
+            self._updates.rewritten,
             self._configure,
             self._forwarding.replica_restarted,
         )
         departure = Departure()
-        asked = RouteDemand(self._directory)
-        self._callers = NodeReadiness(settings, self._directory, self._forwarding, asked, departure)
-        self._reach = ReachabilityMonitor(
-            settings, name, self._directory, self._forwarding.evidence, asked, departure
+        route_demand = RouteDemand(self._directory)
+        self._readiness = NodeReadiness(
+            settings, self._directory, self._forwarding, route_demand, departure
+        )
+        self._reachability = ReachabilityMonitor(
+            settings, name, self._directory, self._forwarding.evidence, route_demand, departure
         )
 
     @property
@@ -170,8 +174,8 @@
         """Take in an event and return what is to be done."""
         actions = self._decide(event, now)
         actions += self._limits.handle(event, self._table, now)
-        if self._reach.is_relevant(event, now):
-            actions = actions + self._reach.handle(event, now) + self._callers.update(now)
+        if self._reachability.is_relevant(event, now):
+            actions = actions + self._reachability.handle(event, now) + self._readiness.update(now)
         return self._log_limiter.admit(actions, now)
 
     def store_snapshot(self) -> ReadResult | None:
@@ -206,11 +210,11 @@
             case SweepDue() | LagDue() | Woken():
                 return self._periodic_work.handle(event, now)
             case StopRequested():
-                return self._callers.stop(now)
+                return self._readiness.stop(now)
             case StopCheckDue():
-                return self._callers.check_stop(now)
+                return self._readiness.check_stop(now)
             case ReadyDue():
-                return self._callers.update(now)
+                return self._readiness.update(now)
         actions = self._forwarding.handle(event, now)
         return (
             actions + self._periodic_work.adjust_poll_interval(now)
@@ -222,20 +226,20 @@
         self, event: PresenceDue | PeerLinkOpened | PeerReceived, now: float
     ) -> list[Action]:
         match event:
-            case PeerReceived(sender=sender, message=StoreNews() as news):
+            case PeerReceived(sender=sender, message=StoreNews() as update):
                 self._update_source = sender.node_id
                 return [
-                    *self._news.receive_update(news, now),
+                    *self._updates.receive_update(update, now),
                     *self._proof_manager.handle_update_from(sender, now),
                 ]
             case PeerReceived(sender=sender, message=AskProof() | ProofGiven() as message):
-                return self._news.handle_proof_message(sender, message, now)
+                return self._updates.handle_proof_message(sender, message, now)
             case PresenceDue():
                 return self._presence_due(event, now)
             case PeerLinkOpened():
                 actions = self._members.handle_link_opened(event, self._table, now)
                 self._forwarding.enable_peers(self._members.groups)
-                self._reach.enable_peers(self._members.groups)
+                self._reachability.enable_peers(self._members.groups)
                 return [*actions, *self._proof_manager.sweep(self._members.update_recipients, now)]
         return []
 
@@ -267,18 +271,18 @@
         if self._table is not None and table.version <= self._table.version:
             return []
         self._table = table
-        self._callers.set_table(table)
-        self._reach.set_table(table)
+        self._readiness.set_table(table)
+        self._reachability.set_table(table)
         self._forwarding.set_table(table)
         self._members.configure(table)
         self._proof_manager.configure(table)
-        line = (
+        adopted_fields = (
             ("version", table.version),
             ("routes", len(table.routes)),
             ("told_by", self._update_source),
         )
         return [
-            Log("configuration_adopted", LogLevel.INFO, line),
+            Log("configuration_adopted", LogLevel.INFO, adopted_fields),
             Count("configurations_adopted_total"),
-            self._callers.current_forwarding(),
+            self._readiness.current_forwarding(),
         ]
--- a/wingquay/forwarding/periodic_work.py
+++ b/wingquay/forwarding/periodic_work.py
@@ -11,9 +11,9 @@
 from .settings import ForwardingSettings
 from .timers import PeerConnectDue
 
-SWEEP_SECONDS = 0.5
+SWEEP_INTERVAL_SECONDS = 0.5
 """Time between two looks for replicas whose time of grace is over."""
-LAG_SECONDS = 0.2
+LAG_CHECK_SECONDS = 0.2
 """Time between two looks how late this node is. It matters where requests wait for half a second;
 ten looks a second cost 0.03 of the credit of 16 nodes of 0.12 core (two seeds)."""
 RESUME_SECONDS = 0.05
@@ -60,7 +60,7 @@
         forwarding: ForwardingMachine,
         members: NodeMembership,
         follower: StoreFollower,
-        lateness: ProcessingLag,
+        processing_lag: ProcessingLag,
         proof_manager: ProofManager,
     ) -> None:
         self._settings = settings
@@ -68,13 +68,13 @@
         self._forwarding = forwarding
         self._members = members
         self._follower = follower
-        self._lateness = lateness
+        self._processing_lag = processing_lag
         self._proof_manager = proof_manager
 
     def start(self, now: float) -> list[Action]:
         """Begin the regular looks."""
         return [
-            Schedule(now + SWEEP_SECONDS, SweepDue(now + SWEEP_SECONDS)),
+            Schedule(now + SWEEP_INTERVAL_SECONDS, SweepDue(now + SWEEP_INTERVAL_SECONDS)),
             *self._schedule_lag(now),
         ]
 
@@ -82,13 +82,13 @@
         """Take in that a time has come."""
         match event:
             case SweepDue():
-                self._lateness.timer_lag_seconds = max(now - event.due_at, 0.0)
-                self._directory.forget_vanished(now)
-                due_at = now + SWEEP_SECONDS
-                greetings = self._forwarding.handle(PeerConnectDue(), now)
-                proving = self._proof_manager.sweep(self._members.update_recipients, now)
+                self._processing_lag.timer_lag_seconds = max(now - event.due_at, 0.0)
+                self._directory.remove_expired(now)
+                due_at = now + SWEEP_INTERVAL_SECONDS
+                peer_connects = self._forwarding.handle(PeerConnectDue(), now)
+                proof_actions = self._proof_manager.sweep(self._members.update_recipients, now)
                 sweep = Schedule(due_at, SweepDue(due_at))
-                return [*greetings, *proving, *self.adjust_poll_interval(now), sweep]
+                return [*peer_connects, *proof_actions, *self.adjust_poll_interval(now), sweep]
             case LagDue():
                 return self._lag_due(event, now)
             case Woken():
@@ -96,8 +96,8 @@
 
     def adjust_poll_interval(self, now: float) -> list[Action]:
         """Look at the store more often while records of replicas or nodes are missing."""
-        is_old = self._directory.is_contradicted(now)
-        if is_old or self._forwarding.held_exchanges > 0:
+        has_stale_records = self._directory.found_stale_recently(now)
+        if has_stale_records or self._forwarding.held_exchanges > 0:
             return self._follower.set_poll_interval(
                 self._settings.settle_poll_interval_seconds, now
             )
@@ -110,8 +110,8 @@
 
     def _resumed(self, event: Woken, now: float) -> list[Action]:
         """Behave as a node whose store was away for as long, and give up what is too late."""
-        self._directory.note_outage(now)
-        self._lateness.timer_lag_seconds = event.seconds
+        self._directory.on_outage(now)
+        self._processing_lag.timer_lag_seconds = event.seconds
         self._proof_manager.poll_failed("suspended")
         open_requests = self._forwarding.open_exchanges
         actions = self._forwarding.resumed(event, now)
@@ -129,11 +129,13 @@
         ]
 
     def _lag_due(self, event: LagDue, now: float) -> list[Action]:
-        if event.due_at != self._lateness.timer_due_at:
+        if event.due_at != self._processing_lag.timer_due_at:
             return []
         self._forwarding.lag.seconds = max(now - event.due_at, 0.0)
         return self._schedule_lag(now)
 
-    def _schedule_lag(self, now: float, seconds: float = LAG_SECONDS) -> list[Action]:
-        self._lateness.timer_due_at = now + seconds
-        return [Schedule(self._lateness.timer_due_at, LagDue(self._lateness.timer_due_at))]
+    def _schedule_lag(self, now: float, seconds: float = LAG_CHECK_SECONDS) -> list[Action]:
+        self._processing_lag.timer_due_at = now + seconds
+        return [
+            Schedule(self._processing_lag.timer_due_at, LagDue(self._processing_lag.timer_due_at))
+        ]
--- a/wingquay/forwarding/settling/ending.py
+++ b/wingquay/forwarding/settling/ending.py
@@ -15,7 +15,7 @@
 from ..arrival.request_identity import compute_identity
 from ..exchange import Exchange, ServiceCall
 from ..sending.decision import Reject
-from ..sending.return_time import LEAST_RETURN_SECONDS, return_seconds
+from ..sending.retry_after import MIN_RETRY_AFTER_SECONDS, jittered_retry_after
 from .merging import merge_top_records
 
 MILLISECONDS_PER_SECOND = 1000.0
@@ -120,7 +120,7 @@
         usable_after_seconds
             Time from now until replicas can be expected to accept the request.
         """
-        seconds = return_seconds(usable_after_seconds, self._random.random())
+        seconds = jittered_retry_after(usable_after_seconds, self._random.random())
         reply = ReplyFailure(exchange.exchange_id, ForwardFailureKind.NOT_RUN, reason, seconds)
         return [reply, *_finish(exchange, "refused", reason, now)]
 
@@ -144,7 +144,7 @@
         """Report a failure because the deadline of the exchange has passed."""
         reason = "no answer before the deadline"
         if not exchange.may_have_run:
-            return self.reject_not_run(exchange, reason, LEAST_RETURN_SECONDS, now)
+            return self.reject_not_run(exchange, reason, MIN_RETRY_AFTER_SECONDS, now)
         if len(exchange.calls) == 1 and exchange.calls[0].failure is not None:
             return self.failed(exchange, exchange.calls[0], now)
         reply = ReplyFailure(exchange.exchange_id, ForwardFailureKind.TIMED_OUT, reason)
--- a/wingquay/forwarding/settling/settlement.py
+++ b/wingquay/forwarding/settling/settlement.py
@@ -7,7 +7,7 @@
 from ..exchange import Exchange, ServiceCall
 from ..sending.attempts import AttemptSender
 from ..sending.decision import Reject
-from ..sending.waiting import Waiting
+from ..sending.waiting_policy import WaitingPolicy
 from .cutoff import meets_min_share
 from .ending import ExchangeEnding
 
@@ -31,7 +31,7 @@
 
     def __init__(
         self,
-        waiting: Waiting,
+        waiting: WaitingPolicy,
         directory: ReplicaDirectory,
         sender: AttemptSender,
         ending: ExchangeEnding,
@@ -196,8 +196,8 @@
     def can_meet_min_share(self, exchange: Exchange, now: float) -> bool:
         """Return whether enough services have a usable replica for a success."""
         if not exchange.route.shards:
-            return self._directory.has_any(exchange.calls[0].service, now)
-        usable = [self._directory.has_usable(call.service, now) for call in exchange.calls]
+            return self._directory.has_candidates(exchange.calls[0].service, now)
+        usable = [self._directory.has_unblocked(call.service, now) for call in exchange.calls]
         return meets_min_share(exchange.route, sum(usable))
 
     def _cannot_answer(self, call: ServiceCall, now: float) -> bool:
@@ -206,7 +206,7 @@
             return False
         if call.attempts_left <= 0:
             return True
-        return not self._directory.has_usable(call.service, now)
+        return not self._directory.has_unblocked(call.service, now)
 
     def _close(self, exchange: Exchange, actions: list[Action], now: float) -> list[Action]:
         del self._exchanges[exchange.exchange_id]
--- a/wingquay/forwarding/store_contents.py
+++ b/wingquay/forwarding/store_contents.py
@@ -55,17 +55,20 @@
         self._configure = configure
         self._on_replica_restarted = replica_restarted
 
-    def listed(self, values: tuple[StoredValue, ...], now: float) -> list[Action]:
+    def apply_listing(self, values: tuple[StoredValue, ...], now: float) -> list[Action]:
         """Take in everything that is there, after it was read anew."""
         prefix = self._formats.replica_prefix
         ids = {item.key.removeprefix(prefix) for item in values if item.key.startswith(prefix)}
         self._directory.keep_only(ids, now, self._follower.known_revision)
         self._members.keep_only({item.key for item in values if self._is_node_key(item.key)})
         keys = {item.key for item in values}
-        gone = (*self._evacuations.missing_from(keys), *self._held_request_keys.missing_from(keys))
-        return self.changed(values, gone, now)
+        removed = (
+            *self._evacuations.missing_from(keys),
+            *self._held_request_keys.missing_from(keys),
+        )
+        return self.apply_changes(values, removed, now)
 
-    def changed(
+    def apply_changes(
         self, written: tuple[StoredValue, ...], deleted: tuple[str, ...], now: float
     ) -> list[Action]:
         """Take in the keys that were written and those that are gone."""
@@ -83,7 +86,7 @@
             return self._configure(item.value)
         if item.key.startswith(self._formats.replica_prefix):
             return self._put_replica(item, now)
-        if self._evacuations.is_mine(item.key):
+        if self._evacuations.handles(item.key):
             return self._evacuations.put(item.key)
         if self._held_request_keys.owns_key(item.key):
             return self._held_request_keys.put(item, now)
@@ -96,12 +99,14 @@
     def _remove(self, key: str, now: float) -> list[Action]:
         """Take in that a key is gone."""
         prefix = self._formats.replica_prefix
-        if self._evacuations.is_mine(key):
+        if self._evacuations.handles(key):
             return self._evacuations.remove(key)
         if self._held_request_keys.owns_key(key):
             return self._held_request_keys.remove(key, now)
         if key.startswith(prefix):
-            self._directory.vanish(key.removeprefix(prefix), now, self._follower.known_revision)
+            self._directory.mark_vanished(
+                key.removeprefix(prefix), now, self._follower.known_revision
+            )
         else:
             self._members.remove(key)
         return []
@@ -115,12 +120,12 @@
         if isinstance(record, Failure):
             fields = (("key", item.key), ("reason", record.reason))
             # It may have been readable before: that replica counts as one whose record is gone.
-            self._directory.vanish(replica_id, now, item.modified_at)
+            self._directory.mark_vanished(replica_id, now, item.modified_at)
             return [
                 Log("replica_record_unreadable", LogLevel.WARNING, fields),
                 Count("replica_records_unreadable_total"),
             ]
-        if self._directory.holds(record):
+        if self._directory.is_current(record):
             self._rewritten.add(item.key)
         previous = self._directory.put(record, now, item.modified_at)
         return [] if previous is None else self._log_restart(previous, record, now)
