--- a/tests/forwarding/test_awaiting_limits.py
+++ b/tests/forwarding/test_awaiting_limits.py
@@ -35,7 +35,7 @@
 OBJECTIVE_SECONDS = 0.4
 OFFER_SECONDS = 0.08
 OVER_LIMIT = Rejected(ForwardFailureKind.OVER_LIMIT, "the tenant has had its requests", 1.25)
-NO_WORD = "no word on the limit of its tenant came in time"
+NO_WORD = "no answer on the tenant's limit arrived in time"
 
 
 class Waiting:
--- a/tests/forwarding/test_callers.py
+++ b/tests/forwarding/test_callers.py
@@ -192,7 +192,7 @@
         )
         node.machine._forwarding.lag.seconds = 3.0
         reply = reply_to(node, ask(node, 2, "other"))
-        self.assertEqual("its time was over before it could be read", reply.reason)
+        self.assertEqual("the request's deadline passed before it was read", reply.reason)
         self.assertEqual([], limits.asked)
 
     def test_without_a_configuration_nobody_is_called_unknown(self) -> None:
--- a/tests/forwarding/test_evacuation.py
+++ b/tests/forwarding/test_evacuation.py
@@ -65,7 +65,7 @@
 
     def test_another_listing_takes_it_back(self) -> None:
         node = two_zones((EVACUATED,))
-        node.machine._contents.listed((), node.now)
+        node.machine._contents.apply_listing((), node.now)
         self.assertEqual(frozenset(), node.machine._directory.evacuated_zones)
 
     def test_hedges_and_retries_stay_away(self) -> None:
--- a/tests/forwarding/test_replica_lives.py
+++ b/tests/forwarding/test_replica_lives.py
@@ -188,7 +188,7 @@
         node = started()
         node.change(NEW, values=())
         known = node.machine._directory
-        node.machine._contents.listed((self.item(node, OLD, 1),), node.now)
+        node.machine._contents.apply_listing((self.item(node, OLD, 1),), node.now)
         self.assertEqual(NEW, record_of(known))
 
     def test_a_copy_of_a_neighbour_is_followed_by_the_later_word_of_the_store(self) -> None:
--- a/tests/forwarding/test_store_news.py
+++ b/tests/forwarding/test_store_news.py
@@ -204,7 +204,7 @@
             else:
                 node.change(values=(changed,))
         lines = node.logs("configuration_adopted")
-        self.assertEqual(["listing", FIRST.node_id, "look"], [line["told_by"] for line in lines])
+        self.assertEqual(["listing", FIRST.node_id, "poll"], [line["source"] for line in lines])
 
     def test_old_news_put_nothing_off(self) -> None:
         node = linked(FIRST)
--- a/wingquay/forwarding/__init__.py
+++ b/wingquay/forwarding/__init__.py
@@ -1,1 +1,1 @@
-"""Decisions about requests that are passed on unchanged: routes, replicas, hedges, merging."""
+"""Decisions about forwarded requests: routes, choice of replicas, retries, hedges, merging."""
--- a/wingquay/forwarding/crashing/held_request_keys.py
+++ b/wingquay/forwarding/crashing/held_request_keys.py
@@ -69,11 +69,11 @@
         self._known: set[str] = set()
         self._writes: dict[str, _KeyWrite] = {}
 
-    def owns_key(self, key: str) -> bool:
+    def handles(self, key: str) -> bool:
         """Return whether a key belongs to a held request."""
         return key.startswith(self._formats.held_prefix)
 
-    def owns_response(self, event: StoreResponse) -> bool:
+    def handles_response(self, event: StoreResponse) -> bool:
         """Return whether a store response answers a request of this object."""
         return event.operation_id.startswith(OPERATION_PREFIX)
 
--- a/wingquay/forwarding/forwarding_node.py
+++ b/wingquay/forwarding/forwarding_node.py
@@ -1,4 +1,4 @@
-"""Joins the decisions of a node that passes requests on: store, replicas, requests, stop."""
+"""Composes the state machines of a forwarding node and dispatches events to them."""
 
 import random
 
@@ -61,16 +61,16 @@
 
 
 class ForwardingNode:
-    """The whole decision code of one node that passes requests on.
+    """State machine of one forwarding node: takes events and returns actions, without any I/O.
 
     Parameters
     ----------
     name
-        This node's name, which no other node has.
+        This node's name, unique in the cluster.
     limits
-        What may run of tenants whose requests the configuration limits.
+        Settings of tenant limits; ``None`` if this node does not enforce them.
     waiting
-        How requests wait.
+        Settings of waiting requests.
     """
 
     def __init__(
@@ -124,7 +124,7 @@
         self._follower = StoreFollower(follower, hooks, self._proof_manager)
         self._table: RoutingTable | None = None
         self._update_source = ""
-        """By which way the present news of the store came: a look, a listing, or a node's id."""
+        """Source of the store update being applied: ``poll``, ``listing`` or the id of a node."""
         self._log_limiter = LogLimiter()
         candidate = random_source.randbytes(CLUSTER_KEY_BYTES)
         self._members = NodeMembership(
@@ -167,11 +167,11 @@
 
     @property
     def configuration_version(self) -> int:
-        """The version of the configuration that this node goes by; 0: it has none."""
+        """Version of the configuration that this node uses; 0 if it has none."""
         return 0 if self._table is None else self._table.version
 
     def handle(self, event: Event, now: float) -> list[Action]:
-        """Take in an event and return what is to be done."""
+        """Handle an event and return the resulting actions."""
         actions = self._decide(event, now)
         actions += self._limits.handle(event, self._table, now)
         if self._reachability.is_relevant(event, now):
@@ -179,16 +179,16 @@
         return self._log_limiter.admit(actions, now)
 
     def store_snapshot(self) -> ReadResult | None:
-        """Return what this node knows of the store, for a node that cannot reach it."""
+        """Return this node's copy of the store for a node that cannot reach the store."""
         return self._follower.snapshot()
 
     @property
     def proof(self) -> ConfigurationProof:
-        """Whether the configuration is proven to be the one in force."""
+        """Proof that the configuration is the one in force."""
         return self._proof_manager.proof
 
     def suspicion_level(self, request: OpaqueRequest, now: float) -> SuspicionLevel:
-        """Return how this node treats a request that may end replicas."""
+        """Return whether a request is suspect or held because replicas crashed during it."""
         return self._forwarding.guard.suspicion_level(request, now)
 
     def _decide(self, event: Event, now: float) -> list[Action]:
@@ -246,9 +246,9 @@
     def _store_event(self, event: Event, now: float) -> list[Action]:
         if isinstance(event, StoreResponse) and self._members.handles(event):
             return self._members.handle_response(event, now)
-        if isinstance(event, StoreResponse) and self._held_request_keys.owns_response(event):
+        if isinstance(event, StoreResponse) and self._held_request_keys.handles_response(event):
             return self._held_request_keys.handle_response(event)
-        self._update_source = "look" if isinstance(event, WatchChanged) else "listing"
+        self._update_source = "poll" if isinstance(event, WatchChanged) else "listing"
         return self._follower.handle(event, now)
 
     def _start(self, event: Start, now: float) -> list[Action]:
@@ -279,7 +279,7 @@
         adopted_fields = (
             ("version", table.version),
             ("routes", len(table.routes)),
-            ("told_by", self._update_source),
+            ("source", self._update_source),
         )
         return [
             Log("configuration_adopted", LogLevel.INFO, adopted_fields),
--- a/wingquay/forwarding/log_limiter.py
+++ b/wingquay/forwarding/log_limiter.py
@@ -1,7 +1,7 @@
-"""Bounds the log lines of one node, each kind by itself.
+"""Limits the rate of a node's log lines, separately for each kind of line.
 
-A kind that has used up its lines of a second is left out; its next line says how many lines were.
-Kinds that explain requests that were not served have the most.
+Lines above the limit of their kind are dropped; the next line of the kind states how many. Lines
+that explain failed requests have the highest limits.
 """
 
 from dataclasses import dataclass
@@ -19,7 +19,7 @@
     "unknown_caller": 10,
     "over_limit": 10,
 }
-"""Lines a second for requests by outcome."""
+"""Limits for lines on requests, by outcome."""
 OTHER_LINES_PER_SECOND = 5
 OUTCOME_FIELD = "outcome"
 
@@ -32,13 +32,13 @@
 
 
 class LogLimiter:
-    """Lets log lines through within their budgets."""
+    """Drops log lines that exceed the limit of their kind."""
 
     def __init__(self) -> None:
         self._kinds: dict[str, _Kind] = {}
 
     def admit(self, actions: list[Action], now: float) -> list[Action]:
-        """Return the actions without the log lines that are too many."""
+        """Return the actions, with a counter in place of each log line above its limit."""
         if not any(isinstance(action, Log) for action in actions):
             return actions
         return [self._admitted(action, now) for action in actions]
--- a/wingquay/forwarding/periodic_work.py
+++ b/wingquay/forwarding/periodic_work.py
@@ -1,4 +1,4 @@
-"""What a node does by its own clock: sweeps, looks how late it is, wakes, sets the store's pace."""
+"""Timer-driven work of a node: sweeps, lag checks, resuming, and the interval of store polls."""
 
 from ..model.value import value
 from ..ports.machine import Action, Count, Event, Log, LogLevel, Schedule, Woken
@@ -12,45 +12,45 @@
 from .timers import PeerConnectDue
 
 SWEEP_INTERVAL_SECONDS = 0.5
-"""Time between two looks for replicas whose time of grace is over."""
+"""Time between two sweeps, which remove replicas whose grace period is over."""
 LAG_CHECK_SECONDS = 0.2
-"""Time between two looks how late this node is. It matters where requests wait for half a second;
-ten looks a second cost 0.03 of the credit of 16 nodes of 0.12 core (two seeds)."""
+"""Time between two checks of the processing lag; more frequent checks cost noticeable processor
+time on small nodes."""
 RESUME_SECONDS = 0.05
-"""Time after waking for which requests that are read count as having waited all the while."""
+"""Time after a suspension for which requests that are read count as having waited during it."""
 
 
 @value
 class SweepDue(Event):
-    """Forget replicas whose time of grace is over, and see how late this node does its work."""
+    """Remove replicas whose grace period is over, and measure the lag of this timer."""
 
     due_at: float
 
 
 @value
 class LagDue(Event):
-    """See how late this node is."""
+    """Measure the processing lag of this node."""
 
     due_at: float
 
 
 class PeriodicWork:
-    """The regular work of a node.
+    """Performs the timer-driven work of a node.
 
     Parameters
     ----------
     directory
-        Forgets replicas whose time of grace is over.
+        Removes replicas whose grace period is over.
     forwarding
-        Has requests that wait for records, and opens connections ahead.
+        Holds exchanges while replica records are missing, and opens connections to other nodes.
     members
-        Knows whether nodes are still joining.
+        Provides whether nodes are still joining.
     follower
-        Looks at the store as often as it is told.
-    lateness
-        Takes in how late the timers were.
-    keeper
-        Notices when the configuration ceases to be proven.
+        Polls the store at the interval set here.
+    processing_lag
+        Stores the measured lag of the timers.
+    proof_manager
+        Detects that the proof of the configuration has expired.
     """
 
     def __init__(
@@ -72,14 +72,14 @@
         self._proof_manager = proof_manager
 
     def start(self, now: float) -> list[Action]:
-        """Begin the regular looks."""
+        """Schedule the first sweep and the first lag check."""
         return [
             Schedule(now + SWEEP_INTERVAL_SECONDS, SweepDue(now + SWEEP_INTERVAL_SECONDS)),
             *self._schedule_lag(now),
         ]
 
     def handle(self, event: SweepDue | LagDue | Woken, now: float) -> list[Action]:
-        """Take in that a time has come."""
+        """Handle a timer or the end of a suspension."""
         match event:
             case SweepDue():
                 self._processing_lag.timer_lag_seconds = max(now - event.due_at, 0.0)
@@ -95,7 +95,7 @@
                 return self._resumed(event, now)
 
     def adjust_poll_interval(self, now: float) -> list[Action]:
-        """Look at the store more often while records of replicas or nodes are missing."""
+        """Poll the store more often while records of replicas or nodes are missing."""
         has_stale_records = self._directory.found_stale_recently(now)
         if has_stale_records or self._forwarding.held_exchanges > 0:
             return self._follower.set_poll_interval(
@@ -109,7 +109,7 @@
         return self._follower.set_poll_interval(None, now)
 
     def _resumed(self, event: Woken, now: float) -> list[Action]:
-        """Behave as a node whose store was away for as long, and give up what is too late."""
+        """Treat the suspension as an equally long store outage, and end overdue exchanges."""
         self._directory.on_outage(now)
         self._processing_lag.timer_lag_seconds = event.seconds
         self._proof_manager.poll_failed("suspended")
--- a/wingquay/forwarding/request_arrival.py
+++ b/wingquay/forwarding/request_arrival.py
@@ -1,4 +1,4 @@
-"""What is decided about a request that arrives, in order, until it is opened or rejected."""
+"""Decides in several steps whether an arriving request is opened or rejected."""
 
 from ..model.routing_table import RoutingTable
 from ..ports.forwarding import CallerLeft, ForwardFailureKind, ForwardRequested
@@ -22,19 +22,19 @@
 
 UNCONFIGURED_RETRY_SECONDS = 0.3
 LIMIT_WAIT_RATIO = 0.2
-"""Share of the objective for which a request waits for word on its tenant's limit: a caller that is
-refused by then can still be served in time by another node."""
-LATE_REASON = "its time was over before it could be read"
-NO_LIMIT_ANSWER_REASON = "no word on the limit of its tenant came in time"
+"""Share of the objective for which a request waits for the answer on its tenant's limit; a caller
+that is rejected then can still be served in time by another node."""
+LATE_REASON = "the request's deadline passed before it was read"
+NO_LIMIT_ANSWER_REASON = "no answer on the tenant's limit arrived in time"
 
 
 class RequestArrival:
-    """Takes in requests and opens those that may run.
+    """Admits arriving requests and opens an exchange for each admitted one.
 
     Parameters
     ----------
     lag
-        How late this node is: so much longer its callers have waited already.
+        Processing lag of this node, by which its callers have already waited longer.
     """
 
     def __init__(
@@ -54,25 +54,25 @@
         self._pending = PendingArrivals()
         self._table: RoutingTable | None = None
         self.admission = ArrivalAdmission()
-        """Asks whether requests may be begun."""
+        """Checks callers and tenant limits."""
         self.has_received_request = False
-        """Whether a request has arrived."""
+        """Whether a request has arrived since the start."""
         settlement.on_not_run = self._give_back
 
     @property
     def pending_count(self) -> int:
-        """The number of requests that wait for word on their tenant's limit."""
+        """Number of requests that wait for the answer on their tenant's limit."""
         return len(self._pending)
 
     def set_table(self, table: RoutingTable) -> None:
-        """Use a configuration for requests that arrive from now on."""
+        """Apply a configuration to requests that arrive from now on."""
         self._table = table
         self._counts.keep_only(set() if table.tenants is None else set(table.tenants.by_name))
 
     # Arrival
 
     def requested(self, event: ForwardRequested, now: float) -> list[Action]:
-        """Decide about a request that has arrived."""
+        """Handle a request that has arrived."""
         self.has_received_request = True
         table = self._table
         if table is None:
@@ -93,7 +93,7 @@
         return self._count(Arrival(bare, table, route, tenant, now, now - self._lag.seconds), now)
 
     def _is_too_late(self, event: ForwardRequested) -> bool:
-        """Whether nobody waits any more for a request that was read late."""
+        """Return whether the request was read only after its deadline."""
         return event.deadline_seconds is not None and self._lag.seconds >= event.deadline_seconds
 
     def _reject(self, event: ForwardRequested, rejected: Rejected, tenant: str) -> list[Action]:
@@ -106,7 +106,7 @@
         ]
 
     def _count(self, arrival: Arrival, now: float) -> list[Action]:
-        """Count a request that nothing else keeps from running, and open it."""
+        """Count a request against its tenant's limit, as the last check, and open it."""
         verdict = self._verdict(arrival, now)
         if verdict is SuspicionLevel.HELD:
             return self._reject_held(arrival, now)
@@ -129,7 +129,7 @@
         return self._guard.suspicion_level(arrival.event.request, now, _tenant_name(arrival))
 
     def _reject_held(self, arrival: Arrival, now: float) -> list[Action]:
-        """Refuse a request under which replicas have ended, and say when it may come back."""
+        """Reject a held request; the reply states the remaining hold period."""
         event = arrival.event
         name = _tenant_name(arrival)
         identity = compute_identity(event.request, name)
@@ -139,12 +139,12 @@
             refused.append(self._counts.count(name, "held"))
         return [*refused, *self._guard.held_request_repeated(identity, event, now)]
 
-    # Waiting for word on a tenant's limit
+    # Waiting for the answer on a tenant's limit
 
     def _await_limit(self, arrival: Arrival, now: float) -> list[Action]:
-        """Keep a request until word on its tenant's limit comes; not for long.
+        """Let a request wait for the answer on its tenant's limit.
 
-        Its caller is told that it has not run while another try is still worth it.
+        The wait is short, so that a caller that is rejected can still retry in time.
         """
         if not self._pending.add(arrival):
             return self._reject_unanswered(arrival, "too many requests wait for limits", now)
@@ -155,7 +155,7 @@
     def limit_answered(
         self, exchange_id: int, answer: Admitted | Rejected, now: float
     ) -> list[Action]:
-        """Go on with a request that waited for word on its tenant's limit."""
+        """Continue a request that was waiting for the answer on its tenant's limit."""
         arrival = self._pending.remove(exchange_id)
         if arrival is None or arrival.tenant is None:
             return []
@@ -169,7 +169,7 @@
         return [self._counts.count(arrival.tenant.name, "allowed"), *opened]
 
     def pending_event(self, event: Event, now: float) -> list[Action]:
-        """Take in an event of a request that is not open: it may wait for a limit."""
+        """Handle an event of a request that has no open exchange but may wait for a limit."""
         match event:
             case LimitAnswerDue(exchange_id):
                 arrival = self._pending.remove(exchange_id)
@@ -197,7 +197,7 @@
             self.admission.give_back(arrival.tenant, arrival.event.exchange_id, now)
 
     def _give_back(self, exchange: Exchange, now: float) -> list[Action]:
-        """Take in that a counted request has ended without having run."""
+        """Return the count of a request that ended without having run to its tenant's limit."""
         if exchange.tenant is None:
             return []
         self.admission.give_back(exchange.tenant, exchange.exchange_id, now)
--- a/wingquay/forwarding/settings.py
+++ b/wingquay/forwarding/settings.py
@@ -6,17 +6,17 @@
 
 
 class ChoiceStrategy(Enum):
-    """How replicas are compared."""
+    """Strategy for comparing replicas."""
 
     PRODUCT = "product"
-    """Factors on the usual latency, multiplied."""
+    """Lowest product of the expected latency and its correction factors."""
     COMPLETION = "completion"
-    """Expected time to completion, in seconds."""
+    """Lowest expected time to completion, in seconds."""
 
 
 @value
 class ForwardingSettings:
-    """What the decisions of forwarding may be tuned by.
+    """Tunable parameters of forwarding.
 
     Parameters
     ----------
--- a/wingquay/forwarding/store_contents.py
+++ b/wingquay/forwarding/store_contents.py
@@ -1,4 +1,4 @@
-"""Takes in what the store holds, key by key: replicas, nodes, evacuations, held requests."""
+"""Applies the contents of the store: configuration, replicas, nodes, evacuations, held requests."""
 
 from collections.abc import Callable
 
@@ -16,22 +16,22 @@
 
 
 class StoreContents:
-    """Hands each key to the part that goes by it.
+    """Passes each key of the store to the object that uses it.
 
     Parameters
     ----------
     formats
-        Tells keys apart and reads their values.
+        Formats of keys and values.
     directory, held_request_keys, members
-        Take in replicas, evacuated zones, held requests and nodes.
+        Receive the records of replicas and evacuated zones, of held requests and of nodes.
     follower
-        Knows up to which revision of the store everything is known.
+        Provides the store revision up to which all changes were applied.
     rewritten
-        Where to note keys of replicas' entries that were written again without a change.
+        Receives the keys of replica records that were written again without a change.
     configure
-        Takes in the bytes of a configuration.
+        Applies a stored configuration document.
     replica_restarted
-        Ends the work at a replica that has started again.
+        Aborts the attempts at a replica that has restarted.
     """
 
     def __init__(
@@ -56,7 +56,7 @@
         self._on_replica_restarted = replica_restarted
 
     def apply_listing(self, values: tuple[StoredValue, ...], now: float) -> list[Action]:
-        """Take in everything that is there, after it was read anew."""
+        """Apply a complete listing of the store; keys that it lacks are removed."""
         prefix = self._formats.replica_prefix
         ids = {item.key.removeprefix(prefix) for item in values if item.key.startswith(prefix)}
         self._directory.keep_only(ids, now, self._follower.known_revision)
@@ -71,7 +71,7 @@
     def apply_changes(
         self, written: tuple[StoredValue, ...], deleted: tuple[str, ...], now: float
     ) -> list[Action]:
-        """Take in the keys that were written and those that are gone."""
+        """Apply written and deleted keys."""
         actions: list[Action] = []
         self._rewritten.clear()
         for item in written:
@@ -81,14 +81,14 @@
         return actions
 
     def _put(self, item: StoredValue, now: float) -> list[Action]:
-        """Take in a key that was written."""
+        """Apply a written key."""
         if item.key == self._formats.configuration_key:
             return self._configure(item.value)
         if item.key.startswith(self._formats.replica_prefix):
             return self._put_replica(item, now)
         if self._evacuations.handles(item.key):
             return self._evacuations.put(item.key)
-        if self._held_request_keys.owns_key(item.key):
+        if self._held_request_keys.handles(item.key):
             return self._held_request_keys.put(item, now)
         if self._is_node_key(item.key):
             self._members.put(item)
@@ -97,11 +97,11 @@
         return []
 
     def _remove(self, key: str, now: float) -> list[Action]:
-        """Take in that a key is gone."""
+        """Apply the removal of a key."""
         prefix = self._formats.replica_prefix
         if self._evacuations.handles(key):
             return self._evacuations.remove(key)
-        if self._held_request_keys.owns_key(key):
+        if self._held_request_keys.handles(key):
             return self._held_request_keys.remove(key, now)
         if key.startswith(prefix):
             self._directory.mark_vanished(
@@ -119,7 +119,7 @@
         record = self._formats.parse_replica(replica_id, item.value)
         if isinstance(record, Failure):
             fields = (("key", item.key), ("reason", record.reason))
-            # It may have been readable before: that replica counts as one whose record is gone.
+            # An earlier record of the replica may have been readable: it counts as removed.
             self._directory.mark_vanished(replica_id, now, item.modified_at)
             return [
                 Log("replica_record_unreadable", LogLevel.WARNING, fields),
@@ -133,7 +133,7 @@
     def _log_restart(
         self, previous: ReplicaState, record: ReplicaRecord, now: float
     ) -> list[Action]:
-        """Take in that a replica has started again."""
+        """Log the restart of a replica and abort the attempts at its previous incarnation."""
         fields: tuple[tuple[str, str | int | float], ...] = (
             ("replica", record.replica_id),
             ("service", record.service),
--- a/wingquay/forwarding/store_formats.py
+++ b/wingquay/forwarding/store_formats.py
@@ -1,4 +1,4 @@
-"""How the keys and values of the store are read; whoever knows its formats provides it."""
+"""Formats of the store's keys and values, provided by the adapter that defines them."""
 
 from collections.abc import Callable
 from enum import Enum
@@ -19,30 +19,31 @@
 
 @value
 class StoreFormats:
-    """How the store's keys and values are read.
+    """Names of keys, and functions that parse and build values.
 
     Parameters
     ----------
     configuration_key
-        Holds the configuration in force.
+        Key of the configuration in force.
     replica_prefix
-        Keys of replica records begin with it; the rest is the replica's id.
+        Prefix of the keys of replica records, followed by the replica's id.
     node_prefix
-        Keys of nodes begin with it; the rest is the node's name.
+        Prefix of the keys of nodes, followed by the node's name.
     cluster_key
-        Holds the secret that all nodes share.
+        Key of the secret that all nodes share.
     evacuation_prefix
-        Keys of zones whose replicas must get nothing begin with it; the rest is the zone's name.
+        Prefix of the keys of evacuated zones, whose replicas receive no requests, followed by the
+        zone's name.
     parse_configuration, parse_replica
-        Turn a value into its typed form.
+        Parse a value into its typed form.
     parse_node
-        Turns the value of a node's key into its record; ``None``: it cannot be reached.
+        Parses the value of a node's key; ``None`` if the node cannot be reached.
     node_value
         Returns the value of a node's key for its record.
     held_prefix
-        Keys of requests that are held back begin with it; the rest is their identity, in hex.
+        Prefix of the keys of held requests, followed by their identity in hex.
     parse_held, held_value
-        Turn the value of such a key into its typed form and back; ``None``: it is malformed.
+        Parse the value of a held request's key, ``None`` if it is malformed, and build it.
     """
 
     configuration_key: str
--- a/wingquay/forwarding/timers.py
+++ b/wingquay/forwarding/timers.py
@@ -1,4 +1,4 @@
-"""Events by which the forwarding machine wakes itself."""
+"""Timer events that the forwarding machine schedules for itself."""
 
 from ..model.value import value
 from ..ports.machine import Event
@@ -6,78 +6,78 @@
 
 @value
 class HedgeDue(Event):
-    """Look whether attempts of an exchange take too long."""
+    """Check an exchange for slow attempts that need a hedge."""
 
     exchange_id: int
 
 
 @value
 class CutoffDue(Event):
-    """An answer that is enough must leave now to be in time."""
+    """Send a partial answer that meets the minimum share: it must leave now to be in time."""
 
     exchange_id: int
 
 
 @value
 class ExchangeEndDue(Event):
-    """The time of an exchange is over."""
+    """End an exchange whose deadline has passed."""
 
     exchange_id: int
 
 
 @value
 class RetryDue(Event):
-    """Try again the calls of an exchange that wait for a replica."""
+    """Retry the calls of an exchange that wait for a replica."""
 
     exchange_id: int
 
 
 @value
 class LimitAnswerDue(Event):
-    """Refuse a request that still waits for word on its tenant's limit."""
+    """Reject a request that still waits for the answer on its tenant's limit."""
 
     exchange_id: int
 
 
 @value
 class ReportDue(Event):
-    """Tell the node that waits for an exchange what is in so far."""
+    """Report the answers so far to the node that delegated an exchange."""
 
     exchange_id: int
 
 
 @value
 class DelegationDue(Event):
-    """Look whether a node that was asked for shards has said anything."""
+    """Check whether a delegate has replied."""
 
     delegation_id: int
 
 
 @value
 class PeerConnectDue(Event):
-    """Open connections to other nodes that requests will need."""
+    """Open connections to other nodes before requests need them."""
 
 
 @value
 class AbandonDue(Event):
-    """Cancel an attempt that nobody waits for, if it still runs."""
+    """Cancel an abandoned attempt if it is still in flight."""
 
     attempt_id: int
 
 
 @value
 class ReconnectDue(Event):
-    """Try whether a connection to a life of a replica that was out of reach comes up."""
+    """Test the connection to an incarnation of a replica that was unreachable."""
 
     incarnation: str
 
 
 @value
 class BeginDue(Event):
-    """Start the calls of an exchange that are left to this node.
+    """Start the calls of an exchange that were not delegated.
 
-    They wait for one turn of the event loop, so that the messages to other nodes leave before: to
-    send 20 parts takes a weak machine some 20 ms, in which the others could have begun.
+    They wait for one iteration of the event loop, so that delegation messages are sent first and
+    the delegates can start meanwhile.
     """
 
     exchange_id: int
@@ -85,21 +85,21 @@
 
 @value
 class CrashNewsDue(Event):
-    """Tell other nodes that replicas ended under a request, unless it was cleared meanwhile."""
+    """Report the crashes of a request to other nodes unless it was cleared meanwhile."""
 
     identity: bytes
 
 
 @value
 class LimitReportDue(Event):
-    """Tell an owner of tenants which requests were begun."""
+    """Report the begun requests of tenants to the owner of their limits."""
 
     node_id: str
 
 
 @value
 class LimitAckDue(Event):
-    """Look whether an owner of tenants has acknowledged what it was told."""
+    """Check whether an owner of tenant limits has acknowledged a report."""
 
     node_id: str
     sequence: int
@@ -107,18 +107,18 @@
 
 @value
 class LimitProbeDue(Event):
-    """Try to reach an owner of tenants again."""
+    """Try to reach an owner of tenant limits again."""
 
     node_id: str
 
 
 @value
 class LimitRequestDue(Event):
-    """Look whether the owner that was asked for a request has answered."""
+    """Check whether the owner of a tenant's limit has answered a permit request."""
 
     ask_id: int
 
 
 @value
 class LimitRefreshDue(Event):
-    """Borrow again what tenants near their limits need, and forget what is over."""
+    """Renew borrowed quota of tenants near their limits, and drop expired entries."""
