--- a/tests/forwarding/crashing/test_guard.py
+++ b/tests/forwarding/crashing/test_guard.py
@@ -1,4 +1,4 @@
-"""What a node does with a request under which replicas end, alone and with others."""
+"""Guards against requests that crash one replica after another, on one node and across nodes."""
 
 from testtools import TestCase
 
@@ -36,7 +36,7 @@
 
 SHARDS = 6
 HELD_KEY_BYTES = 32
-TWO_ENDS = (ToldEnd("x1", "far", 9.0, 8.9), ToldEnd("x2", "far", 5.0, 4.9))
+TWO_CRASHES = (ToldEnd("x1", "far", 9.0, 8.9), ToldEnd("x2", "far", 5.0, 4.9))
 
 
 def node(**route: object) -> OneNode:
@@ -52,23 +52,23 @@
     return one
 
 
-def linked() -> OneNode:
-    """Return such a node with two others that it can tell."""
+def linked_node() -> OneNode:
+    """Return such a node with links to two other nodes."""
     one = node()
     one.emit(PeerLinkOpened(OWN))
     join(one, *OTHERS)
     return one
 
 
-def held_node() -> OneNode:
-    """Return a node at which a request to a single service has ended three replicas."""
-    one = linked()
-    end_single(one, 3)
+def node_with_held_request() -> OneNode:
+    """Return a node at which a request to a single service has crashed three replicas."""
+    one = linked_node()
+    crash_single_service(one, 3)
     return one
 
 
-def end_single(one: OneNode, replicas: int) -> None:
-    """Let a request come until it has ended some replicas."""
+def crash_single_service(one: OneNode, replicas: int) -> None:
+    """Repeat a request until it has crashed a number of replicas."""
     for _ in range(replicas):
         if not one.sends:
             one.request("/one/crash")
@@ -76,15 +76,15 @@
         one.advance(REPORT_DELAY_SECONDS + 0.05)
 
 
-class EndsOfOneNodeTest(TestCase):
-    def test_a_lost_connection_is_looked_into_and_the_other_replica_is_asked(self) -> None:
+class CrashDetectionTest(TestCase):
+    def test_a_disconnect_probes_the_replica_and_retries_at_another(self) -> None:
         one = node()
         one.request("/one/x")
         (send,) = one.sends
         self.assertEqual([send.replica], one.disconnect(send))
         self.assertEqual(1, len(one.sends))
 
-    def test_a_replica_that_takes_a_connection_has_not_ended(self) -> None:
+    def test_a_replica_that_accepts_a_connection_has_not_crashed(self) -> None:
         one = node()
         for _ in range(4):
             one.request("/one/x")
@@ -94,14 +94,14 @@
             one.advance(3.0)
         self.assertEqual([], one.logs("replica_ended_under_request"))
 
-    def test_nor_has_one_that_is_leaving(self) -> None:
+    def test_a_replica_that_is_leaving_is_not_probed(self) -> None:
         one = node()
         one.request("/one/x")
         (send,) = one.sends
         one.change(gone=(send.replica.replica_id,))
         self.assertEqual([], one.disconnect(send))
 
-    def test_silence_and_own_cuts_are_no_ends(self) -> None:
+    def test_missing_answers_and_own_cancellations_are_no_crashes(self) -> None:
         one = node()
         number = one.request("/one/x")
         one.leave(number)
@@ -109,8 +109,8 @@
         self.assertEqual([], one.logs("replica_ended_under_request"))
         self.assertEqual([], one.sends)
 
-    def test_after_three_ends_the_request_is_refused_at_once_and_others_are_not(self) -> None:
-        one = held_node()
+    def test_after_three_crashes_only_that_request_is_rejected(self) -> None:
+        one = node_with_held_request()
         reply = one.replies[one.request("/one/crash")]
         assert isinstance(reply, ReplyFailure)
         self.assertIs(ForwardFailureKind.NOT_RUN, reply.kind)
@@ -119,13 +119,13 @@
         one.request("/one/other")
         self.assertEqual(1, len(one.sends))
 
-    def test_the_attempt_that_ended_the_third_is_told_that_it_may_have_run(self) -> None:
-        one = held_node()
+    def test_requests_that_crashed_replicas_are_answered_as_failed(self) -> None:
+        one = node_with_held_request()
         failures = [reply for reply in one.replies.values() if isinstance(reply, ReplyFailure)]
         kinds = {reply.kind for reply in failures}
         self.assertEqual({ForwardFailureKind.FAILED}, kinds)
 
-    def test_a_million_requests_that_end_replicas_are_not_all_looked_into(self) -> None:
+    def test_the_number_of_probes_is_limited(self) -> None:
         one = node()
         for number in range(400):
             one.request(f"/one/{number}")
@@ -133,7 +133,7 @@
         self.assertLessEqual(looked, 6)
 
 
-class CarefulRequestTest(TestCase):
+class SequentialSendingTest(TestCase):
     def begin(self, **route: object) -> tuple[OneNode, int]:
         one = node(**route)
         number = one.request("/all/crash")
@@ -141,14 +141,14 @@
         one.advance(0.02)
         return one, number
 
-    def test_after_two_ends_nothing_more_is_sent_while_others_are_under_way(self) -> None:
+    def test_after_two_disconnects_nothing_is_sent_while_attempts_are_in_flight(self) -> None:
         one, _ = self.begin()
         for send in list(one.sends)[:3]:
             one.disconnect(send)
-        # The first end alone may be an accident: the other replica was asked.
+        # The first disconnect alone does not make the request sequential: it was retried.
         self.assertEqual(SHARDS - 3 + 1, len(one.sends))
 
-    def test_then_one_replica_is_asked_at_a_time_until_the_request_is_held(self) -> None:
+    def test_attempts_are_sent_one_at_a_time_until_the_request_is_held(self) -> None:
         one, number = self.begin()
         for send in list(one.sends):
             one.crash_replica(send)
@@ -162,7 +162,7 @@
         self.assertEqual(1, len(one.logs("request_held")))
         self.assertLessEqual(len(one.all_sends), SHARDS + 3)
 
-    def test_an_answer_lets_everything_go_on(self) -> None:
+    def test_an_answer_sends_all_remaining_calls(self) -> None:
         one, number = self.begin(least_share=1.0)
         lost = list(one.sends)
         for send in lost[:4]:
@@ -173,7 +173,7 @@
             one.answer(send, body=b"y" * 16)
         self.assertEqual(0, one.replies[number].missing_shards)  # type: ignore[union-attr]
 
-    def test_so_does_word_that_the_replicas_are_there(self) -> None:
+    def test_successful_probes_send_all_remaining_calls(self) -> None:
         one, _ = self.begin()
         looked = [record for send in list(one.sends)[:3] for record in one.disconnect(send)]
         before = len(one.all_sends)
@@ -182,8 +182,8 @@
         self.assertEqual(SHARDS + 1, before)
         self.assertEqual(SHARDS + 3, len(one.all_sends))
 
-    def test_a_suspect_request_begins_with_one_replica(self) -> None:
-        one = linked()
+    def test_a_suspect_request_starts_with_one_replica(self) -> None:
+        one = linked_node()
         one.request("/all/crash")
         one.advance(0.02)
         for send in list(one.sends):
@@ -198,43 +198,43 @@
         self.assertNotIn(number, one.replies)
 
 
-class NewsTest(TestCase):
-    def test_what_is_held_is_told_to_other_nodes(self) -> None:
-        one = held_node()
+class CrashReportTest(TestCase):
+    def test_a_hold_is_reported_to_other_nodes(self) -> None:
+        one = node_with_held_request()
         news = [item for item in told(one, CrashNews) if item.held_seconds]  # type: ignore[attr-defined]
         self.assertEqual(len(OTHERS), len(news))
         self.assertEqual(3, len(news[0].ends))  # type: ignore[attr-defined]
 
-    def test_ends_are_told_before_anything_is_held_but_not_at_once(self) -> None:
-        one = linked()
+    def test_a_crash_is_not_reported_immediately(self) -> None:
+        one = linked_node()
         one.request("/one/crash")
         one.crash_replica(one.sends[0])
         self.assertEqual([], told(one, CrashNews))
 
-    def test_ends_of_a_request_that_is_answered_soon_are_not_told(self) -> None:
-        one = linked()
+    def test_crashes_of_a_request_that_is_answered_soon_are_not_reported(self) -> None:
+        one = linked_node()
         one.request("/one/x")
         one.crash_replica(one.sends[0])
         one.answer(one.sends[0])
         one.advance(REPORT_DELAY_SECONDS + 0.05)
         self.assertEqual([], [item for item in told(one, CrashNews) if item.ends])  # type: ignore[attr-defined]
 
-    def test_ends_under_an_attempt_that_failed_are_told_before_anything_is_held(self) -> None:
-        one = linked()
-        end_single(one, 2)
+    def test_crashes_are_reported_before_the_request_is_held(self) -> None:
+        one = linked_node()
+        crash_single_service(one, 2)
         self.assertEqual([], one.logs("request_held"))
         self.assertEqual(2, max(len(item.ends) for item in told(one, CrashNews)))  # type: ignore[attr-defined]
 
-    def test_ends_of_another_node_count(self) -> None:
-        one, two = linked(), linked()
-        end_single(one, 2)
+    def test_crashes_reported_by_another_node_count(self) -> None:
+        one, two = linked_node(), linked_node()
+        crash_single_service(one, 2)
         two.emit(PeerReceived(OTHERS[0], told(one, CrashNews)[-1]))  # type: ignore[arg-type]
         two.advance(0.2)
-        end_single(two, 1)
+        crash_single_service(two, 1)
         self.assertEqual(1, len(two.logs("request_held")))
 
-    def test_a_request_that_another_node_holds_is_ended_and_refused_here(self) -> None:
-        one, two = held_node(), linked()
+    def test_a_reported_hold_ends_open_exchanges_and_rejects_new_requests(self) -> None:
+        one, two = node_with_held_request(), linked_node()
         number = two.request("/one/crash")
         (send,) = two.sends
         (news, *_) = [item for item in told(one, CrashNews) if item.held_seconds]  # type: ignore[attr-defined]
@@ -244,26 +244,26 @@
         self.assertIsInstance(two.replies[two.request("/one/crash")], ReplyFailure)
         self.assertEqual([], two.sends)
 
-    def test_news_go_on_once(self) -> None:
-        one, two = held_node(), linked()
+    def test_a_report_is_forwarded_once(self) -> None:
+        one, two = node_with_held_request(), linked_node()
         (news, *_) = [item for item in told(one, CrashNews) if item.held_seconds]  # type: ignore[attr-defined]
         for _ in range(3):
             two.emit(PeerReceived(OTHERS[0], news))  # type: ignore[arg-type]
         self.assertEqual(1, len(told(two, CrashNews)))
 
-    def test_an_answer_anywhere_clears_it_everywhere(self) -> None:
-        one, two = linked(), linked()
-        end_single(one, 2)
+    def test_an_answer_at_one_node_clears_the_request_at_others(self) -> None:
+        one, two = linked_node(), linked_node()
+        crash_single_service(one, 2)
         two.emit(PeerReceived(OTHERS[0], told(one, CrashNews)[-1]))  # type: ignore[arg-type]
         two.request("/one/crash")
         two.answer(two.sends[0])
         cleared = [item for item in told(two, CrashNews) if item.is_cleared]  # type: ignore[attr-defined]
         one.emit(PeerReceived(OTHERS[0], cleared[0]))  # type: ignore[arg-type]
-        end_single(one, 1)
+        crash_single_service(one, 1)
         self.assertEqual([], one.logs("request_held"))
 
-    def test_an_owner_that_holds_a_request_says_so_and_the_one_that_asked_stops(self) -> None:
-        owner = held_node()
+    def test_a_delegate_reports_a_hold_and_the_delegating_node_stops(self) -> None:
+        owner = node_with_held_request()
         asking = node_in_group()
         number = asking.request("/all/crash")
         to, message = delegated(asking)[0]
@@ -280,10 +280,10 @@
 
 
 class DelegateTest(TestCase):
-    """A node that asks for another one leaves the shards to it once replicas may have ended."""
+    """A delegate returns its shards to the delegating node once replicas may have crashed."""
 
-    def test_shards_are_given_back_and_asked_one_at_a_time(self) -> None:
-        one = linked()
+    def test_shards_are_returned_after_disconnects(self) -> None:
+        one = linked_node()
         request = DelegatedRequest(
             5,
             "id",
@@ -299,13 +299,13 @@
         one.emit(PeerReceived(OTHERS[0], request))
         for send in list(one.sends):
             one.disconnect(send)
-        given = [place for item in told(one, DelegatedAnswer) for place in item.given_back]  # type: ignore[attr-defined]
-        # The first end alone may be an accident: the node may not ask a second replica by itself.
-        self.assertEqual(list(range(SHARDS)), sorted(given))
+        returned = [place for item in told(one, DelegatedAnswer) for place in item.given_back]  # type: ignore[attr-defined]
+        # Also after the first disconnect, the delegate may not send to a second replica.
+        self.assertEqual(list(range(SHARDS)), sorted(returned))
         self.assertEqual([], one.sends)
 
 
-class HeldKeyTest(TestCase):
+class HeldRequestKeyTest(TestCase):
     def stored(self, one: OneNode, identity: bytes) -> StoredValue:
         value = held_value(HeldRequest(200.0, "/one/crash", "10.0.0.9", "node-7"))
         return StoredValue(HELD_PREFIX + identity.hex(), value, one.store_revision + 1)
@@ -313,8 +313,8 @@
     def held_identity(self, one: OneNode) -> bytes:
         return bytes.fromhex(str(one.logs("request_held")[0]["digest"]))
 
-    def test_the_node_that_finds_it_writes_a_key_under_a_lease(self) -> None:
-        one = held_node()
+    def test_the_node_that_starts_the_hold_writes_a_key_with_a_lease(self) -> None:
+        one = node_with_held_request()
         requests = [item for item in one.actions if isinstance(item, StoreRequest)]
         (asked,) = [item for item in requests if item.operation_id.startswith("held-request-")]
         self.assertEqual(GrantLease(int(HOLD_SECONDS)), asked.operation)
@@ -328,8 +328,8 @@
         one.emit(StoreResponse(asked.operation_id, SwapResult(True, 9)))
         self.assertEqual(operation, one.last(StoreRequest).operation)
 
-    def test_a_node_that_starts_later_refuses_it(self) -> None:
-        identity = self.held_identity(held_node())
+    def test_a_node_that_starts_later_rejects_the_request(self) -> None:
+        identity = self.held_identity(node_with_held_request())
         one = OneNode()
         value = self.stored(one, identity)
         one.start(table(1, single_route()), replica("r", "s"), values=(value,))
@@ -337,8 +337,8 @@
         assert isinstance(reply, ReplyFailure)
         self.assertAlmostEqual(200.0, reply.retry_after_seconds or 0.0, delta=1.0)
 
-    def test_it_may_be_tried_again_when_its_key_is_gone(self) -> None:
-        one = held_node()
+    def test_the_hold_ends_when_its_key_is_deleted(self) -> None:
+        one = node_with_held_request()
         value = self.stored(one, self.held_identity(one))
         one.change(values=(value,))
         one.change(gone_keys=(value.key,))
@@ -346,14 +346,14 @@
         one.request("/one/crash")
         self.assertEqual(1, len(one.sends))
 
-    def test_a_listing_without_the_key_ends_the_hold_as_well(self) -> None:
-        one = held_node()
+    def test_the_hold_ends_when_a_listing_lacks_its_key(self) -> None:
+        one = node_with_held_request()
         value = self.stored(one, self.held_identity(one))
         one.change(values=(value,))
         gone = one.machine._held_request_keys.missing_from(set())
         self.assertEqual((value.key,), gone)
 
-    def test_a_key_that_cannot_be_read_is_told_and_passed_over(self) -> None:
+    def test_an_unreadable_key_is_logged_and_ignored(self) -> None:
         one = node()
         for key, text in ((HELD_PREFIX + "zz", b"{}"), (HELD_PREFIX + "00", b"no")):
             one.change(values=(StoredValue(key, text, one.store_revision + 1),))
@@ -361,6 +361,6 @@
 
 
 def opaque_of(one: OneNode) -> object:
-    """Return a request that the node has sent."""
+    """Return the crashing request as the node has sent it."""
     sends = [item for item in one.actions if isinstance(item, SendToReplica)]
     return next(item.request for item in sends if item.request.target == b"/one/crash")
--- a/tests/forwarding/one_node.py
+++ b/tests/forwarding/one_node.py
@@ -1,4 +1,4 @@
-"""One forwarding node on a virtual clock; tests play its replicas, its store and its callers."""
+"""Test fixture: one forwarding node on a virtual clock, with simulated replicas and store."""
 
 import heapq
 import random
@@ -61,7 +61,7 @@
 
 
 def replica(replica_id: str, service: str, zone: str = "a", **fields: object) -> ReplicaRecord:
-    """Return a record of a warm, ready replica."""
+    """Return the record of a warm, ready replica."""
     return ReplicaRecord(replica_id, service, "10.0.0.1", 80, zone, 2, **fields)  # type: ignore[arg-type]
 
 
@@ -79,7 +79,7 @@
 
 
 def sharded_route(shards: int = 4, prefix: str = "/all/", **fields: object) -> Route:
-    """Return a route over shards named s0, s1 and so on."""
+    """Return a route over shards named s0, s1, and so on."""
     defaults: dict[str, object] = {
         "name": prefix,
         "shards": tuple(f"s{number}" for number in range(shards)),
@@ -94,7 +94,7 @@
 
 
 def table(version: int, *routes: Route, connections: int = 24) -> RoutingTable:
-    """Return a configuration with the services of its routes."""
+    """Return a configuration with some routes and their services."""
     names = [name for route in routes for name in route.all_services]
     services: Mapping[str, UpstreamService] = {
         name: UpstreamService(name, connections) for name in names
@@ -103,7 +103,7 @@
 
 
 class OneNode:
-    """Drives the decisions of one node; time moves only by ``advance``."""
+    """Drives one node with events and records its actions; ``advance`` moves the clock."""
 
     def __init__(
         self,
@@ -115,12 +115,12 @@
         self.now = 100.0
         self._tables: dict[bytes, RoutingTable] = {}
         self._records: dict[bytes, ReplicaRecord] = {}
-        self._due: list[tuple[float, int, Event]] = []
+        self._pending_timers: list[tuple[float, int, Event]] = []
         self._numbers = count(1)
-        self._timers = count()
+        self._timer_ids = count()
         self.actions: list[Action] = []
         self.sends: list[SendToReplica] = []
-        """Sendings that were neither answered nor cancelled."""
+        """Sends that were neither answered nor cancelled."""
         self.all_sends: list[SendToReplica] = []
         self.cancelled: list[int] = []
         self.replies: dict[int, Reply] = {}
@@ -150,7 +150,7 @@
         )
         self.store_revision = 1
 
-    # Surroundings
+    # Store, callers and replicas
 
     def start(
         self,
@@ -158,7 +158,7 @@
         *records: ReplicaRecord,
         values: tuple[StoredValue, ...] = (),
     ) -> None:
-        """Start and let the store list what there is."""
+        """Start the node and answer its first listing of the store."""
         self.emit(Start())
         self.list_store(configuration, *records, values=values)
 
@@ -169,7 +169,7 @@
         values: tuple[StoredValue, ...] = (),
         begun_at: float | None = None,
     ) -> None:
-        """Answer the last read of everything."""
+        """Answer the last listing request with a configuration, replica records and values."""
         request = self.last(StoreRequest)
         listed = [*values, *(self.stored(record) for record in records)]
         if configuration is not None:
@@ -185,7 +185,7 @@
         values: tuple[StoredValue, ...] = (),
         gone_keys: tuple[str, ...] = (),
     ) -> None:
-        """Let the watch tell changes; ``gone`` are replicas, ``gone_keys`` whole keys."""
+        """Report changes by the watch; ``gone`` are replica ids, ``gone_keys`` are full keys."""
         self.store_revision += 1
         changed = [*values, *(self.stored(record) for record in records)]
         if configuration is not None:
@@ -201,7 +201,7 @@
         host: str = HOST,
         transit_seconds: float = 0.0,
     ) -> int:
-        """Let a caller send a request; return its number."""
+        """Send a request as a caller; return its number."""
         number = next(self._numbers)
         opaque = OpaqueRequest(b"GET", path.encode(), ())
         self.emit(
@@ -212,11 +212,11 @@
         return number
 
     def leave(self, number: int) -> None:
-        """Let a caller go away."""
+        """Report that the caller of a request has left."""
         self.emit(CallerLeft(number))
 
     def open_send(self, replica_id: str) -> SendToReplica:
-        """Return the sending under way to a replica."""
+        """Return the open send to a replica."""
         return next(send for send in self.sends if send.replica.replica_id == replica_id)
 
     def answer(
@@ -229,7 +229,7 @@
         is_other_replica: bool = False,
         load: ReportedLoad | None = None,
     ) -> None:
-        """Let a replica answer; its signature is its own id and the attempt unless given."""
+        """Answer a send; the default signature consists of the replica's id and the attempt."""
         self.sends.remove(send)
         if signature == "":
             signature = f"{send.replica.replica_id}.{send.attempt_id}"
@@ -237,75 +237,77 @@
         self.emit(ReplicaAnswered(send.attempt_id, answer, load))
 
     def fail(self, send: SendToReplica, kind: SendFailureKind, is_unanswered: bool = False) -> None:
-        """Let a sending fail."""
+        """Fail a send."""
         self.sends.remove(send)
         self.emit(SendFailed(send.attempt_id, kind, "test", is_unanswered))
 
     def disconnect(self, send: SendToReplica) -> list[ReplicaRecord]:
-        """Let a connection end without an answer; return the replicas that are looked into."""
+        """Close a connection without an answer; return the replicas that are probed."""
         before = len(self.actions)
         self.fail(send, SendFailureKind.BROKEN, is_unanswered=True)
         later = self.actions[before:]
         return [action.replica for action in later if isinstance(action, OpenConnection)]
 
     def crash_replica(self, send: SendToReplica) -> None:
-        """Let a replica end under a request: its connection ends, and the next one is refused."""
+        """Crash a replica during a request: its connection closes, and the next one is refused."""
         for record in self.disconnect(send):
             self.emit(ConnectionTried(record.life, "refused", is_refused=True))
 
     def copy_formats_from(self, other: "OneNode") -> None:
-        """Understand the stored values that another node understands."""
+        """Accept the stored values that another node accepts."""
         self._tables.update(other._tables)
         self._records.update(other._records)
 
     # Time and actions
 
     def advance(self, seconds: float) -> None:
-        """Let time pass and timers fire."""
+        """Advance the clock and fire the timers that become due."""
         end = self.now + seconds
-        while self._due and self._due[0][0] <= end:
-            due_at, _, event = heapq.heappop(self._due)
+        while self._pending_timers and self._pending_timers[0][0] <= end:
+            due_at, _, event = heapq.heappop(self._pending_timers)
             self.now = max(self.now, due_at)
             self.emit(event)
         self.now = end
 
     def stall(self, seconds: float) -> None:
-        """Let time pass while the node does something else; what is due fires late."""
+        """Advance the clock while the node is busy, so that timers fire late."""
         self.now += seconds
         self.advance(0.0)
 
     def emit(self, event: Event) -> None:
-        """Hand an event to the node and take its actions; its own work of this moment follows."""
-        at_once: list[Event] = []
+        """Pass an event to the node, record its actions, and handle its ``BeginDue`` events."""
+        begin_events: list[Event] = []
         for action in self.machine.handle(event, self.now):
             if isinstance(action, Schedule) and isinstance(action.event, BeginDue):
-                at_once.append(action.event)
+                begin_events.append(action.event)
             else:
-                self._take(action)
-        for later in at_once:
+                self._record(action)
+        for later in begin_events:
             self.emit(later)
 
     @property
     def last_watch_id(self) -> str:
-        """The watch that is under way."""
+        """Id of the latest watch."""
         return self.last(StartWatch).watch_id
 
     def last(self, kind: type[Kind]) -> Kind:
-        """Return the latest action of a kind."""
+        """Return the latest action of a type."""
         return next(action for action in reversed(self.actions) if isinstance(action, kind))
 
     def logs(self, message: str) -> list[dict[str, object]]:
-        """Return the fields of the log lines with that message."""
+        """Return the fields of the log lines with a message."""
         return [
             dict(action.fields)
             for action in self.actions
             if isinstance(action, Log) and action.message == message
         ]
 
-    def _take(self, action: Action) -> None:
+    def _record(self, action: Action) -> None:
         self.actions.append(action)
         if isinstance(action, Schedule):
-            heapq.heappush(self._due, (action.at_seconds, next(self._timers), action.event))
+            heapq.heappush(
+                self._pending_timers, (action.at_seconds, next(self._timer_ids), action.event)
+            )
         elif isinstance(action, SendToReplica):
             self.sends.append(action)
             self.all_sends.append(action)
@@ -317,16 +319,16 @@
             self.replies[action.exchange_id] = action
             self.replied_at[action.exchange_id] = self.now
 
-    # The store's formats: values are keys into what the tests put there
+    # Store formats: values are keys of the dictionaries of this object
 
     def stored(self, record: ReplicaRecord) -> StoredValue:
-        """Return a record as the store holds it."""
+        """Return a replica record as a stored value."""
         value = f"{record!r}".encode()
         self._records[value] = record
         return StoredValue(REPLICA_PREFIX + record.replica_id, value, self.store_revision)
 
     def stored_table(self, configuration: RoutingTable) -> StoredValue:
-        """Return a configuration as the store holds it."""
+        """Return a configuration as a stored value."""
         value = f"version {configuration.version} {id(configuration)}".encode()
         self._tables[value] = configuration
         return StoredValue(CONFIGURATION_KEY, value, self.store_revision)
--- a/tests/forwarding/test_sharded_service.py
+++ b/tests/forwarding/test_sharded_service.py
@@ -1,4 +1,4 @@
-"""Requests to all shards: merged, hedged, cut off in time, counted truly."""
+"""Requests to all shards: merging, hedging, the cutoff, and the count of missing shards."""
 
 from testtools import TestCase
 
@@ -32,16 +32,16 @@
 
 
 class MergeTest(TestCase):
-    def test_the_greatest_records_come_first_and_equal_ones_all_count(self) -> None:
+    def test_merged_records_are_in_descending_order_and_keep_duplicates(self) -> None:
         bodies = [record(5) + record(9), record(9) + record(1), b""]
         self.assertEqual(record(9) + record(9) + record(5), merge_top_records(bodies, 3))
 
-    def test_remaining_bytes_form_no_record(self) -> None:
+    def test_incomplete_records_are_dropped(self) -> None:
         self.assertEqual(record(2), merge_top_records([record(2) + b"\xff" * 15], 3))
 
 
-class GatherTest(TestCase):
-    def test_every_shard_is_asked_once_and_all_answers_are_merged(self) -> None:
+class AllShardsTest(TestCase):
+    def test_every_shard_receives_one_request_and_all_answers_are_merged(self) -> None:
         node = node_with()
         number = node.request("/all/x")
         self.assertEqual(SHARDS, len(node.sends))
@@ -53,7 +53,7 @@
         self.assertEqual(SHARDS, len(set(reply.signatures)))
         self.assertEqual(record(3) + record(2) + record(1), reply.body)
 
-    def test_one_configuration_serves_a_request_from_beginning_to_end(self) -> None:
+    def test_an_open_request_keeps_its_configuration(self) -> None:
         node = node_with()
         number = node.request("/all/x")
         node.change(configuration=table(2, sharded_route(2)))
@@ -63,18 +63,18 @@
         node.request("/all/y")
         self.assertEqual(2, len(node.sends))
 
-    def test_a_signature_that_is_already_in_is_no_part(self) -> None:
+    def test_an_answer_with_a_known_signature_does_not_count(self) -> None:
         node = node_with(max_attempts=1)
         number = node.request("/all/x")
         for send in list(node.sends):
             node.answer(send, signature="same")
-        # One part is in, no attempt is left: the final answer is a failure, at once.
+        # One shard has answered and no attempts are left, so the request fails immediately.
         reply = node.replies[number]
         assert isinstance(reply, ReplyFailure)
         self.assertEqual(ForwardFailureKind.FAILED, reply.kind)
         self.assertEqual(node.now, node.replied_at[number])
 
-    def test_a_replicas_failure_is_no_part(self) -> None:
+    def test_a_failure_of_a_replica_does_not_count(self) -> None:
         node = node_with()
         number = node.request("/all/x")
         sends = list(node.sends)
@@ -87,7 +87,7 @@
 
 
 class CutoffTest(TestCase):
-    def test_what_is_in_leaves_in_time_when_it_is_enough(self) -> None:
+    def test_a_partial_answer_that_meets_the_minimum_share_is_sent_at_the_cutoff(self) -> None:
         node = node_with()
         number = node.request("/all/x")
         for send in list(node.sends)[1:]:
@@ -97,7 +97,7 @@
         self.assertEqual(1, reply.missing_shards)
         self.assertLess(node.replied_at[number] - 100.0, 0.095)
 
-    def test_too_little_waits_and_leaves_as_soon_as_it_is_enough(self) -> None:
+    def test_after_the_cutoff_an_answer_is_sent_once_it_meets_the_minimum_share(self) -> None:
         node = node_with()
         number = node.request("/all/x")
         sends = list(node.sends)
@@ -108,7 +108,7 @@
         node.answer(next(send for send in node.sends if send.replica.service == "s1"))
         self.assertEqual(1, node.replies[number].missing_shards)
 
-    def test_a_shard_without_replicas_does_not_hold_the_rest_up(self) -> None:
+    def test_a_shard_without_replicas_does_not_delay_the_answer(self) -> None:
         node = node_with()
         node.change(gone=("s0r0", "s0r1"))
         node.advance(2.0)
@@ -118,7 +118,7 @@
         self.assertEqual(1, node.replies[number].missing_shards)
         self.assertEqual(node.now, node.replied_at[number])
 
-    def test_a_slow_shard_is_hedged_at_its_other_replica(self) -> None:
+    def test_a_slow_shard_is_hedged_at_another_replica(self) -> None:
         node = node_with()
         number = node.request("/all/x")
         sends = list(node.sends)
@@ -131,13 +131,13 @@
         node.answer(hedge)
         self.assertEqual(0, node.replies[number].missing_shards)
 
-    def test_when_time_is_over_it_is_said_that_it_may_have_run(self) -> None:
+    def test_at_the_deadline_the_request_is_reported_as_timed_out(self) -> None:
         node = node_with()
         number = node.request("/all/x")
         node.advance(1.2)
         self.assertIs(ForwardFailureKind.TIMED_OUT, node.replies[number].kind)
 
-    def test_what_is_enough_leaves_when_time_is_over_before_the_objective(self) -> None:
+    def test_a_sufficient_answer_is_sent_at_a_deadline_before_the_objective(self) -> None:
         node = node_with()
         number = node.request("/all/x", deadline_seconds=0.06)
         for send in list(node.sends)[1:]:
@@ -145,7 +145,7 @@
         node.advance(0.06)
         self.assertEqual(1, node.replies[number].missing_shards)
 
-    def test_a_request_that_reached_no_shard_is_refused(self) -> None:
+    def test_a_request_that_reached_no_shard_is_rejected_as_not_run(self) -> None:
         node = OneNode()
         node.start(table(1, sharded_route()), replica("r0", "other"))
         node.advance(10.0)
@@ -157,7 +157,7 @@
 
 
 class StalledReplicaTest(TestCase):
-    def test_a_replica_with_an_overdue_attempt_gets_no_new_ones(self) -> None:
+    def test_a_replica_with_an_overdue_attempt_receives_no_new_ones(self) -> None:
         node = node_with()
         node.request("/all/x")
         stalled = {send.replica.replica_id for send in node.sends}
@@ -167,7 +167,7 @@
         fresh = {send.replica.replica_id for send in node.all_sends[before:]}
         self.assertEqual(set(), stalled & fresh)
 
-    def test_a_replica_that_cannot_be_reached_is_left_out_for_a_while(self) -> None:
+    def test_an_unreachable_replica_is_excluded_for_a_while(self) -> None:
         node = node_with(copies=2, shards=1, least_share=1.0)
         node.request("/all/x")
         lost = node.sends[0]
@@ -178,7 +178,7 @@
             self.assertNotEqual(lost.replica.replica_id, node.sends[0].replica.replica_id)
             node.answer(node.sends[0])
 
-    def test_a_replica_that_refuses_or_fails_often_gets_little(self) -> None:
+    def test_a_replica_that_sheds_or_fails_often_receives_few_requests(self) -> None:
         for status, not_run in ((503, True), (500, False)):
             node = node_with(copies=2, shards=1, least_share=1.0)
             for _ in range(100):
@@ -196,7 +196,7 @@
 
 
 class TransitTest(TestCase):
-    def test_time_on_the_network_is_taken_from_the_time_for_shards(self) -> None:
+    def test_the_cutoff_is_earlier_by_the_network_time_of_the_caller(self) -> None:
         replied = {}
         for transit_seconds in (0.0, 0.012):
             node = node_with()
@@ -209,7 +209,7 @@
 
 
 class ConnectionsTest(TestCase):
-    def test_a_node_opens_one_connection_to_each_replica_at_first(self) -> None:
+    def test_a_node_opens_one_connection_to_each_replica_after_the_start(self) -> None:
         node = node_with(copies=1, shards=1, objective_seconds=1.0, least_share=1.0)
         node.request("/all/x")
         node.request("/all/x")
@@ -237,7 +237,7 @@
 
 
 class SilentShardTest(TestCase):
-    def test_an_answer_does_not_wait_for_a_shard_whose_replicas_stay_silent(self) -> None:
+    def test_an_answer_does_not_wait_for_a_shard_without_responsive_replicas(self) -> None:
         node = node_with(objective_seconds=0.5)
         for _ in range(3):
             node.request("/all/x")
@@ -254,7 +254,7 @@
 
 
 class MarginTest(TestCase):
-    def test_an_answer_of_many_shards_leaves_earlier(self) -> None:
+    def test_the_cutoff_is_earlier_for_many_shards(self) -> None:
         settings = ForwardingSettings(zone="a")
         narrow, wide = (
             compute_cutoff_seconds(sharded_route(count), 0.0, settings) for count in (4, 104)
--- a/tests/forwarding/test_single_service.py
+++ b/tests/forwarding/test_single_service.py
@@ -1,4 +1,4 @@
-"""Requests that one replica answers: passed on, retried, refused, never run twice."""
+"""Requests to a single service: retries, hedges, rejections, and no second run if unrepeatable."""
 
 from testtools import TestCase
 
@@ -20,7 +20,7 @@
 
 
 class ArrivalTest(TestCase):
-    def test_without_a_configuration_it_is_refused_and_may_come_back(self) -> None:
+    def test_without_a_configuration_a_request_is_rejected_as_not_run(self) -> None:
         node = OneNode()
         node.start(None)
         reply = node.replies[node.request()]
@@ -28,13 +28,13 @@
         self.assertIs(ForwardFailureKind.NOT_RUN, reply.kind)
         self.assertIsNotNone(reply.retry_after_seconds)
 
-    def test_without_a_route_there_is_none(self) -> None:
+    def test_a_request_that_matches_no_route_is_rejected(self) -> None:
         node = node_with()
         for number in (node.request("/other/x"), node.request(host="other.example")):
             self.assertIs(ForwardFailureKind.NO_ROUTE, node.replies[number].kind)
         self.assertEqual([], node.all_sends)
 
-    def test_the_answer_is_passed_on_as_it_is(self) -> None:
+    def test_the_answer_is_returned_unchanged(self) -> None:
         node = node_with()
         number = node.request()
         node.answer(node.sends[0], body=b"body")
@@ -42,7 +42,7 @@
         self.assertIsInstance(reply, ReplyUnchanged)
         self.assertEqual(b"body", reply.answer.body)
 
-    def test_the_replica_is_told_what_is_left(self) -> None:
+    def test_the_replica_receives_the_remaining_time(self) -> None:
         node = node_with(timeout_seconds=9.0)
         node.request(deadline_seconds=1.5)
         self.assertLessEqual(node.sends[0].remaining_seconds, 1.5)
@@ -50,7 +50,7 @@
         node.request(deadline_seconds=9.0)
         self.assertLessEqual(node.sends[0].remaining_seconds, 0.7)
 
-    def test_weights_divide_requests_exactly(self) -> None:
+    def test_requests_are_divided_exactly_by_weight(self) -> None:
         parts = (WeightedService("s", 3.0), WeightedService("t", 1.0))
         node = OneNode()
         route = single_route(services=parts)
@@ -63,7 +63,7 @@
 
 
 class RetryTest(TestCase):
-    def test_a_replica_that_did_not_run_it_is_followed_by_another(self) -> None:
+    def test_a_request_that_was_not_run_is_sent_to_another_replica(self) -> None:
         node = node_with(is_repeatable=False)
         number = node.request()
         first = node.sends[0]
@@ -73,7 +73,7 @@
         node.answer(second)
         self.assertIsInstance(node.replies[number], ReplyUnchanged)
 
-    def test_another_replica_at_the_address_is_forgotten(self) -> None:
+    def test_a_replica_whose_address_belongs_to_another_one_is_no_longer_used(self) -> None:
         node = node_with()
         number = node.request()
         first = node.sends[0]
@@ -101,14 +101,14 @@
         self.assertEqual(1, len(node.all_sends))
         self.assertIs(ForwardFailureKind.TIMED_OUT, node.replies[number].kind)
 
-    def test_an_unrepeatable_request_that_left_no_byte_is_sent_again(self) -> None:
+    def test_an_unrepeatable_request_of_which_no_byte_was_sent_is_sent_again(self) -> None:
         node = node_with(is_repeatable=False)
         number = node.request()
         node.fail(node.sends[0], SendFailureKind.NOT_SENT)
         node.answer(node.sends[0])
         self.assertIsInstance(node.replies[number], ReplyUnchanged)
 
-    def test_no_more_replicas_run_it_than_allowed(self) -> None:
+    def test_max_attempts_limits_the_replicas_that_run_a_request(self) -> None:
         node = node_with(replicas=5, max_attempts=2)
         number = node.request()
         node.fail(node.sends[0], SendFailureKind.BROKEN)
@@ -117,7 +117,7 @@
         self.assertEqual(2, len(node.all_sends))
         self.assertIs(ForwardFailureKind.FAILED, node.replies[number].kind)
 
-    def test_a_failure_that_a_replica_answered_is_passed_on_when_nothing_better_comes(self) -> None:
+    def test_a_failure_of_a_replica_is_returned_if_no_attempt_succeeds(self) -> None:
         node = node_with()
         number = node.request()
         node.answer(node.sends[0], 500)
@@ -126,7 +126,7 @@
         self.assertIsInstance(reply, ReplyUnchanged)
         self.assertEqual(500, reply.answer.status)
 
-    def test_a_slow_attempt_is_hedged_and_the_first_answer_counts(self) -> None:
+    def test_a_slow_attempt_is_hedged_and_the_first_answer_is_returned(self) -> None:
         node = node_with()
         number = node.request()
         node.advance(0.2)
@@ -138,12 +138,12 @@
 
 
 class BudgetTest(TestCase):
-    def test_extra_arrivals_of_every_window_stay_within_the_nodes_part(self) -> None:
+    def test_extra_arrivals_of_every_window_stay_within_the_budget_of_the_node(self) -> None:
         node = node_with(replicas=4)
-        asked: list[float] = []
+        requested_at: list[float] = []
         extra: list[float] = []
         for _ in range(300):
-            asked.append(node.now)
+            requested_at.append(node.now)
             node.request()
             before = len(node.all_sends)
             node.advance(0.2)
@@ -151,12 +151,12 @@
             for send in list(node.sends):
                 node.answer(send)
         self.assertGreater(len(extra), 30)
-        for start in asked:
+        for start in requested_at:
             in_window = sum(start <= at < start + 10.0 for at in extra)
-            own = sum(start <= at < start + 10.0 for at in asked)
+            own = sum(start <= at < start + 10.0 for at in requested_at)
             self.assertLessEqual(in_window, 0.2 * own + 56 / 12)
 
-    def test_an_attempt_that_left_no_byte_costs_no_budget(self) -> None:
+    def test_an_attempt_of_which_no_byte_was_sent_costs_no_budget(self) -> None:
         node = node_with(replicas=2)
         for _ in range(30):
             number = node.request()
@@ -166,8 +166,8 @@
             self.assertIsInstance(node.replies[number], ReplyUnchanged)
 
 
-class EndTest(TestCase):
-    def test_a_request_that_no_replica_can_take_is_refused_early(self) -> None:
+class ExchangeEndTest(TestCase):
+    def test_a_request_that_no_replica_can_take_is_rejected_early(self) -> None:
         node = OneNode()
         node.start(table(1, single_route()), replica("r0", "other"))
         node.advance(10.0)
@@ -177,7 +177,7 @@
         self.assertIs(ForwardFailureKind.NOT_RUN, reply.kind)
         self.assertGreater(reply.retry_after_seconds, 0.0)
 
-    def test_a_request_that_waits_for_a_connection_goes_in_the_order_of_priority(self) -> None:
+    def test_requests_that_wait_for_a_connection_are_sent_by_priority(self) -> None:
         node = OneNode()
         urgent = single_route("/urgent/", priority=0, objective_seconds=2.0)
         usual = single_route("/usual/", priority=2, objective_seconds=2.0)
@@ -189,7 +189,7 @@
         self.assertIn(first, node.replies)
         self.assertEqual(f"id-{third}", node.sends[0].request_id)
 
-    def test_a_caller_that_left_stops_the_replicas_soon(self) -> None:
+    def test_attempts_are_cancelled_soon_after_the_caller_left(self) -> None:
         node = node_with()
         number = node.request()
         node.leave(number)
@@ -197,7 +197,7 @@
         self.assertEqual([1], node.cancelled)
         self.assertNotIn(number, node.replies)
 
-    def test_every_failure_is_explained_by_the_request_id(self) -> None:
+    def test_a_failure_is_logged_with_its_request_id(self) -> None:
         node = node_with(is_repeatable=False)
         node.request()
         node.fail(node.sends[0], SendFailureKind.BROKEN)
@@ -207,8 +207,8 @@
         self.assertIn("broken", str(line["unanswered"]))
 
 
-class LogBoundTest(TestCase):
-    def test_a_flood_of_failures_is_bounded_and_what_was_left_out_is_said(self) -> None:
+class LogLimitTest(TestCase):
+    def test_log_lines_of_failures_are_limited_and_dropped_lines_are_counted(self) -> None:
         node = node_with(is_repeatable=False)
         for _ in range(100):
             node.request()
@@ -219,7 +219,7 @@
         node.fail(node.sends[0], SendFailureKind.MALFORMED)
         self.assertEqual(80, node.logs("request_ended")[-1]["lines_left_out"])
 
-    def test_what_is_believed_of_a_replica_is_said_when_it_changes(self) -> None:
+    def test_an_unreachable_replica_and_its_return_are_logged(self) -> None:
         node = node_with()
         node.request()
         lost = node.sends[0]
@@ -235,9 +235,9 @@
         self.assertEqual(lost.replica.replica_id, node.logs("replica_back")[0]["replica"])
 
 
-class ProvenReplicaTest(TestCase):
-    def test_replicas_that_just_answered_well_go_before_unknown_ones(self) -> None:
-        # With some seeds the first replica asked is a slow one: it must not prove itself.
+class ReplicaPreferenceTest(TestCase):
+    def test_replicas_that_answered_fast_are_preferred_to_unknown_ones(self) -> None:
+        # With some seeds the first replica is a slow one: its answers must not make it preferred.
         for seed in range(12):
             self.assertLessEqual(self.requests_to_slow_replicas(seed), 6, seed)
 
@@ -259,25 +259,25 @@
 
 
 class NoOtherReplicaTest(TestCase):
-    """The only replica of a service broke off."""
+    """The connection to the only replica of a service breaks."""
 
     def failed_after(self, settled_seconds: float) -> float | None:
-        """Return how long the caller waited for the failure; ``None``: it waits still."""
+        """Return the time in s until the caller received the failure; ``None`` if it waits."""
         node = OneNode()
         node.start(table(1, single_route(max_attempts=3)), replica("r0", "s"))
         node.advance(settled_seconds)
         number = node.request()
-        begun_at = node.now
+        started_at = node.now
         node.advance(0.001)
         node.fail(node.sends[0], SendFailureKind.BROKEN)
         node.advance(1.0)
         if number not in node.replies:
             return None
         self.assertIs(ForwardFailureKind.FAILED, node.replies[number].kind)
-        return node.replied_at[number] - begun_at
+        return node.replied_at[number] - started_at
 
-    def test_the_caller_hears_of_it_at_once(self) -> None:
+    def test_the_caller_receives_the_failure_immediately(self) -> None:
         self.assertAlmostEqual(0.001, self.failed_after(10.0))
 
-    def test_records_that_may_be_missing_are_waited_for(self) -> None:
+    def test_a_request_waits_while_records_may_be_missing(self) -> None:
         self.assertIsNone(self.failed_after(0.5))
--- a/tests/forwarding/test_stateful.py
+++ b/tests/forwarding/test_stateful.py
@@ -1,4 +1,4 @@
-"""Random histories of one forwarding node against what must always hold."""
+"""Checks the invariants of a forwarding node over random sequences of events."""
 
 from dataclasses import replace
 
@@ -19,12 +19,12 @@
 SHARDS = 3
 PATHS = ("/all/x", "/one/x", "/edit/x")
 CONNECTIONS = 24
-LONGEST_SECONDS = 1.2
-"""No request of these routes may stay open for longer."""
+MAX_OPEN_SECONDS = 1.2
+"""Maximum time for which a request of these routes may stay open."""
 
 
 class ForwardingHistory(RuleBasedStateMachine):
-    """Callers, replicas, the store and time act in any order."""
+    """Events of callers, replicas, the store and timers in random order."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -34,7 +34,7 @@
         self.left: set[int] = set()
         self.may_have_run: dict[tuple[str, str], set[str]] = {}
         self.draining: dict[str, int] = {}
-        self.numbers = 0
+        self.checked_sends = 0
 
     @initialize()
     def start(self) -> None:
@@ -117,7 +117,7 @@
             self.node.change(replace(record, is_draining=True))
 
     @rule(data=st.data(), step=st.integers(-3, 3))
-    def replica_starts_again(self, data: st.DataObject, step: int) -> None:
+    def replica_restarts(self, data: st.DataObject, step: int) -> None:
         alive = sorted(set(self.records) - set(self.draining))
         if alive:
             replica_id = data.draw(st.sampled_from(alive))
@@ -131,19 +131,21 @@
         self.node.advance(0.2)
 
     @invariant()
-    def sends_keep_their_bounds(self) -> None:
-        for send in self.node.all_sends[self._seen() :]:
+    def sends_respect_their_limits(self) -> None:
+        for send in self.node.all_sends[self._checked() :]:
             key = (send.request_id, send.replica.service)
-            lives = self.may_have_run.setdefault(key, set())
-            assert send.replica.life not in lives, f"{key} twice on {send.replica.life}"
-            lives.add(send.replica.life)
-            assert len(self.may_have_run[key]) <= 2, f"{key} on {self.may_have_run[key]}"
+            incarnations = self.may_have_run.setdefault(key, set())
+            assert send.replica.life not in incarnations, f"{key} sent twice to {send.replica.life}"
+            incarnations.add(send.replica.life)
+            assert len(self.may_have_run[key]) <= 2, (
+                f"{key} may have run on {self.may_have_run[key]}"
+            )
             if send.replica.service == "edit":
                 assert len(self.may_have_run[key]) <= 1, f"{key} may have run twice"
             number = int(send.request_id.removeprefix("id-"))
             assert number not in self.left, f"{send.request_id} sent after its caller left"
             assert send.replica.replica_id not in self.draining, "new work for a draining replica"
-        self.numbers = len(self.node.all_sends)
+        self.checked_sends = len(self.node.all_sends)
         in_use: dict[str, int] = {}
         for send in self.node.sends:
             replica_id = send.replica.replica_id
@@ -151,29 +153,31 @@
         assert all(count <= CONNECTIONS // 6 for count in in_use.values()), in_use
 
     @invariant()
-    def replies_are_true(self) -> None:
+    def replies_are_correct(self) -> None:
         for number, reply in self.node.replies.items():
             request_id = f"id-{number}"
             if isinstance(reply, ReplyFailure) and reply.kind is ForwardFailureKind.NOT_RUN:
                 ran = [ids for (owner, _), ids in self.may_have_run.items() if owner == request_id]
-                assert not any(ran), f"{request_id} was refused, but may have run on {ran}"
-                assert reply.retry_after_seconds, f"{request_id} is not told when to come back"
+                assert not any(ran), (
+                    f"{request_id} was rejected as not run, but may have run on {ran}"
+                )
+                assert reply.retry_after_seconds, f"{request_id} was rejected without a retry time"
             if isinstance(reply, ReplyMerged):
                 assert len(set(reply.signatures)) == len(reply.signatures)
                 assert len(reply.signatures) + reply.missing_shards == SHARDS
                 assert len(reply.signatures) / SHARDS >= 0.6
 
     @invariant()
-    def nobody_waits_for_ever(self) -> None:
+    def every_request_ends_in_time(self) -> None:
         for number, (_, arrived_at) in self.requests.items():
             if number not in self.node.replies and number not in self.left:
-                assert self.node.now - arrived_at < LONGEST_SECONDS, f"id-{number} is forgotten"
+                assert self.node.now - arrived_at < MAX_OPEN_SECONDS, f"id-{number} has no reply"
 
-    def _seen(self) -> int:
-        return self.numbers
+    def _checked(self) -> int:
+        return self.checked_sends
 
     def _did_not_run(self, send: SendToReplica) -> None:
-        # Sends are looked at between the steps; this one certainly was.
+        # Sends are checked after each step, so this one was recorded already.
         key = (send.request_id, send.replica.service)
         self.may_have_run[key].discard(send.replica.life)
 
--- a/tests/forwarding/test_suspension.py
+++ b/tests/forwarding/test_suspension.py
@@ -1,4 +1,4 @@
-"""What a node does when its machine was suspended."""
+"""Guards against wrong conclusions after a suspension of the node's machine."""
 
 from testtools import TestCase
 
@@ -12,7 +12,7 @@
 
 
 def node() -> OneNode:
-    """Return a node that has served for a while."""
+    """Return a node that started 5 s ago."""
     one = OneNode()
     records = [
         replica(f"r{number}-{copy}", f"s{number}") for number in range(SHARDS) for copy in "ab"
@@ -24,13 +24,13 @@
 
 
 def suspend(one: OneNode, seconds: float) -> None:
-    """Let the node's machine be suspended; what became due meanwhile comes after its waking."""
+    """Suspend the node's machine; timers that became due meanwhile fire after it resumes."""
     one.now += seconds
     one.emit(Woken(seconds))
 
 
 class SuspensionTest(TestCase):
-    def test_what_is_too_late_is_given_up_at_once(self) -> None:
+    def test_overdue_requests_end_immediately_after_a_suspension(self) -> None:
         one = node()
         number = one.request("/one/x", deadline_seconds=2.0)
         suspend(one, 3.0)
@@ -41,7 +41,7 @@
             tuple(line[name] for name in ("suspended_seconds", "open_requests", "given_up")),
         )
 
-    def test_what_can_still_be_in_time_goes_on(self) -> None:
+    def test_requests_that_can_still_be_in_time_continue(self) -> None:
         one = node()
         number = one.request("/one/x", deadline_seconds=2.0)
         suspend(one, 0.5)
@@ -49,7 +49,7 @@
         one.answer(one.sends[0])
         self.assertNotIsInstance(one.replies[number], ReplyFailure)
 
-    def test_requests_that_waited_all_the_while_are_refused_truly(self) -> None:
+    def test_requests_that_waited_during_the_suspension_are_rejected_as_not_run(self) -> None:
         one = node()
         suspend(one, 3.0)
         number = one.request("/one/x", deadline_seconds=2.0)
@@ -58,14 +58,14 @@
         self.assertIs(ForwardFailureKind.NOT_RUN, reply.kind)
         self.assertEqual([], one.sends)
 
-    def test_requests_that_come_after_that_are_served(self) -> None:
+    def test_requests_that_arrive_later_are_served(self) -> None:
         one = node()
         suspend(one, 3.0)
         one.advance(RESUME_SECONDS + 0.01)
         one.request("/one/x", deadline_seconds=2.0)
         self.assertEqual(1, len(one.sends))
 
-    def test_replicas_are_not_taken_for_silent(self) -> None:
+    def test_replicas_do_not_count_as_unreachable(self) -> None:
         for seconds in (1.0, 3.0, 8.0, 30.0):
             one = node()
             one.request("/all/x", deadline_seconds=1.0)
@@ -76,7 +76,7 @@
             one.request("/all/x", deadline_seconds=1.0)
             self.assertEqual(SHARDS, len(one.sends), seconds)
 
-    def test_the_store_is_looked_at_at_once(self) -> None:
+    def test_the_store_is_polled_immediately(self) -> None:
         for seconds in (1.0, 3.0, 8.0, 30.0):
             one = node()
             before = one.last(StartWatch)
@@ -85,13 +85,13 @@
             self.assertIsNot(before, look)
             self.assertEqual(0.0, look.pause_seconds)
 
-    def test_records_may_be_missing_as_after_an_outage(self) -> None:
+    def test_a_suspension_counts_as_an_outage_of_the_store(self) -> None:
         one = node()
         self.assertFalse(one.machine._directory.is_settling(one.now))
         suspend(one, 8.0)
         self.assertTrue(one.machine._directory.is_settling(one.now))
 
-    def test_how_late_a_node_is_is_measured_by_one_timer_only(self) -> None:
+    def test_only_one_timer_measures_the_processing_lag(self) -> None:
         one = node()
         suspend(one, 3.0)
         one.advance(2.0)
--- a/wingquay/forwarding/settings.py
+++ b/wingquay/forwarding/settings.py
@@ -23,119 +23,121 @@
     zone
         The zone of this node.
     choice_strategy
-        How the replicas of a service are compared.
+        Strategy for comparing the replicas of a service.
     cold_overage, cold_slack
-        A cold replica may get as many requests a second as its service states, times the first,
-        plus the second, from all nodes together.
+        Limit of the requests per second that a cold replica may receive from all nodes: the rate
+        that its service states, times ``cold_overage``, plus ``cold_slack``.
     retry_ratio
-        Extra arrivals at a service for each request for it, of this node's own requests.
+        Extra arrivals (retries and hedges) at a service per request of this node for it.
     retry_slack
-        Extra arrivals at a service in a window that all nodes together may cause besides.
+        Further extra arrivals at a service that all nodes together may cause per window.
     retry_window_seconds
-        Length of the window.
+        Length of the window of ``retry_slack``.
     max_nodes
-        Nodes to reckon with while their number is not known.
+        Number of nodes that is assumed while it is unknown.
     min_nodes
-        Nodes to reckon with at least: some may have no key yet.
+        Minimum number of nodes that is assumed, as some may not have written their key yet.
     node_count_memory_seconds
-        How long a greater number of nodes is remembered.
+        Time for which a higher number of nodes is still used after it has fallen.
     presence_delay_seconds
         Time after the start at which a node without a configuration writes its key.
     join_delay_seconds
-        The same where routes are narrow: requests go first, and far shards wait for the link.
+        The same with a configuration that has only narrow routes.
     join_wide_delay_seconds
-        The same where a route is wide: by itself a node answers such requests too late anyway.
-    join_seconds, join_poll_interval_seconds, join_idle_poll_interval_seconds
-        Time after the link to other nodes opened in which their keys are looked for more often, and
-        the least time between two looks in it, once requests arrive and before: nodes that start
-        together have written their keys within 1.5 s, so an idle one looks once.
+        The same with a configuration that has a wide route, which needs other nodes to be answered
+        in time.
+    join_seconds
+        Time after the links to other nodes have opened in which the store is polled more often for
+        their keys.
+    join_poll_interval_seconds, join_idle_poll_interval_seconds
+        Minimum time between two polls during ``join_seconds``, after and before the first request.
     presence_lease_seconds
-        Time to live of the key's lease.
+        Time to live of the lease of the node's key.
     presence_retry_seconds
-        Pause after a call for the key failed.
+        Pause after a failed store request for the node's key.
     first_connections_seconds
-        Time after the start in which a node opens one connection to each replica only: replicas
-        may still count those of its last life.
+        Time after the start in which a node opens only one connection to each replica, as replicas
+        may still count the connections of its previous incarnation.
     reply_margin_seconds, reply_margin_ratio, reply_margin_shard_seconds
-        Time kept, besides the network's, for handing over an answer: a constant, a share of the
-        route's objective, and a time for each shard whose answer is taken in and merged.
+        Time reserved before the objective for sending an answer, in addition to the network time: a
+        constant, a share of the objective, and a time for each shard.
     timeout_margin_seconds
-        How long before the end of a request's time it is given up on.
+        Time before the deadline of a request at which its exchange times out.
     hedge_quantile
-        A second replica is asked once an attempt takes longer than this share of attempts.
-    hedge_least_factor
-        The least hedge delay in median latencies.
+        Quantile of the latencies of a route after which an attempt is hedged.
+    hedge_min_factor
+        Minimum hedge delay, as a multiple of the median latency.
     hedge_initial_ratio
-        The hedge delay of a route without measurements, as a share of its objective.
+        Hedge delay of a route without measurements, as a share of its objective.
     hedge_max_ratio
-        The greatest hedge delay, as a share of the route's objective.
+        Maximum hedge delay, as a share of the route's objective.
     abandon_seconds
-        How long an attempt that nobody waits for may still run before it is cancelled.
+        Time for which an attempt whose answer is no longer needed may run before it is cancelled.
     connect_backoff_seconds, connect_backoff_max_seconds
-        How long a replica that cannot be reached gets no work, at first and at most.
+        First and maximum time for which an unreachable replica receives no requests.
     unreachable_after_seconds
-        Time without any answer after which a replica counts as out of reach.
+        Time without any answer after which a replica counts as unreachable.
     shed_backoff_seconds
-        How long a replica that refused work for its load gets none.
+        Time for which a replica that shed a request receives none.
     paused_trial_seconds, slow_trial_seconds
-        Least time between two attempts of this node at replicas that were slow once, or again when
-        they were tried.
+        Minimum time between two trials of this node at replicas that were slow once, and at
+        replicas that were slow again in a trial.
     vanished_grace_seconds
-        How long a replica whose record vanished may still get work when no other is left.
+        Time for which a replica whose record has vanished may receive requests if no other is left.
     vanished_outage_grace_seconds
-        The same while the directory was just out of reach; always within the time after which a
-        replica that is leaving must get nothing more.
+        The same after an outage of the store; shorter than the time after which a leaving replica
+        must receive no more requests.
     settle_seconds
-        Time after the start, or after the store was last seen out of reach, in which records of
-        replicas may still be missing: they are back 2 s after its return, which is noticed within
-        another second.
+        Time after the start or after an outage of the store in which records of replicas may still
+        be missing.
     stale_record_seconds
-        Time for which the store is looked at more often once a replica has shown that its record
-        is old: new ones may be there already.
+        Time for which the store is polled more often after a replica has shown that its record is
+        stale.
     settle_poll_interval_seconds
-        Least time between two looks at the store while records are missing.
+        Minimum time between two polls of the store while records are missing.
     delegate_min_shards
-        Shards of a route from which on other nodes are asked for most of them: below, a node
-        codes its requests sooner than it would hear from the others.
+        Minimum number of shards of a route for delegating shards to other nodes; below it, sending
+        all requests directly is faster.
     delegate_min_nodes
-        Nodes of a group, this one included, from which on it is worth it.
+        Minimum number of nodes in a group, including this one, for delegating shards.
     poll_rank_delay_seconds
-        Time by which each node of those that tell each other what they read of the store waits
-        longer than the one before it, so that usually one of them looks.
+        Additional delay of polls per rank among the nodes that send each other store updates, so
+        that usually only one of them polls.
     max_update_age_seconds
-        Time that news may have taken on their way, as far as it is known; older ones put no look
-        off.
-    update_group_min_nodes, update_max_recipients
-        Nodes of a group from which on it keeps to itself; how many nodes are told at most.
+        Maximum age of a store update for which it postpones the next poll.
+    update_group_min_nodes
+        Minimum number of nodes in a group for sending store updates only within the group.
+    update_max_recipients
+        Maximum number of nodes that receive store updates.
     zones
-        All zones of the deployment, as far as they are known.
+        All known zones of the deployment.
     processor
-        How fast this node computes, in whole cores.
+        Computing speed of this node in whole processor cores.
     relay_min_shards
-        Shards without a replica in this node's zone from which on a node of another zone is asked
-        for them: it is nearer to their replicas, and one merged answer crosses between the zones.
+        Minimum number of shards without a replica in this zone for delegating them to a node of
+        another zone, so that one merged answer crosses between the zones.
     delegate_return_seconds
-        Time kept for the reports of nodes to come back and be merged.
+        Time reserved for the reports of delegates to arrive and be merged.
     delegate_report_ratio
-        Share of the time for a report after which what is in is told, even if more may come: if
-        every node told all it has at the last moment, the asking one would take too long to read.
+        Share of the time for a report after which a delegate reports the answers so far, so that
+        not all reports arrive at the last moment.
     delegate_takeover_ratio
-        Share of the objective after which the shards of a node that has not said anything are
-        asked directly.
+        Share of the objective after which the shards of a delegate that has not replied are sent
+        directly.
     delegate_takeover_factor, delegate_takeover_max_ratio
-        The same in times that nodes usually take to say that they are there, where that is longer,
-        up to a share of the objective.
+        Alternative takeover time as a multiple of the usual time until delegates acknowledge, used
+        if it is longer; limited to a share of the objective.
     node_suspect_seconds, node_suspect_max_seconds
-        How long a node that did not report is passed over, at first and at most.
+        First and maximum time for which a node that did not report gets no delegations.
     node_absent_seconds
-        The same at first for one whose link did not come up: when all start together, the next
-        one listens a few tenths of a second later.
+        First such time for a node whose link could not be opened, which may just be starting.
     idle_close_seconds
-        Time after a stop was asked for until idle connections are closed.
-    most_stop_seconds
-        Time after a stop was asked for at which the node ends in any case.
+        Time after a stop request until idle connections are closed.
+    max_stop_seconds
+        Time after a stop request until the node exits in any case.
     leaves_when_cut_off
-        Whether a node that has lost all other zones leaves callers to those where that helps them.
+        Whether a node that is cut off from all other zones stops taking callers if the other zones
+        can serve them better.
     """
 
     zone: str
