--- a/benchmarks/claims_cost.py
+++ b/benchmarks/claims_cost.py
@@ -170,7 +170,7 @@
             caller=CALLER,
             service=SERVICE,
             kind=RequestKindName("install-order"),
-            key_ranges=(KeyRange.of_key("plot"),),
+            key_ranges=(KeyRange.from_key("plot"),),
             idempotency_key=f"order-{number}",
         )
         self._started_at[request.request_id] = self.now
--- a/benchmarks/support/workload.py
+++ b/benchmarks/support/workload.py
@@ -27,7 +27,7 @@
     SnapshotVersion,
     ZoneName,
 )
-from wingquay.model.key_range import EVERYTHING
+from wingquay.model.key_range import FULL_KEY_RANGE
 from wingquay.model.request import QueryRequest
 from wingquay.ports.backend import (
     AttemptFinished,
@@ -135,7 +135,7 @@
         caller=CALLER,
         service=SERVICE,
         kind=KIND,
-        key_ranges=(EVERYTHING,),
+        key_ranges=(FULL_KEY_RANGE,),
     )
 
 
--- a/benchmarks/wide_request.py
+++ b/benchmarks/wide_request.py
@@ -103,7 +103,7 @@
             timeout_seconds=2 * OBJECTIVE_SECONDS,
             objective_seconds=OBJECTIVE_SECONDS,
             merged_records=50,
-            least_share=0.95,
+            min_share=0.95,
         )
         services = {name: UpstreamService(name, 60) for name in names}
         machine = ForwardingMachine(settings, directory, NodeCount(settings), source)
--- a/tests/adapters/test_caller_server.py
+++ b/tests/adapters/test_caller_server.py
@@ -134,7 +134,7 @@
             self.assertEqual((TRACEPARENT, "portal"), (query.traceparent, query.caller))
             await caller.send(orjson.dumps(MINIMAL), {"traceparent": "damaged"})
             minimal = await caller.query()
-            self.assertEqual((KeyRange.of_key("k"),), minimal.key_ranges)
+            self.assertEqual((KeyRange.from_key("k"),), minimal.key_ranges)
             self.assertEqual((None, None), (minimal.deadline_seconds, minimal.repeatable))
             self.assertEqual((None, None), (minimal.idempotency_key, minimal.traceparent))
             self.assertNotEqual(query.request_id, minimal.request_id)
--- a/tests/adapters/test_forwarding_peer_codec.py
+++ b/tests/adapters/test_forwarding_peer_codec.py
@@ -13,13 +13,13 @@
 from wingquay.adapters.peer_codec_error import PeerCodecFailureKind
 from wingquay.adapters.proto import peer_pb2
 from wingquay.model.failure import Failure
-from wingquay.ports.crash_news import CrashNews, ToldEnd
+from wingquay.ports.crash_messages import CrashReport, ReportedCrash
 from wingquay.ports.delegation import (
     AllowAttempts,
     CancelDelegation,
     DelegatedAnswer,
     DelegatedRequest,
-    Greeting,
+    PrewarmMessage,
 )
 from wingquay.ports.forwarding import OpaqueRequest
 from wingquay.ports.machine import Event
@@ -32,10 +32,10 @@
     PeerReceived,
     SendToPeer,
 )
-from wingquay.ports.proof_messages import AskProof, ProofGiven
-from wingquay.ports.reach_news import ReachNews
+from wingquay.ports.proof_messages import ProofReply, ProofRequest
+from wingquay.ports.reachability_messages import ReachabilityReport
 from wingquay.ports.store import StoredValue
-from wingquay.ports.store_news import StoreNews
+from wingquay.ports.store_update import StoreUpdate
 
 SENDER = NodeIdentity("n-1", "", "a", "127.0.0.1", 7)
 NUMBERS = st.integers(0, 2**63)
@@ -78,10 +78,11 @@
     )
 )
 CRASH_NEWS = st.builds(
-    CrashNews,
+    CrashReport,
     st.binary(max_size=16),
     st.lists(
-        st.builds(ToldEnd, st.text(max_size=9), st.text(max_size=9), SECONDS, SECONDS), max_size=3
+        st.builds(ReportedCrash, st.text(max_size=9), st.text(max_size=9), SECONDS, SECONDS),
+        max_size=3,
     ).map(tuple),
     SECONDS,
     st.booleans(),
@@ -90,7 +91,7 @@
     StoredValue, st.text(max_size=9), st.binary(max_size=9), NUMBERS, NUMBERS, NUMBERS
 )
 NEWS = st.builds(
-    StoreNews,
+    StoreUpdate,
     NUMBERS,
     NUMBERS,
     st.lists(ITEMS, max_size=3).map(tuple),
@@ -102,22 +103,22 @@
 BY_KIND: dict[type[PeerMessage], st.SearchStrategy[PeerMessage]] = {
     DelegatedRequest: REQUESTS,
     DelegatedAnswer: ANSWERS,
-    StoreNews: NEWS,
-    CrashNews: CRASH_NEWS,
+    StoreUpdate: NEWS,
+    CrashReport: CRASH_NEWS,
     AllowAttempts: st.builds(AllowAttempts, NUMBERS, st.integers(0, 2**31)),
     CancelDelegation: st.builds(CancelDelegation, NUMBERS),
-    AskProof: st.builds(AskProof, NUMBERS),
-    ProofGiven: st.builds(ProofGiven, NUMBERS, SECONDS, NUMBERS),
-    Greeting: st.just(Greeting()),
-    ReachNews: st.builds(ReachNews, ZONES, ZONES, st.booleans()),
+    ProofRequest: st.builds(ProofRequest, NUMBERS),
+    ProofReply: st.builds(ProofReply, NUMBERS, SECONDS, NUMBERS),
+    PrewarmMessage: st.just(PrewarmMessage()),
+    ReachabilityReport: st.builds(ReachabilityReport, ZONES, ZONES, st.booleans()),
 }
 MESSAGES = st.one_of(list(BY_KIND.values()))
 PORTS = (
-    "wingquay.ports.crash_news",
+    "wingquay.ports.crash_messages",
     "wingquay.ports.delegation",
     "wingquay.ports.proof_messages",
-    "wingquay.ports.reach_news",
-    "wingquay.ports.store_news",
+    "wingquay.ports.reachability_messages",
+    "wingquay.ports.store_update",
 )
 """Their messages are those between forwarding nodes."""
 
@@ -165,12 +166,12 @@
     def setUp(self) -> None:
         super().setUp()
         routes = b",".join(b'{"name":"r%d","service":"s","timeoutMs":900}' % i for i in range(2000))
-        self.configuration = StoreNews(1, 9, (StoredValue("configuration", routes, 9),))
+        self.configuration = StoreUpdate(1, 9, (StoredValue("configuration", routes, 9),))
         entry = (
             b'{"service":"s%d","address":"10.1.2.%d:8080","zone":"a","version":"v1","capacity":2}'
         )
         entries = [StoredValue(f"servers/i-{n:08x}", entry % (n, n), n) for n in range(400)]
-        self.replicas = StoreNews(1, 400, tuple(entries), ("gone",))
+        self.replicas = StoreUpdate(1, 400, tuple(entries), ("gone",))
 
     def test_they_are_a_fraction_of_their_size_on_the_wire(self) -> None:
         for news in (self.configuration, self.replicas):
--- a/tests/adapters/test_limit_codec.py
+++ b/tests/adapters/test_limit_codec.py
@@ -13,12 +13,12 @@
 from wingquay.model.failure import Failure
 from wingquay.ports.limit_messages import (
     LimitAcknowledgement,
-    LimitAnswer,
-    LimitAsk,
     LimitOwnersReply,
     LimitOwnersRequest,
     LimitRecord,
-    LimitTell,
+    LimitReply,
+    LimitReport,
+    LimitRequest,
     LimitVerdict,
 )
 from wingquay.ports.peer_link import NodeIdentity, PeerMessage
@@ -37,7 +37,7 @@
 
 MESSAGES = st.one_of(
     st.builds(
-        lambda sequence, rows: LimitTell(sequence, *rows),
+        lambda sequence, rows: LimitReport(sequence, *rows),
         NUMBERS,
         columns(NAMES, st.integers(-(2**31), 2**31 - 1), COUNTS),
     ),
@@ -47,8 +47,8 @@
         st.booleans(),
         columns(NAMES, SECONDS),
     ),
-    st.builds(LimitAsk, NUMBERS, NAMES),
-    st.builds(LimitAnswer, NUMBERS, st.sampled_from(LimitVerdict), SECONDS, st.booleans(), SECONDS),
+    st.builds(LimitRequest, NUMBERS, NAMES),
+    st.builds(LimitReply, NUMBERS, st.sampled_from(LimitVerdict), SECONDS, st.booleans(), SECONDS),
     st.builds(
         lambda number, owners, wants_records, loans: LimitOwnersRequest(
             number, owners, wants_records, *loans
@@ -80,7 +80,7 @@
         self.assertEqual((SENDER, message), codec.decode(codec.encode(message, SENDER)))
 
     def test_columns_of_two_lengths_are_malformed(self) -> None:
-        envelope = peer_pb2.Envelope.FromString(codec.encode(LimitTell(1), SENDER))
+        envelope = peer_pb2.Envelope.FromString(codec.encode(LimitReport(1), SENDER))
         for field in ("tenants", "counts"):
             broken = peer_pb2.Envelope.FromString(envelope.SerializeToString())
             getattr(broken.limit_tell, field).append("t" if field == "tenants" else 1)
@@ -89,7 +89,7 @@
             self.assertEqual(PeerCodecFailureKind.MALFORMED, failure.kind)
 
     def test_an_unknown_verdict_is_malformed(self) -> None:
-        answer = LimitAnswer(1, LimitVerdict.GRANTED)
+        answer = LimitReply(1, LimitVerdict.GRANTED)
         envelope = peer_pb2.Envelope.FromString(codec.encode(answer, SENDER))
         envelope.limit_answer.verdict = 9
         failure = codec.decode(envelope.SerializeToString())
--- a/tests/adapters/test_peer_codec.py
+++ b/tests/adapters/test_peer_codec.py
@@ -67,11 +67,11 @@
 
 FORWARDING_PORTS = (
     "wingquay.ports.limit_messages",
-    "wingquay.ports.crash_news",
+    "wingquay.ports.crash_messages",
     "wingquay.ports.delegation",
     "wingquay.ports.proof_messages",
-    "wingquay.ports.reach_news",
-    "wingquay.ports.store_news",
+    "wingquay.ports.reachability_messages",
+    "wingquay.ports.store_update",
 )
 """Their messages have a codec of their own, see test_forwarding_peer_codec."""
 
--- a/tests/admission/test_health_pages.py
+++ b/tests/admission/test_health_pages.py
@@ -7,7 +7,7 @@
 from wingquay.admission.lane_table import LaneTable
 from wingquay.model.failure import Failure
 from wingquay.model.identifiers import AttemptId, ReplicaId
-from wingquay.model.key_range import EVERYTHING
+from wingquay.model.key_range import FULL_KEY_RANGE
 from wingquay.ports.backend import (
     AttemptFinished,
     BackendFailureKind,
@@ -25,7 +25,7 @@
     def setUp(self) -> None:
         super().setUp()
         lanes = LaneTable(RoutingSettings(), by_class=True)
-        lanes.apply(configuration((EVERYTHING,), 1))
+        lanes.apply(configuration((FULL_KEY_RANGE,), 1))
         self.prober = HealthProber("n", RoutingSettings(), lanes)
         refused = Failure(BackendFailureKind.DRAINING, "leaving")
         self.prober.on_attempt_finished(AttemptFinished(AttemptId("a"), REPLICA, refused), 10.0)
--- a/tests/claims/test_scenarios.py
+++ b/tests/claims/test_scenarios.py
@@ -115,7 +115,7 @@
         node = world.living()[0]
         decisions = [decide(world, node, f"k{number}") for number in range(8)]
         granted = [ClaimDecisionKind.GRANTED] * 5
-        self.assertEqual([*granted, *[ClaimDecisionKind.CANNOT_TELL] * 3], decisions)
+        self.assertEqual([*granted, *[ClaimDecisionKind.UNDECIDED] * 3], decisions)
         self.assertEqual(ClaimDecisionKind.ALREADY_DONE, decide(world, node, "k0"))
 
 
@@ -128,7 +128,7 @@
         for node in world.living():
             outside = set(world.nodes) - ids
             world.tell_view(node, outside if node in minority else ids)
-        self.assertEqual(ClaimDecisionKind.CANNOT_TELL, decide(world, minority[0], "k1"))
+        self.assertEqual(ClaimDecisionKind.UNDECIDED, decide(world, minority[0], "k1"))
         majority = world.living(world.zones[1])
         self.assertEqual(ClaimDecisionKind.GRANTED, decide(world, majority[0], "k2"))
         self.assertEqual(ClaimDecisionKind.GRANTED, decide(world, majority[0], "k1"))
@@ -198,7 +198,7 @@
             world.tell_membership()
             world.advance(20.0)
             node = world.living()[0]
-            self.assertEqual(ClaimDecisionKind.CANNOT_TELL, decide(world, node))
+            self.assertEqual(ClaimDecisionKind.UNDECIDED, decide(world, node))
             world.advance(world.settings.wait_seconds)
             self.assertEqual(ClaimDecisionKind.GRANTED, decide(world, node))
             self.assertEqual([], world.violations)
@@ -254,7 +254,7 @@
         world.start_node(ZoneName("z9"))
         world.tell_membership()
         world.advance(30.0)
-        self.assertEqual(ClaimDecisionKind.CANNOT_TELL, decide(world, world.living()[0], "k1"))
+        self.assertEqual(ClaimDecisionKind.UNDECIDED, decide(world, world.living()[0], "k1"))
         world.advance(world.settings.wait_seconds)
         self.assertEqual(ClaimDecisionKind.GRANTED, decide(world, world.living()[0], "k1"))
 
--- a/tests/claims/world.py
+++ b/tests/claims/world.py
@@ -274,7 +274,7 @@
             caller=CallerName("surveyor"),
             service=SERVICE,
             kind=RequestKindName("survey-edit"),
-            key_ranges=(KeyRange.of_key("plot-1"),),
+            key_ranges=(KeyRange.from_key("plot-1"),),
             repeatable=False,
             idempotency_key=key,
             body=body,
--- a/tests/configuration/test_plan.py
+++ b/tests/configuration/test_plan.py
@@ -22,7 +22,7 @@
 from wingquay.model.failure import Failure
 from wingquay.model.identifiers import RequestKindName, Revision, ServiceName
 from wingquay.model.intent import Intent, RestoreRevision, SetShards
-from wingquay.model.plan import EffectDirection, OutlookVerdict, Plan
+from wingquay.model.plan import EffectDirection, ForecastVerdict, Plan
 from wingquay.ports.internal import KindLoad, LoadObserved, ServiceLoad
 
 SERVICE = ServiceName("coverage-lookup")
@@ -73,20 +73,20 @@
 
     def test_the_outlook_rests_on_the_load_seen(self) -> None:
         verdicts = {
-            OutlookVerdict.KEEPABLE: load(0.01, 0.1, 0.5),
-            OutlookVerdict.AT_RISK: load(0.1, 0.3, 0.5),
-            OutlookVerdict.NOT_KEEPABLE: load(0.3, 0.5, 0.5),
+            ForecastVerdict.KEEPABLE: load(0.01, 0.1, 0.5),
+            ForecastVerdict.AT_RISK: load(0.1, 0.3, 0.5),
+            ForecastVerdict.NOT_KEEPABLE: load(0.3, 0.5, 0.5),
         }
         for verdict, seen in verdicts.items():
             plan = planned(document(), assign(), seen=seen)
             self.assertEqual(verdict, plan.outlook[0].verdict)
-            self.assertEqual(verdict is not OutlookVerdict.KEEPABLE, bool(plan.warnings))
+            self.assertEqual(verdict is not ForecastVerdict.KEEPABLE, bool(plan.warnings))
 
     def test_taking_slots_away_is_warned_of(self) -> None:
         fewer = SetShards(service=SERVICE, shards=(CONFIGURATION.services[0].shards[1],))
         plan = planned(document(), fewer, seen=load(0.01, 0.1, 0.5))
         outlook = {entry.kind: entry for entry in plan.outlook}["outage-ping"]
-        self.assertEqual(OutlookVerdict.NOT_KEEPABLE, outlook.verdict)
+        self.assertEqual(ForecastVerdict.NOT_KEEPABLE, outlook.verdict)
         self.assertEqual(1.5, outlook.expected_utilization)
 
     def test_intents_that_change_nothing_are_refused(self) -> None:
--- a/tests/forwarding/choice/test_bytes_between_zones.py
+++ b/tests/forwarding/choice/test_bytes_between_zones.py
@@ -55,7 +55,7 @@
         "/wide/",
         shards=tuple(f"bapu{561 + shard}" for shard in range(SHARDS)),
         objective_seconds=OBJECTIVE_SECONDS,
-        least_share=0.95,
+        min_share=0.95,
         merged_records=50,
     )
     load = ReplayedLoad(replicas, clock, {"/wide/": 0.0112}, source, body_bytes={"/wide/": 1000})
--- a/tests/forwarding/choice/test_lost_answers.py
+++ b/tests/forwarding/choice/test_lost_answers.py
@@ -27,7 +27,7 @@
     "/wide/",
     shards=tuple(f"s{shard}" for shard in range(SHARDS)),
     objective_seconds=OBJECTIVE_SECONDS,
-    least_share=0.95,
+    min_share=0.95,
     merged_records=5,
 )
 
--- a/tests/forwarding/crashing/test_guard.py
+++ b/tests/forwarding/crashing/test_guard.py
@@ -14,7 +14,7 @@
 from wingquay.adapters.held_record import held_value, parse_held
 from wingquay.forwarding.crashing.guard import TELL_SECONDS
 from wingquay.forwarding.crashing.suspects import HOLD_SECONDS
-from wingquay.ports.crash_news import CrashNews, HeldRequest, ToldEnd
+from wingquay.ports.crash_messages import CrashReport, HeldRequest, ReportedCrash
 from wingquay.ports.delegation import DelegatedAnswer, DelegatedRequest
 from wingquay.ports.forwarding import (
     ConnectionTried,
@@ -36,7 +36,7 @@
 
 SHARDS = 6
 HELD_KEY_BYTES = 32
-TWO_ENDS = (ToldEnd("x1", "far", 9.0, 8.9), ToldEnd("x2", "far", 5.0, 4.9))
+TWO_ENDS = (ReportedCrash("x1", "far", 9.0, 8.9), ReportedCrash("x2", "far", 5.0, 4.9))
 
 
 def node(**route: object) -> OneNode:
@@ -163,7 +163,7 @@
         self.assertLessEqual(len(one.all_sends), SHARDS + 3)
 
     def test_an_answer_lets_everything_go_on(self) -> None:
-        one, number = self.begin(least_share=1.0)
+        one, number = self.begin(min_share=1.0)
         lost = list(one.sends)
         for send in lost[:4]:
             one.crash_replica(send)
@@ -201,7 +201,7 @@
 class NewsTest(TestCase):
     def test_what_is_held_is_told_to_other_nodes(self) -> None:
         one = held_node()
-        news = [item for item in told(one, CrashNews) if item.held_seconds]  # type: ignore[attr-defined]
+        news = [item for item in told(one, CrashReport) if item.held_seconds]  # type: ignore[attr-defined]
         self.assertEqual(len(OTHERS), len(news))
         self.assertEqual(3, len(news[0].ends))  # type: ignore[attr-defined]
 
@@ -209,7 +209,7 @@
         one = linked()
         one.request("/one/crash")
         one.crash_replica(one.sends[0])
-        self.assertEqual([], told(one, CrashNews))
+        self.assertEqual([], told(one, CrashReport))
 
     def test_ends_of_a_request_that_is_answered_soon_are_not_told(self) -> None:
         one = linked()
@@ -217,18 +217,18 @@
         one.crash_replica(one.sends[0])
         one.answer(one.sends[0])
         one.advance(TELL_SECONDS + 0.05)
-        self.assertEqual([], [item for item in told(one, CrashNews) if item.ends])  # type: ignore[attr-defined]
+        self.assertEqual([], [item for item in told(one, CrashReport) if item.ends])  # type: ignore[attr-defined]
 
     def test_ends_under_an_attempt_that_failed_are_told_before_anything_is_held(self) -> None:
         one = linked()
         end_single(one, 2)
         self.assertEqual([], one.logs("request_held"))
-        self.assertEqual(2, max(len(item.ends) for item in told(one, CrashNews)))  # type: ignore[attr-defined]
+        self.assertEqual(2, max(len(item.ends) for item in told(one, CrashReport)))  # type: ignore[attr-defined]
 
     def test_ends_of_another_node_count(self) -> None:
         one, two = linked(), linked()
         end_single(one, 2)
-        two.emit(PeerReceived(OTHERS[0], told(one, CrashNews)[-1]))  # type: ignore[arg-type]
+        two.emit(PeerReceived(OTHERS[0], told(one, CrashReport)[-1]))  # type: ignore[arg-type]
         two.advance(0.2)
         end_single(two, 1)
         self.assertEqual(1, len(two.logs("request_held")))
@@ -237,7 +237,7 @@
         one, two = held_node(), linked()
         number = two.request("/one/crash")
         (send,) = two.sends
-        (news, *_) = [item for item in told(one, CrashNews) if item.held_seconds]  # type: ignore[attr-defined]
+        (news, *_) = [item for item in told(one, CrashReport) if item.held_seconds]  # type: ignore[attr-defined]
         two.emit(PeerReceived(OTHERS[0], news))  # type: ignore[arg-type]
         self.assertEqual([send.attempt_id], two.cancelled)
         self.assertIs(ForwardFailureKind.FAILED, two.replies[number].kind)  # type: ignore[union-attr]
@@ -246,18 +246,18 @@
 
     def test_news_go_on_once(self) -> None:
         one, two = held_node(), linked()
-        (news, *_) = [item for item in told(one, CrashNews) if item.held_seconds]  # type: ignore[attr-defined]
+        (news, *_) = [item for item in told(one, CrashReport) if item.held_seconds]  # type: ignore[attr-defined]
         for _ in range(3):
             two.emit(PeerReceived(OTHERS[0], news))  # type: ignore[arg-type]
-        self.assertEqual(1, len(told(two, CrashNews)))
+        self.assertEqual(1, len(told(two, CrashReport)))
 
     def test_an_answer_anywhere_clears_it_everywhere(self) -> None:
         one, two = linked(), linked()
         end_single(one, 2)
-        two.emit(PeerReceived(OTHERS[0], told(one, CrashNews)[-1]))  # type: ignore[arg-type]
+        two.emit(PeerReceived(OTHERS[0], told(one, CrashReport)[-1]))  # type: ignore[arg-type]
         two.request("/one/crash")
         two.answer(two.sends[0])
-        cleared = [item for item in told(two, CrashNews) if item.is_cleared]  # type: ignore[attr-defined]
+        cleared = [item for item in told(two, CrashReport) if item.is_cleared]  # type: ignore[attr-defined]
         one.emit(PeerReceived(OTHERS[0], cleared[0]))  # type: ignore[arg-type]
         end_single(one, 1)
         self.assertEqual([], one.logs("request_held"))
--- a/tests/forwarding/known_callers.py
+++ b/tests/forwarding/known_callers.py
@@ -85,7 +85,7 @@
             request,
             deadline_seconds,
             key=key,
-            bare_request=bare,
+            stripped_request=bare,
         )
     )
     return number
--- a/tests/forwarding/limits/test_fleet_limits.py
+++ b/tests/forwarding/limits/test_fleet_limits.py
@@ -6,7 +6,7 @@
 from wingquay.forwarding.arrival.admission import Admitted, Rejected
 from wingquay.forwarding.arrival.limits.limit_settings import LimitSettings
 from wingquay.ports.forwarding import ForwardFailureKind
-from wingquay.ports.limit_messages import LimitAsk, LimitTell
+from wingquay.ports.limit_messages import LimitReport, LimitRequest
 
 NODES = 20
 USUAL = 3.0
@@ -263,7 +263,9 @@
         fleet.messages.clear()
         numbers = fleet.load(100.0, 2.0)
         self.assertTrue(all(isinstance(fleet.answers[number], Admitted) for number in numbers))
-        told = [item for item in fleet.messages if isinstance(item.message, LimitTell | LimitAsk)]
+        told = [
+            item for item in fleet.messages if isinstance(item.message, LimitReport | LimitRequest)
+        ]
         self.assertEqual([], told)
 
     def test_hot_and_calm_again_are_told_in_one_line_each(self) -> None:
--- a/tests/forwarding/limits/test_node_with_limits.py
+++ b/tests/forwarding/limits/test_node_with_limits.py
@@ -9,9 +9,9 @@
 from wingquay.ports.forwarding import ForwardFailureKind, ReplyFailure
 from wingquay.ports.limit_messages import (
     LimitAcknowledgement,
-    LimitAnswer,
-    LimitAsk,
-    LimitTell,
+    LimitReply,
+    LimitReport,
+    LimitRequest,
     LimitVerdict,
 )
 from wingquay.ports.peer_link import (
@@ -44,15 +44,15 @@
     return [(action.to, action.message) for action in found if isinstance(action.message, kind)]
 
 
-def asked_node() -> tuple[OneNode, NodeIdentity, LimitAsk]:
+def asked_node() -> tuple[OneNode, NodeIdentity, LimitRequest]:
     """Return a node that has asked another one for the request 1 of a tenant."""
     for number in range(20):
         node = linked(limited(f"tenant-{number}"))
         ask(node, 1, SECRET)
-        asks = sent(node, LimitAsk)
+        asks = sent(node, LimitRequest)
         if asks:
             owner, message = asks[0]
-            assert isinstance(message, LimitAsk)
+            assert isinstance(message, LimitRequest)
             return node, owner, message
     raise AssertionError("this node owns all tenants")
 
@@ -61,12 +61,12 @@
     def test_a_request_goes_on_once_the_owner_permits_it(self) -> None:
         node, owner, message = asked_node()
         self.assertEqual([], node.sends)
-        node.emit(PeerReceived(owner, LimitAnswer(message.ask_id, LimitVerdict.GRANTED)))
+        node.emit(PeerReceived(owner, LimitReply(message.ask_id, LimitVerdict.GRANTED)))
         self.assertEqual(1, len(node.sends))
 
     def test_beyond_the_limit_it_is_refused_with_the_time_of_its_own_window(self) -> None:
         node, owner, message = asked_node()
-        node.emit(PeerReceived(owner, LimitAnswer(message.ask_id, LimitVerdict.OVER, 2.0)))
+        node.emit(PeerReceived(owner, LimitReply(message.ask_id, LimitVerdict.EXCEEDED, 2.0)))
         reply = node.replies[1]
         assert isinstance(reply, ReplyFailure) and reply.retry_after_seconds is not None
         self.assertEqual(ForwardFailureKind.OVER_LIMIT, reply.kind)
@@ -85,9 +85,9 @@
         node, owner, message = asked_node()
         node.advance(0.5)
         node.actions.clear()
-        node.emit(PeerReceived(owner, LimitAnswer(message.ask_id, LimitVerdict.GRANTED)))
+        node.emit(PeerReceived(owner, LimitReply(message.ask_id, LimitVerdict.GRANTED)))
         node.advance(0.1)
-        tells = [item for to, item in sent(node, LimitTell) if to == owner]
+        tells = [item for to, item in sent(node, LimitReport) if to == owner]
         counts = [count for item in tells for count in item.counts]  # type: ignore[attr-defined]
         self.assertEqual([-1], counts)
         self.assertEqual([], node.sends)
@@ -99,9 +99,9 @@
             node.machine._presence._listed_until = float("inf")  # the store keeps its key
             node.advance(12.0)
             node.actions.clear()
-            node.emit(PeerReceived(OTHERS[0], LimitAsk(7, name)))
-            ((to, answer),) = sent(node, LimitAnswer)
-            assert isinstance(answer, LimitAnswer)
+            node.emit(PeerReceived(OTHERS[0], LimitRequest(7, name)))
+            ((to, answer),) = sent(node, LimitReply)
+            assert isinstance(answer, LimitReply)
             self.assertEqual((OTHERS[0], 7), (to, answer.ask_id))
             if answer.verdict is LimitVerdict.GRANTED:
                 ask(node, 1, SECRET)
@@ -124,6 +124,6 @@
         ask(node, 1, SECRET)
         self.assertEqual(1, len(node.all_sends))
         node.advance(6.0)
-        kinds = (LimitAsk, LimitTell, LimitAcknowledgement)
+        kinds = (LimitRequest, LimitReport, LimitAcknowledgement)
         self.assertEqual([], [message for kind in kinds for message in sent(node, kind)])
         self.assertIsNone(node.machine._limits._work)
--- a/tests/forwarding/one_node.py
+++ b/tests/forwarding/one_node.py
@@ -23,7 +23,7 @@
     WeightedService,
 )
 from wingquay.ports.forwarding import (
-    CallerLeft,
+    CallerDisconnected,
     CancelSend,
     ConnectionTried,
     ForwardRequested,
@@ -88,7 +88,7 @@
         "timeout_seconds": 1.0,
         "objective_seconds": 0.1,
         "merged_records": 3,
-        "least_share": 0.75,
+        "min_share": 0.75,
     }
     return Route(host=HOST, path_prefix=prefix, **{**defaults, **fields})  # type: ignore[arg-type]
 
@@ -213,7 +213,7 @@
 
     def leave(self, number: int) -> None:
         """Let a caller go away."""
-        self.emit(CallerLeft(number))
+        self.emit(CallerDisconnected(number))
 
     def open_send(self, replica_id: str) -> SendToReplica:
         """Return the sending under way to a replica."""
@@ -251,7 +251,7 @@
     def crash_replica(self, send: SendToReplica) -> None:
         """Let a replica end under a request: its connection ends, and the next one is refused."""
         for record in self.disconnect(send):
-            self.emit(ConnectionTried(record.life, "refused", is_refused=True))
+            self.emit(ConnectionTried(record.incarnation, "refused", is_refused=True))
 
     def copy_formats_from(self, other: "OneNode") -> None:
         """Understand the stored values that another node understands."""
--- a/tests/forwarding/proof_fleet.py
+++ b/tests/forwarding/proof_fleet.py
@@ -25,9 +25,9 @@
 from wingquay.forwarding.settings import ForwardingSettings
 from wingquay.model.routing_table import CallerLimits, RoutingTable
 from wingquay.model.tenants import Tenant, TenantDirectory
-from wingquay.ports.machine import Action, Event, Log, Schedule, Start, Woken
+from wingquay.ports.machine import Action, Event, Log, ProcessResumed, Schedule, Start
 from wingquay.ports.peer_link import OpenPeerLink, PeerReceived, SendToPeer
-from wingquay.ports.peer_snapshot import AskPeers, PeerSnapshot
+from wingquay.ports.peer_snapshot import PeerSnapshot, RequestPeerSnapshot
 from wingquay.ports.store import (
     ReadResult,
     StartWatch,
@@ -108,7 +108,7 @@
     def suspend(self, seconds: float) -> None:
         self.suspended_until = self._clock.now + seconds
         self._fleet.store.cut_off_node(self.number, seconds)
-        self._clock.at(self.suspended_until, self._handle, Woken(seconds))
+        self._clock.at(self.suspended_until, self._handle, ProcessResumed(seconds))
 
     def kill(self) -> None:
         self.is_alive = False
@@ -149,7 +149,7 @@
                 fleet.watch(self, action)
             case StopWatch():
                 fleet.store.stop_watch(action.watch_id, self.take)
-            case AskPeers():
+            case RequestPeerSnapshot():
                 fleet.tell_copy(self)
             case OpenPeerLink():
                 fleet.links.open(self.number, self._zone, self.take)
--- a/tests/forwarding/readiness/test_cut_zone.py
+++ b/tests/forwarding/readiness/test_cut_zone.py
@@ -13,7 +13,7 @@
 )
 from wingquay.ports.forwarding import OpenConnection, ReplyFailure, ReplyMerged
 from wingquay.ports.peer_link import PeerLinkBroken, SendToPeer
-from wingquay.ports.reach_news import ReachNews
+from wingquay.ports.reachability_messages import ReachabilityReport
 
 ZONES = ("a", "b", "c", "d")
 SHARDS = 12
@@ -25,7 +25,7 @@
 
 def wide_fleet(nodes: int = NODES, zones: tuple[str, ...] = ZONES, **settings: object) -> ZoneFleet:
     """Return a fleet whose shards have replicas in all zones but one each."""
-    route = sharded_route(SHARDS, least_share=0.85)
+    route = sharded_route(SHARDS, min_share=0.85)
     records = spread_replicas(route.shards, zones, max(1, len(zones) - 1))
     fleet = ZoneFleet(zones, nodes, table(1, route), records, **settings)
     fleet.start()
@@ -252,7 +252,7 @@
         self.assert_all_stay(fleet)
 
     def test_a_zone_that_holds_all_that_callers_ask(self) -> None:
-        routes = (sharded_route(SHARDS, least_share=0.85), single_route("/one/", "one"))
+        routes = (sharded_route(SHARDS, min_share=0.85), single_route("/one/", "one"))
         records = spread_replicas(routes[0].shards, ZONES, 3)
         records += spread_replicas(["one"], ZONES, 4)
         fleet = ZoneFleet(ZONES, NODES, table(1, *routes), records)
@@ -316,7 +316,7 @@
         self.assert_all_stay(fleet)
 
     def test_a_start_of_all_while_all_zones_lose_each_other(self) -> None:
-        route = sharded_route(SHARDS, least_share=0.85)
+        route = sharded_route(SHARDS, min_share=0.85)
         records = spread_replicas(route.shards, ZONES, 3)
         fleet = ZoneFleet(ZONES, NODES, table(1, route), records)
         fleet.dead = {record.replica_id for record in records}
@@ -349,7 +349,7 @@
             actions = [action for node in fleet.nodes for action in node.actions]
             counts[is_on] = sum(isinstance(action, OpenConnection) for action in actions)
             sent = [action.message for action in actions if isinstance(action, SendToPeer)]
-            self.assertEqual(0, sum(isinstance(message, ReachNews) for message in sent))
+            self.assertEqual(0, sum(isinstance(message, ReachabilityReport) for message in sent))
         self.assertEqual(counts[False], counts[True])
 
 
--- a/tests/forwarding/readiness/test_stateful.py
+++ b/tests/forwarding/readiness/test_stateful.py
@@ -34,7 +34,7 @@
 
     @initialize(copies=st.integers(2, 3))
     def start(self, copies: int) -> None:
-        route = sharded_route(SHARDS, least_share=LEAST_SHARE)
+        route = sharded_route(SHARDS, min_share=LEAST_SHARE)
         records = spread_replicas(route.shards, ZONES, copies)
         self.fleet = ZoneFleet(ZONES, NODES, table(1, route), records)
         self.fleet.start()
--- a/tests/forwarding/readiness/zone_fleet.py
+++ b/tests/forwarding/readiness/zone_fleet.py
@@ -360,7 +360,7 @@
             return
         event = WatchChanged(watch.watch_id, tuple(self._changed), tuple(self._deleted), 2)
         node.emit(event)
-        self.after(max(watch.gather_seconds, 0.5), self._look, node, watch, self.now)
+        self.after(max(watch.poll_interval_seconds, 0.5), self._look, node, watch, self.now)
 
     def _listing(self) -> list[StoredValue]:
         nodes = [
--- a/tests/forwarding/test_awaiting_limits.py
+++ b/tests/forwarding/test_awaiting_limits.py
@@ -22,7 +22,7 @@
 from wingquay.forwarding.arrival.request_identity import compute_identity
 from wingquay.forwarding.settling.ending import HELD_REASON
 from wingquay.model.tenants import Tenant
-from wingquay.ports.crash_news import CrashNews
+from wingquay.ports.crash_messages import CrashReport
 from wingquay.ports.forwarding import (
     ForwardFailureKind,
     ForwardRequested,
@@ -151,7 +151,7 @@
     def test_a_request_that_was_held_back_meanwhile_starts_nothing(self) -> None:
         waiting = Waiting()
         bare = OpaqueRequest(b"GET", b"/one/x", BARE_HEADERS)
-        news = CrashNews(compute_identity(bare, "kiosk"), held_seconds=60.0)
+        news = CrashReport(compute_identity(bare, "kiosk"), held_seconds=60.0)
         waiting.node.emit(PeerReceived(OTHERS[0], news))
         waiting.answer(ADMITTED)
         self.assertEqual(
--- a/tests/forwarding/test_callers_stateful.py
+++ b/tests/forwarding/test_callers_stateful.py
@@ -81,7 +81,7 @@
         routes = (
             single_route(timeout_seconds=1.0),
             single_route("/open/", is_public=True, timeout_seconds=1.0),
-            sharded_route(3, least_share=0.6),
+            sharded_route(3, min_share=0.6),
         )
         plain = table(self.version, *routes)
         if self.holders is None:
--- a/tests/forwarding/test_configuration_proof.py
+++ b/tests/forwarding/test_configuration_proof.py
@@ -10,7 +10,7 @@
 from wingquay.model.failure import Failure
 from wingquay.model.routing_table import CallerLimits, RoutingTable
 from wingquay.model.tenants import Tenant, TenantDirectory
-from wingquay.ports.machine import Start, Woken
+from wingquay.ports.machine import ProcessResumed, Start
 from wingquay.ports.peer_snapshot import PeerSnapshot
 from wingquay.ports.store import (
     StartWatch,
@@ -20,7 +20,7 @@
     WatchBroken,
     WatchChanged,
 )
-from wingquay.ports.store_news import StoreNews
+from wingquay.ports.store_update import StoreUpdate
 
 BOUND_SECONDS = 5.0
 SERVED_SECONDS = 4.9
@@ -157,7 +157,7 @@
         node = strict_node()
         for _ in range(40):
             node.advance(0.1)
-            news = StoreNews(node.store_revision, node.store_revision)
+            news = StoreUpdate(node.store_revision, node.store_revision)
             node.machine._follower.absorb(news, USUAL_GATHER_SECONDS, node.now)
         self.assertTrue(node.machine._follower.next_answer_at(100.0) < 100.0 + 3.2)
         node.advance(1.0)
@@ -168,15 +168,15 @@
             node = strict_node(way)
             for _ in range(3):
                 watch = node.last(StartWatch)
-                self.assertTrue(watch.gather_seconds <= most_seconds, watch)
+                self.assertTrue(watch.poll_interval_seconds <= most_seconds, watch)
                 self.assertTrue(watch.pause_seconds + watch.hold_seconds <= 3.0, watch)
-                node.advance(watch.gather_seconds + watch.hold_seconds)
+                node.advance(watch.poll_interval_seconds + watch.hold_seconds)
                 answer(node, watch.hold_seconds)
 
     def test_a_suspension_counts(self) -> None:
         node = strict_node()
         node.now += 8.0
-        node.emit(Woken(8.0))
+        node.emit(ProcessResumed(8.0))
         self.assertFalse(proven(node))
         node.advance(0.5)
         expected = [{"age_ms": 8010, "reason": "suspended"}]
@@ -259,7 +259,7 @@
         node.list_store(tenants_table(1, tenants), replica("r0", "s"), begun_at=node.now - 0.01)
         for _ in range(4):
             watch = node.last(StartWatch)
-            node.advance(watch.gather_seconds + watch.hold_seconds)
+            node.advance(watch.poll_interval_seconds + watch.hold_seconds)
             answer(node, watch.hold_seconds)
         node.emit(WatchBroken(node.last_watch_id, "down"))
         node.advance(5.0)
--- a/tests/forwarding/test_delegation.py
+++ b/tests/forwarding/test_delegation.py
@@ -251,7 +251,7 @@
             merged_records=3,
             priority=0,
             objective_seconds=OBJECTIVE_SECONDS,
-            in_time_seconds=0.09,
+            cutoff_seconds=0.09,
             remaining_seconds=1.0,
         )
         node.emit(PeerReceived(OTHERS[0], message))
--- a/tests/forwarding/test_evacuation.py
+++ b/tests/forwarding/test_evacuation.py
@@ -19,7 +19,7 @@
 )
 from wingquay.ports.peer_link import NodeIdentity, PeerLinkOpened, PeerReceived, SendToPeer
 from wingquay.ports.store import StoredValue
-from wingquay.ports.store_news import StoreNews
+from wingquay.ports.store_update import StoreUpdate
 
 KEY = EVACUATION_PREFIX + "b"
 EVACUATED = StoredValue(KEY, b"{}", 9)
@@ -111,5 +111,5 @@
     def test_news_of_another_node_are_enough(self) -> None:
         node = two_zones()
         revision = node.store_revision
-        node.emit(PeerReceived(OTHER, StoreNews(revision, revision + 1, (EVACUATED,))))
+        node.emit(PeerReceived(OTHER, StoreUpdate(revision, revision + 1, (EVACUATED,))))
         self.assertEqual({"a"}, zones_asked(node))
--- a/tests/forwarding/test_far_owners.py
+++ b/tests/forwarding/test_far_owners.py
@@ -19,7 +19,7 @@
 from wingquay.ports.delegation import (
     DelegatedAnswer,
     DelegatedRequest,
-    Greeting,
+    PrewarmMessage,
 )
 from wingquay.ports.forwarding import (
     ForwardRequested,
@@ -53,7 +53,7 @@
         greeted = [
             action.to.node_id
             for action in node.actions
-            if isinstance(action, SendToPeer) and isinstance(action.message, Greeting)
+            if isinstance(action, SendToPeer) and isinstance(action.message, PrewarmMessage)
         ]
         node.request("/all/x")
         self.assertEqual({to.node_id for to, _ in delegated(node)}, set(greeted))
@@ -62,15 +62,15 @@
     def test_a_connection_that_broke_is_opened_again(self) -> None:
         node = node_apart_from_owners()
         node.advance(1.1)
-        before = len(told(node, Greeting))
+        before = len(told(node, PrewarmMessage))
         broken = next(
             action.to
             for action in node.actions
-            if isinstance(action, SendToPeer) and isinstance(action.message, Greeting)
+            if isinstance(action, SendToPeer) and isinstance(action.message, PrewarmMessage)
         )
         node.emit(PeerLinkBroken(broken.node_id, "reset", True))
         node.advance(4.0)
-        self.assertGreater(len(told(node, Greeting)), before)
+        self.assertGreater(len(told(node, PrewarmMessage)), before)
 
     def test_the_shards_of_a_node_that_is_not_there_go_to_another(self) -> None:
         node = node_apart_from_owners()
@@ -162,4 +162,4 @@
     def test_narrow_routes_open_no_connections(self) -> None:
         node = node_apart_from_owners(shards=9)
         node.advance(2.0)
-        self.assertEqual([], told(node, Greeting))
+        self.assertEqual([], told(node, PrewarmMessage))
--- a/tests/forwarding/test_node_groups.py
+++ b/tests/forwarding/test_node_groups.py
@@ -188,19 +188,19 @@
 
     def test_keys_of_nodes_that_start_together_are_looked_for_soon(self) -> None:
         node = self.started(4, StoredValue(CLUSTER_KEY, b"known", 5))
-        usual = node.last(StartWatch).gather_seconds
+        usual = node.last(StartWatch).poll_interval_seconds
         node.advance(0.8)
         self.assertEqual(1, len(self.opened(node)))
         node.emit(PeerLinkOpened(NodeIdentity("node-1-a", "", "a", "10.0.1.1", 7)))
         node.advance(0.5)
-        idle = node.last(StartWatch).gather_seconds
+        idle = node.last(StartWatch).poll_interval_seconds
         node.request("/all/x")
         node.advance(0.5)
-        asked = node.last(StartWatch).gather_seconds
+        asked = node.last(StartWatch).poll_interval_seconds
         self.assertLess(asked, min(idle, usual))
         node.advance(3.0)
         node.change()
-        self.assertEqual(usual, node.last(StartWatch).gather_seconds)
+        self.assertEqual(usual, node.last(StartWatch).poll_interval_seconds)
 
     def test_nodes_that_know_each_other_by_their_last_lives_do_not_look_sooner(self) -> None:
         others = [
@@ -212,12 +212,12 @@
             for number in range(5)
         ]
         node = self.started(4, StoredValue(CLUSTER_KEY, b"known", 5), *others)
-        usual = node.last(StartWatch).gather_seconds
+        usual = node.last(StartWatch).poll_interval_seconds
         node.advance(0.8)
         node.emit(PeerLinkOpened(NodeIdentity("node-1", "", "a", "10.0.1.1", 7)))
         node.request("/all/x")
         node.advance(1.0)
-        self.assertEqual(usual, node.last(StartWatch).gather_seconds)
+        self.assertEqual(usual, node.last(StartWatch).poll_interval_seconds)
 
     def test_a_link_that_does_not_open_does_not_keep_the_node_from_being_counted(self) -> None:
         node = self.started(4, StoredValue(CLUSTER_KEY, b"known", 5))
--- a/tests/forwarding/test_proof_asking.py
+++ b/tests/forwarding/test_proof_asking.py
@@ -22,9 +22,9 @@
     PeerReceived,
     SendToPeer,
 )
-from wingquay.ports.proof_messages import AskProof, ProofGiven
+from wingquay.ports.proof_messages import ProofReply, ProofRequest
 from wingquay.ports.store import StartWatch, WatchChanged
-from wingquay.ports.store_news import StoreNews
+from wingquay.ports.store_update import StoreUpdate
 
 FIRST_NUMBER = 1_000
 ASKED_AT = 100.5
@@ -38,12 +38,12 @@
 def asks_in(actions: list[Action]) -> list[tuple[str, int]]:
     """Return who was asked, and the number of the ask."""
     sent = [item for item in actions if isinstance(item, SendToPeer)]
-    return [(i.to.node_id, i.message.number) for i in sent if isinstance(i.message, AskProof)]
+    return [(i.to.node_id, i.message.number) for i in sent if isinstance(i.message, ProofRequest)]
 
 
-def answers_in(actions: list[Action]) -> list[ProofGiven]:
+def answers_in(actions: list[Action]) -> list[ProofReply]:
     sent = [item.message for item in actions if isinstance(item, SendToPeer)]
-    return [message for message in sent if isinstance(message, ProofGiven)]
+    return [message for message in sent if isinstance(message, ProofReply)]
 
 
 class AskTest(TestCase):
@@ -63,7 +63,7 @@
         self.assertEqual(1, len(asks.news_from(ASKED, 0.0)))
         self.assertEqual([], asks.news_from(ASKED, 2.9))
         self.assertEqual(1, len(asks.news_from(ASKED, 3.0)))
-        asks.proven_as_of(ASKED, ProofGiven(FIRST_NUMBER + 2, 1.0, 1), 4.0)
+        asks.proven_as_of(ASKED, ProofReply(FIRST_NUMBER + 2, 1.0, 1), 4.0)
         self.assertEqual([], asks.news_from(ASKED, ASK_SECONDS))
 
     def test_only_an_ask_of_this_life_that_still_counts_is_answered(self) -> None:
@@ -75,7 +75,7 @@
             (FIRST_NUMBER + 2, 103.0, None),
             (FIRST_NUMBER + 1, 100.1 + ASK_LIFE_SECONDS, None),
         ):
-            given_proof = ProofGiven(number, 2.5, 1)
+            given_proof = ProofReply(number, 2.5, 1)
             self.assertEqual(expected, asks.proven_as_of(ASKED, given_proof, now))
 
     def test_two_lives_of_a_node_share_no_number(self) -> None:
@@ -93,18 +93,18 @@
 class AnswerTest(TestCase):
     def test_each_look_is_told_with_the_time_since_the_latest_ask(self) -> None:
         heard = HeardAsks()
-        heard.heard(ASKED, AskProof(1), 10.0)
-        self.assertEqual([ProofGiven(1, 2.0, 7)], answers_in(heard.answers(12.0, 7, 13.0)))
-        self.assertEqual([ProofGiven(1, 5.0, 8)], answers_in(heard.answers(15.0, 8, 15.1)))
-        heard.heard(ASKED, AskProof(2), 16.0)
-        self.assertEqual([ProofGiven(2, -0.5, 9)], answers_in(heard.answers(15.5, 9, 16.1)))
+        heard.heard(ASKED, ProofRequest(1), 10.0)
+        self.assertEqual([ProofReply(1, 2.0, 7)], answers_in(heard.answers(12.0, 7, 13.0)))
+        self.assertEqual([ProofReply(1, 5.0, 8)], answers_in(heard.answers(15.0, 8, 15.1)))
+        heard.heard(ASKED, ProofRequest(2), 16.0)
+        self.assertEqual([ProofReply(2, -0.5, 9)], answers_in(heard.answers(15.5, 9, 16.1)))
 
     def test_asks_lapse_and_end_with_their_link(self) -> None:
         heard = HeardAsks()
-        heard.heard(ASKED, AskProof(1), 10.0)
+        heard.heard(ASKED, ProofRequest(1), 10.0)
         heard.link_broken(ASKED.node_id)
         self.assertEqual([], heard.answers(11.0, 7, 11.0))
-        heard.heard(ASKED, AskProof(2), 12.0)
+        heard.heard(ASKED, ProofRequest(2), 12.0)
         late = 12.1 + ASK_LIFE_SECONDS
         self.assertEqual([], heard.answers(late, 7, late))
 
@@ -112,7 +112,7 @@
         heard = HeardAsks()
         for number in range(MOST_ASKING_NODES + 5):
             node = NodeIdentity(f"n{number}", "", "a", "10.0.0.1", number)
-            heard.heard(node, AskProof(number), 1.0)
+            heard.heard(node, ProofRequest(number), 1.0)
         self.assertEqual(MOST_ASKING_NODES, len(heard.answers(2.0, 1, 2.0)))
 
     @given(sent=SECONDS, way=SECONDS, begun=SECONDS, answered=SECONDS, back=SECONDS, ahead=SECONDS)
@@ -123,7 +123,7 @@
         received = sent + way
         asks, heard = ProofAsks(FIRST_NUMBER), HeardAsks()
         asks.ask([ASKED], sent)
-        heard.heard(ASKED, AskProof(FIRST_NUMBER + 1), received + ahead)
+        heard.heard(ASKED, ProofRequest(FIRST_NUMBER + 1), received + ahead)
         told_at = max(received, begun) + answered
         for message in answers_in(heard.answers(begun + ahead, 1, told_at + ahead)):
             as_of = asks.proven_as_of(ASKED, message, told_at + back)
@@ -150,7 +150,7 @@
         """Let another node tell of a look that was begun so long ago."""
         number = asks_in(node.actions)[-1][1]
         held_seconds = node.now - age_seconds - ASKED_AT
-        message = ProofGiven(number, held_seconds, revision or node.store_revision)
+        message = ProofReply(number, held_seconds, revision or node.store_revision)
         node.emit(PeerReceived(OTHERS[0], message))
 
     def test_what_another_node_proves_puts_the_own_look_off(self) -> None:
@@ -168,7 +168,7 @@
         self.given(node, 0.1, node.store_revision + 1)
         node.advance(1.0)
         self.assertFalse(node.machine.proof.is_proven(node.now))
-        news = StoreNews(node.store_revision, node.store_revision + 1)
+        news = StoreUpdate(node.store_revision, node.store_revision + 1)
         node.emit(PeerReceived(OTHERS[0], news))
         self.given(node, 1.1, node.store_revision + 1)
         self.assertTrue(node.machine.proof.is_proven(node.now))
@@ -179,7 +179,7 @@
         before = len(node.actions)
         for _ in range(29):
             node.advance(0.1)
-            news = StoreNews(node.store_revision, node.store_revision)
+            news = StoreUpdate(node.store_revision, node.store_revision)
             node.emit(PeerReceived(OTHERS[0], news))
             look_at = node.machine._follower.next_answer_at(node.now) - 0.1
             self.assertTrue(look_at <= begun_at + 3.0 + RANK_SECONDS + 1e-6, look_at - begun_at)
@@ -188,7 +188,7 @@
 
     def test_a_node_that_looks_tells_those_that_ask_after_the_news(self) -> None:
         node = self.listener()
-        node.emit(PeerReceived(OTHERS[1], AskProof(77)))
+        node.emit(PeerReceived(OTHERS[1], ProofRequest(77)))
         node.advance(1.0)
         before = len(node.actions)
         watch_id = node.last_watch_id
@@ -199,20 +199,20 @@
             for item in node.actions[before:]
             if isinstance(item, SendToPeer)
         ]
-        self.assertEqual((OTHERS[1], "ProofGiven"), sent[-1])
-        self.assertEqual([(other, "StoreNews") for other in OTHERS], sent[:-1])
-        self.assertEqual([ProofGiven(77, 0.75, revision)], answers_in(node.actions[before:]))
+        self.assertEqual((OTHERS[1], "ProofReply"), sent[-1])
+        self.assertEqual([(other, "StoreUpdate") for other in OTHERS], sent[:-1])
+        self.assertEqual([ProofReply(77, 0.75, revision)], answers_in(node.actions[before:]))
 
     def test_a_node_that_is_asked_tells_at_once_what_it_has_proven(self) -> None:
         node = self.listener()
         node.advance(1.5)
         before = len(node.actions)
-        node.emit(PeerReceived(OTHERS[1], AskProof(77)))
-        expected = [ProofGiven(77, -1.5, node.store_revision)]
+        node.emit(PeerReceived(OTHERS[1], ProofRequest(77)))
+        expected = [ProofReply(77, -1.5, node.store_revision)]
         self.assertEqual(expected, answers_in(node.actions[before:]))
         node.advance(4.0)
         before = len(node.actions)
-        node.emit(PeerReceived(OTHERS[1], AskProof(78)))
+        node.emit(PeerReceived(OTHERS[1], ProofRequest(78)))
         self.assertEqual([], answers_in(node.actions[before:]))
 
     def test_a_node_whose_link_broke_is_asked_anew(self) -> None:
@@ -227,7 +227,7 @@
     def test_a_node_that_tells_news_unasked_is_asked(self) -> None:
         node = self.listener()
         before = len(node.actions)
-        news = StoreNews(node.store_revision, node.store_revision)
+        news = StoreUpdate(node.store_revision, node.store_revision)
         node.emit(PeerReceived(ASKED, news))
         asked = [name for name, _ in asks_in(node.actions[before:])]
         self.assertEqual([ASKED.node_id], asked)
@@ -237,8 +237,8 @@
         node.start(tenants_table(1), replica("r0", "s"))
         node.emit(PeerLinkOpened(OWN))
         join(node, *OTHERS)
-        node.emit(PeerReceived(OTHERS[0], AskProof(77)))
+        node.emit(PeerReceived(OTHERS[0], ProofRequest(77)))
         node.advance(1.0)
         node.emit(WatchChanged(node.last_watch_id, (), (), 9, begun_at=node.now))
         kinds = {type(i.message) for i in node.actions if isinstance(i, SendToPeer)}
-        self.assertEqual(set(), kinds & {AskProof, ProofGiven})
+        self.assertEqual(set(), kinds & {ProofRequest, ProofReply})
--- a/tests/forwarding/test_replica_lives.py
+++ b/tests/forwarding/test_replica_lives.py
@@ -39,7 +39,7 @@
     WatchBroken,
     WatchChanged,
 )
-from wingquay.ports.store_news import StoreNews
+from wingquay.ports.store_update import StoreUpdate
 
 BORN = 1_700_000_000_000
 OLD = replica("r0", "s", born=BORN)
@@ -64,7 +64,7 @@
 
 class LifeNamesTest(TestCase):
     def test_a_life_is_the_id_and_when_it_was_born(self) -> None:
-        lives = [replica("r0", "s", born=born).life for born in (None, 0, BORN)]
+        lives = [replica("r0", "s", born=born).incarnation for born in (None, 0, BORN)]
         self.assertEqual(["r0", "r0 0", f"r0 {BORN}"], lives)
 
 
@@ -157,8 +157,8 @@
         known.put(NEW, 2.0, 6)
         known.mark_stale(old, 2.5)
         self.assertEqual(NEW, record_of(known))
-        self.assertIsNone(known.get_incarnation(OLD.life))
-        self.assertIs(known.get("r0"), known.get_incarnation(NEW.life))
+        self.assertIsNone(known.get_incarnation(OLD.incarnation))
+        self.assertIs(known.get("r0"), known.get_incarnation(NEW.incarnation))
 
 
 class EntriesAtTheNodeTest(TestCase):
@@ -166,7 +166,7 @@
 
     def news(self, node: OneNode, item: StoredValue, from_revision: int, revision: int) -> None:
         node.emit(
-            PeerReceived(NEIGHBOUR, StoreNews(from_revision, revision, (item,), (), 0.0, False))
+            PeerReceived(NEIGHBOUR, StoreUpdate(from_revision, revision, (item,), (), 0.0, False))
         )
 
     def held(self, node: OneNode) -> ReplicaRecord | None:
@@ -268,9 +268,9 @@
         node.request()
         node.fail(node.sends[0], SendFailureKind.NOT_SENT)
         node.change(NEW)
-        node.emit(ConnectionTried(OLD.life, "refused", is_refused=True))
+        node.emit(ConnectionTried(OLD.incarnation, "refused", is_refused=True))
         self.assertFalse(node.machine._directory.get("r0").is_out_of_reach)
-        node.emit(ConnectionTried(NEW.life, "refused", is_refused=True))
+        node.emit(ConnectionTried(NEW.incarnation, "refused", is_refused=True))
         self.assertTrue(node.machine._directory.get("r0").is_out_of_reach)
 
     def test_the_trial_that_was_due_for_the_life_before_is_not_made(self) -> None:
@@ -426,9 +426,10 @@
         (looked_into,) = node.disconnect(node.sends[0])
         self.assertEqual(OLD, looked_into)
         node.change(NEW)
-        node.emit(ConnectionTried(OLD.life))
+        node.emit(ConnectionTried(OLD.incarnation))
         self.assertEqual(
-            [OLD.life], [line["replica"] for line in node.logs("replica_ended_under_request")]
+            [OLD.incarnation],
+            [line["replica"] for line in node.logs("replica_ended_under_request")],
         )
 
     def test_an_attempt_that_was_open_when_its_replica_started_again_saw_its_end(self) -> None:
@@ -436,7 +437,8 @@
         node.request("/one/deadly")
         node.change(NEW)
         self.assertEqual(
-            [OLD.life], [line["replica"] for line in node.logs("replica_ended_under_request")]
+            [OLD.incarnation],
+            [line["replica"] for line in node.logs("replica_ended_under_request")],
         )
 
     def test_it_counts_as_an_end_within_the_attempt_of_the_caller(self) -> None:
--- a/tests/forwarding/test_revocation.py
+++ b/tests/forwarding/test_revocation.py
@@ -8,11 +8,11 @@
 from wingquay.model.routing_table import RoutingTable
 from wingquay.model.tenants import Tenant
 from wingquay.ports.forwarding import ForwardFailureKind, ReplyFailure
-from wingquay.ports.machine import Start, Woken
+from wingquay.ports.machine import ProcessResumed, Start
 from wingquay.ports.peer_link import NodeIdentity, PeerReceived
 from wingquay.ports.peer_snapshot import PeerSnapshot
 from wingquay.ports.store import WatchBroken, WatchChanged
-from wingquay.ports.store_news import StoreNews
+from wingquay.ports.store_update import StoreUpdate
 
 PUBLIC = "/open/"
 NEW_SECRET = "k-9e11"
@@ -79,7 +79,7 @@
         node.emit(WatchBroken(node.last_watch_id, "the store answered 429"))
 
     def told_news(self, node: OneNode) -> None:
-        news = StoreNews(node.store_revision, node.store_revision + 1)
+        news = StoreUpdate(node.store_revision, node.store_revision + 1)
         node.emit(PeerReceived(OTHER, news))
 
     def cut_answer(self, node: OneNode) -> None:
@@ -94,7 +94,7 @@
     def test_a_suspended_node_serves_no_key_by_what_it_knew_before(self) -> None:
         node = started()
         node.now += 5.0
-        node.emit(Woken(5.0))
+        node.emit(ProcessResumed(5.0))
         node.advance(0.1)
         self.assertEqual("not_run", self.outcome(node))
 
--- a/tests/forwarding/test_sharded_service.py
+++ b/tests/forwarding/test_sharded_service.py
@@ -168,7 +168,7 @@
         self.assertEqual(set(), stalled & fresh)
 
     def test_a_replica_that_cannot_be_reached_is_left_out_for_a_while(self) -> None:
-        node = node_with(copies=2, shards=1, least_share=1.0)
+        node = node_with(copies=2, shards=1, min_share=1.0)
         node.request("/all/x")
         lost = node.sends[0]
         node.fail(lost, SendFailureKind.NOT_SENT)
@@ -180,7 +180,7 @@
 
     def test_a_replica_that_refuses_or_fails_often_gets_little(self) -> None:
         for status, not_run in ((503, True), (500, False)):
-            node = node_with(copies=2, shards=1, least_share=1.0)
+            node = node_with(copies=2, shards=1, min_share=1.0)
             for _ in range(100):
                 node.request("/all/x")
                 for _ in range(2):
@@ -210,7 +210,7 @@
 
 class ConnectionsTest(TestCase):
     def test_a_node_opens_one_connection_to_each_replica_at_first(self) -> None:
-        node = node_with(copies=1, shards=1, objective_seconds=1.0, least_share=1.0)
+        node = node_with(copies=1, shards=1, objective_seconds=1.0, min_share=1.0)
         node.request("/all/x")
         node.request("/all/x")
         self.assertEqual(1, len(node.sends))
--- a/tests/forwarding/test_stateful.py
+++ b/tests/forwarding/test_stateful.py
@@ -44,7 +44,7 @@
                 record = replica(f"{service}r{copy}", service, born=1000 if copy else None)
                 self.records[record.replica_id] = record
         routes = (
-            sharded_route(SHARDS, least_share=0.6),
+            sharded_route(SHARDS, min_share=0.6),
             single_route("/one/", "one", timeout_seconds=1.0),
             single_route(
                 "/edit/", "edit", is_repeatable=False, max_attempts=2, timeout_seconds=1.0
@@ -135,8 +135,10 @@
         for send in self.node.all_sends[self._seen() :]:
             key = (send.request_id, send.replica.service)
             lives = self.may_have_run.setdefault(key, set())
-            assert send.replica.life not in lives, f"{key} twice on {send.replica.life}"
-            lives.add(send.replica.life)
+            assert send.replica.incarnation not in lives, (
+                f"{key} twice on {send.replica.incarnation}"
+            )
+            lives.add(send.replica.incarnation)
             assert len(self.may_have_run[key]) <= 2, f"{key} on {self.may_have_run[key]}"
             if send.replica.service == "edit":
                 assert len(self.may_have_run[key]) <= 1, f"{key} may have run twice"
@@ -175,7 +177,7 @@
     def _did_not_run(self, send: SendToReplica) -> None:
         # Sends are looked at between the steps; this one certainly was.
         key = (send.request_id, send.replica.service)
-        self.may_have_run[key].discard(send.replica.life)
+        self.may_have_run[key].discard(send.replica.incarnation)
 
 
 TestForwardingHistory = ForwardingHistory.TestCase
--- a/tests/forwarding/test_store_following.py
+++ b/tests/forwarding/test_store_following.py
@@ -17,7 +17,7 @@
     SetForwarding,
 )
 from wingquay.ports.machine import Exit, Schedule, Start, StopRequested
-from wingquay.ports.peer_snapshot import AskPeers, PeerSnapshot
+from wingquay.ports.peer_snapshot import PeerSnapshot, RequestPeerSnapshot
 from wingquay.ports.store import (
     Read,
     ReadResult,
@@ -155,21 +155,21 @@
 
     def test_the_store_is_looked_at_more_often_while_requests_are_held(self) -> None:
         node = self.node_with_one_shard()
-        usual = node.last(StartWatch).gather_seconds
+        usual = node.last(StartWatch).poll_interval_seconds
         node.request("/all/x")
-        self.assertLess(node.last(StartWatch).gather_seconds, usual)
+        self.assertLess(node.last(StartWatch).poll_interval_seconds, usual)
         node.change(replica("s1r0", "s1"))
         node.advance(1.0)
         # The look under way tells every change at once; the one after it keeps the usual pace.
         node.change()
-        self.assertEqual(usual, node.last(StartWatch).gather_seconds)
+        self.assertEqual(usual, node.last(StartWatch).poll_interval_seconds)
         self.assertEqual(usual, node.last(StartWatch).pause_seconds)
 
 
 class PaceTest(TestCase):
     def test_a_listing_is_as_good_as_a_look(self) -> None:
         node = started()
-        usual = node.last(StartWatch).gather_seconds
+        usual = node.last(StartWatch).poll_interval_seconds
         self.assertAlmostEqual(usual, node.last(StartWatch).pause_seconds)
 
     def test_a_node_that_cannot_serve_yet_waits_for_every_change(self) -> None:
@@ -178,7 +178,7 @@
         self.assertEqual(0.0, node.last(StartWatch).pause_seconds)
         node.change(configuration=table(1, single_route()))
         node.request()
-        self.assertEqual(0.3, node.last(StartWatch).gather_seconds)
+        self.assertEqual(0.3, node.last(StartWatch).poll_interval_seconds)
 
     def test_what_another_node_knows_is_no_look(self) -> None:
         node = OneNode()
@@ -222,15 +222,15 @@
 class OldRecordTest(TestCase):
     def test_a_replica_that_is_another_one_makes_the_node_look_at_the_store_soon(self) -> None:
         node = started("r0", "r1")
-        usual = node.last(StartWatch).gather_seconds
+        usual = node.last(StartWatch).poll_interval_seconds
         node.request()
         node.answer(node.sends[0], 421, signature=None, is_other_replica=True)
         node.advance(0.55)
-        self.assertLess(node.last(StartWatch).gather_seconds, usual)
+        self.assertLess(node.last(StartWatch).poll_interval_seconds, usual)
         self.assertLess(node.last(StartWatch).pause_seconds, 0.3)
         node.advance(1.0)
         node.change()
-        self.assertEqual(usual, node.last(StartWatch).gather_seconds)
+        self.assertEqual(usual, node.last(StartWatch).poll_interval_seconds)
 
 
 class ConfigurationTest(TestCase):
@@ -273,7 +273,7 @@
         node.emit(Start())
         read = node.last(StoreRequest)
         node.emit(StoreResponse(read.operation_id, Failure(StoreFailureKind.UNREACHABLE, "down")))
-        self.assertIsNotNone(node.last(AskPeers))
+        self.assertIsNotNone(node.last(RequestPeerSnapshot))
         teacher = started()
         known = teacher.machine.store_snapshot()
         assert known is not None
--- a/tests/forwarding/test_store_news.py
+++ b/tests/forwarding/test_store_news.py
@@ -20,7 +20,7 @@
     SendToPeer,
 )
 from wingquay.ports.store import StartWatch, StopWatch, StoredValue, WatchBroken, WatchChanged
-from wingquay.ports.store_news import StoreNews
+from wingquay.ports.store_update import StoreUpdate
 
 FIRST = NodeIdentity("node-0-a", "", "a", "node-0", 7)
 OWN = NodeIdentity("node-1-a", "", "a", "node-1", 7)
@@ -38,29 +38,31 @@
     return node
 
 
-def told(node: OneNode) -> list[tuple[NodeIdentity, StoreNews]]:
+def told(node: OneNode) -> list[tuple[NodeIdentity, StoreUpdate]]:
     """Return the news that the node has sent."""
     sent = [action for action in node.actions if isinstance(action, SendToPeer)]
-    return [(item.to, item.message) for item in sent if isinstance(item.message, StoreNews)]
+    return [(item.to, item.message) for item in sent if isinstance(item.message, StoreUpdate)]
 
 
-def news_for(node: OneNode, *changed: StoredValue, deleted: tuple[str, ...] = ()) -> StoreNews:
+def news_for(node: OneNode, *changed: StoredValue, deleted: tuple[str, ...] = ()) -> StoreUpdate:
     """Return news that begin with what the node knows."""
     revision = node.store_revision
     node.store_revision += 1
-    return StoreNews(revision, revision + 1, changed, deleted)
+    return StoreUpdate(revision, revision + 1, changed, deleted)
 
 
-def older(news: StoreNews, age_seconds: float) -> StoreNews:
+def older(news: StoreUpdate, age_seconds: float) -> StoreUpdate:
     """Return the same news, sent later."""
-    return StoreNews(
+    return StoreUpdate(
         news.from_revision, news.store_revision, news.changed, news.deleted, age_seconds
     )
 
 
-def cut(news: StoreNews) -> StoreNews:
+def cut(news: StoreUpdate) -> StoreUpdate:
     """Return the same news, of an answer that may hold only a part of what changed."""
-    return StoreNews(news.from_revision, news.store_revision, news.changed, news.deleted, 0.0, True)
+    return StoreUpdate(
+        news.from_revision, news.store_revision, news.changed, news.deleted, 0.0, True
+    )
 
 
 def since(node: OneNode, actions: int) -> list[Action]:
@@ -75,7 +77,7 @@
         before = node.store_revision
         item = StoredValue(NODE_PREFIX + "else", b"1", before + 1)
         node.emit(WatchChanged(self.watch_id(node), (item,), (), before + 1))
-        expected = StoreNews(before, before + 1, (item,), ())
+        expected = StoreUpdate(before, before + 1, (item,), ())
         self.assertEqual([(FIRST, expected), (LAST, expected)], told(node)[-2:])
 
     def test_entries_that_were_only_written_again_are_left_out(self) -> None:
@@ -129,10 +131,10 @@
 
     def test_a_look_that_took_long_makes_old_news(self) -> None:
         node = linked(FIRST)
-        node.emit(PeerReceived(FIRST, StoreNews(node.store_revision, node.store_revision)))
+        node.emit(PeerReceived(FIRST, StoreUpdate(node.store_revision, node.store_revision)))
         node.emit(WatchChanged(node.last_watch_id, (), (), node.store_revision))
         self.assertEqual(0.0, node.last(StartWatch).hold_seconds)
-        node.advance(node.last(StartWatch).gather_seconds + 1.2)
+        node.advance(node.last(StartWatch).poll_interval_seconds + 1.2)
         node.emit(WatchChanged(node.last_watch_id, (), (), node.store_revision))
         self.assertAlmostEqual(1.2, told(node)[-1][1].age_seconds)
 
@@ -178,7 +180,7 @@
         before = len(node.actions)
         revision = node.store_revision
         item = node.stored(replica("r1", "s"))
-        node.emit(PeerReceived(FIRST, StoreNews(revision + 1, revision + 2, (item,))))
+        node.emit(PeerReceived(FIRST, StoreUpdate(revision + 1, revision + 2, (item,))))
         self.assertEqual([], since(node, before))
 
     def test_a_line_tells_of_news_that_were_passed_over(self) -> None:
@@ -186,7 +188,7 @@
         node.emit(WatchBroken(node.last_watch_id, "silent"))
         node.advance(0.1)
         revision = node.store_revision
-        node.emit(PeerReceived(FIRST, StoreNews(revision + 1, revision + 2)))
+        node.emit(PeerReceived(FIRST, StoreUpdate(revision + 1, revision + 2)))
         expected = {
             "known_revision": revision,
             "from_revision": revision + 1,
@@ -210,7 +212,7 @@
         node = linked(FIRST)
         before = len(node.actions)
         gone = (REPLICA_PREFIX + "r0",)
-        node.emit(PeerReceived(FIRST, StoreNews(0, node.store_revision - 1, (), gone)))
+        node.emit(PeerReceived(FIRST, StoreUpdate(0, node.store_revision - 1, (), gone)))
         self.assertEqual([], since(node, before))
         node.request()
         self.assertEqual(1, len(node.sends))
@@ -277,7 +279,7 @@
         revision = node.store_revision
         node.advance(1.4)
         draining = node.stored(replica("r1", "s", is_draining=True))
-        node.emit(PeerReceived(FIRST, StoreNews(revision, revision + 2, (draining,))))
+        node.emit(PeerReceived(FIRST, StoreUpdate(revision, revision + 2, (draining,))))
         # The look had begun; its answer was given before the replica began to drain.
         ready = node.stored(replica("r1", "s"))
         node.emit(WatchChanged(looking, (ready,), (), revision + 1))
@@ -308,7 +310,7 @@
 
     def hear(self, node: OneNode) -> None:
         """Let the first node tell that nothing has changed."""
-        node.emit(PeerReceived(FIRST, StoreNews(node.store_revision, node.store_revision)))
+        node.emit(PeerReceived(FIRST, StoreUpdate(node.store_revision, node.store_revision)))
 
     def test_the_first_one_waits_at_the_store(self) -> None:
         node = linked(LAST)
@@ -333,7 +335,7 @@
             node = linked(other)
             self.hear(node)
             self.look(node)
-            self.assertEqual(seconds, node.last(StartWatch).gather_seconds)
+            self.assertEqual(seconds, node.last(StartWatch).poll_interval_seconds)
 
     def test_a_node_alone_does(self) -> None:
         self.assertTrue(self.look(linked()))
@@ -343,7 +345,7 @@
         before = len(told(node))
         revision = node.store_revision
         node.emit(WatchChanged(node.last_watch_id, (), (), revision))
-        self.assertEqual([(FIRST, StoreNews(revision, revision))], told(node)[before:])
+        self.assertEqual([(FIRST, StoreUpdate(revision, revision))], told(node)[before:])
 
     def test_news_put_the_next_look_off_again_and_again(self) -> None:
         node = linked(FIRST)
@@ -352,7 +354,7 @@
         for _ in range(5):
             node.advance(0.9)
             before = len(node.actions)
-            node.emit(PeerReceived(FIRST, StoreNews(node.store_revision, node.store_revision)))
+            node.emit(PeerReceived(FIRST, StoreUpdate(node.store_revision, node.store_revision)))
             started = [item for item in since(node, before) if isinstance(item, StartWatch)]
             self.assertEqual(1, len(started))
             self.assertGreater(started[0].pause_seconds, GATHER_SECONDS)
--- a/tests/forwarding/test_suspension.py
+++ b/tests/forwarding/test_suspension.py
@@ -5,7 +5,7 @@
 from tests.forwarding.one_node import OneNode, replica, sharded_route, single_route, table
 from wingquay.forwarding.forwarding_node import WAKING_SECONDS
 from wingquay.ports.forwarding import ForwardFailureKind, ReplyFailure
-from wingquay.ports.machine import Woken
+from wingquay.ports.machine import ProcessResumed
 from wingquay.ports.store import StartWatch
 
 SHARDS = 4
@@ -26,7 +26,7 @@
 def suspend(one: OneNode, seconds: float) -> None:
     """Let the node's machine be suspended; what became due meanwhile comes after its waking."""
     one.now += seconds
-    one.emit(Woken(seconds))
+    one.emit(ProcessResumed(seconds))
 
 
 class SuspensionTest(TestCase):
--- a/tests/forwarding/test_tenants_at_other_nodes.py
+++ b/tests/forwarding/test_tenants_at_other_nodes.py
@@ -37,7 +37,7 @@
 from wingquay.forwarding.arrival.request_identity import compute_identity
 from wingquay.forwarding.crashing.guard import TELL_SECONDS
 from wingquay.model.routing_table import RoutingTable
-from wingquay.ports.crash_news import CrashNews
+from wingquay.ports.crash_messages import CrashReport
 from wingquay.ports.delegation import CancelDelegation, DelegatedAnswer, DelegatedRequest
 from wingquay.ports.forwarding import ForwardFailureKind, OpaqueRequest, ReplyFailure
 from wingquay.ports.peer_link import PeerLinkOpened, PeerReceived
@@ -81,7 +81,7 @@
         merged_records=3,
         priority=3,
         objective_seconds=OBJECTIVE_SECONDS,
-        in_time_seconds=0.09,
+        cutoff_seconds=0.09,
         remaining_seconds=1.0,
         tenant=tenant,
     )
@@ -181,7 +181,7 @@
         self.end_three(node, SECRET)
         self.assertEqual(
             {expected},
-            {item.identity for item in told(node, CrashNews) if isinstance(item, CrashNews)},
+            {item.identity for item in told(node, CrashReport) if isinstance(item, CrashReport)},
         )
         (line,) = node.logs("request_held")
         self.assertEqual(
@@ -212,7 +212,7 @@
 
     def test_the_asked_node_holds_the_same_request_back(self) -> None:
         node = configured()
-        news = CrashNews(compute_identity(BARE, "kiosk"), held_seconds=HELD_SECONDS)
+        news = CrashReport(compute_identity(BARE, "kiosk"), held_seconds=HELD_SECONDS)
         node.emit(PeerReceived(OTHERS[1], news))
         node.emit(PeerReceived(OTHERS[0], message()))
         self.assertEqual([], node.sends)
--- a/tests/membership/hollow_cluster.py
+++ b/tests/membership/hollow_cluster.py
@@ -8,7 +8,12 @@
 from wingquay.membership.membership_machine import MembershipMachine
 from wingquay.membership.replica_evidence import ReplicaEvidenceSettings
 from wingquay.membership.settings import MembershipSettings, SeedAddress
-from wingquay.ports.internal import ConfigurationInForce, MembershipChanged, Notify, ReplicaBelief
+from wingquay.ports.internal import (
+    ConfigurationInForce,
+    MembershipChanged,
+    Notify,
+    ReplicaStateChanged,
+)
 from wingquay.ports.machine import Action, Count, Event, Log, Schedule, Start
 from wingquay.ports.machine_directory import MachineListRead, ReadMachineList
 from wingquay.ports.peer import (
@@ -163,7 +168,7 @@
         if isinstance(event, MembershipChanged):
             node.available = frozenset(identity.node_id for identity in event.available)
             node.leaving = frozenset(identity.node_id for identity in event.leaving)
-        elif isinstance(event, ReplicaBelief | ConfigurationInForce):
+        elif isinstance(event, ReplicaStateChanged | ConfigurationInForce):
             node.notified.append(event)
         if self.on_notify is not None:
             self.on_notify(node, event)
--- a/tests/membership/test_membership_machine.py
+++ b/tests/membership/test_membership_machine.py
@@ -8,9 +8,9 @@
 from wingquay.ports.internal import (
     ConfigurationInForce,
     LeavingStarted,
-    NewerRevisionHeard,
-    ReplicaBelief,
+    NewerRevisionReported,
     ReplicaObserved,
+    ReplicaStateChanged,
 )
 from wingquay.ports.machine_directory import MachineEntry, MachineListRead, MachineState
 from wingquay.ports.peer import MembershipMessage, ReplicaState
@@ -173,7 +173,7 @@
         in_force = set()
 
         def fetch(node, event):
-            if isinstance(event, NewerRevisionHeard):
+            if isinstance(event, NewerRevisionReported):
                 in_force.add(node.identity.node_id)
                 cluster.give(node, ConfigurationInForce(Configuration(revision=event.revision)))
 
@@ -186,7 +186,7 @@
     def test_replica_seen_leaving_by_one_node_is_known_to_all_within_the_bound(self):
         cluster = self.cluster()
         cluster.give(self.victim(cluster), ReplicaObserved("r1", ReplicaState.LEAVING))
-        belief = ReplicaBelief("r1", ReplicaState.LEAVING)
+        belief = ReplicaStateChanged("r1", ReplicaState.LEAVING)
         bound = REPLICA_LEAVING_BOUND_SECONDS
         cluster.run_until(
             lambda: all(belief in node.notified for node in cluster.nodes.values()), bound
@@ -197,7 +197,7 @@
         cluster.give(self.victim(cluster), ReplicaObserved("r1", ReplicaState.LEAVING))
         cluster.run(60)
         newcomer = cluster.start_node(NODES)
-        belief = ReplicaBelief("r1", ReplicaState.LEAVING)
+        belief = ReplicaStateChanged("r1", ReplicaState.LEAVING)
         cluster.run_until(lambda: belief in newcomer.notified, 10)
 
     def test_datagrams_stay_small_however_much_there_is_to_tell(self):
--- a/tests/membership/test_replica_beliefs.py
+++ b/tests/membership/test_replica_beliefs.py
@@ -18,7 +18,7 @@
     Service,
     Shard,
 )
-from wingquay.ports.internal import ReplicaBelief, ReplicaObserved
+from wingquay.ports.internal import ReplicaObserved, ReplicaStateChanged
 from wingquay.ports.machine_directory import MachineEntry, MachineState
 from wingquay.ports.peer import ReplicaState, ReplicaUpdate
 
@@ -111,7 +111,7 @@
 
     def test_drain_flag_is_told_and_spread_once(self):
         news = self.table.observe(ReplicaObserved("r1", LEAVING), NOW)
-        self.assertEqual([ReplicaBelief("r1", LEAVING)], news.beliefs)
+        self.assertEqual([ReplicaStateChanged("r1", LEAVING)], news.beliefs)
         self.assertEqual([ReplicaUpdate("r1", LEAVING, 1)], news.urgent_updates)
         again = self.table.observe(ReplicaObserved("r1", LEAVING), NOW + 1)
         self.assertEqual(([], []), (again.beliefs, again.urgent_updates))
@@ -120,13 +120,13 @@
         table = ReplicaTable(SETTINGS)
         table.hear(ReplicaUpdate("r1", LEAVING, 1), NOW)
         news = table.configure(CONFIGURATION)
-        self.assertEqual([ReplicaBelief("r1", LEAVING)], news.beliefs)
+        self.assertEqual([ReplicaStateChanged("r1", LEAVING)], news.beliefs)
 
     def test_greater_version_overrides_and_a_tie_goes_to_the_warning(self):
         self.table.hear(ReplicaUpdate("r1", SERVING, 5), NOW)
         self.assertIsNone(self.table.hear(ReplicaUpdate("r1", LEAVING, 4), NOW))
         news = self.table.hear(ReplicaUpdate("r1", LEAVING, 5), NOW)
-        self.assertEqual([ReplicaBelief("r1", LEAVING)], news.beliefs)
+        self.assertEqual([ReplicaStateChanged("r1", LEAVING)], news.beliefs)
         self.assertIsNone(self.table.hear(ReplicaUpdate("r1", SERVING, 5), NOW))
         self.assertEqual([ReplicaUpdate("r1", LEAVING, 5)], self.table.warnings())
 
@@ -135,7 +135,7 @@
         news = self.table.hear(ReplicaUpdate("r1", LEAVING, 1), NOW + 0.5)
         self.assertEqual([], news.beliefs)
         news = self.table.tick(NOW + REPLICA_LEAVING_BOUND_SECONDS)
-        self.assertEqual([ReplicaBelief("r1", LEAVING)], news.beliefs)
+        self.assertEqual([ReplicaStateChanged("r1", LEAVING)], news.beliefs)
 
     def test_stale_list_against_live_evidence_changes_nothing(self):
         for second in range(20):
@@ -157,7 +157,7 @@
 
     def test_list_that_takes_its_word_back_is_heard(self):
         self.assertEqual(
-            [ReplicaBelief("r1", LEAVING)], self.listed(MachineState.LEAVING, 1).beliefs
+            [ReplicaStateChanged("r1", LEAVING)], self.listed(MachineState.LEAVING, 1).beliefs
         )
         self.table.hear(ReplicaUpdate("r1", SERVING, 9), 2.0)
         news = self.listed(MachineState.LIVE, 3.0)
@@ -167,7 +167,7 @@
     def test_versions_are_told_and_spread_without_haste(self):
         held = HeldVersions("r1", 3, 7)
         news = self.table.observe(ReplicaObserved("r1", SERVING, held), NOW)
-        self.assertEqual([ReplicaBelief("r1", SERVING, held)], news.beliefs)
+        self.assertEqual([ReplicaStateChanged("r1", SERVING, held)], news.beliefs)
         self.assertEqual([], news.urgent_updates)
         self.assertEqual([ReplicaUpdate("r1", SERVING, 1, held)], news.other_updates)
 
@@ -178,7 +178,7 @@
         self.assertEqual([], news.beliefs)
         self.assertEqual([ReplicaUpdate("r1", SERVING, 5, heard)], news.other_updates)
         news = self.table.hear(ReplicaUpdate("r1", SERVING, 6, heard), NOW + 10)
-        self.assertEqual([ReplicaBelief("r1", SERVING, heard)], news.beliefs)
+        self.assertEqual([ReplicaStateChanged("r1", SERVING, heard)], news.beliefs)
 
     def test_replicas_out_of_the_configuration_are_forgotten(self):
         self.table.hear(ReplicaUpdate("r1", LEAVING, 1), NOW)
--- a/tests/models/test_backend_model.py
+++ b/tests/models/test_backend_model.py
@@ -6,7 +6,7 @@
 
 from wingquay.model.identifiers import AttemptId, ReplicaId, RequestKindName, ServiceName, ShardId
 from wingquay.model.identifiers import SnapshotVersion as Version
-from wingquay.model.key_range import EVERYTHING, KeyRange
+from wingquay.model.key_range import FULL_KEY_RANGE, KeyRange
 from wingquay.ports.backend import BackendFailureKind, LoadReport
 from wingquay.simulation.models.backend_messages import BackendExchange, BackendReply, ReplyKind
 from wingquay.simulation.models.backend_model import BackendModel
@@ -38,7 +38,7 @@
         "service": SERVICE,
         "shard_id": SHARD,
         "kind": RequestKindName("tower-sweep"),
-        "key_ranges": (EVERYTHING,),
+        "key_ranges": (FULL_KEY_RANGE,),
         "snapshot": Version(1),
         "remaining_seconds": 10.0,
     }
@@ -116,9 +116,9 @@
         backend.arrive(exchange("new", snapshot=Version(2)), 0.0)
         refused, answered = backend.advance(1.0)
         self.assertEqual((ReplyKind.NOT_HELD, 2, 2), (refused.kind, refused.oldest, refused.newest))
-        truth = DATASET.rows_for(SERVICE, EVERYTHING, Version(2))
+        truth = DATASET.rows_for(SERVICE, FULL_KEY_RANGE, Version(2))
         self.assertEqual((Version(2), truth), (answered.snapshot, answered.rows))
-        self.assertNotEqual(truth, DATASET.rows_for(SERVICE, EVERYTHING, Version(1)))
+        self.assertNotEqual(truth, DATASET.rows_for(SERVICE, FULL_KEY_RANGE, Version(1)))
 
     def test_a_version_dropped_while_work_waits_is_not_answered(self) -> None:
         backend = model()
--- a/tests/models/test_backend_model_fuzz.py
+++ b/tests/models/test_backend_model_fuzz.py
@@ -14,7 +14,7 @@
     ShardId,
     SnapshotVersion,
 )
-from wingquay.model.key_range import EVERYTHING, KeyRange, intersect
+from wingquay.model.key_range import FULL_KEY_RANGE, KeyRange, intersect
 from wingquay.simulation.models.backend_messages import BackendExchange, ReplyKind
 from wingquay.simulation.models.backend_model import BackendModel
 from wingquay.simulation.models.backend_settings import BackendSettings
@@ -29,7 +29,7 @@
 LONG_SECONDS = 1000.0
 SECONDS = st.floats(min_value=0.0, max_value=0.1)
 VERSIONS = st.integers(min_value=1, max_value=4)
-RANGES = st.sampled_from([EVERYTHING, *DATASET.shard_ranges(3)])
+RANGES = st.sampled_from([FULL_KEY_RANGE, *DATASET.shard_ranges(3)])
 
 
 class BackendHistory(RuleBasedStateMachine):
--- a/tests/platform_adapter/test_caller_keys.py
+++ b/tests/platform_adapter/test_caller_keys.py
@@ -77,7 +77,7 @@
         event = understood((b"X-Other", b"1"))
         self.assertEqual(
             ("", None, (*USUAL, (b"X-Other", b"1"))),
-            (event.key, event.bare_request, event.request.headers),
+            (event.key, event.stripped_request, event.request.headers),
         )
 
     def test_the_bare_request_has_everything_else(self) -> None:
@@ -89,7 +89,7 @@
             (b"tenant", b"forged again"),
         )
         headers = (*USUAL, (b"X-Before", b"1"), (b"X-After", b"2"))
-        self.assertEqual(OpaqueRequest(b"GET", b"/a/b?c", headers, b"body"), event.bare_request)
+        self.assertEqual(OpaqueRequest(b"GET", b"/a/b?c", headers, b"body"), event.stripped_request)
 
     def test_without_tenants_everything_is_passed_on_as_it_came(self) -> None:
         own = ((b"Authorization", b"Bearer k-3fd0"), (b"TENANT", b"mine"))
@@ -106,8 +106,8 @@
         shown = [(name, text)] * times
         event = understood(*([forged, *shown] if is_first else [*shown, forged]))
         assert event.key == SECRET
-        assert event.bare_request is not None
-        assert event.bare_request.headers == USUAL
+        assert event.stripped_request is not None
+        assert event.stripped_request.headers == USUAL
 
     @given(st.lists(st.sampled_from([*SHOWN, (((b"Tenant", b"forged"),), "")]), max_size=4))
     def test_headers_of_several_forms_show_one_key_or_none(
@@ -118,7 +118,7 @@
         texts = {text for name, text in headers if name.lower() == b"authorization"}
         if event.key:
             assert len({text.split(None, 1)[1].strip() for text in texts}) == 1
-        left = event.request if event.bare_request is None else event.bare_request
+        left = event.request if event.stripped_request is None else event.stripped_request
         names = {name.lower() for name, _ in left.headers}
         assert names.isdisjoint({b"authorization", b"tenant"})
 
--- a/tests/platform_adapter/test_formats.py
+++ b/tests/platform_adapter/test_formats.py
@@ -99,7 +99,7 @@
                 sharded.timeout_seconds,
                 sharded.objective_seconds,
                 sharded.merged_records,
-                sharded.least_share,
+                sharded.min_share,
                 sharded.max_attempts,
             ),
         )
--- a/tests/platform_adapter/test_store_client.py
+++ b/tests/platform_adapter/test_store_client.py
@@ -82,7 +82,7 @@
             store.put("a/1", 11)
             store.remove("a/3")
             store.put("a/9", 9)
-            result = await client.ask(Read("a/", prefix=True, may_lag_at_first=True))
+            result = await client.ask(Read("a/", prefix=True, may_start_stale=True))
             known = {item.key: item.value for item in result.values}
             wanted = {"a/0": b"0", "a/1": b"11", "a/2": b"2", "a/4": b"4", "a/9": b"9"}
             self.assertEqual(wanted, known)
@@ -96,7 +96,7 @@
             client = Client()
             await client.start()
             client.store.put("a", 1)
-            result = await client.ask(Read("", prefix=True, may_lag_at_first=True))
+            result = await client.ask(Read("", prefix=True, may_start_stale=True))
             self.assertEqual((["a"], 1), ([v.key for v in result.values], result.store_revision))
 
         run(test())
@@ -108,7 +108,7 @@
             client.store.keep_copy()
             for number in range(1_200):
                 client.store.put(f"k{number:04}", number)
-            result = await client.ask(Read("", prefix=True, may_lag_at_first=True))
+            result = await client.ask(Read("", prefix=True, may_start_stale=True))
             self.assertEqual((1_200, 1_200), (len(result.values), result.store_revision))
             self.assertEqual(3, client.store.calls["/-/kv-watch"])
 
@@ -122,7 +122,7 @@
             client.store.keep_copy()
             client.store.put("b", 1)
             client.store.forget_history()
-            result = await client.ask(Read("", prefix=True, may_lag_at_first=True))
+            result = await client.ask(Read("", prefix=True, may_start_stale=True))
             self.assertEqual(["a", "b"], sorted(item.key for item in result.values))
             self.assertEqual(2, result.store_revision)
 
@@ -136,13 +136,13 @@
             client.store.put("a", 1)
             for may_lag in (False, True):
                 before = loop.time()
-                result = await client.ask(Read("", prefix=True, may_lag_at_first=may_lag))
+                result = await client.ask(Read("", prefix=True, may_start_stale=may_lag))
                 self.assertTrue(before <= result.begun_at <= loop.time())
             client.store.keep_copy()
             client.store.forget_history()
             client.store.put("b", 1)
             before = loop.time()
-            result = await client.ask(Read("", prefix=True, may_lag_at_first=True))
+            result = await client.ask(Read("", prefix=True, may_start_stale=True))
             self.assertTrue(before <= result.begun_at <= loop.time())
 
         run(test())
@@ -153,7 +153,7 @@
             await client.start()
             client.store.put("a", 1)
             client.store.statuses += [503]
-            operation = Read("", prefix=True, may_lag_at_first=True)
+            operation = Read("", prefix=True, may_start_stale=True)
             self.assertIs(StoreFailureKind.UNREACHABLE, (await client.ask(operation)).kind)
             client.store.refused_paths.add("/-/kv-watch")
             self.assertIs(StoreFailureKind.UNREACHABLE, (await client.ask(operation)).kind)
@@ -264,7 +264,7 @@
             client = Client()
             await client.start()
             client.store.put("a", 0)
-            client.client.start_watch(StartWatch("w", "", 0, gather_seconds=0.3))
+            client.client.start_watch(StartWatch("w", "", 0, poll_interval_seconds=0.3))
             await client.events.get()
             for number in range(5):
                 client.store.put("a", number)
@@ -279,7 +279,7 @@
             client = Client()
             await client.start()
             client.store.put("a", 0)
-            watch = StartWatch("w", "", 1, gather_seconds=3_600.0, hold_seconds=0.0)
+            watch = StartWatch("w", "", 1, poll_interval_seconds=3_600.0, hold_seconds=0.0)
             client.client.start_watch(watch)
             event = await client.events.get()
             self.assertEqual(((), 1), (event.changed, event.store_revision))
@@ -312,7 +312,7 @@
             await client.start()
             for number in range(1_200):
                 client.store.put(f"k{number:04}", number)
-            client.client.start_watch(StartWatch("w", "", 0, gather_seconds=3_600.0))
+            client.client.start_watch(StartWatch("w", "", 0, poll_interval_seconds=3_600.0))
             events = [await client.events.get() for _ in range(3)]
             self.assertEqual([500, 1_000, 1_200], [event.store_revision for event in events])
             self.assertEqual([True, True, False], [event.may_have_more for event in events])
--- a/tests/platform_adapter/test_tenants_document.py
+++ b/tests/platform_adapter/test_tenants_document.py
@@ -119,10 +119,10 @@
 
     def test_a_key_leads_to_its_holder(self) -> None:
         tenants = parse(tenants=[READ[0][0], {"name": "b", "apiKeys": [OTHER_SECRET]}]).tenants
-        self.assertEqual(READ[0][1], tenants.holder(SECRET))
-        self.assertEqual(Tenant("b", (OTHER_SECRET,)), tenants.holder(OTHER_SECRET))
-        self.assertIsNone(tenants.holder(""))
-        self.assertIsNone(tenants.holder(SECRET.upper()))
+        self.assertEqual(READ[0][1], tenants.find_by_key(SECRET))
+        self.assertEqual(Tenant("b", (OTHER_SECRET,)), tenants.find_by_key(OTHER_SECRET))
+        self.assertIsNone(tenants.find_by_key(""))
+        self.assertIsNone(tenants.find_by_key(SECRET.upper()))
 
     def test_no_field_and_no_tenants_are_not_the_same(self) -> None:
         self.assertIsNone(parse().tenants)
--- a/tests/query/small_tier.py
+++ b/tests/query/small_tier.py
@@ -31,7 +31,7 @@
     SnapshotVersion,
     ZoneName,
 )
-from wingquay.model.key_range import EVERYTHING, KeyRange
+from wingquay.model.key_range import FULL_KEY_RANGE, KeyRange
 from wingquay.model.request import QueryRequest
 from wingquay.orchestration.node_machine import NodeMachine
 from wingquay.orchestration.settings import NodeMachineSettings
@@ -162,7 +162,7 @@
         node_id: str,
         request_id: str,
         kind: str = "tower-sweep",
-        key_ranges: tuple[KeyRange, ...] = (EVERYTHING,),
+        key_ranges: tuple[KeyRange, ...] = (FULL_KEY_RANGE,),
         deadline_seconds: float = 1.0,
     ) -> None:
         """Send a request to a node now."""
@@ -253,5 +253,5 @@
 
     def true_rows(self, version: int) -> list[tuple[str, str]]:
         """Return all rows that the service holds at ``version``."""
-        rows = self.dataset.rows_for(SERVICE, EVERYTHING, SnapshotVersion(version))
+        rows = self.dataset.rows_for(SERVICE, FULL_KEY_RANGE, SnapshotVersion(version))
         return [(row.key, row.value) for row in rows]
--- a/tests/query/test_avoided_replicas.py
+++ b/tests/query/test_avoided_replicas.py
@@ -10,7 +10,7 @@
 from wingquay.admission.owner_machine import OwnerMachine
 from wingquay.admission.settings import AdmissionSettings
 from wingquay.model.identifiers import DeploymentName, NodeId, ReplicaId, SubRequestId
-from wingquay.model.key_range import EVERYTHING
+from wingquay.model.key_range import FULL_KEY_RANGE
 from wingquay.ports.backend import StartAttempt
 from wingquay.ports.internal import ConfigurationInForce
 from wingquay.ports.peer import NodeIdentity, PeerReceived, SubRequestBatch
@@ -23,7 +23,7 @@
     def replicas_asked(self, avoid: tuple[ReplicaId, ...]) -> list[str]:
         identity = NodeIdentity(NodeId("n"), DeploymentName("ro-nord"), ZONES[0], "127.0.0.1", 1)
         owner = OwnerMachine(identity, RoutingSettings(), AdmissionSettings(), random.Random(1))
-        owner.handle(ConfigurationInForce(configuration((EVERYTHING,), 2)), 0.0)
+        owner.handle(ConfigurationInForce(configuration((FULL_KEY_RANGE,), 2)), 0.0)
         sub_request = work("q", "gold", 1).sub_request
         batch = SubRequestBatch(
             tuple(
--- a/tests/query/test_class_order.py
+++ b/tests/query/test_class_order.py
@@ -22,7 +22,7 @@
     SubRequestId,
     ZoneName,
 )
-from wingquay.model.key_range import EVERYTHING, KeyRange
+from wingquay.model.key_range import FULL_KEY_RANGE, KeyRange
 from wingquay.model.mechanisms import Mechanism
 from wingquay.model.request import SubRequest
 from wingquay.orchestration.settings import NodeMachineSettings
@@ -38,7 +38,7 @@
         service=ServiceName("s"),
         kind=RequestKindName("k"),
         shard_id=ShardId("s0"),
-        key_ranges=(EVERYTHING,),
+        key_ranges=(FULL_KEY_RANGE,),
         snapshot=SnapshotVersion(1),
         remaining_seconds=1.0,
         class_name=ClassName(class_name),
@@ -141,7 +141,7 @@
 
     def latency_of_ping(self, tier: SmallTier) -> float:
         asked_at = tier.now
-        tier.ask("n1", "ping", "outage-ping", (KeyRange.of_key("village-0001"),))
+        tier.ask("n1", "ping", "outage-ping", (KeyRange.from_key("village-0001"),))
         tier.run_until(tier.now + 3.0)
         return tier.answered_at["ping"] - asked_at
 
--- a/tests/query/test_recovery.py
+++ b/tests/query/test_recovery.py
@@ -32,7 +32,9 @@
         latencies: list[float] = []
         for index in range(PINGS):
             asked_at = self.tier.now
-            self.tier.ask("n0", f"{name}{index}", "outage-ping", (KeyRange.of_key("village-0001"),))
+            self.tier.ask(
+                "n0", f"{name}{index}", "outage-ping", (KeyRange.from_key("village-0001"),)
+            )
             self.tier.run_until(asked_at + 0.2)
             latencies.append(self.tier.answered_at[f"{name}{index}"] - asked_at)
         return sorted(latencies)
--- a/tests/query/test_unrepeatable.py
+++ b/tests/query/test_unrepeatable.py
@@ -7,7 +7,7 @@
 from tests.query.small_tier import CALLER, SERVICE, ZONES, configuration
 from wingquay.model.answer import Answer, Outcome
 from wingquay.model.identifiers import DeploymentName, NodeId, RequestId, RequestKindName
-from wingquay.model.key_range import EVERYTHING
+from wingquay.model.key_range import FULL_KEY_RANGE
 from wingquay.model.request import QueryRequest
 from wingquay.ports.caller import AnswerCaller, CallerRequest
 from wingquay.ports.internal import (
@@ -32,7 +32,7 @@
     CALLER,
     SERVICE,
     RequestKindName("tower-sweep"),
-    (EVERYTHING,),
+    (FULL_KEY_RANGE,),
     repeatable=False,
     idempotency_key="edit",
 )
@@ -52,7 +52,7 @@
         self.coordinator = Coordinator(identity, QuerySettings(), links)
 
     def ask_while_stopping(self) -> list[Action]:
-        in_force = ConfigurationInForce(configuration((EVERYTHING,), 1))
+        in_force = ConfigurationInForce(configuration((FULL_KEY_RANGE,), 1))
         self.coordinator.handle(in_force, 0.0)
         self.coordinator.handle(LeavingStarted(), 0.0)
         return self.coordinator.handle(CallerRequest(REQUEST), 100.0)
--- a/tests/simulation/forwarding/test_replica_lives.py
+++ b/tests/simulation/forwarding/test_replica_lives.py
@@ -54,10 +54,10 @@
         self.assertEqual("", self.violations_of_one_replica())
 
     def test_that_lives_are_told_apart_is_needed(self) -> None:
-        original = ReplicaRecord.__dict__["life"]
-        self.addCleanup(setattr, ReplicaRecord, "life", original)
+        original = ReplicaRecord.__dict__["incarnation"]
+        self.addCleanup(setattr, ReplicaRecord, "incarnation", original)
         by_id = property(lambda record: record.replica_id)
-        setattr(ReplicaRecord, "life", by_id)  # noqa: B010
+        setattr(ReplicaRecord, "incarnation", by_id)  # noqa: B010
         self.assertIn("had ended under it", self.violations_of_one_replica())
 
     @staticmethod
--- a/tests/simulation/forwarding/test_tenants.py
+++ b/tests/simulation/forwarding/test_tenants.py
@@ -71,7 +71,7 @@
 
 
 def _anybody(key: str, tenants: TenantDirectory) -> Tenant:
-    return tenants.holder(key) or tenants.tenants[0]
+    return tenants.find_by_key(key) or tenants.tenants[0]
 
 
 def _nobody(_key: str, _tenants: TenantDirectory) -> object:
--- a/tests/standins/test_backend_interop.py
+++ b/tests/standins/test_backend_interop.py
@@ -16,7 +16,7 @@
     ShardId,
     SnapshotVersion,
 )
-from wingquay.model.key_range import EVERYTHING
+from wingquay.model.key_range import FULL_KEY_RANGE
 from wingquay.ports.backend import (
     AttemptFinished,
     BackendAnswer,
@@ -70,7 +70,7 @@
             SERVICE,
             ShardId("s0"),
             RequestKindName("tower-sweep"),
-            (EVERYTHING,),
+            (FULL_KEY_RANGE,),
             snapshot,
             remaining_seconds,
             repeatable=snapshot is not None,
@@ -102,9 +102,9 @@
         asyncio.run(check())
 
     async def check_reads_and_writes(self, bench: Bench) -> None:
-        rows = DATASET.rows_for(SERVICE, EVERYTHING, VERSION)
-        self.assertEqual(BackendAnswer(VERSION, (EVERYTHING,), rows), await bench.attempt())
-        receipt = BackendAnswer(None, (EVERYTHING,), (Row("", "recorded"),))
+        rows = DATASET.rows_for(SERVICE, FULL_KEY_RANGE, VERSION)
+        self.assertEqual(BackendAnswer(VERSION, (FULL_KEY_RANGE,), rows), await bench.attempt())
+        receipt = BackendAnswer(None, (FULL_KEY_RANGE,), (Row("", "recorded"),))
         self.assertEqual(receipt, await bench.attempt(snapshot=None))
         self.assertEqual(["attempt-2"], [w.attempt_id for w in bench.standin.model.ledger.writes])
 
--- a/tests/standins/test_backend_standin.py
+++ b/tests/standins/test_backend_standin.py
@@ -11,7 +11,7 @@
 from wingquay.adapters.http_messages import HttpFailureKind, HttpResponse
 from wingquay.model.failure import Failure
 from wingquay.model.identifiers import ReplicaId, ServiceName, ShardId, SnapshotVersion
-from wingquay.model.key_range import EVERYTHING
+from wingquay.model.key_range import FULL_KEY_RANGE
 from wingquay.simulation.models.backend_settings import BackendSettings
 from wingquay.simulation.models.dataset import Dataset
 from wingquay.simulation.models.service_time import ServiceTimeSettings
@@ -73,7 +73,7 @@
             response = self.response(await bench.search("a1"))
             self.assertEqual(("a1", "1-1"), self.headers(response))
             self.assertIn("application_utilization", response.headers["endpoint-load-metrics"])
-            rows = DATASET.rows_for(SERVICE, EVERYTHING, SnapshotVersion(1))
+            rows = DATASET.rows_for(SERVICE, FULL_KEY_RANGE, SnapshotVersion(1))
             expected = {
                 "snapshot": 1,
                 "covered": [["", None]],
--- a/wingquay/adapters/caller_json.py
+++ b/wingquay/adapters/caller_json.py
@@ -74,7 +74,7 @@
     def ranges(self) -> tuple[KeyRange, ...]:
         """Return the keys asked for."""
         if self.keys is not None:
-            return tuple(KeyRange.of_key(key) for key in self.keys)
+            return tuple(KeyRange.from_key(key) for key in self.keys)
         return tuple(KeyRange(entry.start, entry.end) for entry in self.key_ranges or ())
 
 
--- a/wingquay/adapters/forwarding_peer_codec.py
+++ b/wingquay/adapters/forwarding_peer_codec.py
@@ -5,20 +5,20 @@
 from google.protobuf.message import DecodeError
 
 from ..model.failure import Failure
-from ..ports.crash_news import CrashNews, ToldEnd
+from ..ports.crash_messages import CrashReport, ReportedCrash
 from ..ports.delegation import (
     AllowAttempts,
     CancelDelegation,
     DelegatedAnswer,
     DelegatedRequest,
-    Greeting,
+    PrewarmMessage,
 )
 from ..ports.forwarding import OpaqueRequest
 from ..ports.peer_link import NodeIdentity, PeerMessage
-from ..ports.proof_messages import AskProof, ProofGiven
-from ..ports.reach_news import ReachNews
+from ..ports.proof_messages import ProofReply, ProofRequest
+from ..ports.reachability_messages import ReachabilityReport
 from ..ports.store import StoredValue
-from ..ports.store_news import StoreNews
+from ..ports.store_update import StoreUpdate
 from .peer_codec_error import PeerCodecFailureKind
 from .peer_codec_identity import identity_from_bytes, identity_to_bytes
 from .proto import peer_pb2
@@ -52,11 +52,11 @@
             envelope.allow_attempts.max_attempts = message.max_attempts
         case CancelDelegation():
             envelope.cancel_delegation.delegation_id = message.delegation_id
-        case StoreNews():
+        case StoreUpdate():
             _put_news(envelope, message)
-        case CrashNews():
+        case CrashReport():
             _put_crash_news(envelope.crash_news, message)
-        case Greeting():
+        case PrewarmMessage():
             envelope.greeting.SetInParent()
         case _:
             _put_knowledge(envelope, message)
@@ -65,12 +65,12 @@
 
 def _put_knowledge(envelope: peer_pb2.Envelope, message: PeerMessage) -> None:
     match message:
-        case AskProof():
+        case ProofRequest():
             envelope.ask_proof.number = message.number
             envelope.ask_proof.SetInParent()
-        case ProofGiven():
+        case ProofReply():
             _put_proof(envelope.proof_given, message)
-        case ReachNews():
+        case ReachabilityReport():
             _put_reach_news(envelope.reach_news, message)
         case _:
             _put_limit_message(envelope, message)
@@ -100,14 +100,14 @@
         case "crash_news":
             return _crash_news_from(envelope.crash_news)
         case "ask_proof":
-            return AskProof(envelope.ask_proof.number)
+            return ProofRequest(envelope.ask_proof.number)
         case "proof_given":
             given = envelope.proof_given
-            return ProofGiven(given.number, given.held_seconds, given.store_revision)
+            return ProofReply(given.number, given.held_seconds, given.store_revision)
         case "reach_news":
             return _reach_news_from(envelope.reach_news)
         case "greeting":
-            return Greeting()
+            return PrewarmMessage()
         case _:
             return _delegation_from(envelope)
 
@@ -155,7 +155,7 @@
     target.merged_records = message.merged_records
     target.priority = message.priority
     target.objective_seconds = message.objective_seconds
-    target.in_time_seconds = message.in_time_seconds
+    target.in_time_seconds = message.cutoff_seconds
     target.remaining_seconds = message.remaining_seconds
     target.is_group_share = message.is_group_share
     target.tenant = message.tenant
@@ -218,46 +218,48 @@
     )
 
 
-def _put_crash_news(target: peer_pb2.CrashNews, message: CrashNews) -> None:
+def _put_crash_news(target: peer_pb2.CrashNews, message: CrashReport) -> None:
     target.identity = message.identity
     target.held_seconds = message.held_seconds
     target.is_cleared = message.is_cleared
-    for end in message.ends:
+    for end in message.crashes:
         target.ends.add(
-            replica_id=end.life,
+            replica_id=end.incarnation,
             node_id=end.node_id,
             sent_seconds=end.sent_seconds,
             ended_seconds=end.ended_seconds,
         )
 
 
-def _put_proof(target: peer_pb2.ProofGiven, message: ProofGiven) -> None:
+def _put_proof(target: peer_pb2.ProofGiven, message: ProofReply) -> None:
     target.SetInParent()
     target.number = message.number
     target.held_seconds = message.held_seconds
     target.store_revision = message.store_revision
 
 
-def _crash_news_from(message: peer_pb2.CrashNews) -> CrashNews:
+def _crash_news_from(message: peer_pb2.CrashNews) -> CrashReport:
     ends = tuple(
-        ToldEnd(end.replica_id, end.node_id, end.sent_seconds, end.ended_seconds)
+        ReportedCrash(end.replica_id, end.node_id, end.sent_seconds, end.ended_seconds)
         for end in message.ends
     )
-    return CrashNews(message.identity, ends, message.held_seconds, message.is_cleared)
+    return CrashReport(message.identity, ends, message.held_seconds, message.is_cleared)
 
 
-def _put_reach_news(target: peer_pb2.ReachNews, message: ReachNews) -> None:
+def _put_reach_news(target: peer_pb2.ReachNews, message: ReachabilityReport) -> None:
     target.SetInParent()
-    target.out_zones.extend(message.out_zones)
-    target.in_zones.extend(message.in_zones)
-    target.is_question = message.is_question
+    target.out_zones.extend(message.unreachable_zones)
+    target.in_zones.extend(message.reachable_zones)
+    target.is_question = message.wants_reply
 
 
-def _reach_news_from(message: peer_pb2.ReachNews) -> ReachNews:
-    return ReachNews(tuple(message.out_zones), tuple(message.in_zones), message.is_question)
+def _reach_news_from(message: peer_pb2.ReachNews) -> ReachabilityReport:
+    return ReachabilityReport(
+        tuple(message.out_zones), tuple(message.in_zones), message.is_question
+    )
 
 
-def _put_news(envelope: peer_pb2.Envelope, message: StoreNews) -> None:
+def _put_news(envelope: peer_pb2.Envelope, message: StoreUpdate) -> None:
     news = peer_pb2.StoreNews(
         from_revision=message.from_revision,
         store_revision=message.store_revision,
@@ -282,12 +284,12 @@
     envelope.packed_store_news.plain_bytes = len(plain)
 
 
-def _news_from(message: peer_pb2.StoreNews) -> StoreNews:
+def _news_from(message: peer_pb2.StoreNews) -> StoreUpdate:
     changed = tuple(
         StoredValue(item.key, item.value, item.modified_at, item.lease_id, item.created_at)
         for item in message.changed
     )
-    return StoreNews(
+    return StoreUpdate(
         message.from_revision,
         message.store_revision,
         changed,
@@ -299,7 +301,7 @@
 
 def _unpacked(
     message: peer_pb2.PackedStoreNews,
-) -> StoreNews | Failure[PeerCodecFailureKind]:
+) -> StoreUpdate | Failure[PeerCodecFailureKind]:
     size = message.plain_bytes
     if size > GREATEST_NEWS_BYTES:
         reason = f"news of {size} bytes; allowed: up to {GREATEST_NEWS_BYTES}"
--- a/wingquay/adapters/forwarding_server.py
+++ b/wingquay/adapters/forwarding_server.py
@@ -7,7 +7,7 @@
 
 from ..model.routing_table import CallerLimits
 from ..ports.forwarding import (
-    CallerLeft,
+    CallerDisconnected,
     ForwardRequested,
     ReplyFailure,
     ReplyMerged,
@@ -41,7 +41,7 @@
 
 
 class ForwardingServer:
-    """Emits ``ForwardRequested`` and ``CallerLeft``; performs the replies.
+    """Emits ``ForwardRequested`` and ``CallerDisconnected``; performs the replies.
 
     Parameters
     ----------
@@ -98,7 +98,7 @@
             return await future
         except asyncio.CancelledError:
             self._waiting.pop(exchange_id, None)
-            self._emit(CallerLeft(exchange_id))
+            self._emit(CallerDisconnected(exchange_id))
             raise
 
 
--- a/wingquay/adapters/held_record.py
+++ b/wingquay/adapters/held_record.py
@@ -2,7 +2,7 @@
 
 import orjson
 
-from ..ports.crash_news import HeldRequest
+from ..ports.crash_messages import HeldRequest
 
 
 def held_value(held: HeldRequest) -> bytes:
--- a/wingquay/adapters/limit_codec.py
+++ b/wingquay/adapters/limit_codec.py
@@ -3,12 +3,12 @@
 from ..model.failure import Failure
 from ..ports.limit_messages import (
     LimitAcknowledgement,
-    LimitAnswer,
-    LimitAsk,
     LimitOwnersReply,
     LimitOwnersRequest,
     LimitRecord,
-    LimitTell,
+    LimitReply,
+    LimitReport,
+    LimitRequest,
     LimitVerdict,
 )
 from ..ports.peer_link import PeerMessage
@@ -17,9 +17,9 @@
 
 _VERDICT_NUMBERS = {
     LimitVerdict.GRANTED: peer_pb2.LIMIT_VERDICT_GRANTED,
-    LimitVerdict.OVER: peer_pb2.LIMIT_VERDICT_OVER,
-    LimitVerdict.ELSEWHERE: peer_pb2.LIMIT_VERDICT_ELSEWHERE,
-    LimitVerdict.NOT_MINE: peer_pb2.LIMIT_VERDICT_NOT_MINE,
+    LimitVerdict.EXCEEDED: peer_pb2.LIMIT_VERDICT_OVER,
+    LimitVerdict.OTHER_OWNER: peer_pb2.LIMIT_VERDICT_ELSEWHERE,
+    LimitVerdict.NOT_OWNER: peer_pb2.LIMIT_VERDICT_NOT_MINE,
 }
 _VERDICTS = {number: verdict for verdict, number in _VERDICT_NUMBERS.items()}
 
@@ -27,19 +27,19 @@
 def put_limit_message(envelope: peer_pb2.Envelope, message: PeerMessage) -> bool:
     """Write a message about limits; return whether it is one."""
     match message:
-        case LimitTell():
+        case LimitReport():
             _put_tell(envelope.limit_tell, message)
         case LimitAcknowledgement():
             told = envelope.limit_acknowledgement
             told.SetInParent()
             told.sequence = message.sequence
-            told.asks_first = message.asks_first
+            told.asks_first = message.requires_permit
             told.hot.extend(message.hot)
             told.hot_seconds.extend(message.hot_seconds)
-        case LimitAsk():
+        case LimitRequest():
             envelope.limit_ask.ask_id = message.ask_id
             envelope.limit_ask.tenant = message.tenant
-        case LimitAnswer():
+        case LimitReply():
             _put_answer(envelope.limit_answer, message)
         case LimitOwnersRequest():
             _put_request(envelope.limit_owners.request, message)
@@ -60,7 +60,7 @@
         case "limit_acknowledgement":
             return _acknowledgement_from(envelope.limit_acknowledgement)
         case "limit_ask":
-            return LimitAsk(envelope.limit_ask.ask_id, envelope.limit_ask.tenant)
+            return LimitRequest(envelope.limit_ask.ask_id, envelope.limit_ask.tenant)
         case "limit_answer":
             return _answer_from(envelope.limit_answer)
         case "limit_owners":
@@ -69,7 +69,7 @@
             return Failure(PeerCodecFailureKind.UNKNOWN_MESSAGE, "no message of a known kind")
 
 
-def _put_tell(target: peer_pb2.LimitTell, message: LimitTell) -> None:
+def _put_tell(target: peer_pb2.LimitTell, message: LimitReport) -> None:
     target.sequence = message.sequence
     target.tenants.extend(message.tenants)
     target.counts.extend(message.counts)
@@ -77,12 +77,12 @@
         target.charged.extend(message.charged)
 
 
-def _tell_from(message: peer_pb2.LimitTell) -> LimitTell | Failure[PeerCodecFailureKind]:
+def _tell_from(message: peer_pb2.LimitTell) -> LimitReport | Failure[PeerCodecFailureKind]:
     tenants = tuple(message.tenants)
     charged = tuple(message.charged) or (0,) * len(tenants)
     if not len(tenants) == len(message.counts) == len(charged):
         return _uneven("tenants", len(tenants), len(message.counts), len(charged))
-    return LimitTell(message.sequence, tenants, tuple(message.counts), charged)
+    return LimitReport(message.sequence, tenants, tuple(message.counts), charged)
 
 
 def _acknowledgement_from(
@@ -95,19 +95,19 @@
     )
 
 
-def _put_answer(target: peer_pb2.LimitAnswer, message: LimitAnswer) -> None:
+def _put_answer(target: peer_pb2.LimitAnswer, message: LimitReply) -> None:
     target.ask_id = message.ask_id
     target.verdict = _VERDICT_NUMBERS[message.verdict]
     target.retry_after_seconds = message.retry_after_seconds
-    target.asks_first = message.asks_first
+    target.asks_first = message.requires_permit
     target.hot_seconds = message.hot_seconds
 
 
-def _answer_from(message: peer_pb2.LimitAnswer) -> LimitAnswer | Failure[PeerCodecFailureKind]:
+def _answer_from(message: peer_pb2.LimitAnswer) -> LimitReply | Failure[PeerCodecFailureKind]:
     verdict = _VERDICTS.get(message.verdict)
     if verdict is None:
         return Failure(PeerCodecFailureKind.MALFORMED, f"verdict {message.verdict}")
-    return LimitAnswer(
+    return LimitReply(
         message.ask_id,
         verdict,
         message.retry_after_seconds,
--- a/wingquay/adapters/peer_snapshots.py
+++ b/wingquay/adapters/peer_snapshots.py
@@ -9,7 +9,7 @@
 
 from ..model.failure import Failure
 from ..ports.machine import Event
-from ..ports.peer_snapshot import AskPeers, PeerSnapshot
+from ..ports.peer_snapshot import PeerSnapshot, RequestPeerSnapshot
 from ..ports.store import ReadResult, StoredValue
 from .http_client import HttpClient
 from .http_messages import HttpRequest, HttpResponse
@@ -26,7 +26,7 @@
 
 
 class PeerSnapshots:
-    """Performs ``AskPeers`` and answers the same question of others.
+    """Performs ``RequestPeerSnapshot`` and answers the same question of others.
 
     Parameters
     ----------
@@ -49,7 +49,7 @@
         self._emit = emit
         self._asking: asyncio.Task[None] | None = None
 
-    def ask(self, _action: AskPeers) -> None:
+    def ask(self, _action: RequestPeerSnapshot) -> None:
         """Ask one peer after another, unless that is under way."""
         if self._peers and (self._asking is None or self._asking.done()):
             self._asking = asyncio.get_running_loop().create_task(self._ask_all())
--- a/wingquay/adapters/replica_client.py
+++ b/wingquay/adapters/replica_client.py
@@ -199,11 +199,11 @@
         record = action.replica
         connection = await self._new_connection(self._address_of(record), begun_at)
         if isinstance(connection, _NoConnection):
-            tried = ConnectionTried(record.life, connection.reason, connection.is_refused)
+            tried = ConnectionTried(record.incarnation, connection.reason, connection.is_refused)
             self._emit(tried)
             return
         self._freed(connection)
-        self._emit(ConnectionTried(record.life))
+        self._emit(ConnectionTried(record.incarnation))
 
     async def _new_connection(
         self, address: Address, begun_at: float
--- a/wingquay/admission/health_prober.py
+++ b/wingquay/admission/health_prober.py
@@ -18,7 +18,7 @@
     ProbeReplica,
     ReplicaProbed,
 )
-from ..ports.internal import Notify, ReplicaBelief, ReplicaObserved
+from ..ports.internal import Notify, ReplicaObserved, ReplicaStateChanged
 from ..ports.machine import Action
 from ..ports.peer import ReplicaState
 from ..routing.replica_tracker import ReplicaTracker
@@ -144,7 +144,7 @@
         self._last_observed[replica_id] = _Observation(state, held, now)
         return [Notify(ReplicaObserved(replica_id, state, held))]
 
-    def on_belief(self, event: ReplicaBelief) -> None:
+    def on_belief(self, event: ReplicaStateChanged) -> None:
         """Take in what the membership machine makes of all evidence about a replica."""
         found = self._lanes.tracker(event.replica_id)
         if found is None:
--- a/wingquay/admission/owner_machine.py
+++ b/wingquay/admission/owner_machine.py
@@ -11,7 +11,7 @@
     ConfigurationInForce,
     LeavingStarted,
     MembershipChanged,
-    ReplicaBelief,
+    ReplicaStateChanged,
     ServiceLoad,
 )
 from ..ports.machine import Action, Event, Schedule, Start
@@ -48,7 +48,7 @@
         ConfigurationInForce,
         MembershipChanged,
         LeavingStarted,
-        ReplicaBelief,
+        ReplicaStateChanged,
         AttemptFinished,
         ReplicaProbed,
         HedgeDue,
@@ -154,7 +154,7 @@
                 self._owned = None
             case LeavingStarted():
                 self._dispatcher.is_leaving = True
-            case ReplicaBelief() if Mechanism.REPLICA_LEAVING not in self._disabled:
+            case ReplicaStateChanged() if Mechanism.REPLICA_LEAVING not in self._disabled:
                 self._prober.on_belief(event)
                 return self._dispatcher.on_replica_changed(event.replica_id, now)
             case ReplicaProbed():
--- a/wingquay/claims/claimant.py
+++ b/wingquay/claims/claimant.py
@@ -67,7 +67,7 @@
         service = self._configuration.service(request.service)
         zones = () if service is None else deployment_zones(self._configuration, service.deployment)
         if service is None or not zones or request.idempotency_key is None:
-            return _notify(request.request_id, ClaimDecisionKind.CANNOT_TELL, None)
+            return _notify(request.request_id, ClaimDecisionKind.UNDECIDED, None)
         key = claim_key(request.caller, request.service, request.idempotency_key)
         claim = PendingClaim(
             claim_key=key,
@@ -209,7 +209,7 @@
         return tuple(nodes.values())
 
     def _give_up(self, claim: PendingClaim, now: float) -> list[Action]:
-        kind = ClaimDecisionKind.IN_PROGRESS if claim.met_holder else ClaimDecisionKind.CANNOT_TELL
+        kind = ClaimDecisionKind.IN_PROGRESS if claim.met_holder else ClaimDecisionKind.UNDECIDED
         return self._decide(claim, kind, now)
 
     def _decide(
--- a/wingquay/configuration/configuration_machine.py
+++ b/wingquay/configuration/configuration_machine.py
@@ -9,7 +9,7 @@
     LeavingStarted,
     LoadObserved,
     MembershipChanged,
-    NewerRevisionHeard,
+    NewerRevisionReported,
 )
 from ..ports.machine import Action, Event, Start, StopRequested
 from ..ports.operator import OperatorRequest
@@ -54,7 +54,7 @@
         WatchChanged,
         WatchBroken,
         PeerLinkBroken,
-        NewerRevisionHeard,
+        NewerRevisionReported,
         MembershipChanged,
         LoadObserved,
         StopRequested,
@@ -118,7 +118,7 @@
                 return self._watcher.watch_broken(event, now)
             case PeerLinkBroken():
                 return self._dissemination.link_broken(event.node_id, now)
-            case NewerRevisionHeard():
+            case NewerRevisionReported():
                 return self._dissemination.heard(event.sender, event.revision, now)
         return self._handle_node_event(event, now)
 
--- a/wingquay/configuration/outlook.py
+++ b/wingquay/configuration/outlook.py
@@ -3,7 +3,7 @@
 from collections.abc import Iterable
 
 from ..model.configuration import Configuration, Service
-from ..model.plan import ClassEffect, OutlookVerdict, PromiseOutlook
+from ..model.plan import ClassEffect, ForecastVerdict, PromiseForecast
 from ..ports.internal import KindLoad, LoadObserved
 
 RISKY_UTILIZATION = 0.8
@@ -17,7 +17,7 @@
     after: Configuration,
     effects: Iterable[ClassEffect],
     load: LoadObserved,
-) -> tuple[PromiseOutlook, ...]:
+) -> tuple[PromiseForecast, ...]:
     """Return the outlook for each kind that is touched, itself or through its service's slots.
 
     Parameters
@@ -45,7 +45,7 @@
     service_name: str,
     kind_name: str,
     load: LoadObserved,
-) -> PromiseOutlook | None:
+) -> PromiseForecast | None:
     service = after.service(service_name)
     kind = service.kind(kind_name) if service is not None else None
     if service is None or kind is None:
@@ -59,7 +59,7 @@
     )
     utilization = _expected_utilization(before.service(service_name), service, load)
     verdict, reason = _verdict(entry.promise_seconds, seen, utilization)
-    return PromiseOutlook(
+    return PromiseForecast(
         service=service.name,
         kind=kind.name,
         promise_seconds=entry.promise_seconds,
@@ -83,18 +83,18 @@
 
 def _verdict(
     promise_seconds: float, seen: KindLoad | None, utilization: float | None
-) -> tuple[OutlookVerdict, str]:
+) -> tuple[ForecastVerdict, str]:
     if utilization is not None and utilization >= FULL_UTILIZATION:
         reason = f"slots would be {utilization:.0%} busy: more work than they can do"
-        return OutlookVerdict.NOT_KEEPABLE, reason
+        return ForecastVerdict.NOT_KEEPABLE, reason
     if seen is None:
-        return OutlookVerdict.NOT_KNOWN, "this node has seen no requests of this kind lately"
+        return ForecastVerdict.NOT_KNOWN, "this node has seen no requests of this kind lately"
     if seen.p50_seconds > promise_seconds:
         reason = f"half of the requests now take longer than {seen.p50_seconds:.3g} s"
-        return OutlookVerdict.NOT_KEEPABLE, reason
+        return ForecastVerdict.NOT_KEEPABLE, reason
     if seen.p99_seconds > promise_seconds:
         reason = f"one request in 100 now takes longer than {seen.p99_seconds:.3g} s"
-        return OutlookVerdict.AT_RISK, reason
+        return ForecastVerdict.AT_RISK, reason
     if utilization is not None and utilization >= RISKY_UTILIZATION:
-        return OutlookVerdict.AT_RISK, f"slots would be {utilization:.0%} busy"
-    return OutlookVerdict.KEEPABLE, f"99 requests in 100 now take under {seen.p99_seconds:.3g} s"
+        return ForecastVerdict.AT_RISK, f"slots would be {utilization:.0%} busy"
+    return ForecastVerdict.KEEPABLE, f"99 requests in 100 now take under {seen.p99_seconds:.3g} s"
--- a/wingquay/configuration/plan.py
+++ b/wingquay/configuration/plan.py
@@ -8,7 +8,7 @@
 from ..model.failure import Failure
 from ..model.identifiers import OperatorName, Revision
 from ..model.intent import Intent, RestoreRevision
-from ..model.plan import ClassEffect, OutlookVerdict, Plan, PromiseOutlook
+from ..model.plan import ClassEffect, ForecastVerdict, Plan, PromiseForecast
 from ..ports.internal import LoadObserved
 from .diff import change_digest, document_diff
 from .document import (
@@ -184,9 +184,9 @@
     )
 
 
-def _warnings(change: _Change, outlook: Sequence[PromiseOutlook]) -> list[str]:
+def _warnings(change: _Change, outlook: Sequence[PromiseForecast]) -> list[str]:
     warnings: list[str] = []
-    bad = (OutlookVerdict.NOT_KEEPABLE, OutlookVerdict.AT_RISK)
+    bad = (ForecastVerdict.NOT_KEEPABLE, ForecastVerdict.AT_RISK)
     for entry in outlook:
         if entry.verdict in bad:
             verdict = entry.verdict.value.replace("_", " ")
--- a/wingquay/demo/caller.py
+++ b/wingquay/demo/caller.py
@@ -46,7 +46,7 @@
         """The keys asked for, as ranges."""
         if not self.keys:
             return (KeyRange("", None),)
-        return normalize(KeyRange.of_key(key) for key in self.keys)
+        return normalize(KeyRange.from_key(key) for key in self.keys)
 
     def document(self) -> dict[str, object]:
         """Return the request body."""
--- a/wingquay/forwarding/arrival/authentication.py
+++ b/wingquay/forwarding/arrival/authentication.py
@@ -18,7 +18,7 @@
     """Return the tenant that holds a key, or why there is none."""
     if not key:
         return NO_KEY
-    return tenants.holder(key) or UNKNOWN_KEY
+    return tenants.find_by_key(key) or UNKNOWN_KEY
 
 
 def strip_credentials(event: ForwardRequested) -> ForwardRequested:
@@ -27,7 +27,7 @@
     Everything behind authentication gets this one: replicas, other nodes and log lines have nothing
     from which they could tell the key.
     """
-    if not event.key and event.bare_request is None:
+    if not event.key and event.stripped_request is None:
         return event
-    request = event.request if event.bare_request is None else event.bare_request
-    return replace(event, request=request, key="", bare_request=None)
+    request = event.request if event.stripped_request is None else event.stripped_request
+    return replace(event, request=request, key="", stripped_request=None)
--- a/wingquay/forwarding/arrival/limits/contacts.py
+++ b/wingquay/forwarding/arrival/limits/contacts.py
@@ -84,7 +84,7 @@
     ) -> list[Action]:
         """Take in what an owner has counted, and of which tenants it wants to be asked first."""
         contact = self.get(sender)
-        contact.asks_first = message.asks_first
+        contact.asks_first = message.requires_permit
         for name, seconds in zip(message.hot, message.hot_seconds, strict=True):
             contact.hear_hot(name, seconds, now)
         return contact.acknowledged(message.sequence, now) if message.sequence else []
--- a/wingquay/forwarding/arrival/limits/limit_manager.py
+++ b/wingquay/forwarding/arrival/limits/limit_manager.py
@@ -6,7 +6,7 @@
 from typing import TYPE_CHECKING
 
 from ....model.routing_table import RoutingTable
-from ....ports.machine import Action, Event, Woken
+from ....ports.machine import Action, Event, ProcessResumed
 from ....ports.peer_link import NodeIdentity, PeerLinkBroken, PeerLinkOpened, PeerReceived
 from ...knowledge.node_membership import NodeMembership
 from ...timers import (
@@ -83,7 +83,7 @@
             actions += work.open(
                 self._own, members.groups, members.is_listed, members.reused_key, now
             )
-        if isinstance(event, Woken):
+        if isinstance(event, ProcessResumed):
             work.woken()
         if isinstance(event, _TAKEN):
             return actions + work.handle(event, now)
--- a/wingquay/forwarding/arrival/limits/limit_work.py
+++ b/wingquay/forwarding/arrival/limits/limit_work.py
@@ -6,11 +6,11 @@
 from ....model.tenants import Tenant
 from ....ports.limit_messages import (
     LimitAcknowledgement,
-    LimitAnswer,
-    LimitAsk,
     LimitOwnersReply,
     LimitOwnersRequest,
-    LimitTell,
+    LimitReply,
+    LimitReport,
+    LimitRequest,
 )
 from ....ports.machine import Action, Schedule
 from ....ports.peer_link import NodeIdentity, PeerLinkBroken, PeerMessage, PeerReceived
@@ -34,10 +34,10 @@
 OWN_EVENTS = (LimitReportDue, LimitAckDue, LimitProbeDue, LimitRequestDue, LimitRefreshDue)
 """Events by which this part wakes itself."""
 OWN_MESSAGES = (
-    LimitTell,
+    LimitReport,
     LimitAcknowledgement,
-    LimitAsk,
-    LimitAnswer,
+    LimitRequest,
+    LimitReply,
     LimitOwnersRequest,
     LimitOwnersReply,
 )
@@ -173,15 +173,15 @@
         match message:
             case LimitAcknowledgement():
                 return self._contacts.acknowledged(sender, message, now)
-            case LimitAnswer():
+            case LimitReply():
                 return self._node.answered(sender, message, now)
         role = self._contacts.role
         if role is None:
             return []
         match message:
-            case LimitTell():
+            case LimitReport():
                 return role.told(sender, message, now)
-            case LimitAsk():
+            case LimitRequest():
                 return role.asked(sender, message, now)
             case LimitOwnersRequest() | LimitOwnersReply():
                 return role.owners_message(sender, message, now)
--- a/wingquay/forwarding/arrival/limits/node_role.py
+++ b/wingquay/forwarding/arrival/limits/node_role.py
@@ -7,8 +7,8 @@
 from ....model.tenants import Tenant
 from ....ports.forwarding import ForwardFailureKind, OpaqueRequest
 from ....ports.limit_messages import (
-    LimitAnswer,
-    LimitAsk,
+    LimitReply,
+    LimitRequest,
     LimitVerdict,
 )
 from ....ports.machine import Action, Count, Schedule
@@ -159,7 +159,7 @@
             if self._contacts.get(owner).is_lost:
                 continue
             ask.waiting_for.add(node_id)
-            self._outbox.append(SendToPeer(owner, LimitAsk(ask_id, ask.tenant.name)))
+            self._outbox.append(SendToPeer(owner, LimitRequest(ask_id, ask.tenant.name)))
             self._count("asked")
             return None
         is_opening = self._contacts.own is None and now < ask.asked_at + SILENCE_SECONDS
@@ -183,17 +183,17 @@
             others = [item for item in self._owners.of(ask.tenant.name) if item.node_id != node_id]
             self._note(others, ask.tenant.name, 1, now)
             return self._counted("permitted")
-        if verdict is LimitVerdict.OVER:
+        if verdict is LimitVerdict.EXCEEDED:
             self._count("over")
             seconds = self._spread(max(retry_seconds, 0.0))
             return Rejected(ForwardFailureKind.OVER_LIMIT, OVER_REASON, seconds)
         ask.retry_after_seconds = max(ask.retry_after_seconds, retry_seconds)
         return None
 
-    def answered(self, sender: NodeIdentity, message: LimitAnswer, now: float) -> list[Action]:
+    def answered(self, sender: NodeIdentity, message: LimitReply, now: float) -> list[Action]:
         """Take in an owner's word; what it permits too late is given back."""
         contact = self._contacts.get(sender)
-        contact.asks_first = message.asks_first
+        contact.asks_first = message.requires_permit
         actions = contact.heard(now)
         ask = self._asks.get(message.ask_id)
         if ask is None:
@@ -253,7 +253,7 @@
             if len(self._late) > MOST_LATE:
                 del self._late[next(iter(self._late))]
 
-    def _late_answer(self, sender: NodeIdentity, message: LimitAnswer, now: float) -> list[Action]:
+    def _late_answer(self, sender: NodeIdentity, message: LimitReply, now: float) -> list[Action]:
         """Give back what an owner has permitted for a request that did not wait for it."""
         ask = self._late.get(message.ask_id)
         if ask is None or sender.node_id not in ask.waiting_for:
--- a/wingquay/forwarding/arrival/limits/owner_contact.py
+++ b/wingquay/forwarding/arrival/limits/owner_contact.py
@@ -3,7 +3,7 @@
 from collections import deque
 from dataclasses import dataclass
 
-from ....ports.limit_messages import LimitTell
+from ....ports.limit_messages import LimitReport
 from ....ports.machine import Action, Log, LogLevel, Schedule
 from ....ports.peer_link import NodeIdentity, SendToPeer
 from ...timers import LimitAckDue, LimitProbeDue, LimitReportDue
@@ -130,7 +130,7 @@
         self._sequence += 1
         self._tellings.append(_Telling(self._sequence, now, counts, at_once))
         names = tuple(counts)
-        message = LimitTell(
+        message = LimitReport(
             self._sequence,
             names,
             tuple(counts.values()),
--- a/wingquay/forwarding/arrival/limits/owner_role.py
+++ b/wingquay/forwarding/arrival/limits/owner_role.py
@@ -5,11 +5,11 @@
 from ....model.tenants import Tenant
 from ....ports.limit_messages import (
     LimitAcknowledgement,
-    LimitAnswer,
-    LimitAsk,
     LimitOwnersReply,
     LimitOwnersRequest,
-    LimitTell,
+    LimitReply,
+    LimitReport,
+    LimitRequest,
     LimitVerdict,
 )
 from ....ports.machine import Action, Count, Log, LogLevel
@@ -58,7 +58,7 @@
         self.exchange = OwnerExchange(settings, own, owners, self._count_of, self._budget_of)
         """Borrows and learns from the other owners."""
         self._hot: set[str] = set()
-        self._kept: list[tuple[NodeIdentity, LimitAsk]] = []
+        self._kept: list[tuple[NodeIdentity, LimitRequest]] = []
         self._is_asked_first = False
         """Whether nodes were told to ask before every request."""
 
@@ -96,7 +96,7 @@
             count.own_right.add(charged, now)
         return self._heat(name, count, now)
 
-    def told(self, sender: NodeIdentity, message: LimitTell, now: float) -> list[Action]:
+    def told(self, sender: NodeIdentity, message: LimitReport, now: float) -> list[Action]:
         """Take in what a node has begun, and acknowledge it."""
         self.exchange.look(now)
         actions: list[Action] = []
@@ -110,15 +110,15 @@
         answer = LimitAcknowledgement(message.sequence, asks_first, hot, seconds)
         return [*actions, SendToPeer(sender, answer)]
 
-    def asked(self, sender: NodeIdentity, message: LimitAsk, now: float) -> list[Action]:
+    def asked(self, sender: NodeIdentity, message: LimitRequest, now: float) -> list[Action]:
         """Answer whether a request may begin; a question waits for a loan that is on its way."""
         permit, actions = self.permit(message.tenant, now)
         count = self._counts.get(message.tenant)
-        is_short = permit.verdict is LimitVerdict.ELSEWHERE and len(self._kept) < MOST_KEPT
+        is_short = permit.verdict is LimitVerdict.OTHER_OWNER and len(self._kept) < MOST_KEPT
         if is_short and count is not None and count.awaits_loan(now):
             self._kept.append((sender, message))
             return actions
-        answer = LimitAnswer(
+        answer = LimitReply(
             message.ask_id,
             permit.verdict,
             permit.retry_after_seconds,
@@ -132,7 +132,7 @@
         tenant = self._tenants.get(name)
         standing = self._standing(name, now)
         if tenant is None or standing is None:
-            return Permit(LimitVerdict.NOT_MINE), []
+            return Permit(LimitVerdict.NOT_OWNER), []
         count = self._count_of(name)
         permit = count.permit(self._budget(tenant), standing, now)
         if permit.verdict is LimitVerdict.GRANTED:
--- a/wingquay/forwarding/arrival/limits/tenant_count.py
+++ b/wingquay/forwarding/arrival/limits/tenant_count.py
@@ -123,7 +123,7 @@
     def _judged(self, budget: Budget, standing: Standing, now: float) -> Permit:
         if self.counted.total(now) + 1 > budget.whole:
             seconds = self.counted.room_after_seconds(budget.whole, now)
-            return Permit(LimitVerdict.OVER, seconds)
+            return Permit(LimitVerdict.EXCEEDED, seconds)
         if standing.is_primary:
             return self._as_primary(budget, standing, now)
         return self._as_second(budget, standing, now)
@@ -133,8 +133,8 @@
         if self.counted.total(now) + 1 <= most:
             return Permit(LimitVerdict.GRANTED)
         if not standing.knows_window:
-            return Permit(LimitVerdict.ELSEWHERE, standing.known_after_seconds)
-        return Permit(LimitVerdict.ELSEWHERE, LEAST_RETRY_SECONDS)
+            return Permit(LimitVerdict.OTHER_OWNER, standing.known_after_seconds)
+        return Permit(LimitVerdict.OTHER_OWNER, LEAST_RETRY_SECONDS)
 
     def _primary_most(self, budget: Budget, standing: Standing, now: float) -> float:
         if not standing.knows_window:
@@ -146,9 +146,9 @@
 
     def _as_second(self, budget: Budget, standing: Standing, now: float) -> Permit:
         if not standing.knows_window:
-            return Permit(LimitVerdict.ELSEWHERE, standing.known_after_seconds)
+            return Permit(LimitVerdict.OTHER_OWNER, standing.known_after_seconds)
         lent = max((loan for until, loan in self._lent if until > now), default=0)
         most = budget.without(lent) if lent else budget.second_alone
         if self.own_right.total(now) + 1 <= most:
             return Permit(LimitVerdict.GRANTED)
-        return Permit(LimitVerdict.ELSEWHERE, self.own_right.room_after_seconds(most, now))
+        return Permit(LimitVerdict.OTHER_OWNER, self.own_right.room_after_seconds(most, now))
--- a/wingquay/forwarding/choice/known_lives.py
+++ b/wingquay/forwarding/choice/known_lives.py
@@ -61,7 +61,7 @@
         if record.born is None and state.record.born is not None:
             # It says nothing of lives: the one that is known goes on.
             record = replace(record, born=state.record.born)
-        if state.incarnation != record.life:
+        if state.incarnation != record.incarnation:
             self.remove(state)
             state.is_superseded = True
             self._renewed_at[state.record.service] = now
--- a/wingquay/forwarding/choice/replica_state.py
+++ b/wingquay/forwarding/choice/replica_state.py
@@ -100,7 +100,7 @@
 
     def __post_init__(self) -> None:
         """Name the life once: choices compare the names of all replicas of a service."""
-        self.incarnation = self.record.life
+        self.incarnation = self.record.incarnation
 
     @property
     def known_slots(self) -> int:
--- a/wingquay/forwarding/crashing/end_watch.py
+++ b/wingquay/forwarding/crashing/end_watch.py
@@ -69,7 +69,7 @@
 
     def tried(self, event: ConnectionTried) -> list[LostAttempt]:
         """Return the attempts whose replica has been looked into."""
-        found = self._lost.pop(event.life, [])
+        found = self._lost.pop(event.incarnation, [])
         for lost in found:
             lost.exchange.open_looks -= 1
         return found
--- a/wingquay/forwarding/crashing/guard.py
+++ b/wingquay/forwarding/crashing/guard.py
@@ -9,7 +9,7 @@
 import random
 from collections.abc import Callable
 
-from ...ports.crash_news import CrashNews, HeldRequest, ToldEnd
+from ...ports.crash_messages import CrashReport, HeldRequest, ReportedCrash
 from ...ports.forwarding import ConnectionTried, ForwardRequested, OpaqueRequest
 from ...ports.machine import Action, Count, Log, LogLevel, Schedule
 from ...ports.peer_link import NodeIdentity, SendToPeer
@@ -155,7 +155,7 @@
 
     # What others say
 
-    def news(self, sender: NodeIdentity, news: CrashNews, now: float) -> list[Action]:
+    def news(self, sender: NodeIdentity, news: CrashReport, now: float) -> list[Action]:
         """Take in what another node has found, and tell others if it is new here."""
         identity = news.identity
         if news.is_cleared:
@@ -227,12 +227,12 @@
         if not others or not self._may_tell(now):
             return [Count("crash_news_left_out_total")] if others else []
         told = self._random.sample(others, min(NEWS_PEERS, len(others)))
-        message = CrashNews(identity, is_cleared=True)
+        message = CrashReport(identity, is_cleared=True)
         if not is_cleared:
             suspect = self._suspects.get(identity)
             ends = () if suspect is None else tuple(suspect.ends.values())
             held_seconds = self._suspects.held_seconds(identity, now)
-            message = CrashNews(identity, tuple(_told(end, now) for end in ends), held_seconds)
+            message = CrashReport(identity, tuple(_told(end, now) for end in ends), held_seconds)
         return [
             *(SendToPeer(peer, message) for peer in told),
             Count("crash_news_total", len(told)),
@@ -253,19 +253,19 @@
         return 0 if suspect is None else len(suspect.ends)
 
 
-def _told(end: ReplicaEnd, now: float) -> ToldEnd:
-    return ToldEnd(end.life, end.node_id, now - end.sent_at, now - end.ended_at)
+def _told(end: ReplicaEnd, now: float) -> ReportedCrash:
+    return ReportedCrash(end.life, end.node_id, now - end.sent_at, now - end.ended_at)
 
 
-def _ends_of(news: CrashNews, told_at: float) -> list[ReplicaEnd]:
+def _ends_of(news: CrashReport, told_at: float) -> list[ReplicaEnd]:
     return [
         ReplicaEnd(
-            end.life,
+            end.incarnation,
             end.node_id,
             told_at - end.sent_seconds,
             told_at - end.ended_seconds,
         )
-        for end in news.ends
+        for end in news.crashes
     ]
 
 
--- a/wingquay/forwarding/forwarding_machine.py
+++ b/wingquay/forwarding/forwarding_machine.py
@@ -4,15 +4,15 @@
 from typing import TYPE_CHECKING
 
 from ..model.routing_table import RoutingTable
-from ..ports.crash_news import CrashNews
+from ..ports.crash_messages import CrashReport
 from ..ports.forwarding import (
-    CallerLeft,
+    CallerDisconnected,
     ConnectionTried,
     ForwardRequested,
     ReplicaAnswered,
     SendFailed,
 )
-from ..ports.machine import Action, Event, Woken
+from ..ports.machine import Action, Event, ProcessResumed
 from ..ports.peer_link import PeerLinkBroken, PeerReceived
 from .arrival.admission import Admitted, Rejected
 from .choice.replica_directory import ReplicaDirectory
@@ -212,7 +212,7 @@
                 | CutoffDue()
                 | ExchangeEndDue()
                 | RetryDue()
-                | CallerLeft()
+                | CallerDisconnected()
                 | ReportDue()
             ):
                 return self._exchange_event(event, now)
@@ -226,7 +226,7 @@
                 return self._peer_event(event, now)
         return self._arrival.kept_event(event, now)
 
-    def woken(self, event: Woken, now: float) -> list[Action]:
+    def woken(self, event: ProcessResumed, now: float) -> list[Action]:
         """End what is too late after a suspension; attempts are as old as before it."""
         self.lag.seconds = event.seconds
         self._sender.on_suspended(event.seconds)
@@ -250,7 +250,7 @@
         match event:
             case CrashNewsDue():
                 return self.guard.tell_due(event, now)
-            case PeerReceived(sender=sender, message=CrashNews() as news):
+            case PeerReceived(sender=sender, message=CrashReport() as news):
                 return self.guard.news(sender, news, now)
         if self._peers is None:
             return []
@@ -283,7 +283,7 @@
 
     def _exchange_event(
         self,
-        event: BeginDue | CutoffDue | ExchangeEndDue | RetryDue | CallerLeft | ReportDue,
+        event: BeginDue | CutoffDue | ExchangeEndDue | RetryDue | CallerDisconnected | ReportDue,
         now: float,
     ) -> list[Action]:
         exchange = self._settlement.get(event.exchange_id)
@@ -298,7 +298,7 @@
                 return self._settlement.settle(exchange, now)
             case ReportDue():
                 return [] if exchange.origin is None else exchange.origin.report(exchange)
-            case CallerLeft():
+            case CallerDisconnected():
                 self._opening.not_held(exchange)
                 return self._settlement.caller_left(exchange, now)
             case ExchangeEndDue():
--- a/wingquay/forwarding/forwarding_node.py
+++ b/wingquay/forwarding/forwarding_node.py
@@ -11,20 +11,20 @@
     Event,
     Log,
     LogLevel,
+    ProcessResumed,
     Start,
     StopRequested,
-    Woken,
 )
 from ..ports.peer_link import PeerLinkBroken, PeerLinkOpened, PeerReceived
 from ..ports.peer_snapshot import PeerSnapshot
-from ..ports.proof_messages import AskProof, ProofGiven
+from ..ports.proof_messages import ProofReply, ProofRequest
 from ..ports.store import (
     ReadResult,
     StoreResponse,
     WatchBroken,
     WatchChanged,
 )
-from ..ports.store_news import StoreNews
+from ..ports.store_update import StoreUpdate
 from .arrival.admission import ConfigurationProof
 from .arrival.limits.limit_manager import LimitManager
 from .arrival.limits.limit_settings import LimitSettings
@@ -198,12 +198,12 @@
             case (
                 PresenceDue()
                 | PeerLinkOpened()
-                | PeerReceived(message=StoreNews() | AskProof() | ProofGiven())
+                | PeerReceived(message=StoreUpdate() | ProofRequest() | ProofReply())
             ):
                 return self._membership_event(event, now)
             case PeerLinkBroken():
                 self._keeper.link_broken(event)
-            case SweepDue() | LagDue() | Woken():
+            case SweepDue() | LagDue() | ProcessResumed():
                 return self._time.handle(event, now)
             case StopRequested():
                 return self._callers.stop(now)
@@ -218,13 +218,13 @@
         self, event: PresenceDue | PeerLinkOpened | PeerReceived, now: float
     ) -> list[Action]:
         match event:
-            case PeerReceived(sender=sender, message=StoreNews() as news):
+            case PeerReceived(sender=sender, message=StoreUpdate() as news):
                 self._told_by = sender.node_id
                 return [
                     *self._news.receive_update(news, now),
                     *self._keeper.handle_update_from(sender, now),
                 ]
-            case PeerReceived(sender=sender, message=AskProof() | ProofGiven() as message):
+            case PeerReceived(sender=sender, message=ProofRequest() | ProofReply() as message):
                 return self._news.handle_proof_message(sender, message, now)
             case PresenceDue():
                 return self._presence_due(event, now)
--- a/wingquay/forwarding/knowledge/follower_settings.py
+++ b/wingquay/forwarding/knowledge/follower_settings.py
@@ -5,7 +5,7 @@
 from ...model.value import value
 from ...ports.machine import Action, Event
 from ...ports.store import StoredValue
-from ...ports.store_news import StoreNews
+from ...ports.store_update import StoreUpdate
 from .poll_times import DEFAULT_CONTACT_SECONDS, PollTimes, poll_times_within
 from .proof_poll_times import ProofPollTimes
 
@@ -76,7 +76,7 @@
     on_listing: Callable[[tuple[StoredValue, ...], float], list[Action]]
     on_changes: Callable[[tuple[StoredValue, ...], tuple[str, ...], float], list[Action]]
     on_trouble: Callable[[float], None]
-    on_look: Callable[[StoreNews, float], list[Action]]
+    on_look: Callable[[StoreUpdate, float], list[Action]]
     tells_others: Callable[[], bool]
     is_first: Callable[[], bool]
     is_enough: Callable[[], bool]
--- a/wingquay/forwarding/knowledge/proof_manager.py
+++ b/wingquay/forwarding/knowledge/proof_manager.py
@@ -5,7 +5,7 @@
 from ...model.routing_table import RoutingTable
 from ...ports.machine import Action, Count, Log, LogLevel, Observe
 from ...ports.peer_link import NodeIdentity, PeerLinkBroken, SendToPeer
-from ...ports.proof_messages import AskProof, ProofGiven
+from ...ports.proof_messages import ProofReply, ProofRequest
 from .configuration_proof import AlwaysProven, TimedProof
 from .proof_poll_times import MOST_RANK_SECONDS, ProofPollTimes
 from .proof_requests import HeardAsks, ProofAsks
@@ -105,7 +105,7 @@
         return [] if self.looks is None else self._asks.news_from(sender, now)
 
     def asked(
-        self, sender: NodeIdentity, ask: AskProof, known_revision: int | None, now: float
+        self, sender: NodeIdentity, ask: ProofRequest, known_revision: int | None, now: float
     ) -> list[Action]:
         """Take in that another node asks, and tell it at once what is proven here."""
         if self._timed is None:
@@ -114,10 +114,10 @@
         if known_revision is None or not self._timed.is_proven(now):
             return []
         held_seconds = self._timed.proven_as_of - now
-        return [SendToPeer(sender, ProofGiven(ask.number, held_seconds, known_revision))]
+        return [SendToPeer(sender, ProofReply(ask.number, held_seconds, known_revision))]
 
     def given(
-        self, sender: NodeIdentity, given: ProofGiven, known_revision: int | None, now: float
+        self, sender: NodeIdentity, given: ProofReply, known_revision: int | None, now: float
     ) -> list[Action]:
         """Take in what another node's look proves, if all that it has told is known."""
         as_of = self._asks.proven_as_of(sender, given, now)
--- a/wingquay/forwarding/knowledge/proof_requests.py
+++ b/wingquay/forwarding/knowledge/proof_requests.py
@@ -12,7 +12,7 @@
 from ...model.value import value
 from ...ports.machine import Action
 from ...ports.peer_link import NodeIdentity, SendToPeer
-from ...ports.proof_messages import AskProof, ProofGiven
+from ...ports.proof_messages import ProofReply, ProofRequest
 
 ASK_SECONDS = 25.0
 """Time after which a node asks the others anew: an ask that was lost costs looks until then."""
@@ -57,7 +57,7 @@
         self._sent_at[self._number] = now
         for node in due:
             self._asked[node.node_id] = _Asked(now)
-        return [SendToPeer(node, AskProof(self._number)) for node in due]
+        return [SendToPeer(node, ProofRequest(self._number)) for node in due]
 
     def news_from(self, node: NodeIdentity, now: float) -> list[Action]:
         """Ask a node that tells what it has read, if it has never heard that it is asked."""
@@ -69,7 +69,7 @@
             del self._asked[node.node_id]
         return self.ask([node], now)
 
-    def proven_as_of(self, sender: NodeIdentity, given: ProofGiven, now: float) -> float | None:
+    def proven_as_of(self, sender: NodeIdentity, given: ProofReply, now: float) -> float | None:
         """Return the moment after which the look began that an answer tells of.
 
         ``None``: it answers no ask of this life that still counts.
@@ -114,7 +114,7 @@
     def __init__(self) -> None:
         self._asks: dict[str, _HeardAsk] = {}
 
-    def heard(self, sender: NodeIdentity, ask: AskProof, now: float) -> None:
+    def heard(self, sender: NodeIdentity, ask: ProofRequest, now: float) -> None:
         """Take in that a node asks."""
         if sender.node_id in self._asks or len(self._asks) < MOST_ASKING_NODES:
             self._asks[sender.node_id] = _HeardAsk(sender, ask.number, now)
@@ -125,7 +125,7 @@
             if now - ask.received_at > ASK_LIFE_SECONDS:
                 del self._asks[node_id]
         return [
-            SendToPeer(ask.node, ProofGiven(ask.number, begun_at - ask.received_at, store_revision))
+            SendToPeer(ask.node, ProofReply(ask.number, begun_at - ask.received_at, store_revision))
             for ask in self._asks.values()
         ]
 
--- a/wingquay/forwarding/knowledge/store_follower.py
+++ b/wingquay/forwarding/knowledge/store_follower.py
@@ -2,7 +2,7 @@
 
 from ...model.failure import Failure
 from ...ports.machine import Action, Event, Log, LogLevel, Schedule, Start
-from ...ports.peer_snapshot import AskPeers, PeerSnapshot
+from ...ports.peer_snapshot import PeerSnapshot, RequestPeerSnapshot
 from ...ports.store import (
     Read,
     ReadResult,
@@ -14,7 +14,7 @@
     WatchBroken,
     WatchChanged,
 )
-from ...ports.store_news import StoreNews
+from ...ports.store_update import StoreUpdate
 from .follower_settings import FollowerHooks as FollowerHooks
 from .follower_settings import FollowerSettings as FollowerSettings
 from .follower_settings import FollowRetryDue as FollowRetryDue
@@ -93,7 +93,7 @@
             return []
         return [StopWatch(self._watch_id), *self._watch(now, self._pause_seconds(now))]
 
-    def absorb(self, news: StoreNews, pause_seconds: float, now: float) -> list[Action]:
+    def absorb(self, news: StoreUpdate, pause_seconds: float, now: float) -> list[Action]:
         """Take in what another node has read; put the own look off.
 
         News that begin after what is known here, or end before it, are passed over: the own look
@@ -162,7 +162,7 @@
             return self._watch(now)
         self._reads += 1
         self._look_at = now
-        operation = Read(self._settings.prefix, prefix=True, may_lag_at_first=True)
+        operation = Read(self._settings.prefix, prefix=True, may_start_stale=True)
         timeout = self._settings.poll_times.timeout_seconds
         return [StoreRequest(self._operation_id, operation, timeout)]
 
@@ -243,7 +243,7 @@
         self._copy.change(event.changed, event.deleted, event.store_revision)
         actions = self._hooks.on_changes(event.changed, event.deleted, now)
         told_proofs = self._keeper.looked(begun_at, event.store_revision, now)
-        news = StoreNews(
+        news = StoreUpdate(
             before,
             event.store_revision,
             event.changed,
@@ -278,7 +278,7 @@
         self._keeper.poll_failed(reason)
         is_listed = self._copy.is_listed
         due_at = now + self._pace.backoff_seconds(is_listed)
-        asking: list[Action] = [] if is_listed else [AskPeers()]
+        asking: list[Action] = [] if is_listed else [RequestPeerSnapshot()]
         self._pace.failures += 1
         fields = (
             ("reason", reason),
@@ -294,7 +294,7 @@
             Schedule(due_at, FollowRetryDue(self._operation_id)),
         ]
 
-    def _passed_over(self, news: StoreNews, seen_revision: int, now: float) -> Log:
+    def _passed_over(self, news: StoreUpdate, seen_revision: int, now: float) -> Log:
         """Return the line that tells of news with a gap before them."""
         fields = (
             ("known_revision", seen_revision),
--- a/wingquay/forwarding/knowledge/update_exchange.py
+++ b/wingquay/forwarding/knowledge/update_exchange.py
@@ -2,9 +2,9 @@
 
 from ...ports.machine import Action, Count
 from ...ports.peer_link import NodeIdentity, SendToPeer
-from ...ports.proof_messages import AskProof, ProofGiven
+from ...ports.proof_messages import ProofReply, ProofRequest
 from ...ports.store import StartWatch
-from ...ports.store_news import StoreNews
+from ...ports.store_update import StoreUpdate
 from ..settings import ForwardingSettings
 from .node_membership import NodeMembership
 from .processing_lag import ProcessingLag
@@ -45,12 +45,12 @@
         self.rewritten: set[str] = set()
         """Keys of replicas' entries that the last changes left as they were but for the writing."""
 
-    def send_update(self, news: StoreNews, now: float) -> list[Action]:
+    def send_update(self, news: StoreUpdate, now: float) -> list[Action]:
         """Tell the nodes that would look at the same what this one has seen."""
         listeners = self._members.update_recipients()
         if not listeners:
             return []
-        told = StoreNews(
+        told = StoreUpdate(
             news.from_revision,
             news.store_revision,
             tuple(
@@ -65,7 +65,7 @@
         sent: list[Action] = [SendToPeer(listener, told) for listener in listeners]
         return [*sent, Count("store_news_total", len(listeners), (("side", "told"),))]
 
-    def receive_update(self, news: StoreNews, now: float) -> list[Action]:
+    def receive_update(self, news: StoreUpdate, now: float) -> list[Action]:
         """Take in what another node has read.
 
         The own look is put off, but for the time that the news have taken, as far as it is known:
@@ -81,11 +81,11 @@
         return [*actions, Count("store_news_total", labels=(("side", side),))]
 
     def handle_proof_message(
-        self, sender: NodeIdentity, message: AskProof | ProofGiven, now: float
+        self, sender: NodeIdentity, message: ProofRequest | ProofReply, now: float
     ) -> list[Action]:
         """Take in that another node asks, or what its look proves; then put the own look off."""
         known_revision = self._follower.known_revision
-        if isinstance(message, AskProof):
+        if isinstance(message, ProofRequest):
             return self._keeper.asked(sender, message, known_revision, now)
         actions = self._keeper.given(sender, message, known_revision, now)
         pause_seconds = self._usual_pause_seconds - self._keeper.age_seconds(now)
--- a/wingquay/forwarding/own_time.py
+++ b/wingquay/forwarding/own_time.py
@@ -1,7 +1,7 @@
 """What a node does by its own clock: sweeps, looks how late it is, wakes, sets the store's pace."""
 
 from ..model.value import value
-from ..ports.machine import Action, Count, Event, Log, LogLevel, Schedule, Woken
+from ..ports.machine import Action, Count, Event, Log, LogLevel, ProcessResumed, Schedule
 from .choice.replica_directory import ReplicaDirectory
 from .forwarding_machine import ForwardingMachine
 from .knowledge.node_membership import NodeMembership
@@ -78,7 +78,7 @@
             *self._schedule_lag(now),
         ]
 
-    def handle(self, event: SweepDue | LagDue | Woken, now: float) -> list[Action]:
+    def handle(self, event: SweepDue | LagDue | ProcessResumed, now: float) -> list[Action]:
         """Take in that a time has come."""
         match event:
             case SweepDue():
@@ -91,7 +91,7 @@
                 return [*greetings, *proving, *self.pace(now), sweep]
             case LagDue():
                 return self._lag_due(event, now)
-            case Woken():
+            case ProcessResumed():
                 return self._woken(event, now)
 
     def pace(self, now: float) -> list[Action]:
@@ -106,7 +106,7 @@
             return self._follower.set_poll_interval(seconds, now)
         return self._follower.set_poll_interval(None, now)
 
-    def _woken(self, event: Woken, now: float) -> list[Action]:
+    def _woken(self, event: ProcessResumed, now: float) -> list[Action]:
         """Behave as a node whose store was away for as long, and give up what is too late."""
         self._directory.on_outage(now)
         self._lateness.timer_lag_seconds = event.seconds
--- a/wingquay/forwarding/peers/delegated_work.py
+++ b/wingquay/forwarding/peers/delegated_work.py
@@ -124,7 +124,7 @@
             table,
             route_of(message),
             now,
-            now + message.in_time_seconds,
+            now + message.cutoff_seconds,
             max(sent_at + message.remaining_seconds, now),
         )
         positions = {shard: position for position, shard in enumerate(message.shards)}
--- a/wingquay/forwarding/peers/delegation.py
+++ b/wingquay/forwarding/peers/delegation.py
@@ -10,7 +10,7 @@
 """
 
 from ...model.routing_table import RoutingTable
-from ...ports.delegation import CancelDelegation, DelegatedAnswer, Greeting
+from ...ports.delegation import CancelDelegation, DelegatedAnswer, PrewarmMessage
 from ...ports.machine import Action, Schedule
 from ...ports.peer_link import NodeIdentity, PeerLinkBroken, SendToPeer
 from ..choice.replica_directory import ReplicaDirectory
@@ -88,7 +88,7 @@
             for owner in self.placement.contacts(route.shards, now):
                 if owner.node_id not in self._greeted and len(actions) < MOST_GREETINGS:
                     self._greeted.add(owner.node_id)
-                    actions.append(SendToPeer(owner, Greeting()))
+                    actions.append(SendToPeer(owner, PrewarmMessage()))
         return actions
 
     def answered(self, sender: NodeIdentity, message: DelegatedAnswer, now: float) -> list[Action]:
--- a/wingquay/forwarding/peers/delegation_dispatcher.py
+++ b/wingquay/forwarding/peers/delegation_dispatcher.py
@@ -107,7 +107,7 @@
             merged_records=route.merged_records,
             priority=route.priority,
             objective_seconds=route.objective_seconds,
-            in_time_seconds=max(in_time_seconds, 0.0),
+            cutoff_seconds=max(in_time_seconds, 0.0),
             remaining_seconds=max(exchange.ends_at - now, 0.001),
             is_group_share=is_group_share,
             tenant=exchange.tenant_name,
--- a/wingquay/forwarding/peers/peer_event_handler.py
+++ b/wingquay/forwarding/peers/peer_event_handler.py
@@ -111,7 +111,7 @@
             return self._work.reject(sender, message)
         exchange = self._work.accept(sender, message, table, declined, now)
         taken = self._work.acknowledge(sender, message, declined)
-        report_at = now + message.in_time_seconds * self._settings.delegate_report_ratio
+        report_at = now + message.cutoff_seconds * self._settings.delegate_report_ratio
         reporting = Schedule(report_at, ReportDue(exchange.exchange_id))
         beginning = Schedule(now, BeginDue(exchange.exchange_id))
         return [*taken, beginning, reporting]
--- a/wingquay/forwarding/readiness/reachability_monitor.py
+++ b/wingquay/forwarding/readiness/reachability_monitor.py
@@ -7,7 +7,7 @@
 from ...ports.forwarding import ConnectionTried, ForwardRequested
 from ...ports.machine import Action, Count, Event, Log, LogLevel
 from ...ports.peer_link import PeerReceived
-from ...ports.reach_news import ReachNews
+from ...ports.reachability_messages import ReachabilityReport
 from ...ports.store import StoreFailureKind, StoreResponse, WatchBroken, WatchChanged
 from ..choice.replica_directory import ReplicaDirectory
 from ..knowledge.reachability_evidence import ReachabilityEvidence
@@ -82,7 +82,7 @@
             case (
                 ConnectionTried()
                 | ForwardRequested()
-                | PeerReceived(message=ReachNews())
+                | PeerReceived(message=ReachabilityReport())
                 | ReachCheckDue()
                 | StoreResponse()
                 | WatchBroken()
@@ -111,7 +111,7 @@
                 return self._watch.tried(event, now)
             case ForwardRequested():
                 self._count(event, now)
-            case PeerReceived(sender=sender, message=ReachNews() as news):
+            case PeerReceived(sender=sender, message=ReachabilityReport() as news):
                 return self._watch.news(sender, news, now)
             case ReachCheckDue():
                 return self._round_over(event, now)
--- a/wingquay/forwarding/readiness/route_demand.py
+++ b/wingquay/forwarding/readiness/route_demand.py
@@ -59,7 +59,7 @@
                 held[service] = any(zone not in zones_out for zone in zones)
         if route.shards:
             found = sum(held[shard] for shard in route.shards) / len(route.shards)
-            return 1.0 if found >= route.least_share - SHARE_TOLERANCE else 0.0
+            return 1.0 if found >= route.min_share - SHARE_TOLERANCE else 0.0
         whole = sum(part.weight for part in route.services)
         if not whole:
             return 0.0
--- a/wingquay/forwarding/readiness/zone_prober.py
+++ b/wingquay/forwarding/readiness/zone_prober.py
@@ -11,7 +11,7 @@
 from ...ports.forwarding import ConnectionTried, OpenConnection
 from ...ports.machine import Action, Event, Schedule
 from ...ports.peer_link import NodeIdentity, SendToPeer
-from ...ports.reach_news import ReachNews
+from ...ports.reachability_messages import ReachabilityReport
 from ..choice.replica_directory import ReplicaDirectory
 from ..choice.replica_state import ReplicaState
 from ..knowledge.reachability_evidence import ReachabilityEvidence
@@ -182,7 +182,7 @@
 
     def tried(self, event: ConnectionTried, now: float) -> list[Action]:
         """Take in whether a connection came up."""
-        zone = self._tried.pop(event.life, None)
+        zone = self._tried.pop(event.incarnation, None)
         if zone is None:
             return []
         if event.is_open:
@@ -199,31 +199,33 @@
         if doubt is None or zone == self._zone:
             return []
         askers, doubt.askers = doubt.askers, {}
-        return [SendToPeer(asker, ReachNews((), (zone,))) for asker in askers.values()]
+        return [SendToPeer(asker, ReachabilityReport((), (zone,))) for asker in askers.values()]
 
-    def news(self, sender: NodeIdentity, news: ReachNews, now: float) -> list[Action]:
+    def news(self, sender: NodeIdentity, news: ReachabilityReport, now: float) -> list[Action]:
         """Take in what another node has found out, and answer it."""
         actions = self.heard(sender.zone, now)
         is_near = sender.zone == self._zone
         if is_near:
             actions += self._near_news(sender, news, now)
-        if news.is_question:
+        if news.wants_reply:
             found = self._fresh_zones(now) if is_near else ()
-            actions.append(SendToPeer(sender, ReachNews((), found)))
+            actions.append(SendToPeer(sender, ReachabilityReport((), found)))
         return actions
 
-    def _near_news(self, sender: NodeIdentity, news: ReachNews, now: float) -> list[Action]:
+    def _near_news(
+        self, sender: NodeIdentity, news: ReachabilityReport, now: float
+    ) -> list[Action]:
         """Take in the word of a node of the own zone."""
-        for zone in news.out_zones:
+        for zone in news.unreachable_zones:
             self._of(zone).vouched_at = now
-        actions = self.begin(now) if news.out_zones else []
+        actions = self.begin(now) if news.unreachable_zones else []
         doubt = self._doubt
         if doubt is None:
             return actions
-        if news.in_zones:
+        if news.reachable_zones:
             doubt.contradicted_by = sender.node_id
             doubt.contradicted_at = now
-        if news.is_question and len(doubt.askers) < MOST_ASKERS:
+        if news.wants_reply and len(doubt.askers) < MOST_ASKERS:
             doubt.askers[sender.node_id] = sender
         # What the other node has reached before may be all that was missing.
         return [*actions, *self._ask(now)]
@@ -235,7 +237,7 @@
         if doubt is None or not doubt.may_ask or out != self.other_zones():
             return []
         doubt.may_ask = False
-        question = ReachNews(out, (), is_question=True)
+        question = ReachabilityReport(out, (), wants_reply=True)
         asked = [*self._contacts.fingers(), *self._contacts.one_of_each_zone()]
         actions: list[Action] = [SendToPeer(node, question) for node in asked]
         if self._round_ends_at < now + ROUND_SECONDS:
@@ -289,7 +291,7 @@
         actions: list[Action] = []
         for offset in range(min(TRIES, len(replicas))):
             record = replicas[(known.next_replica + offset) % len(replicas)].record
-            self._tried[record.life] = zone
+            self._tried[record.incarnation] = zone
             actions.append(OpenConnection(record))
         known.next_replica += TRIES
         return actions
--- a/wingquay/forwarding/request_arrival.py
+++ b/wingquay/forwarding/request_arrival.py
@@ -1,7 +1,7 @@
 """What is decided about a request that arrives, in order, until it is opened or rejected."""
 
 from ..model.routing_table import RoutingTable
-from ..ports.forwarding import CallerLeft, ForwardFailureKind, ForwardRequested
+from ..ports.forwarding import CallerDisconnected, ForwardFailureKind, ForwardRequested
 from ..ports.machine import Action, Event, Schedule
 from .arrival.admission import Admitted, AwaitsLimit, Rejected
 from .arrival.arrival_admission import ArrivalAdmission
@@ -175,7 +175,7 @@
                 arrival = self._kept.remove(exchange_id)
                 if arrival is not None:
                     return self._refuse_unanswered(arrival, NO_WORD_REASON, now)
-            case CallerLeft(exchange_id):
+            case CallerDisconnected(exchange_id):
                 arrival = self._kept.remove(exchange_id)
                 if arrival is not None:
                     return self._left(arrival, now)
--- a/wingquay/forwarding/sending/attempts.py
+++ b/wingquay/forwarding/sending/attempts.py
@@ -207,7 +207,7 @@
 
     def on_connection_tried(self, event: ConnectionTried, now: float) -> list[Action]:
         """Take in whether a connection that no request needed came up."""
-        replica = self._directory.get_incarnation(event.life)
+        replica = self._directory.get_incarnation(event.incarnation)
         if replica is None:
             return []
         if not event.is_open:
--- a/wingquay/forwarding/sending/room.py
+++ b/wingquay/forwarding/sending/room.py
@@ -97,7 +97,7 @@
     return Room(now + (ahead + 1 - free) / per_second)
 
 
-def room_for_share(moments: Iterable[float], least_share: float) -> Room:
+def room_for_share(moments: Iterable[float], min_share: float) -> Room:
     """Return when so large a share of several services has room.
 
     Parameters
@@ -106,5 +106,5 @@
         When each of them has.
     """
     ordered = sorted(moments)
-    least = math.ceil(least_share * len(ordered) - SHARE_TOLERANCE)
+    least = math.ceil(min_share * len(ordered) - SHARE_TOLERANCE)
     return Room(ordered[max(1, least) - 1])
--- a/wingquay/forwarding/sending/waiting_policy.py
+++ b/wingquay/forwarding/sending/waiting_policy.py
@@ -76,7 +76,7 @@
         if any(call.is_begun for call in exchange.calls):
             later = now + self._settings.look_seconds
             moments = (self._usable_at(call.service, later, now) for call in exchange.calls)
-            room = room_for_share(moments, exchange.route.least_share)
+            room = room_for_share(moments, exchange.route.min_share)
         has_usable = room.at < NEVER and any(
             self._directory.has_unblocked(call.service, now) for call in exchange.calls
         )
--- a/wingquay/forwarding/settling/cutoff.py
+++ b/wingquay/forwarding/settling/cutoff.py
@@ -29,4 +29,4 @@
     """Whether an answer of ``shards_in`` shards is a success."""
     if shards_in == 0:
         return False
-    return shards_in / len(route.shards) >= route.least_share - SHARE_TOLERANCE
+    return shards_in / len(route.shards) >= route.min_share - SHARE_TOLERANCE
--- a/wingquay/forwarding/settling/replica_outcomes.py
+++ b/wingquay/forwarding/settling/replica_outcomes.py
@@ -152,7 +152,7 @@
         actions += looked_into
         for exchange in exchanges:
             actions += self._go_on(exchange, now)
-        replica = self._directory.get_incarnation(event.life)
+        replica = self._directory.get_incarnation(event.incarnation)
         if replica is None or not event.is_open:
             return actions
         return actions + self._starter.send_queued(replica.record.service, now)
--- a/wingquay/forwarding/store_formats.py
+++ b/wingquay/forwarding/store_formats.py
@@ -7,7 +7,7 @@
 from ..model.replica_record import ReplicaRecord
 from ..model.routing_table import RoutingTable
 from ..model.value import value
-from ..ports.crash_news import HeldRequest
+from ..ports.crash_messages import HeldRequest
 from ..ports.peer_link import NodeRecord
 
 
--- a/wingquay/membership/replica_table.py
+++ b/wingquay/membership/replica_table.py
@@ -6,7 +6,7 @@
 from ..model.answer import HeldVersions
 from ..model.configuration import Configuration
 from ..model.identifiers import ReplicaId
-from ..ports.internal import ReplicaBelief, ReplicaObserved
+from ..ports.internal import ReplicaObserved, ReplicaStateChanged
 from ..ports.machine_directory import MachineEntry, MachineState
 from ..ports.peer import ReplicaState, ReplicaUpdate
 from .replica_evidence import (
@@ -61,7 +61,7 @@
         To be spread where there is room: held versions have changed.
     """
 
-    beliefs: list[ReplicaBelief] = field(default_factory=list)
+    beliefs: list[ReplicaStateChanged] = field(default_factory=list)
     urgent_updates: list[ReplicaUpdate] = field(default_factory=list)
     other_updates: list[ReplicaUpdate] = field(default_factory=list)
 
@@ -100,7 +100,7 @@
             self._disputed.pop(replica_id, None)
         return ReplicaNews(
             beliefs=[
-                ReplicaBelief(replica_id, *record.told)
+                ReplicaStateChanged(replica_id, *record.told)
                 for replica_id, record in self._records.items()
                 if record.told != _UNTOLD
             ]
@@ -213,4 +213,4 @@
         belief = (believed_state(record.evidence, self._settings, now), record.held)
         if belief != record.told:
             record.told = belief
-            news.beliefs.append(ReplicaBelief(replica_id, *belief))
+            news.beliefs.append(ReplicaStateChanged(replica_id, *belief))
--- a/wingquay/membership/revision_spreader.py
+++ b/wingquay/membership/revision_spreader.py
@@ -1,7 +1,7 @@
 """Lets nodes hear soon that there is a newer configuration."""
 
 from ..model.identifiers import Revision
-from ..ports.internal import NewerRevisionHeard, Notify
+from ..ports.internal import NewerRevisionReported, Notify
 from ..ports.peer import NodeIdentity, Ping
 from .message_sender import NO_ANSWER_WANTED, MessageSender
 from .outbox import Outbox
@@ -43,7 +43,7 @@
             return
         self._last_heard = revision
         self._quiet_until = now + self._settings.tick_seconds
-        self._outbox.add(Notify(NewerRevisionHeard(sender, revision)))
+        self._outbox.add(Notify(NewerRevisionReported(sender, revision)))
 
     def answer_outdated(self, sender: NodeIdentity, message: Ping) -> None:
         """Tell a node that pushed an older revision; a probe's answer tells it anyway."""
--- a/wingquay/model/configuration_check.py
+++ b/wingquay/model/configuration_check.py
@@ -53,7 +53,7 @@
         ...
 
 
-ADDRESSES_REMEMBERED = 8_192
+MAX_CACHED_ADDRESSES = 8_192
 """Checked addresses that are remembered: each new revision names the same ones again."""
 
 
@@ -118,7 +118,7 @@
     return [f"replica {replica_id!r}: host {host!r} must be an IP number"]
 
 
-@functools.lru_cache(maxsize=ADDRESSES_REMEMBERED)
+@functools.lru_cache(maxsize=MAX_CACHED_ADDRESSES)
 def _is_ip_number(host: str) -> bool:
     try:
         ipaddress.ip_address(host)
--- a/wingquay/model/key_range.py
+++ b/wingquay/model/key_range.py
@@ -19,7 +19,7 @@
     end: str | None
 
     @staticmethod
-    def of_key(key: str) -> "KeyRange":
+    def from_key(key: str) -> "KeyRange":
         """Return the range that holds ``key`` alone."""
         return KeyRange(key, key + SMALLEST_SUFFIX)
 
@@ -43,7 +43,7 @@
         return KeyRange(start, end)
 
 
-EVERYTHING = KeyRange("", None)
+FULL_KEY_RANGE = KeyRange("", None)
 
 
 def _smaller_end(first: str | None, second: str | None) -> str | None:
--- a/wingquay/model/plan.py
+++ b/wingquay/model/plan.py
@@ -52,7 +52,7 @@
     because: str
 
 
-class OutlookVerdict(Enum):
+class ForecastVerdict(Enum):
     """Whether a promise looks keepable at the load now seen."""
 
     KEEPABLE = "keepable"
@@ -62,7 +62,7 @@
     """No load of that kind has been seen by the node that made the plan."""
 
 
-class PromiseOutlook(_Shown):
+class PromiseForecast(_Shown):
     """The outlook for one kind's promise, with the figures it rests on (seconds, 0 to 1)."""
 
     service: ServiceName
@@ -70,7 +70,7 @@
     promise_seconds: float
     observed_p99_seconds: float | None
     expected_utilization: float | None
-    verdict: OutlookVerdict
+    verdict: ForecastVerdict
     reason: str
 
 
@@ -102,7 +102,7 @@
     diff_omitted: int = 0
     change_digest: str
     effects: tuple[ClassEffect, ...] = ()
-    outlook: tuple[PromiseOutlook, ...] = ()
+    outlook: tuple[PromiseForecast, ...] = ()
     warnings: tuple[str, ...] = ()
     created_unix_seconds: float
     expires_unix_seconds: float
--- a/wingquay/model/replica_record.py
+++ b/wingquay/model/replica_record.py
@@ -31,7 +31,7 @@
     born: int | None = None
 
     @property
-    def life(self) -> str:
+    def incarnation(self) -> str:
         """The name of this life, which no other life of any replica has.
 
         No id holds a space, so it is also told from every id.
--- a/wingquay/model/routing_table.py
+++ b/wingquay/model/routing_table.py
@@ -39,7 +39,7 @@
         0 is the most urgent.
     merged_records
         Records in a merged answer.
-    least_share
+    min_share
         Share of the shards below which a merged answer is no success.
     is_public
         Whether callers need no key, where the configuration has tenants.
@@ -56,7 +56,7 @@
     objective_seconds: float = 1.0
     priority: int = 0
     merged_records: int = 0
-    least_share: float = 1.0
+    min_share: float = 1.0
     is_public: bool = False
 
     @property
--- a/wingquay/model/tenants.py
+++ b/wingquay/model/tenants.py
@@ -47,6 +47,6 @@
         """Whether the requests of any tenant are limited."""
         return any(tenant.requests_per_second > 0 for tenant in self.tenants)
 
-    def holder(self, key: str) -> Tenant | None:
+    def find_by_key(self, key: str) -> Tenant | None:
         """Return the tenant that holds a key."""
         return self._by_key.get(key)
--- a/wingquay/platform/caller_dialect.py
+++ b/wingquay/platform/caller_dialect.py
@@ -68,7 +68,7 @@
             end_to_end(request.raw_headers, _SET_BY_US),
             request.body,
         )
-        key, bare_request = _caller_secrets(request, opaque)
+        key, stripped_request = _caller_secrets(request, opaque)
         return ForwardRequested(
             exchange_id,
             request_id,
@@ -79,7 +79,7 @@
             request.transit_seconds,
             request.client_host,
             key,
-            bare_request,
+            stripped_request,
         )
 
     def response(self, reply: Reply) -> HttpResponse:
--- a/wingquay/platform/configuration_document.py
+++ b/wingquay/platform/configuration_document.py
@@ -58,7 +58,7 @@
         objective_seconds=_seconds(document.get("targetLatencyMs"), DEFAULT_OBJECTIVE_MS),
         priority=int(document.get("priority") or 0),
         merged_records=int(document.get("topK") or 0),
-        least_share=float(document.get("minShardRatio") or 0.0),
+        min_share=float(document.get("minShardRatio") or 0.0),
         is_public=_is_public(document),
     )
 
--- a/wingquay/platform/node.py
+++ b/wingquay/platform/node.py
@@ -40,9 +40,19 @@
     SendToReplica,
     SetForwarding,
 )
-from ..ports.machine import Action, Count, Event, Exit, Log, Observe, Start, StopRequested, Woken
+from ..ports.machine import (
+    Action,
+    Count,
+    Event,
+    Exit,
+    Log,
+    Observe,
+    ProcessResumed,
+    Start,
+    StopRequested,
+)
 from ..ports.peer_link import OpenPeerLink, SendToPeer
-from ..ports.peer_snapshot import AskPeers
+from ..ports.peer_snapshot import RequestPeerSnapshot
 from ..ports.store import StartWatch, StopWatch, StoreRequest
 from ..runtime import NodeRuntime
 from .caller_dialect import PlatformCallerDialect
@@ -203,7 +213,7 @@
         self._runtime.emit(event)
 
     def _woken(self, seconds: float) -> None:
-        self.emit(Woken(seconds))
+        self.emit(ProcessResumed(seconds))
 
     def perform(self, action: Action) -> None:
         """Perform an action that was decided."""
@@ -223,7 +233,7 @@
         runtime.register(StoreRequest, self._store.perform)
         runtime.register(StartWatch, self._store.start_watch)
         runtime.register(StopWatch, self._store.stop_watch)
-        runtime.register(AskPeers, self.peers.ask)
+        runtime.register(RequestPeerSnapshot, self.peers.ask)
         runtime.register(OpenPeerLink, self._open_link)
         runtime.register(SendToPeer, self._send_to_peer)
         runtime.register(SetForwarding, self._set_forwarding)
--- a/wingquay/platform/store_client.py
+++ b/wingquay/platform/store_client.py
@@ -119,7 +119,7 @@
 
     async def _read_all(self, operation: Read, timeout_seconds: float) -> Result:
         """Read all pages, from a copy first where that is allowed: a tenth of the price a page."""
-        if not operation.may_lag_at_first:
+        if not operation.may_start_stale:
             return await self._read_pages(operation.key, False, timeout_seconds)
         copy = await self._read_pages(operation.key, True, timeout_seconds)
         if isinstance(copy, Failure):
@@ -199,7 +199,9 @@
             self._emit(event)
             if event.may_have_more:
                 continue
-            await asyncio.sleep(max(0.0, asked_at + action.gather_seconds - self._loop.time()))
+            await asyncio.sleep(
+                max(0.0, asked_at + action.poll_interval_seconds - self._loop.time())
+            )
 
     async def _call(self, path: str, timeout_seconds: float) -> Any:
         answer = await self._send("GET", path, timeout_seconds)
--- a/wingquay/ports/crash_news.py
+++ b/wingquay/ports/crash_messages.py
@@ -5,7 +5,7 @@
 
 
 @value
-class ToldEnd:
+class ReportedCrash:
     """One life of a replica that ended while it had a request.
 
     Parameters
@@ -18,14 +18,14 @@
         How long ago it was sent and its connection ended, when the message leaves.
     """
 
-    life: str
+    incarnation: str
     node_id: str
     sent_seconds: float
     ended_seconds: float
 
 
 @value
-class CrashNews(PeerMessage):
+class CrashReport(PeerMessage):
     """What a node has come to know of one request.
 
     Parameters
@@ -39,7 +39,7 @@
     """
 
     identity: bytes
-    ends: tuple[ToldEnd, ...] = ()
+    crashes: tuple[ReportedCrash, ...] = ()
     held_seconds: float = 0.0
     is_cleared: bool = False
 
--- a/wingquay/ports/delegation.py
+++ b/wingquay/ports/delegation.py
@@ -40,7 +40,7 @@
     merged_records: int
     priority: int
     objective_seconds: float
-    in_time_seconds: float
+    cutoff_seconds: float
     remaining_seconds: float
     is_group_share: bool = True
     tenant: str = ""
@@ -100,7 +100,7 @@
 
 
 @value
-class Greeting(PeerMessage):
+class PrewarmMessage(PeerMessage):
     """Opens the connection before a request needs it; nothing follows from it."""
 
 
--- a/wingquay/ports/forwarding.py
+++ b/wingquay/ports/forwarding.py
@@ -43,7 +43,7 @@
         The address that it came from, for the log; empty where unknown.
     key
         The secret that the caller showed; empty: none. It goes to no other process and no log.
-    bare_request
+    stripped_request
         The request without that secret and without what its caller says of its tenant; ``None``: it
         held neither.
     """
@@ -57,11 +57,11 @@
     transit_seconds: float = 0.0
     caller: str = ""
     key: str = field(default="", repr=False)
-    bare_request: OpaqueRequest | None = None
+    stripped_request: OpaqueRequest | None = None
 
 
 @value
-class CallerLeft(Event):
+class CallerDisconnected(Event):
     """The caller is gone; no reply to this exchange can reach it."""
 
     exchange_id: int
@@ -165,7 +165,7 @@
         Nothing listens at the replica's address any more.
     """
 
-    life: str
+    incarnation: str
     reason: str = ""
     is_refused: bool = False
 
--- a/wingquay/ports/internal.py
+++ b/wingquay/ports/internal.py
@@ -32,7 +32,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class NewerRevisionHeard(Event):
+class NewerRevisionReported(Event):
     """A node said by gossip that it has a configuration newer than this node's."""
 
     sender: NodeIdentity
@@ -79,7 +79,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class ReplicaBelief(Event):
+class ReplicaStateChanged(Event):
     """What this node now believes of a replica, from its own evidence or from gossip."""
 
     replica_id: ReplicaId
@@ -114,7 +114,7 @@
     """It ran before; ``outcome`` is the stored answer."""
     IN_PROGRESS = "in_progress"
     """Another submission of it holds the claim and its end is not known (yet)."""
-    CANNOT_TELL = "cannot_tell"
+    UNDECIDED = "cannot_tell"
     """Too few voters can vote for their memory; this submission did not run."""
     KEY_REUSED = "key_reused"
     """The key was used before for a request with other content."""
--- a/wingquay/ports/limit_messages.py
+++ b/wingquay/ports/limit_messages.py
@@ -11,16 +11,16 @@
 
     GRANTED = 1
     """It may run and is counted."""
-    OVER = 2
+    EXCEEDED = 2
     """The tenant has had its requests."""
-    ELSEWHERE = 3
+    OTHER_OWNER = 3
     """This owner may not permit it in its own right; the other one may."""
-    NOT_MINE = 4
+    NOT_OWNER = 4
     """By its own view the node asked does not own the tenant."""
 
 
 @value
-class LimitTell(PeerMessage):
+class LimitReport(PeerMessage):
     """What a node has begun, or takes back, since its last telling.
 
     Parameters
@@ -53,13 +53,13 @@
     """
 
     sequence: int
-    asks_first: bool = False
+    requires_permit: bool = False
     hot: tuple[str, ...] = ()
     hot_seconds: tuple[float, ...] = ()
 
 
 @value
-class LimitAsk(PeerMessage):
+class LimitRequest(PeerMessage):
     """Asks whether a request of a tenant may begin."""
 
     ask_id: int
@@ -67,7 +67,7 @@
 
 
 @value
-class LimitAnswer(PeerMessage):
+class LimitReply(PeerMessage):
     """The answer to one question.
 
     Parameters
@@ -81,7 +81,7 @@
     ask_id: int
     verdict: LimitVerdict
     retry_after_seconds: float = 0.0
-    asks_first: bool = False
+    requires_permit: bool = False
     hot_seconds: float = 0.0
 
 
--- a/wingquay/ports/machine.py
+++ b/wingquay/ports/machine.py
@@ -88,7 +88,7 @@
 
 
 @value
-class Woken(Event):
+class ProcessResumed(Event):
     """The machine was suspended; nothing was handled meanwhile, and others went on.
 
     Parameters
--- a/wingquay/ports/operator.py
+++ b/wingquay/ports/operator.py
@@ -18,7 +18,7 @@
 from ..model.plan import Plan
 from .machine import Action, Event
 
-MAXIMUM_INTENTS = 1000
+MAX_INTENTS = 1000
 """Intents that one plan may hold."""
 
 
@@ -51,7 +51,7 @@
 class ProposePlan(OperatorMessage):
     """Make a plan of these intents; nothing is changed."""
 
-    intents: Annotated[tuple[Intent, ...], Field(min_length=1, max_length=MAXIMUM_INTENTS)]
+    intents: Annotated[tuple[Intent, ...], Field(min_length=1, max_length=MAX_INTENTS)]
 
 
 class ShowPlan(OperatorMessage):
--- a/wingquay/ports/peer_snapshot.py
+++ b/wingquay/ports/peer_snapshot.py
@@ -6,7 +6,7 @@
 
 
 @value
-class AskPeers(Action):
+class RequestPeerSnapshot(Action):
     """Ask other nodes for what they know of the store; an answer may or may not come."""
 
 
--- a/wingquay/ports/proof_messages.py
+++ b/wingquay/ports/proof_messages.py
@@ -5,7 +5,7 @@
 
 
 @value
-class AskProof(PeerMessage):
+class ProofRequest(PeerMessage):
     """Asks to be told, now and after each look, for how long this was known by the proven moment.
 
     Parameters
@@ -18,7 +18,7 @@
 
 
 @value
-class ProofGiven(PeerMessage):
+class ProofReply(PeerMessage):
     """Answers an ask at once, by what is proven, and after each look at the store.
 
     It tells no age, which would grow unseen while the message is under way: the moment as of which
--- a/wingquay/ports/reach_news.py
+++ b/wingquay/ports/reachability_messages.py
@@ -5,20 +5,20 @@
 
 
 @value
-class ReachNews(PeerMessage):
+class ReachabilityReport(PeerMessage):
     """What a node that is in doubt finds out about the other zones.
 
     Parameters
     ----------
-    out_zones
+    unreachable_zones
         Zones that it reached before and reaches no more.
-    in_zones
+    reachable_zones
         Zones of which something answered just now.
-    is_question
+    wants_reply
         Whether the receiver is to say at once that it is there, and, in the same zone, what it
         reaches itself.
     """
 
-    out_zones: tuple[str, ...] = ()
-    in_zones: tuple[str, ...] = ()
-    is_question: bool = False
+    unreachable_zones: tuple[str, ...] = ()
+    reachable_zones: tuple[str, ...] = ()
+    wants_reply: bool = False
--- a/wingquay/ports/store.py
+++ b/wingquay/ports/store.py
@@ -44,7 +44,7 @@
     modified_after
         Leave out values last modified at this store revision or before (etcd's
         ``min_mod_revision``), so that looking again costs little when nothing changed.
-    may_lag_at_first
+    may_start_stale
         The values may come from a copy that lags behind, where that costs less. The result is
         current all the same: the store is asked for what has changed since.
     """
@@ -52,7 +52,7 @@
     key: str
     prefix: bool = False
     modified_after: int = 0
-    may_lag_at_first: bool = False
+    may_start_stale: bool = False
 
 
 @value
@@ -164,7 +164,7 @@
     watch_id: str
     key: str
     from_store_revision: int
-    gather_seconds: float = 0.0
+    poll_interval_seconds: float = 0.0
     pause_seconds: float = 0.0
     hold_seconds: float = 3.0
     timeout_seconds: float = 4.0
--- a/wingquay/ports/store_news.py
+++ b/wingquay/ports/store_update.py
@@ -6,7 +6,7 @@
 
 
 @value
-class StoreNews(PeerMessage):
+class StoreUpdate(PeerMessage):
     """Everything that changed between two revisions of the store, as far as it matters.
 
     Left out are replicas' entries that were only written again.
--- a/wingquay/query/coordinator.py
+++ b/wingquay/query/coordinator.py
@@ -18,7 +18,7 @@
     LeavingStarted,
     MembershipChanged,
     Notify,
-    ReplicaBelief,
+    ReplicaStateChanged,
 )
 from ..ports.machine import Action, Count, Event, EventLoopLag, Schedule
 from ..ports.peer import (
@@ -61,7 +61,7 @@
         ClaimDecided,
         ConfigurationInForce,
         MembershipChanged,
-        ReplicaBelief,
+        ReplicaStateChanged,
         LeavingStarted,
         PeerLinkBroken,
         EventLoopLag,
@@ -155,7 +155,7 @@
             case MembershipChanged():
                 self._links.on_membership(event)
                 return self._owner_watch.on_membership(event, now)
-            case ReplicaBelief():
+            case ReplicaStateChanged():
                 self._on_replica_belief(event)
             case LeavingStarted():
                 self._gate.start_leaving(now)
@@ -174,7 +174,7 @@
             actions += self._results.take(result, now)
         return actions
 
-    def _on_replica_belief(self, event: ReplicaBelief) -> None:
+    def _on_replica_belief(self, event: ReplicaStateChanged) -> None:
         left_out = event.state is not ReplicaState.SERVING
         self._planning.versions.set_left_out(event.replica_id, left_out)
         if event.held is not None:
--- a/wingquay/simulation/configuration_cluster.py
+++ b/wingquay/simulation/configuration_cluster.py
@@ -26,7 +26,7 @@
     ConfigurationInForce,
     LeavingStarted,
     MembershipChanged,
-    NewerRevisionHeard,
+    NewerRevisionReported,
     Notify,
 )
 from ..ports.machine import Action, Event, Log, Schedule, Start
@@ -261,7 +261,7 @@
             return
         for hearer, speaker in ((node, other), (other, node)):
             if speaker.machine.revision > hearer.machine.revision:
-                heard = NewerRevisionHeard(speaker.identity, speaker.machine.revision)
+                heard = NewerRevisionReported(speaker.identity, speaker.machine.revision)
                 self._give(hearer, heard)
 
     # -- actions -------------------------------------------------------------------------------
--- a/wingquay/simulation/forwarding/caller_oracle.py
+++ b/wingquay/simulation/forwarding/caller_oracle.py
@@ -39,5 +39,5 @@
         return ()
     if table.tenants is None or route.is_public:
         return ("",)
-    holder = table.tenants.holder(event.key)
+    holder = table.tenants.find_by_key(event.key)
     return () if holder is None else (holder.name,)
--- a/wingquay/simulation/forwarding/callers.py
+++ b/wingquay/simulation/forwarding/callers.py
@@ -5,7 +5,7 @@
 from dataclasses import replace
 from typing import Protocol
 
-from ...ports.forwarding import CallerLeft, ForwardRequested, OpaqueRequest, ReplyFailure
+from ...ports.forwarding import CallerDisconnected, ForwardRequested, OpaqueRequest, ReplyFailure
 from ..virtual_clock import VirtualClock
 from .oracle import ForwardingOracle
 from .routes import HOST
@@ -134,8 +134,8 @@
         )
         if key is None:
             return usual
-        request, bare_request = self._simulation.tenants.requests(path, key)
-        return replace(usual, request=request, key=key, bare_request=bare_request)
+        request, stripped_request = self._simulation.tenants.requests(path, key)
+        return replace(usual, request=request, key=key, stripped_request=stripped_request)
 
     def _arrives(
         self, node: SimulatedForwardingNode, path: str, number: int, key: str | None
@@ -150,7 +150,7 @@
     def _leave(self, node: SimulatedForwardingNode, number: int, request_id: str) -> None:
         if node.open_requests.pop(number, None) is not None:
             self._oracle.left(request_id, self._clock.now)
-            node.emit(CallerLeft(number))
+            node.emit(CallerDisconnected(number))
 
     def _ready_nodes(self) -> list[SimulatedForwardingNode]:
         latest = self._clock.now - UNREADY_SECONDS
--- a/wingquay/simulation/forwarding/oracle.py
+++ b/wingquay/simulation/forwarding/oracle.py
@@ -305,7 +305,7 @@
         ]
         if not fits or len(services) != len(parts):
             self._violated(f"{request_id}: parts and missing shards make up no configuration")
-        if len(parts) / (len(parts) + reply.missing_shards) < route.least_share - 1e-9:
+        if len(parts) / (len(parts) + reply.missing_shards) < route.min_share - 1e-9:
             self._violated(f"{request_id}: a success with too few shards")
         records = [
             part.body[start : start + RECORD_BYTES]
--- a/wingquay/simulation/forwarding/replica.py
+++ b/wingquay/simulation/forwarding/replica.py
@@ -100,7 +100,7 @@
         if is_full or self.random.random() < self.refuse_share:
             self._refuse(node, send, tell, is_other=False)
             return
-        work = _Work(node, send, tell, self._duration(send), self.record.life)
+        work = _Work(node, send, tell, self._duration(send), self.record.incarnation)
         self._works[node, send.attempt_id] = work
         self._queue.append(work)
         self._start()
@@ -159,12 +159,12 @@
 
     def _end_under(self, work: _Work) -> None:
         """End by a request that it runs, whether anybody still waits for that or not."""
-        if not self.is_dead and work.life == self.record.life:
+        if not self.is_dead and work.life == self.record.incarnation:
             self.oracle.crashes.ended(work.send.request.target, self.clock.now)
             self.crash_and_restart(self)
 
     def _finish(self, work: _Work) -> None:
-        if work.life != self.record.life:
+        if work.life != self.record.incarnation:
             return
         if self.clock.now < self.paused_until:
             self.clock.at(self.paused_until, self._finish, work)
--- a/wingquay/simulation/forwarding/routes.py
+++ b/wingquay/simulation/forwarding/routes.py
@@ -52,7 +52,7 @@
         timeout_seconds=limit,
         objective_seconds=objective,
         merged_records=10,
-        least_share=least,
+        min_share=least,
     )
 
 
--- a/wingquay/simulation/forwarding/simulation.py
+++ b/wingquay/simulation/forwarding/simulation.py
@@ -15,7 +15,7 @@
     SendFailureKind,
     SendToReplica,
 )
-from ...ports.machine import Event, Exit, StopRequested, Woken
+from ...ports.machine import Event, Exit, ProcessResumed, StopRequested
 from ..virtual_clock import VirtualClock
 from .callers import LEAD_SECONDS, Callers
 from .node_links import NodeLinks
@@ -316,7 +316,7 @@
         """Let a node be suspended; what reaches it waits until it wakes."""
         node = self.nodes[number]
         if node.is_alive:
-            self.clock.after(seconds, node.emit, Woken(seconds))
+            self.clock.after(seconds, node.emit, ProcessResumed(seconds))
             self.freeze_node(number, seconds)
             span = (self.clock.now, self.clock.now + seconds)
             self.oracle.suspended.setdefault(number, []).append(span)
@@ -387,10 +387,10 @@
             return
         replica = self._replicas.get(record.host)
         if replica is None or replica.record.replica_id != record.replica_id:
-            emit_later = ConnectionTried(record.life, "refused", True)
+            emit_later = ConnectionTried(record.incarnation, "refused", True)
             self.clock.after(self.settings.network_seconds, emit, emit_later)
             return
-        self.clock.after(self.settings.network_seconds, replica.connect, record.life, emit)
+        self.clock.after(self.settings.network_seconds, replica.connect, record.incarnation, emit)
 
     def cancel_at(self, host: str, node: int, attempt_id: int) -> None:
         """Carry the end of a connection to a replica."""
--- a/wingquay/simulation/forwarding/store.py
+++ b/wingquay/simulation/forwarding/store.py
@@ -244,7 +244,7 @@
             return
         watch.seen_revision = self.revision
         watch.asked_at = None
-        self.clock.at(asked_at + watch.action.gather_seconds, self._ask, watch)
+        self.clock.at(asked_at + watch.action.poll_interval_seconds, self._ask, watch)
         watch.emit(
             WatchChanged(
                 watch.action.watch_id,
--- a/wingquay/simulation/models/backend_settings.py
+++ b/wingquay/simulation/models/backend_settings.py
@@ -3,7 +3,7 @@
 from dataclasses import dataclass
 
 from ...model.identifiers import ReplicaId, ServiceName, ShardId, SnapshotVersion
-from ...model.key_range import EVERYTHING, KeyRange
+from ...model.key_range import FULL_KEY_RANGE, KeyRange
 from .service_time import ServiceTimeSettings
 
 FIRST_VERSION = SnapshotVersion(1)
@@ -38,7 +38,7 @@
     replica_id: ReplicaId
     service: ServiceName
     shard_id: ShardId
-    key_range: KeyRange = EVERYTHING
+    key_range: KeyRange = FULL_KEY_RANGE
     slots: int = 5
     queue_limit: int = 20
     connection_limit: int = 70
--- a/wingquay/simulation/oracle_truth.py
+++ b/wingquay/simulation/oracle_truth.py
@@ -6,7 +6,7 @@
 from ..model.answer import Answer, Outcome, Row
 from ..model.identifiers import ServiceName, SnapshotVersion
 from ..model.key_range import (
-    EVERYTHING,
+    FULL_KEY_RANGE,
     KeyRange,
     contains_key,
     intersect,
@@ -36,7 +36,7 @@
         """Return all rows of a service at a version, in key order."""
         rows = self._rows.get((service, version))
         if rows is None:
-            rows = self._dataset.rows_for(service, EVERYTHING, version)
+            rows = self._dataset.rows_for(service, FULL_KEY_RANGE, version)
             self._rows[service, version] = rows
         return rows
 
--- a/wingquay/simulation/workload.py
+++ b/wingquay/simulation/workload.py
@@ -119,7 +119,7 @@
     def _key_ranges(self, random_source: Random) -> tuple[KeyRange, ...]:
         if not self._kind.whole_range:
             return tuple(
-                KeyRange.of_key(random_source.choice(keys)) for keys in self._shard_keys if keys
+                KeyRange.from_key(random_source.choice(keys)) for keys in self._shard_keys if keys
             )
         first = random_source.choice(self._shard_keys[0])
         last = random_source.choice(self._shard_keys[-1])
