--- a/tests/forwarding/crashing/test_guard.py
+++ b/tests/forwarding/crashing/test_guard.py
@@ -14,7 +14,7 @@
 from wingquay.adapters.held_record import held_value, parse_held
 from wingquay.forwarding.crashing.guard import REPORT_DELAY_SECONDS
 from wingquay.forwarding.crashing.suspects import HOLD_SECONDS
-from wingquay.ports.crash_news import CrashNews, HeldRequest, ToldEnd
+from wingquay.ports.crash_messages import CrashReport, HeldRequest, ReportedCrash
 from wingquay.ports.delegation import DelegatedAnswer, DelegatedRequest
 from wingquay.ports.forwarding import (
     ConnectionTried,
@@ -36,7 +36,11 @@
 
 SHARDS = 6
 HELD_KEY_BYTES = 32
+<<<<<<< HEAD
 TWO_CRASHES = (ToldEnd("x1", "far", 9.0, 8.9), ToldEnd("x2", "far", 5.0, 4.9))
+=======
+TWO_ENDS = (ReportedCrash("x1", "far", 9.0, 8.9), ReportedCrash("x2", "far", 5.0, 4.9))
+>>>>>>> origin/main
 
 
 def node(**route: object) -> OneNode:
@@ -162,8 +166,13 @@
         self.assertEqual(1, len(one.logs("request_held")))
         self.assertLessEqual(len(one.all_sends), SHARDS + 3)
 
+<<<<<<< HEAD
     def test_an_answer_sends_all_remaining_calls(self) -> None:
         one, number = self.begin(least_share=1.0)
+=======
+    def test_an_answer_lets_everything_go_on(self) -> None:
+        one, number = self.begin(min_share=1.0)
+>>>>>>> origin/main
         lost = list(one.sends)
         for send in lost[:4]:
             one.crash_replica(send)
@@ -198,10 +207,17 @@
         self.assertNotIn(number, one.replies)
 
 
+<<<<<<< HEAD
 class CrashReportTest(TestCase):
     def test_a_hold_is_reported_to_other_nodes(self) -> None:
         one = node_with_held_request()
         news = [item for item in told(one, CrashNews) if item.held_seconds]  # type: ignore[attr-defined]
+=======
+class NewsTest(TestCase):
+    def test_what_is_held_is_told_to_other_nodes(self) -> None:
+        one = held_node()
+        news = [item for item in told(one, CrashReport) if item.held_seconds]  # type: ignore[attr-defined]
+>>>>>>> origin/main
         self.assertEqual(len(OTHERS), len(news))
         self.assertEqual(3, len(news[0].ends))  # type: ignore[attr-defined]
 
@@ -209,26 +225,38 @@
         one = linked_node()
         one.request("/one/crash")
         one.crash_replica(one.sends[0])
-        self.assertEqual([], told(one, CrashNews))
+        self.assertEqual([], told(one, CrashReport))
 
     def test_crashes_of_a_request_that_is_answered_soon_are_not_reported(self) -> None:
         one = linked_node()
         one.request("/one/x")
         one.crash_replica(one.sends[0])
         one.answer(one.sends[0])
+<<<<<<< HEAD
         one.advance(REPORT_DELAY_SECONDS + 0.05)
         self.assertEqual([], [item for item in told(one, CrashNews) if item.ends])  # type: ignore[attr-defined]
+=======
+        one.advance(TELL_SECONDS + 0.05)
+        self.assertEqual([], [item for item in told(one, CrashReport) if item.ends])  # type: ignore[attr-defined]
+>>>>>>> origin/main
 
     def test_crashes_are_reported_before_the_request_is_held(self) -> None:
         one = linked_node()
         crash_single_service(one, 2)
         self.assertEqual([], one.logs("request_held"))
-        self.assertEqual(2, max(len(item.ends) for item in told(one, CrashNews)))  # type: ignore[attr-defined]
+        self.assertEqual(2, max(len(item.ends) for item in told(one, CrashReport)))  # type: ignore[attr-defined]
 
+<<<<<<< HEAD
     def test_crashes_reported_by_another_node_count(self) -> None:
         one, two = linked_node(), linked_node()
         crash_single_service(one, 2)
         two.emit(PeerReceived(OTHERS[0], told(one, CrashNews)[-1]))  # type: ignore[arg-type]
+=======
+    def test_ends_of_another_node_count(self) -> None:
+        one, two = linked(), linked()
+        end_single(one, 2)
+        two.emit(PeerReceived(OTHERS[0], told(one, CrashReport)[-1]))  # type: ignore[arg-type]
+>>>>>>> origin/main
         two.advance(0.2)
         crash_single_service(two, 1)
         self.assertEqual(1, len(two.logs("request_held")))
@@ -237,27 +265,40 @@
         one, two = node_with_held_request(), linked_node()
         number = two.request("/one/crash")
         (send,) = two.sends
-        (news, *_) = [item for item in told(one, CrashNews) if item.held_seconds]  # type: ignore[attr-defined]
+        (news, *_) = [item for item in told(one, CrashReport) if item.held_seconds]  # type: ignore[attr-defined]
         two.emit(PeerReceived(OTHERS[0], news))  # type: ignore[arg-type]
         self.assertEqual([send.attempt_id], two.cancelled)
         self.assertIs(ForwardFailureKind.FAILED, two.replies[number].kind)  # type: ignore[union-attr]
         self.assertIsInstance(two.replies[two.request("/one/crash")], ReplyFailure)
         self.assertEqual([], two.sends)
 
+<<<<<<< HEAD
     def test_a_report_is_forwarded_once(self) -> None:
         one, two = node_with_held_request(), linked_node()
         (news, *_) = [item for item in told(one, CrashNews) if item.held_seconds]  # type: ignore[attr-defined]
+=======
+    def test_news_go_on_once(self) -> None:
+        one, two = held_node(), linked()
+        (news, *_) = [item for item in told(one, CrashReport) if item.held_seconds]  # type: ignore[attr-defined]
+>>>>>>> origin/main
         for _ in range(3):
             two.emit(PeerReceived(OTHERS[0], news))  # type: ignore[arg-type]
-        self.assertEqual(1, len(told(two, CrashNews)))
+        self.assertEqual(1, len(told(two, CrashReport)))
 
+<<<<<<< HEAD
     def test_an_answer_at_one_node_clears_the_request_at_others(self) -> None:
         one, two = linked_node(), linked_node()
         crash_single_service(one, 2)
         two.emit(PeerReceived(OTHERS[0], told(one, CrashNews)[-1]))  # type: ignore[arg-type]
+=======
+    def test_an_answer_anywhere_clears_it_everywhere(self) -> None:
+        one, two = linked(), linked()
+        end_single(one, 2)
+        two.emit(PeerReceived(OTHERS[0], told(one, CrashReport)[-1]))  # type: ignore[arg-type]
+>>>>>>> origin/main
         two.request("/one/crash")
         two.answer(two.sends[0])
-        cleared = [item for item in told(two, CrashNews) if item.is_cleared]  # type: ignore[attr-defined]
+        cleared = [item for item in told(two, CrashReport) if item.is_cleared]  # type: ignore[attr-defined]
         one.emit(PeerReceived(OTHERS[0], cleared[0]))  # type: ignore[arg-type]
         crash_single_service(one, 1)
         self.assertEqual([], one.logs("request_held"))
--- a/tests/forwarding/one_node.py
+++ b/tests/forwarding/one_node.py
@@ -23,7 +23,7 @@
     WeightedService,
 )
 from wingquay.ports.forwarding import (
-    CallerLeft,
+    CallerDisconnected,
     CancelSend,
     ConnectionTried,
     ForwardRequested,
@@ -88,7 +88,7 @@
         "timeout_seconds": 1.0,
         "objective_seconds": 0.1,
         "merged_records": 3,
-        "least_share": 0.75,
+        "min_share": 0.75,
     }
     return Route(host=HOST, path_prefix=prefix, **{**defaults, **fields})  # type: ignore[arg-type]
 
@@ -212,8 +212,13 @@
         return number
 
     def leave(self, number: int) -> None:
+<<<<<<< HEAD
         """Report that the caller of a request has left."""
         self.emit(CallerLeft(number))
+=======
+        """Let a caller go away."""
+        self.emit(CallerDisconnected(number))
+>>>>>>> origin/main
 
     def open_send(self, replica_id: str) -> SendToReplica:
         """Return the open send to a replica."""
@@ -251,7 +256,7 @@
     def crash_replica(self, send: SendToReplica) -> None:
         """Crash a replica during a request: its connection closes, and the next one is refused."""
         for record in self.disconnect(send):
-            self.emit(ConnectionTried(record.life, "refused", is_refused=True))
+            self.emit(ConnectionTried(record.incarnation, "refused", is_refused=True))
 
     def copy_formats_from(self, other: "OneNode") -> None:
         """Accept the stored values that another node accepts."""
--- a/tests/forwarding/test_stateful.py
+++ b/tests/forwarding/test_stateful.py
@@ -44,7 +44,7 @@
                 record = replica(f"{service}r{copy}", service, born=1000 if copy else None)
                 self.records[record.replica_id] = record
         routes = (
-            sharded_route(SHARDS, least_share=0.6),
+            sharded_route(SHARDS, min_share=0.6),
             single_route("/one/", "one", timeout_seconds=1.0),
             single_route(
                 "/edit/", "edit", is_repeatable=False, max_attempts=2, timeout_seconds=1.0
@@ -134,12 +134,21 @@
     def sends_respect_their_limits(self) -> None:
         for send in self.node.all_sends[self._checked() :]:
             key = (send.request_id, send.replica.service)
+<<<<<<< HEAD
             incarnations = self.may_have_run.setdefault(key, set())
             assert send.replica.life not in incarnations, f"{key} sent twice to {send.replica.life}"
             incarnations.add(send.replica.life)
             assert len(self.may_have_run[key]) <= 2, (
                 f"{key} may have run on {self.may_have_run[key]}"
             )
+=======
+            lives = self.may_have_run.setdefault(key, set())
+            assert send.replica.incarnation not in lives, (
+                f"{key} twice on {send.replica.incarnation}"
+            )
+            lives.add(send.replica.incarnation)
+            assert len(self.may_have_run[key]) <= 2, f"{key} on {self.may_have_run[key]}"
+>>>>>>> origin/main
             if send.replica.service == "edit":
                 assert len(self.may_have_run[key]) <= 1, f"{key} may have run twice"
             number = int(send.request_id.removeprefix("id-"))
@@ -179,7 +188,7 @@
     def _did_not_run(self, send: SendToReplica) -> None:
         # Sends are checked after each step, so this one was recorded already.
         key = (send.request_id, send.replica.service)
-        self.may_have_run[key].discard(send.replica.life)
+        self.may_have_run[key].discard(send.replica.incarnation)
 
 
 TestForwardingHistory = ForwardingHistory.TestCase
--- a/wingquay/forwarding/crashing/guard.py
+++ b/wingquay/forwarding/crashing/guard.py
@@ -9,7 +9,7 @@
 import random
 from collections.abc import Callable
 
-from ...ports.crash_news import CrashNews, HeldRequest, ToldEnd
+from ...ports.crash_messages import CrashReport, HeldRequest, ReportedCrash
 from ...ports.forwarding import ConnectionTried, ForwardRequested, OpaqueRequest
 from ...ports.machine import Action, Count, Log, LogLevel, Schedule
 from ...ports.peer_link import NodeIdentity, SendToPeer
@@ -155,10 +155,17 @@
 
     # Reports of other nodes
 
+<<<<<<< HEAD
     def handle_report(self, sender: NodeIdentity, report: CrashNews, now: float) -> list[Action]:
         """Apply a report of another node, and forward it if it is new to this node."""
         identity = report.identity
         if report.is_cleared:
+=======
+    def news(self, sender: NodeIdentity, news: CrashReport, now: float) -> list[Action]:
+        """Take in what another node has found, and tell others if it is new here."""
+        identity = news.identity
+        if news.is_cleared:
+>>>>>>> origin/main
             is_new = self._suspects.clear(identity, now)
             return self._report(identity, now, sender, True) if is_new else []
         was_held = self._is_held(identity, now)
@@ -230,15 +237,24 @@
         others = [peer for peer in self.peers(now) if peer != sender]
         if not others or not self._may_report(now):
             return [Count("crash_news_left_out_total")] if others else []
+<<<<<<< HEAD
         recipients = self._random.sample(others, min(MAX_REPORT_PEERS, len(others)))
         message = CrashNews(identity, is_cleared=True)
+=======
+        told = self._random.sample(others, min(NEWS_PEERS, len(others)))
+        message = CrashReport(identity, is_cleared=True)
+>>>>>>> origin/main
         if not is_cleared:
             suspect = self._suspects.get(identity)
             crashes = () if suspect is None else tuple(suspect.crashes.values())
             held_seconds = self._suspects.held_seconds(identity, now)
+<<<<<<< HEAD
             message = CrashNews(
                 identity, tuple(_to_report(crash, now) for crash in crashes), held_seconds
             )
+=======
+            message = CrashReport(identity, tuple(_told(end, now) for end in ends), held_seconds)
+>>>>>>> origin/main
         return [
             *(SendToPeer(peer, message) for peer in recipients),
             Count("crash_news_total", len(recipients)),
@@ -259,6 +275,7 @@
         return 0 if suspect is None else len(suspect.crashes)
 
 
+<<<<<<< HEAD
 def _to_report(crash: ReplicaCrash, now: float) -> ToldEnd:
     return ToldEnd(crash.incarnation, crash.node_id, now - crash.sent_at, now - crash.crashed_at)
 
@@ -272,6 +289,21 @@
             reported_at - crash.ended_seconds,
         )
         for crash in report.ends
+=======
+def _told(end: ReplicaEnd, now: float) -> ReportedCrash:
+    return ReportedCrash(end.life, end.node_id, now - end.sent_at, now - end.ended_at)
+
+
+def _ends_of(news: CrashReport, told_at: float) -> list[ReplicaEnd]:
+    return [
+        ReplicaEnd(
+            end.incarnation,
+            end.node_id,
+            told_at - end.sent_seconds,
+            told_at - end.ended_seconds,
+        )
+        for end in news.crashes
+>>>>>>> origin/main
     ]
 
 
--- a/wingquay/forwarding/forwarding_node.py
+++ b/wingquay/forwarding/forwarding_node.py
@@ -11,20 +11,20 @@
     Event,
     Log,
     LogLevel,
+    ProcessResumed,
     Start,
     StopRequested,
-    Woken,
 )
 from ..ports.peer_link import PeerLinkBroken, PeerLinkOpened, PeerReceived
 from ..ports.peer_snapshot import PeerSnapshot
-from ..ports.proof_messages import AskProof, ProofGiven
+from ..ports.proof_messages import ProofReply, ProofRequest
 from ..ports.store import (
     ReadResult,
     StoreResponse,
     WatchBroken,
     WatchChanged,
 )
-from ..ports.store_news import StoreNews
+from ..ports.store_update import StoreUpdate
 from .arrival.admission import ConfigurationProof
 from .arrival.limits.limit_manager import LimitManager
 from .arrival.limits.limit_settings import LimitSettings
@@ -202,13 +202,19 @@
             case (
                 PresenceDue()
                 | PeerLinkOpened()
-                | PeerReceived(message=StoreNews() | AskProof() | ProofGiven())
+                | PeerReceived(message=StoreUpdate() | ProofRequest() | ProofReply())
             ):
                 return self._membership_event(event, now)
             case PeerLinkBroken():
+<<<<<<< HEAD
                 self._proof_manager.link_broken(event)
             case SweepDue() | LagDue() | Woken():
                 return self._periodic_work.handle(event, now)
+=======
+                self._keeper.link_broken(event)
+            case SweepDue() | LagDue() | ProcessResumed():
+                return self._time.handle(event, now)
+>>>>>>> origin/main
             case StopRequested():
                 return self._readiness.stop(now)
             case StopCheckDue():
@@ -226,14 +232,24 @@
         self, event: PresenceDue | PeerLinkOpened | PeerReceived, now: float
     ) -> list[Action]:
         match event:
+<<<<<<< HEAD
             case PeerReceived(sender=sender, message=StoreNews() as update):
                 self._update_source = sender.node_id
+=======
+            case PeerReceived(sender=sender, message=StoreUpdate() as news):
+                self._told_by = sender.node_id
+>>>>>>> origin/main
                 return [
                     *self._updates.receive_update(update, now),
                     *self._proof_manager.handle_update_from(sender, now),
                 ]
+<<<<<<< HEAD
             case PeerReceived(sender=sender, message=AskProof() | ProofGiven() as message):
                 return self._updates.handle_proof_message(sender, message, now)
+=======
+            case PeerReceived(sender=sender, message=ProofRequest() | ProofReply() as message):
+                return self._news.handle_proof_message(sender, message, now)
+>>>>>>> origin/main
             case PresenceDue():
                 return self._presence_due(event, now)
             case PeerLinkOpened():
--- a/wingquay/forwarding/request_arrival.py
+++ b/wingquay/forwarding/request_arrival.py
@@ -1,7 +1,7 @@
 """Decides in several steps whether an arriving request is opened or rejected."""
 
 from ..model.routing_table import RoutingTable
-from ..ports.forwarding import CallerLeft, ForwardFailureKind, ForwardRequested
+from ..ports.forwarding import CallerDisconnected, ForwardFailureKind, ForwardRequested
 from ..ports.machine import Action, Event, Schedule
 from .arrival.admission import Admitted, AwaitsLimit, Rejected
 from .arrival.arrival_admission import ArrivalAdmission
@@ -174,9 +174,15 @@
             case LimitAnswerDue(exchange_id):
                 arrival = self._pending.remove(exchange_id)
                 if arrival is not None:
+<<<<<<< HEAD
                     return self._reject_unanswered(arrival, NO_LIMIT_ANSWER_REASON, now)
             case CallerLeft(exchange_id):
                 arrival = self._pending.remove(exchange_id)
+=======
+                    return self._refuse_unanswered(arrival, NO_WORD_REASON, now)
+            case CallerDisconnected(exchange_id):
+                arrival = self._kept.remove(exchange_id)
+>>>>>>> origin/main
                 if arrival is not None:
                     return self._left(arrival, now)
         return []
