--- a/tests/forwarding/crashing/test_guard.py
+++ b/tests/forwarding/crashing/test_guard.py
@@ -36,11 +36,7 @@
 
 SHARDS = 6
 HELD_KEY_BYTES = 32
-<<<<<<< HEAD
-TWO_CRASHES = (ToldEnd("x1", "far", 9.0, 8.9), ToldEnd("x2", "far", 5.0, 4.9))
-=======
-TWO_ENDS = (ReportedCrash("x1", "far", 9.0, 8.9), ReportedCrash("x2", "far", 5.0, 4.9))
->>>>>>> origin/main
+TWO_CRASHES = (ReportedCrash("x1", "far", 9.0, 8.9), ReportedCrash("x2", "far", 5.0, 4.9))
 
 
 def node(**route: object) -> OneNode:
@@ -166,13 +162,8 @@
         self.assertEqual(1, len(one.logs("request_held")))
         self.assertLessEqual(len(one.all_sends), SHARDS + 3)
 
-<<<<<<< HEAD
     def test_an_answer_sends_all_remaining_calls(self) -> None:
-        one, number = self.begin(least_share=1.0)
-=======
-    def test_an_answer_lets_everything_go_on(self) -> None:
         one, number = self.begin(min_share=1.0)
->>>>>>> origin/main
         lost = list(one.sends)
         for send in lost[:4]:
             one.crash_replica(send)
@@ -207,17 +198,10 @@
         self.assertNotIn(number, one.replies)
 
 
-<<<<<<< HEAD
 class CrashReportTest(TestCase):
     def test_a_hold_is_reported_to_other_nodes(self) -> None:
         one = node_with_held_request()
-        news = [item for item in told(one, CrashNews) if item.held_seconds]  # type: ignore[attr-defined]
-=======
-class NewsTest(TestCase):
-    def test_what_is_held_is_told_to_other_nodes(self) -> None:
-        one = held_node()
         news = [item for item in told(one, CrashReport) if item.held_seconds]  # type: ignore[attr-defined]
->>>>>>> origin/main
         self.assertEqual(len(OTHERS), len(news))
         self.assertEqual(3, len(news[0].ends))  # type: ignore[attr-defined]
 
@@ -232,31 +216,19 @@
         one.request("/one/x")
         one.crash_replica(one.sends[0])
         one.answer(one.sends[0])
-<<<<<<< HEAD
         one.advance(REPORT_DELAY_SECONDS + 0.05)
-        self.assertEqual([], [item for item in told(one, CrashNews) if item.ends])  # type: ignore[attr-defined]
-=======
-        one.advance(TELL_SECONDS + 0.05)
-        self.assertEqual([], [item for item in told(one, CrashReport) if item.ends])  # type: ignore[attr-defined]
->>>>>>> origin/main
+        self.assertEqual([], [item for item in told(one, CrashReport) if item.crashes])  # type: ignore[attr-defined]
 
     def test_crashes_are_reported_before_the_request_is_held(self) -> None:
         one = linked_node()
         crash_single_service(one, 2)
         self.assertEqual([], one.logs("request_held"))
-        self.assertEqual(2, max(len(item.ends) for item in told(one, CrashReport)))  # type: ignore[attr-defined]
+        self.assertEqual(2, max(len(item.crashes) for item in told(one, CrashReport)))  # type: ignore[attr-defined]
 
-<<<<<<< HEAD
     def test_crashes_reported_by_another_node_count(self) -> None:
         one, two = linked_node(), linked_node()
         crash_single_service(one, 2)
-        two.emit(PeerReceived(OTHERS[0], told(one, CrashNews)[-1]))  # type: ignore[arg-type]
-=======
-    def test_ends_of_another_node_count(self) -> None:
-        one, two = linked(), linked()
-        end_single(one, 2)
         two.emit(PeerReceived(OTHERS[0], told(one, CrashReport)[-1]))  # type: ignore[arg-type]
->>>>>>> origin/main
         two.advance(0.2)
         crash_single_service(two, 1)
         self.assertEqual(1, len(two.logs("request_held")))
@@ -272,30 +244,17 @@
         self.assertIsInstance(two.replies[two.request("/one/crash")], ReplyFailure)
         self.assertEqual([], two.sends)
 
-<<<<<<< HEAD
     def test_a_report_is_forwarded_once(self) -> None:
         one, two = node_with_held_request(), linked_node()
-        (news, *_) = [item for item in told(one, CrashNews) if item.held_seconds]  # type: ignore[attr-defined]
-=======
-    def test_news_go_on_once(self) -> None:
-        one, two = held_node(), linked()
         (news, *_) = [item for item in told(one, CrashReport) if item.held_seconds]  # type: ignore[attr-defined]
->>>>>>> origin/main
         for _ in range(3):
             two.emit(PeerReceived(OTHERS[0], news))  # type: ignore[arg-type]
         self.assertEqual(1, len(told(two, CrashReport)))
 
-<<<<<<< HEAD
     def test_an_answer_at_one_node_clears_the_request_at_others(self) -> None:
         one, two = linked_node(), linked_node()
         crash_single_service(one, 2)
-        two.emit(PeerReceived(OTHERS[0], told(one, CrashNews)[-1]))  # type: ignore[arg-type]
-=======
-    def test_an_answer_anywhere_clears_it_everywhere(self) -> None:
-        one, two = linked(), linked()
-        end_single(one, 2)
         two.emit(PeerReceived(OTHERS[0], told(one, CrashReport)[-1]))  # type: ignore[arg-type]
->>>>>>> origin/main
         two.request("/one/crash")
         two.answer(two.sends[0])
         cleared = [item for item in told(two, CrashReport) if item.is_cleared]  # type: ignore[attr-defined]
--- a/tests/forwarding/one_node.py
+++ b/tests/forwarding/one_node.py
@@ -212,13 +212,8 @@
         return number
 
     def leave(self, number: int) -> None:
-<<<<<<< HEAD
         """Report that the caller of a request has left."""
-        self.emit(CallerLeft(number))
-=======
-        """Let a caller go away."""
         self.emit(CallerDisconnected(number))
->>>>>>> origin/main
 
     def open_send(self, replica_id: str) -> SendToReplica:
         """Return the open send to a replica."""
--- a/tests/forwarding/test_sharded_service.py
+++ b/tests/forwarding/test_sharded_service.py
@@ -167,13 +167,8 @@
         fresh = {send.replica.replica_id for send in node.all_sends[before:]}
         self.assertEqual(set(), stalled & fresh)
 
-<<<<<<< HEAD
     def test_an_unreachable_replica_is_excluded_for_a_while(self) -> None:
-        node = node_with(copies=2, shards=1, least_share=1.0)
-=======
-    def test_a_replica_that_cannot_be_reached_is_left_out_for_a_while(self) -> None:
         node = node_with(copies=2, shards=1, min_share=1.0)
->>>>>>> origin/main
         node.request("/all/x")
         lost = node.sends[0]
         node.fail(lost, SendFailureKind.NOT_SENT)
@@ -214,13 +209,8 @@
 
 
 class ConnectionsTest(TestCase):
-<<<<<<< HEAD
     def test_a_node_opens_one_connection_to_each_replica_after_the_start(self) -> None:
-        node = node_with(copies=1, shards=1, objective_seconds=1.0, least_share=1.0)
-=======
-    def test_a_node_opens_one_connection_to_each_replica_at_first(self) -> None:
         node = node_with(copies=1, shards=1, objective_seconds=1.0, min_share=1.0)
->>>>>>> origin/main
         node.request("/all/x")
         node.request("/all/x")
         self.assertEqual(1, len(node.sends))
--- a/tests/forwarding/test_stateful.py
+++ b/tests/forwarding/test_stateful.py
@@ -134,21 +134,14 @@
     def sends_respect_their_limits(self) -> None:
         for send in self.node.all_sends[self._checked() :]:
             key = (send.request_id, send.replica.service)
-<<<<<<< HEAD
             incarnations = self.may_have_run.setdefault(key, set())
-            assert send.replica.life not in incarnations, f"{key} sent twice to {send.replica.life}"
-            incarnations.add(send.replica.life)
+            assert send.replica.incarnation not in incarnations, (
+                f"{key} sent twice to {send.replica.incarnation}"
+            )
+            incarnations.add(send.replica.incarnation)
             assert len(self.may_have_run[key]) <= 2, (
                 f"{key} may have run on {self.may_have_run[key]}"
             )
-=======
-            lives = self.may_have_run.setdefault(key, set())
-            assert send.replica.incarnation not in lives, (
-                f"{key} twice on {send.replica.incarnation}"
-            )
-            lives.add(send.replica.incarnation)
-            assert len(self.may_have_run[key]) <= 2, f"{key} on {self.may_have_run[key]}"
->>>>>>> origin/main
             if send.replica.service == "edit":
                 assert len(self.may_have_run[key]) <= 1, f"{key} may have run twice"
             number = int(send.request_id.removeprefix("id-"))
--- a/wingquay/forwarding/crashing/crash_prober.py
+++ b/wingquay/forwarding/crashing/crash_prober.py
@@ -68,7 +68,7 @@
 
     def finish_probe(self, event: ConnectionTried) -> list[DisconnectedAttempt]:
         """Return the attempts whose replica has been probed."""
-        probed = self._pending.pop(event.life, [])
+        probed = self._pending.pop(event.incarnation, [])
         for disconnected in probed:
             disconnected.exchange.open_probes -= 1
         return probed
--- a/wingquay/forwarding/crashing/guard.py
+++ b/wingquay/forwarding/crashing/guard.py
@@ -16,7 +16,7 @@
 from ..arrival.request_identity import compute_identity
 from ..exchange import Attempt, Exchange
 from ..knowledge.loop_lag import LoopLag
-from ..timers import CrashNewsDue
+from ..timers import CrashReportDue
 from .crash_prober import CrashProber, DisconnectedAttempt
 from .replica_crash import ReplicaCrash
 from .suspects import SuspectTable, SuspicionLevel
@@ -132,10 +132,10 @@
         if not was_held and self._is_held(exchange.identity, now):
             actions += self._start_hold(exchange, now)
         else:
-            actions.append(Schedule(now + REPORT_DELAY_SECONDS, CrashNewsDue(exchange.identity)))
+            actions.append(Schedule(now + REPORT_DELAY_SECONDS, CrashReportDue(exchange.identity)))
         return actions
 
-    def report_due(self, event: CrashNewsDue, now: float) -> list[Action]:
+    def report_due(self, event: CrashReportDue, now: float) -> list[Action]:
         """Report the crashes of a request to other nodes unless it was cleared or is held."""
         suspect = self._suspects.get(event.identity)
         if suspect is None or now < suspect.held_until:
@@ -155,17 +155,10 @@
 
     # Reports of other nodes
 
-<<<<<<< HEAD
-    def handle_report(self, sender: NodeIdentity, report: CrashNews, now: float) -> list[Action]:
+    def handle_report(self, sender: NodeIdentity, report: CrashReport, now: float) -> list[Action]:
         """Apply a report of another node, and forward it if it is new to this node."""
         identity = report.identity
         if report.is_cleared:
-=======
-    def news(self, sender: NodeIdentity, news: CrashReport, now: float) -> list[Action]:
-        """Take in what another node has found, and tell others if it is new here."""
-        identity = news.identity
-        if news.is_cleared:
->>>>>>> origin/main
             is_new = self._suspects.clear(identity, now)
             return self._report(identity, now, sender, True) if is_new else []
         was_held = self._is_held(identity, now)
@@ -237,24 +230,15 @@
         others = [peer for peer in self.peers(now) if peer != sender]
         if not others or not self._may_report(now):
             return [Count("crash_news_left_out_total")] if others else []
-<<<<<<< HEAD
         recipients = self._random.sample(others, min(MAX_REPORT_PEERS, len(others)))
-        message = CrashNews(identity, is_cleared=True)
-=======
-        told = self._random.sample(others, min(NEWS_PEERS, len(others)))
         message = CrashReport(identity, is_cleared=True)
->>>>>>> origin/main
         if not is_cleared:
             suspect = self._suspects.get(identity)
             crashes = () if suspect is None else tuple(suspect.crashes.values())
             held_seconds = self._suspects.held_seconds(identity, now)
-<<<<<<< HEAD
-            message = CrashNews(
+            message = CrashReport(
                 identity, tuple(_to_report(crash, now) for crash in crashes), held_seconds
             )
-=======
-            message = CrashReport(identity, tuple(_told(end, now) for end in ends), held_seconds)
->>>>>>> origin/main
         return [
             *(SendToPeer(peer, message) for peer in recipients),
             Count("crash_news_total", len(recipients)),
@@ -275,35 +259,21 @@
         return 0 if suspect is None else len(suspect.crashes)
 
 
-<<<<<<< HEAD
-def _to_report(crash: ReplicaCrash, now: float) -> ToldEnd:
-    return ToldEnd(crash.incarnation, crash.node_id, now - crash.sent_at, now - crash.crashed_at)
+def _to_report(crash: ReplicaCrash, now: float) -> ReportedCrash:
+    return ReportedCrash(
+        crash.incarnation, crash.node_id, now - crash.sent_at, now - crash.crashed_at
+    )
 
 
-def _crashes_from(report: CrashNews, reported_at: float) -> list[ReplicaCrash]:
+def _crashes_from(report: CrashReport, reported_at: float) -> list[ReplicaCrash]:
     return [
         ReplicaCrash(
-            crash.life,
+            crash.incarnation,
             crash.node_id,
             reported_at - crash.sent_seconds,
             reported_at - crash.ended_seconds,
         )
-        for crash in report.ends
-=======
-def _told(end: ReplicaEnd, now: float) -> ReportedCrash:
-    return ReportedCrash(end.life, end.node_id, now - end.sent_at, now - end.ended_at)
-
-
-def _ends_of(news: CrashReport, told_at: float) -> list[ReplicaEnd]:
-    return [
-        ReplicaEnd(
-            end.incarnation,
-            end.node_id,
-            told_at - end.sent_seconds,
-            told_at - end.ended_seconds,
-        )
-        for end in news.crashes
->>>>>>> origin/main
+        for crash in report.crashes
     ]
 
 
--- a/wingquay/forwarding/crashing/held_request_keys.py
+++ b/wingquay/forwarding/crashing/held_request_keys.py
@@ -8,7 +8,7 @@
 from dataclasses import dataclass
 
 from ...model.failure import Failure
-from ...ports.crash_news import HeldRequest
+from ...ports.crash_messages import HeldRequest
 from ...ports.machine import Action, Log, LogLevel
 from ...ports.store import (
     CompareAndSwap,
--- a/wingquay/forwarding/forwarding_machine.py
+++ b/wingquay/forwarding/forwarding_machine.py
@@ -40,7 +40,7 @@
 from .timers import (
     AbandonDue,
     BeginDue,
-    CrashNewsDue,
+    CrashReportDue,
     CutoffDue,
     DelegationDue,
     ExchangeEndDue,
@@ -219,20 +219,15 @@
             case (
                 PeerConnectDue()
                 | DelegationDue()
-                | CrashNewsDue()
+                | CrashReportDue()
                 | PeerReceived()
                 | PeerLinkBroken()
             ):
                 return self._peer_event(event, now)
         return self._arrival.pending_event(event, now)
 
-<<<<<<< HEAD
-    def resumed(self, event: Woken, now: float) -> list[Action]:
+    def resumed(self, event: ProcessResumed, now: float) -> list[Action]:
         """Handle a suspension: end overdue exchanges; it does not count in the age of attempts."""
-=======
-    def woken(self, event: ProcessResumed, now: float) -> list[Action]:
-        """End what is too late after a suspension; attempts are as old as before it."""
->>>>>>> origin/main
         self.lag.seconds = event.seconds
         self._sender.on_suspended(event.seconds)
         return self._settlement.end_overdue(now)
@@ -249,20 +244,14 @@
 
     def _peer_event(
         self,
-        event: PeerConnectDue | DelegationDue | CrashNewsDue | PeerReceived | PeerLinkBroken,
+        event: PeerConnectDue | DelegationDue | CrashReportDue | PeerReceived | PeerLinkBroken,
         now: float,
     ) -> list[Action]:
         match event:
-            case CrashNewsDue():
-<<<<<<< HEAD
+            case CrashReportDue():
                 return self.guard.report_due(event, now)
-            case PeerReceived(sender=sender, message=CrashNews() as news):
-                return self.guard.handle_report(sender, news, now)
-=======
-                return self.guard.tell_due(event, now)
             case PeerReceived(sender=sender, message=CrashReport() as news):
-                return self.guard.news(sender, news, now)
->>>>>>> origin/main
+                return self.guard.handle_report(sender, news, now)
         if self._peers is None:
             return []
         table = None if self.is_stopping else self._table
@@ -309,13 +298,8 @@
                 return self._settlement.settle(exchange, now)
             case ReportDue():
                 return [] if exchange.origin is None else exchange.origin.report(exchange)
-<<<<<<< HEAD
-            case CallerLeft():
-                self._opening.stop_holding(exchange)
-=======
             case CallerDisconnected():
-                self._opening.not_held(exchange)
->>>>>>> origin/main
+                self._opening.stop_holding(exchange)
                 return self._settlement.caller_left(exchange, now)
             case ExchangeEndDue():
                 return self._settlement.out_of_time(exchange, now)
--- a/wingquay/forwarding/forwarding_node.py
+++ b/wingquay/forwarding/forwarding_node.py
@@ -206,15 +206,9 @@
             ):
                 return self._membership_event(event, now)
             case PeerLinkBroken():
-<<<<<<< HEAD
                 self._proof_manager.link_broken(event)
-            case SweepDue() | LagDue() | Woken():
-                return self._periodic_work.handle(event, now)
-=======
-                self._keeper.link_broken(event)
             case SweepDue() | LagDue() | ProcessResumed():
-                return self._time.handle(event, now)
->>>>>>> origin/main
+                return self._periodic_work.handle(event, now)
             case StopRequested():
                 return self._readiness.stop(now)
             case StopCheckDue():
@@ -232,24 +226,14 @@
         self, event: PresenceDue | PeerLinkOpened | PeerReceived, now: float
     ) -> list[Action]:
         match event:
-<<<<<<< HEAD
-            case PeerReceived(sender=sender, message=StoreNews() as update):
+            case PeerReceived(sender=sender, message=StoreUpdate() as update):
                 self._update_source = sender.node_id
-=======
-            case PeerReceived(sender=sender, message=StoreUpdate() as news):
-                self._told_by = sender.node_id
->>>>>>> origin/main
                 return [
                     *self._updates.receive_update(update, now),
                     *self._proof_manager.handle_update_from(sender, now),
                 ]
-<<<<<<< HEAD
-            case PeerReceived(sender=sender, message=AskProof() | ProofGiven() as message):
-                return self._updates.handle_proof_message(sender, message, now)
-=======
             case PeerReceived(sender=sender, message=ProofRequest() | ProofReply() as message):
-                return self._news.handle_proof_message(sender, message, now)
->>>>>>> origin/main
+                return self._updates.handle_proof_message(sender, message, now)
             case PresenceDue():
                 return self._presence_due(event, now)
             case PeerLinkOpened():
--- a/wingquay/forwarding/periodic_work.py
+++ b/wingquay/forwarding/periodic_work.py
@@ -1,7 +1,7 @@
 """Timer-driven work of a node: sweeps, lag checks, resuming, and the interval of store polls."""
 
 from ..model.value import value
-from ..ports.machine import Action, Count, Event, Log, LogLevel, Schedule, Woken
+from ..ports.machine import Action, Count, Event, Log, LogLevel, ProcessResumed, Schedule
 from .choice.replica_directory import ReplicaDirectory
 from .forwarding_machine import ForwardingMachine
 from .knowledge.node_membership import NodeMembership
@@ -78,7 +78,7 @@
             *self._schedule_lag(now),
         ]
 
-    def handle(self, event: SweepDue | LagDue | Woken, now: float) -> list[Action]:
+    def handle(self, event: SweepDue | LagDue | ProcessResumed, now: float) -> list[Action]:
         """Handle a timer or the end of a suspension."""
         match event:
             case SweepDue():
@@ -91,7 +91,7 @@
                 return [*peer_connects, *proof_actions, *self.adjust_poll_interval(now), sweep]
             case LagDue():
                 return self._lag_due(event, now)
-            case Woken():
+            case ProcessResumed():
                 return self._resumed(event, now)
 
     def adjust_poll_interval(self, now: float) -> list[Action]:
@@ -108,7 +108,7 @@
             return self._follower.set_poll_interval(seconds, now)
         return self._follower.set_poll_interval(None, now)
 
-    def _resumed(self, event: Woken, now: float) -> list[Action]:
+    def _resumed(self, event: ProcessResumed, now: float) -> list[Action]:
         """Treat the suspension as an equally long store outage, and end overdue exchanges."""
         self._directory.on_outage(now)
         self._processing_lag.timer_lag_seconds = event.seconds
--- a/wingquay/forwarding/request_arrival.py
+++ b/wingquay/forwarding/request_arrival.py
@@ -174,15 +174,9 @@
             case LimitAnswerDue(exchange_id):
                 arrival = self._pending.remove(exchange_id)
                 if arrival is not None:
-<<<<<<< HEAD
                     return self._reject_unanswered(arrival, NO_LIMIT_ANSWER_REASON, now)
-            case CallerLeft(exchange_id):
-                arrival = self._pending.remove(exchange_id)
-=======
-                    return self._refuse_unanswered(arrival, NO_WORD_REASON, now)
             case CallerDisconnected(exchange_id):
-                arrival = self._kept.remove(exchange_id)
->>>>>>> origin/main
+                arrival = self._pending.remove(exchange_id)
                 if arrival is not None:
                     return self._left(arrival, now)
         return []
--- a/wingquay/forwarding/settling/cutoff.py
+++ b/wingquay/forwarding/settling/cutoff.py
@@ -31,8 +31,4 @@
     """Return whether an answer from ``answered_shards`` shards is a success."""
     if answered_shards == 0:
         return False
-<<<<<<< HEAD
-    return answered_shards / len(route.shards) >= route.least_share - SHARE_TOLERANCE
-=======
-    return shards_in / len(route.shards) >= route.min_share - SHARE_TOLERANCE
->>>>>>> origin/main
+    return answered_shards / len(route.shards) >= route.min_share - SHARE_TOLERANCE
--- a/wingquay/forwarding/settling/replica_outcomes.py
+++ b/wingquay/forwarding/settling/replica_outcomes.py
@@ -151,13 +151,8 @@
         probe_actions, exchanges = self._guard.connection_tried(event, now)
         actions += probe_actions
         for exchange in exchanges:
-<<<<<<< HEAD
             actions += self._resume(exchange, now)
-        replica = self._directory.get_incarnation(event.life)
-=======
-            actions += self._go_on(exchange, now)
         replica = self._directory.get_incarnation(event.incarnation)
->>>>>>> origin/main
         if replica is None or not event.is_open:
             return actions
         return actions + self._starter.send_queued(replica.record.service, now)
--- a/wingquay/forwarding/timers.py
+++ b/wingquay/forwarding/timers.py
@@ -84,7 +84,7 @@
 
 
 @value
-class CrashNewsDue(Event):
+class CrashReportDue(Event):
     """Report the crashes of a request to other nodes unless it was cleared meanwhile."""
 
     identity: bytes
