--- a/tests/forwarding/crashing/test_guard.py
+++ b/tests/forwarding/crashing/test_guard.py
@@ -203,7 +203,7 @@
         one = node_with_held_request()
         news = [item for item in told(one, CrashReport) if item.held_seconds]  # type: ignore[attr-defined]
         self.assertEqual(len(OTHERS), len(news))
-        self.assertEqual(3, len(news[0].ends))  # type: ignore[attr-defined]
+        self.assertEqual(3, len(news[0].crashes))  # type: ignore[attr-defined]
 
     def test_a_crash_is_not_reported_immediately(self) -> None:
         one = linked_node()
--- a/tests/forwarding/one_node.py
+++ b/tests/forwarding/one_node.py
@@ -281,7 +281,7 @@
             if isinstance(action, Schedule) and isinstance(action.event, BeginDue):
                 begin_events.append(action.event)
             else:
-                self._record(action)
+                self._apply_action(action)
         for later in begin_events:
             self.emit(later)
 
@@ -302,7 +302,7 @@
             if isinstance(action, Log) and action.message == message
         ]
 
-    def _record(self, action: Action) -> None:
+    def _apply_action(self, action: Action) -> None:
         self.actions.append(action)
         if isinstance(action, Schedule):
             heapq.heappush(
--- a/tests/forwarding/test_awaiting_limits.py
+++ b/tests/forwarding/test_awaiting_limits.py
@@ -53,7 +53,7 @@
         """Let the word come."""
         machine = self.node.machine._forwarding
         for action in machine.limit_answered(self.number, answer, self.node.now):
-            self.node._take(action)
+            self.node._apply_action(action)
 
     @property
     def reply(self) -> ReplyFailure:
