--- a/wingquay/forwarding/crashing/guard.py
+++ b/wingquay/forwarding/crashing/guard.py
@@ -142,7 +142,7 @@
             return []
         return self._report(event.identity, now)
 
-    def answered(self, exchange: Exchange, now: float) -> list[Action]:
+    def on_answered(self, exchange: Exchange, now: float) -> list[Action]:
         """Clear a request that a replica has answered."""
         exchange.is_cleared = True
         if not len(self._suspects) or not self._suspects.clear(exchange.identity, now):
--- a/wingquay/forwarding/forwarding_machine.py
+++ b/wingquay/forwarding/forwarding_machine.py
@@ -302,7 +302,7 @@
                 self._opening.stop_holding(exchange)
                 return self._settlement.caller_left(exchange, now)
             case ExchangeEndDue():
-                return self._settlement.out_of_time(exchange, now)
+                return self._settlement.end_timed_out(exchange, now)
 
     def _begin_due(self, exchange: Exchange, now: float) -> list[Action]:
         if exchange.origin is not None:
--- a/wingquay/forwarding/peers/delegation_reports.py
+++ b/wingquay/forwarding/peers/delegation_reports.py
@@ -122,5 +122,5 @@
             body = b""
         if not message.shards:
             return []
-        actions = self._guard.answered(exchange, now)
+        actions = self._guard.on_answered(exchange, now)
         return actions + (self._sequential.send_remaining(exchange, now) if was_sequential else [])
--- a/wingquay/forwarding/settling/ending.py
+++ b/wingquay/forwarding/settling/ending.py
@@ -92,7 +92,7 @@
             outcome = "late"
         return [reply, *_finish(exchange, outcome, "", now)]
 
-    def failed(self, exchange: Exchange, call: ServiceCall, now: float) -> list[Action]:
+    def reply_failed(self, exchange: Exchange, call: ServiceCall, now: float) -> list[Action]:
         """Report a failure after all allowed attempts failed.
 
         A failure that a replica answered is returned unchanged.
@@ -146,7 +146,7 @@
         if not exchange.may_have_run:
             return self.reject_not_run(exchange, reason, MIN_RETRY_AFTER_SECONDS, now)
         if len(exchange.calls) == 1 and exchange.calls[0].failure is not None:
-            return self.failed(exchange, exchange.calls[0], now)
+            return self.reply_failed(exchange, exchange.calls[0], now)
         reply = ReplyFailure(exchange.exchange_id, ForwardFailureKind.TIMED_OUT, reason)
         return [reply, *_finish(exchange, "timed_out", reason, now)]
 
--- a/wingquay/forwarding/settling/replica_outcomes.py
+++ b/wingquay/forwarding/settling/replica_outcomes.py
@@ -60,7 +60,7 @@
             attempt.replica.on_shed(self._settings, now)
         else:
             actions += self._sender.on_answered(attempt, event.load, now)
-            actions += self._guard.answered(exchange, now)
+            actions += self._guard.on_answered(exchange, now)
             if not answer.is_success and answer.status >= FIRST_SERVER_ERROR_STATUS:
                 attempt.replica.on_failed_attempt(now)
         self._record_history(attempt, f"{answer.status}{' not run' if answer.not_run else ''}", now)
--- a/wingquay/forwarding/settling/settlement.py
+++ b/wingquay/forwarding/settling/settlement.py
@@ -68,7 +68,7 @@
             return self._close(exchange, self._ending.close_delegated(exchange, now), now)
         return self._close(exchange, self._ending.caller_left(exchange, now), now)
 
-    def out_of_time(self, exchange: Exchange, now: float) -> list[Action]:
+    def end_timed_out(self, exchange: Exchange, now: float) -> list[Action]:
         """End an exchange at its deadline, with a partial answer if it meets the minimum share."""
         settled = self.settle(exchange, now)
         if not self.is_open(exchange):
@@ -84,7 +84,7 @@
         actions: list[Action] = []
         for exchange in list(self._exchanges.values()):
             if now >= exchange.ends_at:
-                actions += self.out_of_time(exchange, now)
+                actions += self.end_timed_out(exchange, now)
         return actions
 
     def reject(self, exchange: Exchange, rejection: Reject, now: float) -> list[Action]:
@@ -179,7 +179,7 @@
             return self._reject_if_unsent(exchange, now)
         match self._waiting.decide(exchange, now):
             case Reject():
-                return self._close(exchange, self._ending.failed(exchange, call, now), now)
+                return self._close(exchange, self._ending.reply_failed(exchange, call, now), now)
             case _:
                 return []
 
