--- a/tests/forwarding/test_callers_stateful.py
+++ b/tests/forwarding/test_callers_stateful.py
@@ -160,7 +160,7 @@
         if answer is OVER_LIMIT and is_open:
             self.rejected.add(number)
         for action in self.node.machine._forwarding.limit_answered(number, answer, self.node.now):
-            self.node._take(action)
+            self.node._apply_action(action)
 
     @rule(data=st.data())
     def caller_leaves(self, data: st.DataObject) -> None:
