--- a/tests/forwarding/choice/replayed_nodes.py
+++ b/tests/forwarding/choice/replayed_nodes.py
@@ -174,7 +174,7 @@
         groups = NodeGroups(self._settings, self.name)
         for name, record in records.items():
             groups.put(name, record)
-        groups.set_fan_out(shards)
+        groups.set_max_shard_count(shards)
         self._machine.enable_peers(groups)
 
     def request(self, path: str, asked_at: float | None = None, tries: int = 0) -> None:
--- a/tests/forwarding/test_far_owners.py
+++ b/tests/forwarding/test_far_owners.py
@@ -104,8 +104,8 @@
             ((gone, _), *_) = delegated(node)
             node.emit(PeerLinkBroken(gone.node_id, "test", was_open))
             groups = node.machine._members.groups
-            self.assertNotIn(gone, groups.reachable(node.now + seconds - 0.1))
-            self.assertIn(gone, groups.reachable(node.now + seconds))
+            self.assertNotIn(gone, groups.usable_others(node.now + seconds - 0.1))
+            self.assertIn(gone, groups.usable_others(node.now + seconds))
 
     def test_a_node_that_answers_late_is_asked_again_at_once(self) -> None:
         node = node_apart_from_owners()
@@ -113,9 +113,9 @@
         ((late, message), *_) = delegated(node)
         node.advance(OBJECTIVE_SECONDS * 0.5)
         groups = node.machine._members.groups
-        self.assertNotIn(late, groups.reachable(node.now))
+        self.assertNotIn(late, groups.usable_others(node.now))
         node.emit(PeerReceived(late, DelegatedAnswer(message.delegation_id)))
-        self.assertIn(late, groups.reachable(node.now))
+        self.assertIn(late, groups.usable_others(node.now))
 
     def test_nodes_that_usually_take_long_are_given_longer(self) -> None:
         for hearing_seconds, is_lost in ((0.001, True), (0.02, False)):
--- a/tests/forwarding/test_node_groups.py
+++ b/tests/forwarding/test_node_groups.py
@@ -38,7 +38,7 @@
     groups = NodeGroups(SETTINGS, own)
     for name in names:
         groups.put(name, NodeRecord(identity(name)))
-    groups.set_fan_out(fan_out)
+    groups.set_max_shard_count(fan_out)
     return groups
 
 
--- a/tests/forwarding/test_shard_placement.py
+++ b/tests/forwarding/test_shard_placement.py
@@ -48,7 +48,7 @@
         settings = ForwardingSettings(zone=own[0])
         self.own = own
         self.groups = NodeGroups(settings, own)
-        self.groups.set_fan_out(SHARDS)
+        self.groups.set_max_shard_count(SHARDS)
         for name in names_of(zones, nodes):
             processor = STRONG if int(name[1:]) >= nodes - strong else WEAK
             self.groups.put(name, NodeRecord(identity(name), processor))
--- a/wingquay/forwarding/arrival/limits/limit_work.py
+++ b/wingquay/forwarding/arrival/limits/limit_work.py
@@ -101,7 +101,7 @@
         has_stood
             Whether it stood there before this life.
         """
-        role = OwnerRole(self._settings, own, self._owners, groups.reachable)
+        role = OwnerRole(self._settings, own, self._owners, groups.usable_others)
         role.exchange.is_listed = is_listed
         role.exchange.has_stood = has_stood
         self._groups = groups
--- a/wingquay/forwarding/forwarding_machine.py
+++ b/wingquay/forwarding/forwarding_machine.py
@@ -183,7 +183,7 @@
         self._limits.placement = delegations.placement
         self._sequential.begin_all = delegations.start
         self._opening.delegate_calls = delegations.start
-        self.guard.peers = groups.reachable
+        self.guard.peers = groups.usable_others
         groups.evidence = self._sender.evidence
 
     def set_table(self, table: RoutingTable) -> None:
--- a/wingquay/forwarding/forwarding_node.py
+++ b/wingquay/forwarding/forwarding_node.py
@@ -39,7 +39,7 @@
 from .knowledge.store_follower import (
     FollowerHooks,
     FollowerSettings,
-    FollowRetryDue,
+    PollRetryDue,
     StoreFollower,
 )
 from .knowledge.update_exchange import UpdateExchange
@@ -91,7 +91,7 @@
         self._presence = Presence(key, settings, random_source)
         self._proof_manager = ProofManager(
             follower.proof_poll_times,
-            lambda: self._members.rank() * settings.poll_rank_delay_seconds,
+            lambda: self._members.group_position() * settings.poll_rank_delay_seconds,
             lambda now: self._follower.next_answer_at(now),
             random_source.getrandbits(PROOF_REQUEST_ID_BITS) if follower.proof_poll_times else 0,
         )
@@ -118,7 +118,7 @@
             self._directory.on_outage,
             lambda update, now: self._updates.send_update(update, now),
             lambda: bool(self._members.update_recipients()),
-            lambda: self._members.rank() == 0,
+            lambda: self._members.group_position() == 0,
             lambda: self._readiness.can_serve,
         )
         self._follower = StoreFollower(follower, hooks, self._proof_manager)
@@ -152,7 +152,7 @@
             self._held_request_keys,
             self._members,
             self._follower,
-            self._updates.rewritten,
+            self._updates.rewritten_keys,
             self._configure,
             self._forwarding.replica_restarted,
         )
@@ -174,7 +174,7 @@
         """Handle an event and return the resulting actions."""
         actions = self._decide(event, now)
         actions += self._limits.handle(event, self._table, now)
-        if self._reachability.is_relevant(event, now):
+        if self._reachability.observe(event, now):
             actions = actions + self._reachability.handle(event, now) + self._readiness.update(now)
         return self._log_limiter.admit(actions, now)
 
@@ -193,9 +193,7 @@
 
     def _decide(self, event: Event, now: float) -> list[Action]:
         match event:
-            case (
-                StoreResponse() | WatchChanged() | WatchBroken() | FollowRetryDue() | PeerSnapshot()
-            ):
+            case StoreResponse() | WatchChanged() | WatchBroken() | PollRetryDue() | PeerSnapshot():
                 return self._store_event(event, now)
             case Start():
                 return self._start(event, now)
--- a/wingquay/forwarding/knowledge/follower_settings.py
+++ b/wingquay/forwarding/knowledge/follower_settings.py
@@ -6,12 +6,12 @@
 from ...ports.machine import Action, Event
 from ...ports.store import StoredValue
 from ...ports.store_update import StoreUpdate
-from .poll_times import DEFAULT_CONTACT_SECONDS, PollTimes, poll_times_within
+from .poll_times import DEFAULT_RECOVERY_SECONDS, PollTimes, poll_times_within
 from .proof_poll_times import ProofPollTimes
 
 
 @value
-class FollowRetryDue(Event):
+class PollRetryDue(Event):
     """Look at the store again after a failure."""
 
     watch_id: str
@@ -45,7 +45,7 @@
     prefix: str = ""
     poll_interval_seconds: float = 1.3
     shared_poll_interval_seconds: float = 0.8
-    poll_times: PollTimes = poll_times_within(DEFAULT_CONTACT_SECONDS)
+    poll_times: PollTimes = poll_times_within(DEFAULT_RECOVERY_SECONDS)
     hurried_backoff_seconds: float = 1.0
     unknown_backoff_seconds: float = 0.2
     proof_poll_times: ProofPollTimes | None = None
--- a/wingquay/forwarding/knowledge/node_groups.py
+++ b/wingquay/forwarding/knowledge/node_groups.py
@@ -61,7 +61,7 @@
         return self._name
 
     @property
-    def fan_out(self) -> int:
+    def max_shard_count(self) -> int:
         """The greatest number of shards of a route."""
         return self._fan_out
 
@@ -112,7 +112,7 @@
         for name in [name for name in self._members if name not in names]:
             self.remove(name)
 
-    def set_fan_out(self, shards: int) -> None:
+    def set_max_shard_count(self, shards: int) -> None:
         """Take in the greatest number of shards of a route."""
         self._fan_out = shards
 
@@ -169,7 +169,7 @@
                 found.setdefault(zone, []).append(GroupNode(name, member.record))
         return found
 
-    def reachable(self, now: float) -> list[NodeIdentity]:
+    def usable_others(self, now: float) -> list[NodeIdentity]:
         """Return the other nodes that can be asked now, sorted by name."""
         return [
             member.record.identity
@@ -195,7 +195,7 @@
         present = [self._members[name].record.identity for name in names]
         return present + [item for item in self._departed.values() if item not in present]
 
-    def rank(self) -> int:
+    def group_position(self) -> int:
         """Return this node's place among those that tell each other of the store."""
         names = self._news_names()
         return names.index(self._name) if self._name in names else 0
--- a/wingquay/forwarding/knowledge/node_membership.py
+++ b/wingquay/forwarding/knowledge/node_membership.py
@@ -146,9 +146,9 @@
         """Return the nodes that are told what this one reads of the store."""
         return [] if self._groups is None else self._groups.update_recipients()
 
-    def rank(self) -> int:
+    def group_position(self) -> int:
         """Return this node's place among the nodes that tell each other of the store."""
-        return 0 if self._groups is None else self._groups.rank()
+        return 0 if self._groups is None else self._groups.group_position()
 
     def is_joining(self, now: float) -> bool:
         """Whether keys of nodes that started together with this one may soon appear.
@@ -163,7 +163,7 @@
     def configure(self, table: RoutingTable) -> None:
         """Take in a configuration."""
         if self._groups is not None:
-            self._groups.set_fan_out(widest_route(table))
+            self._groups.set_max_shard_count(widest_route(table))
 
     def set_cluster_key(self, cluster_key: bytes) -> None:
         """Take in the key that stands in the store."""
--- a/wingquay/forwarding/knowledge/poll_times.py
+++ b/wingquay/forwarding/knowledge/poll_times.py
@@ -43,7 +43,7 @@
     return max(min(back_seconds, drain_seconds - DRAIN_RESERVE_SECONDS), 0.0)
 
 
-DEFAULT_CONTACT_SECONDS = 4.0
+DEFAULT_RECOVERY_SECONDS = 4.0
 """Time after the store's return at which bounds hold again, where the platform states none."""
 CONTACT_RESERVE_SECONDS = 0.4
 """Time left, once the look after an outage begins, for its answer and requests on their way."""
--- a/wingquay/forwarding/knowledge/presence.py
+++ b/wingquay/forwarding/knowledge/presence.py
@@ -205,7 +205,7 @@
         """Take in that a node's key is gone."""
         self._names.discard(name)
 
-    def rank(self, name: str, salt: str) -> int | None:
+    def hashed_position(self, name: str, salt: str) -> int | None:
         """Return a node's place among all, in an order of its own for each salt.
 
         ``None``: the node's key is not there.
--- a/wingquay/forwarding/knowledge/store_follower.py
+++ b/wingquay/forwarding/knowledge/store_follower.py
@@ -17,7 +17,7 @@
 from ...ports.store_update import StoreUpdate
 from .follower_settings import FollowerHooks as FollowerHooks
 from .follower_settings import FollowerSettings as FollowerSettings
-from .follower_settings import FollowRetryDue as FollowRetryDue
+from .follower_settings import PollRetryDue as PollRetryDue
 from .poll_schedule import PollSchedule
 from .proof_manager import ProofManager
 from .store_copy import StoreCopy
@@ -74,7 +74,7 @@
             return self._peer_told(event, now)
         if isinstance(event, Start):
             return self._look(now)
-        if isinstance(event, FollowRetryDue) and event.watch_id == self._operation_id:
+        if isinstance(event, PollRetryDue) and event.watch_id == self._operation_id:
             return self._look(now)
         return []
 
@@ -291,7 +291,7 @@
         return [
             Log("store_unreachable", LogLevel.WARNING, fields),
             *asking,
-            Schedule(due_at, FollowRetryDue(self._operation_id)),
+            Schedule(due_at, PollRetryDue(self._operation_id)),
         ]
 
     def _passed_over(self, news: StoreUpdate, seen_revision: int, now: float) -> Log:
--- a/wingquay/forwarding/knowledge/update_exchange.py
+++ b/wingquay/forwarding/knowledge/update_exchange.py
@@ -42,7 +42,7 @@
         self._follower = follower
         self._lateness = lateness
         self._keeper = keeper
-        self.rewritten: set[str] = set()
+        self.rewritten_keys: set[str] = set()
         """Keys of replicas' entries that the last changes left as they were but for the writing."""
 
     def send_update(self, news: StoreUpdate, now: float) -> list[Action]:
@@ -56,7 +56,7 @@
             tuple(
                 item
                 for item in news.changed
-                if item.key not in self.rewritten or item.created_at > news.from_revision
+                if item.key not in self.rewritten_keys or item.created_at > news.from_revision
             ),
             news.deleted,
             max(news.age_seconds, self._lateness.seconds(now)),
@@ -97,5 +97,5 @@
 
         Each node looks a little later than the one before it in its group.
         """
-        rank_seconds = self._settings.poll_rank_delay_seconds * self._members.rank()
+        rank_seconds = self._settings.poll_rank_delay_seconds * self._members.group_position()
         return self._follower.usual_gather_seconds + rank_seconds
--- a/wingquay/forwarding/peers/relays.py
+++ b/wingquay/forwarding/peers/relays.py
@@ -62,7 +62,7 @@
         """Return who asks the far ones among ``shards``; what is missing is asked directly."""
         far = dict(self._far_zones(shards, now))
         owners: dict[str, NodeIdentity] = {}
-        nodes = self._groups.reachable(now) if far else []
+        nodes = self._groups.usable_others(now) if far else []
         while nodes and len(far) >= self._settings.relay_min_shards:
             relay = self._best(nodes, far)
             near = [shard for shard, zones in far.items() if relay.zone in zones]
--- a/wingquay/forwarding/peers/shard_placement.py
+++ b/wingquay/forwarding/peers/shard_placement.py
@@ -136,7 +136,7 @@
 
     def _teams(self, now: float) -> int:
         """Return how many sets of owners the requests of all nodes need."""
-        shards = self._groups.fan_out
+        shards = self._groups.max_shard_count
         zones = max(1, self._groups.zones)
         requests_per_second = self._rate.per_second(now) * self._groups.size
         coding = requests_per_second * CODING_SECONDS * shards / zones
--- a/wingquay/forwarding/readiness/reachability_monitor.py
+++ b/wingquay/forwarding/readiness/reachability_monitor.py
@@ -74,7 +74,7 @@
         """Ask other nodes from now on."""
         self._contacts.groups = groups
 
-    def is_relevant(self, event: Event, now: float) -> bool:
+    def observe(self, event: Event, now: float) -> bool:
         """Whether something is to be done after an event."""
         if not self._is_on:
             return False
--- a/wingquay/forwarding/sending/cold_share.py
+++ b/wingquay/forwarding/sending/cold_share.py
@@ -52,6 +52,6 @@
         bound = (per_second * self._overage + self._slack) * USED_SHARE
         share = int(bound / max(1, sharing_nodes))
         if share < 1:
-            rank = self._nodes.rank(self._key, replica.record.replica_id)
+            rank = self._nodes.hashed_position(self._key, replica.record.replica_id)
             share = int(rank is not None and rank < int(bound))
         return replica.sent_since(now - WINDOW_SECONDS) < share
--- a/wingquay/platform/node.py
+++ b/wingquay/platform/node.py
@@ -23,7 +23,7 @@
 from ..forwarding.arrival.limits.limit_settings import LimitSettings
 from ..forwarding.forwarding_node import ForwardingNode, StoreFormats
 from ..forwarding.knowledge.poll_times import (
-    DEFAULT_CONTACT_SECONDS,
+    DEFAULT_RECOVERY_SECONDS,
     expiry_grace_seconds,
     poll_interval_within,
     poll_times_within,
@@ -282,7 +282,7 @@
 
 def _follower_settings(settings: PlatformSettings, gather_seconds: float) -> FollowerSettings:
     """Return how the store is followed, by the strict bound where there is one."""
-    look = poll_times_within(settings.contact_seconds or DEFAULT_CONTACT_SECONDS)
+    look = poll_times_within(settings.contact_seconds or DEFAULT_RECOVERY_SECONDS)
     usual = FollowerSettings(poll_interval_seconds=gather_seconds, poll_times=look)
     if settings.revocation_seconds is None:
         return usual
