--- a/wingquay/forwarding/crashing/crash_prober.py
+++ b/wingquay/forwarding/crashing/crash_prober.py
@@ -13,9 +13,9 @@
 from .replica_crash import ReplicaCrash
 
 MAX_PROBES_PER_EXCHANGE = 3
-"""Replicas that are probed for one request at a time."""
+"""Maximum number of replicas that are probed for one exchange at a time."""
 MAX_PROBED_REPLICAS = 128
-"""Replicas that are probed at a time; each probe opens a connection."""
+"""Maximum number of replicas that are probed at a time; each probe opens a connection."""
 
 
 @dataclass(slots=True, eq=False)
--- a/wingquay/forwarding/crashing/guard.py
+++ b/wingquay/forwarding/crashing/guard.py
@@ -31,7 +31,7 @@
 
 
 class CrashGuard:
-    """Decides which requests may be sent, and whether to one replica at a time.
+    """Tracks requests that crash replicas, and holds them or restricts how they are sent.
 
     Parameters
     ----------
@@ -83,7 +83,7 @@
 
     # Crashes observed by this node
 
-    def disconnected(self, attempt: Attempt, now: float) -> list[Action]:
+    def on_disconnected(self, attempt: Attempt, now: float) -> list[Action]:
         """Handle a connection that closed before the first byte of an answer."""
         exchange = attempt.call.exchange
         if exchange.is_cleared:
@@ -97,7 +97,7 @@
             return [] if disconnected is None else self._add_crash(disconnected, now)
         return self._prober.start_probe(attempt, now)
 
-    def connection_tried(
+    def on_connection_tried(
         self, event: ConnectionTried, now: float
     ) -> tuple[list[Action], list[Exchange]]:
         """Handle the result of a crash probe.
@@ -135,7 +135,7 @@
             actions.append(Schedule(now + REPORT_DELAY_SECONDS, CrashReportDue(exchange.identity)))
         return actions
 
-    def report_due(self, event: CrashReportDue, now: float) -> list[Action]:
+    def on_report_due(self, event: CrashReportDue, now: float) -> list[Action]:
         """Report the crashes of a request to other nodes unless it was cleared or is held."""
         suspect = self._suspects.get(event.identity)
         if suspect is None or now < suspect.held_until:
@@ -301,5 +301,5 @@
     return []
 
 
-def _write_nothing(_identity: bytes, _hold_started: HeldRequest, _now: float) -> list[Action]:
+def _write_nothing(_identity: bytes, _held: HeldRequest, _now: float) -> list[Action]:
     return []
--- a/wingquay/forwarding/crashing/held_request_keys.py
+++ b/wingquay/forwarding/crashing/held_request_keys.py
@@ -29,7 +29,7 @@
 MIN_REWRITE_SECONDS = 10.0
 """Minimum time between two writes of the same key by this node."""
 MAX_KEYS = 64
-"""Keys in the store above which this node writes no further ones."""
+"""Number of keys in the store from which on this node writes no further ones."""
 
 
 @dataclass(slots=True, eq=False)
--- a/wingquay/forwarding/crashing/replica_crash.py
+++ b/wingquay/forwarding/crashing/replica_crash.py
@@ -5,13 +5,13 @@
 from ...model.value import value
 
 REPORT_TOLERANCE_SECONDS = 0.1
-"""Minimum time between crashes reported by different nodes for them to count separately: it covers
+"""Minimum time between two crashes that different nodes observed, if both are to count; it covers
 the transmission delay of the reports."""
 
 
 @value
 class ReplicaCrash:
-    """A crash of one incarnation of a replica while it had a request.
+    """A crash of one incarnation of a replica while it was handling a request.
 
     Parameters
     ----------
--- a/wingquay/forwarding/crashing/suspects.py
+++ b/wingquay/forwarding/crashing/suspects.py
@@ -9,7 +9,7 @@
 CRASHES_BEFORE_HOLD = 3
 """Independent crashes during a request after which it is held.
 
-With two, a request that shares its replicas with a crashing one twice would be held as well."""
+With two, an unrelated request that is in flight at two crashing replicas would be held as well."""
 HOLD_SECONDS = 300.0
 """First hold period of a request. The attempt after it crashes at most one replica."""
 MAX_HOLD_SECONDS = 600.0
@@ -26,11 +26,11 @@
 
 
 class SuspicionLevel(Enum):
-    """How likely a request is to crash replicas, which determines how it is sent."""
+    """How a request may be sent, depending on the replicas that have crashed during it."""
 
     NORMAL = "usual"
     SUSPECT = "suspect"
-    """Replicas have crashed and none has answered since: it is sent to one replica at a time."""
+    """Replicas have crashed during it and none has answered it since: one replica at a time."""
     HELD = "held"
     """It is not sent to any replica."""
 
@@ -99,18 +99,16 @@
             for crash in crashes
             if crash.crashed_at > cleared_at and crash.incarnation not in known_crashes
         ]
-        independent = select_independent_crashes([*known_crashes.values(), *new_crashes])[
-            :MAX_CRASHES
-        ]
+        selected = select_independent_crashes([*known_crashes.values(), *new_crashes])[:MAX_CRASHES]
         crashed_after_hold = previous is not None and previous.has_crashed_after_hold(
             new_crashes, now
         )
-        if len(independent) <= len(known_crashes) and not crashed_after_hold:
+        if len(selected) <= len(known_crashes) and not crashed_after_hold:
             return False
         suspect = self._refresh_entry(identity, now)
-        suspect.crashes = {crash.incarnation: crash for crash in independent}
+        suspect.crashes = {crash.incarnation: crash for crash in selected}
         if now >= suspect.held_until and (
-            crashed_after_hold or len(independent) >= CRASHES_BEFORE_HOLD
+            crashed_after_hold or len(selected) >= CRASHES_BEFORE_HOLD
         ):
             self._hold(suspect, MAX_HOLD_SECONDS if suspect.holds else HOLD_SECONDS, now)
         return True
--- a/wingquay/forwarding/exchange.py
+++ b/wingquay/forwarding/exchange.py
@@ -33,7 +33,7 @@
         ...
 
     def give_back(self, exchange: "Exchange") -> list[Action]:
-        """Return the calls that are not in flight to the delegating node; return the message."""
+        """Hand the calls that are not in flight back to the delegating node; return the message."""
         ...
 
     def report_exhausted(self, calls: "list[ServiceCall]") -> list[Action]:
@@ -157,7 +157,7 @@
     origin: Origin | None = None
     """The delegating node; ``None`` if a caller waits for the answer."""
     tenant: Tenant | None = None
-    """The tenant of the caller; ``None`` if the configuration has no tenants."""
+    """The tenant of the caller; ``None`` if there is none."""
     unexplained_disconnects: int = 0
     """Connections that closed without an answer and whose replicas may have crashed."""
     is_suspect: bool = False
--- a/wingquay/forwarding/exchange_opening.py
+++ b/wingquay/forwarding/exchange_opening.py
@@ -118,7 +118,7 @@
         return actions + self._settlement.settle(exchange, now)
 
     def _hold_or_reject(self, exchange: Exchange, now: float) -> list[Action]:
-        """Hold an exchange that no replica can take, or reject it if a retry is better."""
+        """Hold an exchange that no replica can take, or reject it if its caller should retry."""
         match self._waiting.decide(exchange, now):
             case Reject() as rejection:
                 self._held.discard(exchange.exchange_id)
--- a/wingquay/forwarding/forwarding_machine.py
+++ b/wingquay/forwarding/forwarding_machine.py
@@ -91,16 +91,16 @@
         self._settings = settings
         self._directory = directory
         self._latencies = RouteLatencies(settings)
-        self._limits = SendingQuotas(settings, directory, nodes, key, waiting)
-        self._sender = AttemptSender(settings, directory, self._latencies, self._limits)
+        self._quotas = SendingQuotas(settings, directory, nodes, key, waiting)
+        self._sender = AttemptSender(settings, directory, self._latencies, self._quotas)
         self._random = random_source
         ending = ExchangeEnding(random_source)
-        self._line = CallQueue(self._latencies)
+        self._queue = CallQueue(self._latencies)
         self._waiting = WaitingPolicy(
-            waiting, settings, directory, self._latencies, self._limits, self._line
+            waiting, settings, directory, self._latencies, self._quotas, self._queue
         )
         self._settlement = Settlement(self._waiting, directory, self._sender, ending)
-        self._starter = CallStarter(self._sender, self._waiting, self._line)
+        self._starter = CallStarter(self._sender, self._waiting, self._queue)
         self.lag = LoopLag()
         """Processing lag of this node; updated by the owner."""
         self.guard = CrashGuard(name, random_source, self.lag)
@@ -180,7 +180,7 @@
             self.lag,
             self.guard,
         )
-        self._limits.placement = delegations.placement
+        self._quotas.placement = delegations.placement
         self._sequential.begin_all = delegations.start
         self._opening.delegate_calls = delegations.start
         self.guard.peers = groups.usable_others
@@ -192,19 +192,19 @@
         self._arrival.set_table(table)
         self._opening.set_table(table)
         self._latencies.keep_only(table.routes)
-        self._line.keep_only(table.services)
+        self._queue.keep_only(table.services)
 
     def handle(self, event: Event, now: float) -> list[Action]:
         """Handle an event and return the resulting actions."""
         match event:
             case ReplicaAnswered():
-                return self._outcomes.answered(event, now)
+                return self._outcomes.on_answered(event, now)
             case ForwardRequested():
-                return self._arrival.requested(event, now)
+                return self._arrival.on_requested(event, now)
             case HedgeDue():
                 return self._hedging.handle_due(event, now)
             case SendFailed():
-                return self._outcomes.send_failed(event, now)
+                return self._outcomes.on_send_failed(event, now)
             case AbandonDue() | ReconnectDue() | ConnectionTried():
                 return self._replica_event(event, now)
             case (
@@ -224,19 +224,19 @@
                 | PeerLinkBroken()
             ):
                 return self._peer_event(event, now)
-        return self._arrival.pending_event(event, now)
+        return self._arrival.on_pending_event(event, now)
 
-    def resumed(self, event: ProcessResumed, now: float) -> list[Action]:
+    def on_resumed(self, event: ProcessResumed, now: float) -> list[Action]:
         """Handle a suspension: end overdue exchanges; it does not count in the age of attempts."""
         self.lag.seconds = event.seconds
         self._sender.on_suspended(event.seconds)
         return self._settlement.end_overdue(now)
 
-    def limit_answered(
+    def on_limit_answered(
         self, exchange_id: int, answer: Admitted | Rejected, now: float
     ) -> list[Action]:
         """Continue a request that was waiting for the answer on its tenant's limit."""
-        return self._arrival.limit_answered(exchange_id, answer, now)
+        return self._arrival.on_limit_answered(exchange_id, answer, now)
 
     def _end_held(self, identity: bytes, now: float) -> list[Action]:
         held_seconds = self.guard.held_seconds(identity, now)
@@ -249,9 +249,9 @@
     ) -> list[Action]:
         match event:
             case CrashReportDue():
-                return self.guard.report_due(event, now)
-            case PeerReceived(sender=sender, message=CrashReport() as news):
-                return self.guard.handle_report(sender, news, now)
+                return self.guard.on_report_due(event, now)
+            case PeerReceived(sender=sender, message=CrashReport() as report):
+                return self.guard.handle_report(sender, report, now)
         if self._peers is None:
             return []
         table = None if self.is_stopping else self._table
@@ -268,11 +268,11 @@
             case ReconnectDue():
                 return self._sender.on_reconnect_due(event, now)
             case ConnectionTried():
-                return self._outcomes.connection_tried(event, now)
+                return self._outcomes.on_connection_tried(event, now)
 
-    def replica_restarted(self, replica: ReplicaState, now: float) -> list[Action]:
+    def on_replica_restarted(self, replica: ReplicaState, now: float) -> list[Action]:
         """Abort the attempts at a replica that has restarted, and retry their calls elsewhere."""
-        return self._outcomes.replica_restarted(replica, now)
+        return self._outcomes.on_replica_restarted(replica, now)
 
     def _abandon_due(self, event: AbandonDue, now: float) -> list[Action]:
         attempt = self._sender.get(event.attempt_id)
@@ -288,7 +288,7 @@
     ) -> list[Action]:
         exchange = self._settlement.get(event.exchange_id)
         if exchange is None:
-            return self._arrival.pending_event(event, now)
+            return self._arrival.on_pending_event(event, now)
         match event:
             case BeginDue():
                 return self._begin_due(exchange, now)
@@ -300,7 +300,7 @@
                 return [] if exchange.origin is None else exchange.origin.report(exchange)
             case CallerDisconnected():
                 self._opening.stop_holding(exchange)
-                return self._settlement.caller_left(exchange, now)
+                return self._settlement.on_caller_left(exchange, now)
             case ExchangeEndDue():
                 return self._settlement.end_timed_out(exchange, now)
 
--- a/wingquay/forwarding/forwarding_node.py
+++ b/wingquay/forwarding/forwarding_node.py
@@ -131,7 +131,11 @@
             name, settings, formats, self._nodes, self._presence, candidate
         )
         self._limits = LimitManager(
-            name, limits, self._members, self._forwarding.admission, self._forwarding.limit_answered
+            name,
+            limits,
+            self._members,
+            self._forwarding.admission,
+            self._forwarding.on_limit_answered,
         )
         self._processing_lag = ProcessingLag()
         self._periodic_work = PeriodicWork(
@@ -154,7 +158,7 @@
             self._follower,
             self._updates.rewritten_keys,
             self._configure,
-            self._forwarding.replica_restarted,
+            self._forwarding.on_replica_restarted,
         )
         departure = Departure()
         route_demand = RouteDemand(self._directory)
--- a/wingquay/forwarding/peers/delegated_work.py
+++ b/wingquay/forwarding/peers/delegated_work.py
@@ -169,7 +169,7 @@
         exchange = self._open.pop((sender.node_id, message.delegation_id), None)
         if exchange is None or not self._settlement.is_open(exchange):
             return []
-        return self._settlement.caller_left(exchange, now)
+        return self._settlement.on_caller_left(exchange, now)
 
     def link_broken(self, node_id: str, now: float) -> list[Action]:
         """Stop working for a node that cannot be told."""
@@ -177,7 +177,7 @@
         for key in [key for key in self._open if key[0] == node_id]:
             exchange = self._open.pop(key)
             if self._settlement.is_open(exchange):
-                actions += self._settlement.caller_left(exchange, now)
+                actions += self._settlement.on_caller_left(exchange, now)
         return actions
 
     def reject(self, sender: NodeIdentity, message: DelegatedRequest) -> list[Action]:
--- a/wingquay/forwarding/periodic_work.py
+++ b/wingquay/forwarding/periodic_work.py
@@ -114,7 +114,7 @@
         self._processing_lag.timer_lag_seconds = event.seconds
         self._proof_manager.poll_failed("suspended")
         open_requests = self._forwarding.open_exchanges
-        actions = self._forwarding.resumed(event, now)
+        actions = self._forwarding.on_resumed(event, now)
         fields = (
             ("suspended_seconds", round(event.seconds, 3)),
             ("open_requests", open_requests),
--- a/wingquay/forwarding/request_arrival.py
+++ b/wingquay/forwarding/request_arrival.py
@@ -49,8 +49,8 @@
         self._guard = guard
         self._lag = lag
         self._ending = ending
-        self._ranks = TenantPriorities()
-        self._counts = TenantMetrics()
+        self._priorities = TenantPriorities()
+        self._metrics = TenantMetrics()
         self._pending = PendingArrivals()
         self._table: RoutingTable | None = None
         self.admission = ArrivalAdmission()
@@ -67,30 +67,36 @@
     def set_table(self, table: RoutingTable) -> None:
         """Apply a configuration to requests that arrive from now on."""
         self._table = table
-        self._counts.keep_only(set() if table.tenants is None else set(table.tenants.by_name))
+        self._metrics.keep_only(set() if table.tenants is None else set(table.tenants.by_name))
 
     # Arrival
 
-    def requested(self, event: ForwardRequested, now: float) -> list[Action]:
+    def on_requested(self, event: ForwardRequested, now: float) -> list[Action]:
         """Handle a request that has arrived."""
         self.has_received_request = True
         table = self._table
         if table is None:
             reason = "no configuration yet"
-            bare = strip_credentials(event)
-            return self._ending.reject_arrival_not_run(bare, reason, UNCONFIGURED_RETRY_SECONDS)
-        bare = event if table.tenants is None else strip_credentials(event)
+            stripped_event = strip_credentials(event)
+            return self._ending.reject_arrival_not_run(
+                stripped_event, reason, UNCONFIGURED_RETRY_SECONDS
+            )
+        stripped_event = event if table.tenants is None else strip_credentials(event)
         route = table.find(event.host, event.path)
         if route is None:
-            return self._ending.no_route(bare, table.version)
+            return self._ending.reject_no_route(stripped_event, table.version)
         if self._is_too_late(event):
-            return self._ending.reject_arrival_not_run(bare, LATE_REASON, MIN_RETRY_AFTER_SECONDS)
+            return self._ending.reject_arrival_not_run(
+                stripped_event, LATE_REASON, MIN_RETRY_AFTER_SECONDS
+            )
         tenant = self.admission.identify_caller(event.key, table, route, now)
         if isinstance(tenant, Rejected):
-            return self._reject(bare, tenant, "")
+            return self._reject(stripped_event, tenant, "")
         if tenant is not None:
-            route = self._ranks.apply(route, tenant, table)
-        return self._count(Arrival(bare, table, route, tenant, now, now - self._lag.seconds), now)
+            route = self._priorities.apply(route, tenant, table)
+        return self._admit(
+            Arrival(stripped_event, table, route, tenant, now, now - self._lag.seconds), now
+        )
 
     def _is_too_late(self, event: ForwardRequested) -> bool:
         """Return whether the request was read only after its deadline."""
@@ -102,30 +108,30 @@
             outcome = "refused" if tenant else "unproven"
         return [
             *self._ending.reject_arrival(event, rejected, tenant),
-            self._counts.count(tenant, outcome),
+            self._metrics.count(tenant, outcome),
         ]
 
-    def _count(self, arrival: Arrival, now: float) -> list[Action]:
+    def _admit(self, arrival: Arrival, now: float) -> list[Action]:
         """Count a request against its tenant's limit, as the last check, and open it."""
-        verdict = self._verdict(arrival, now)
-        if verdict is SuspicionLevel.HELD:
+        suspicion_level = self._suspicion_level(arrival, now)
+        if suspicion_level is SuspicionLevel.HELD:
             return self._reject_held(arrival, now)
         tenant = arrival.tenant
         if tenant is None:
-            return self._open(arrival, verdict, now)
+            return self._open(arrival, suspicion_level, now)
         match self.admission.admit(tenant, arrival.event.exchange_id, now):
             case AwaitsLimit():
                 return self._await_limit(arrival, now)
             case Rejected() as rejected:
                 return self._reject(arrival.event, rejected, tenant.name)
             case Admitted():
-                allowed = self._counts.count(tenant.name, "allowed")
-                return [allowed, *self._open(arrival, verdict, now)]
+                allowed = self._metrics.count(tenant.name, "allowed")
+                return [allowed, *self._open(arrival, suspicion_level, now)]
 
-    def _open(self, arrival: Arrival, verdict: SuspicionLevel, now: float) -> list[Action]:
-        return self._opening.open(arrival, verdict is SuspicionLevel.SUSPECT, now)
+    def _open(self, arrival: Arrival, suspicion_level: SuspicionLevel, now: float) -> list[Action]:
+        return self._opening.open(arrival, suspicion_level is SuspicionLevel.SUSPECT, now)
 
-    def _verdict(self, arrival: Arrival, now: float) -> SuspicionLevel:
+    def _suspicion_level(self, arrival: Arrival, now: float) -> SuspicionLevel:
         return self._guard.suspicion_level(arrival.event.request, now, _tenant_name(arrival))
 
     def _reject_held(self, arrival: Arrival, now: float) -> list[Action]:
@@ -134,10 +140,10 @@
         name = _tenant_name(arrival)
         identity = compute_identity(event.request, name)
         held_seconds = self._guard.held_seconds(identity, now)
-        refused = self._ending.reject_arrival_not_run(event, HELD_REASON, held_seconds, name)
+        actions = self._ending.reject_arrival_not_run(event, HELD_REASON, held_seconds, name)
         if arrival.tenant is not None:
-            refused.append(self._counts.count(name, "held"))
-        return [*refused, *self._guard.held_request_repeated(identity, event, now)]
+            actions.append(self._metrics.count(name, "held"))
+        return [*actions, *self._guard.held_request_repeated(identity, event, now)]
 
     # Waiting for the answer on a tenant's limit
 
@@ -148,11 +154,11 @@
         """
         if not self._pending.add(arrival):
             return self._reject_unanswered(arrival, "too many requests wait for limits", now)
-        offer_seconds = arrival.route.objective_seconds * LIMIT_WAIT_RATIO
-        due_at = min(now + offer_seconds, self._opening.ends_at(arrival))
+        wait_seconds = arrival.route.objective_seconds * LIMIT_WAIT_RATIO
+        due_at = min(now + wait_seconds, self._opening.ends_at(arrival))
         return [Schedule(due_at, LimitAnswerDue(arrival.event.exchange_id))]
 
-    def limit_answered(
+    def on_limit_answered(
         self, exchange_id: int, answer: Admitted | Rejected, now: float
     ) -> list[Action]:
         """Continue a request that was waiting for the answer on its tenant's limit."""
@@ -161,14 +167,14 @@
             return []
         if isinstance(answer, Rejected):
             return self._reject(arrival.event, answer, arrival.tenant.name)
-        verdict = self._verdict(arrival, now)
-        if verdict is SuspicionLevel.HELD:
+        suspicion_level = self._suspicion_level(arrival, now)
+        if suspicion_level is SuspicionLevel.HELD:
             self.admission.give_back(arrival.tenant, exchange_id, now)
             return self._reject_held(arrival, now)
-        opened = self._open(arrival, verdict, now)
-        return [self._counts.count(arrival.tenant.name, "allowed"), *opened]
+        opened = self._open(arrival, suspicion_level, now)
+        return [self._metrics.count(arrival.tenant.name, "allowed"), *opened]
 
-    def pending_event(self, event: Event, now: float) -> list[Action]:
+    def on_pending_event(self, event: Event, now: float) -> list[Action]:
         """Handle an event of a request that has no open exchange but may wait for a limit."""
         match event:
             case LimitAnswerDue(exchange_id):
@@ -178,7 +184,7 @@
             case CallerDisconnected(exchange_id):
                 arrival = self._pending.remove(exchange_id)
                 if arrival is not None:
-                    return self._left(arrival, now)
+                    return self._abandon(arrival, now)
         return []
 
     def _reject_unanswered(self, arrival: Arrival, reason: str, now: float) -> list[Action]:
@@ -186,11 +192,11 @@
         rejected = Rejected(ForwardFailureKind.NOT_RUN, reason, MIN_RETRY_AFTER_SECONDS)
         return self._reject(arrival.event, rejected, _tenant_name(arrival))
 
-    def _left(self, arrival: Arrival, now: float) -> list[Action]:
+    def _abandon(self, arrival: Arrival, now: float) -> list[Action]:
         self._give_back_arrival(arrival, now)
         name = _tenant_name(arrival)
-        left = self._ending.caller_left_arrival(arrival.event, name)
-        return [*left, self._counts.count(name, "caller_left")]
+        actions = self._ending.close_abandoned_arrival(arrival.event, name)
+        return [*actions, self._metrics.count(name, "caller_left")]
 
     def _give_back_arrival(self, arrival: Arrival, now: float) -> None:
         if arrival.tenant is not None:
@@ -201,7 +207,7 @@
         if exchange.tenant is None:
             return []
         self.admission.give_back(exchange.tenant, exchange.exchange_id, now)
-        return [self._counts.count(exchange.tenant.name, "given_back")]
+        return [self._metrics.count(exchange.tenant.name, "given_back")]
 
 
 def _tenant_name(arrival: Arrival) -> str:
--- a/wingquay/forwarding/settling/ending.py
+++ b/wingquay/forwarding/settling/ending.py
@@ -20,9 +20,9 @@
 
 MILLISECONDS_PER_SECOND = 1000.0
 MAX_LOGGED_CALLS = 4
-"""Calls per log line whose attempts are listed."""
+"""Maximum number of calls whose attempts a log line lists."""
 
-HELD_REASON = "replicas crashed while running this request; it is held back"
+HELD_REASON = "replicas crashed while running this request; it is held"
 
 
 class ExchangeEnding:
@@ -56,7 +56,7 @@
             _arrival_log_line(event, outcome, reason, tenant),
         ]
 
-    def caller_left_arrival(self, event: ForwardRequested, tenant: str) -> list[Action]:
+    def close_abandoned_arrival(self, event: ForwardRequested, tenant: str) -> list[Action]:
         """Record that a caller left while its request was waiting for its tenant's limit."""
         reason = "the request was waiting for its tenant's limit"
         return [
@@ -64,7 +64,7 @@
             _arrival_log_line(event, "caller_left", reason, tenant),
         ]
 
-    def no_route(self, event: ForwardRequested, version: int) -> list[Action]:
+    def reject_no_route(self, event: ForwardRequested, version: int) -> list[Action]:
         """Reject a request that matches no route."""
         reason = f"no route for host {event.host!r} and path {event.path!r}"
         return [
@@ -73,12 +73,16 @@
             _arrival_log_line(event, "no_route", f"{reason} in version {version}"),
         ]
 
-    def unchanged(self, exchange: Exchange, answer: ReplicaAnswer, now: float) -> list[Action]:
+    def reply_unchanged(
+        self, exchange: Exchange, answer: ReplicaAnswer, now: float
+    ) -> list[Action]:
         """Return a replica's answer to the caller unchanged."""
         outcome = "late" if now > exchange.cutoff_at else "served"
         return [ReplyUnchanged(exchange.exchange_id, answer), *_finish(exchange, outcome, "", now)]
 
-    def merged(self, exchange: Exchange, answered: list[ServiceCall], now: float) -> list[Action]:
+    def reply_merged(
+        self, exchange: Exchange, answered: list[ServiceCall], now: float
+    ) -> list[Action]:
         """Merge the answers of the shards and return the result to the caller."""
         answers = [call.answer for call in answered if call.answer is not None]
         body = merge_top_records([answer.body for answer in answers], exchange.route.merged_records)
@@ -104,7 +108,7 @@
         reply = ReplyFailure(exchange.exchange_id, ForwardFailureKind.FAILED, reason)
         return [reply, *_finish(exchange, "failed", reason, now)]
 
-    def too_few(self, exchange: Exchange, now: float) -> list[Action]:
+    def reply_too_few_shards(self, exchange: Exchange, now: float) -> list[Action]:
         """Report a failure because too many shards have failed for a success."""
         reason = "too few shards can still answer"
         reply = ReplyFailure(exchange.exchange_id, ForwardFailureKind.FAILED, reason)
@@ -132,7 +136,7 @@
         seconds = rejection.retry_after_seconds
         return [*self.reject_not_run(exchange, rejection.reason, seconds, now), counted]
 
-    def held(self, exchange: Exchange, held_seconds: float, now: float) -> list[Action]:
+    def reply_held(self, exchange: Exchange, held_seconds: float, now: float) -> list[Action]:
         """Report a failure because the request crashes replicas and is now held."""
         kind = ForwardFailureKind.NOT_RUN
         if exchange.may_have_run:
@@ -140,7 +144,7 @@
         reply = ReplyFailure(exchange.exchange_id, kind, HELD_REASON, held_seconds)
         return [reply, *_finish(exchange, "held", HELD_REASON, now)]
 
-    def out_of_time(self, exchange: Exchange, now: float) -> list[Action]:
+    def reply_timed_out(self, exchange: Exchange, now: float) -> list[Action]:
         """Report a failure because the deadline of the exchange has passed."""
         reason = "no answer before the deadline"
         if not exchange.may_have_run:
@@ -155,7 +159,7 @@
         line = _log_line(exchange, "delegated_open", "", now - exchange.arrived_at)
         return [_count_outcome("delegated_open"), line]
 
-    def caller_left(self, exchange: Exchange, now: float) -> list[Action]:
+    def close_abandoned(self, exchange: Exchange, now: float) -> list[Action]:
         """Record that the caller has left."""
         return _finish(exchange, "caller_left", "", now)
 
--- a/wingquay/forwarding/settling/hedging.py
+++ b/wingquay/forwarding/settling/hedging.py
@@ -10,13 +10,13 @@
 
 MIN_RECHECK_SECONDS = 0.012
 """Minimum time between two checks of an exchange for slow attempts."""
-DUE_RATIO = 0.99
+OVERDUE_RATIO = 0.99
 """Share of the hedge delay after which an attempt is overdue: timers may fire a little early."""
 MIN_UNANSWERED_ATTEMPTS = 4
-"""Attempts in flight from which on the lack of any answer delays hedges."""
+"""Number of attempts in flight from which on hedges wait for a first answer."""
 FIRST_ANSWER_WAIT_RATIO = 0.5
-"""Share of the objective for which hedges are then delayed: a request that crashes replicas would
-also crash the hedged ones before the first crash is reported."""
+"""Maximum time of this wait as a share of the objective. A request that crashes replicas would also
+crash those that receive the hedges, before the first crash is detected."""
 
 
 class Hedging:
@@ -54,20 +54,20 @@
         delay = self._latencies.hedge_seconds(exchange.route)
         actions = self._sequential.send_next(exchange, now) if exchange.is_sequential else []
         waits_for_first = _waits_for_first_answer(exchange, now)
-        may_need_more = False
+        may_need_hedge = False
         for call in exchange.calls:
             if call.answer is not None or call.attempts_left <= 0:
                 continue
             if call.is_delegated and not call.attempts:
                 continue
-            may_need_more = True
+            may_need_hedge = True
             if waits_for_first:
                 continue
             if len(call.attempts) == 1 and _is_overdue(call, delay, now):
                 actions += self._sender.try_send(call, now, False, is_hedge=True)
-        if may_need_more and now < exchange.ends_at:
-            again_at = now + max(MIN_RECHECK_SECONDS, delay / 4)
-            actions.append(Schedule(again_at, event))
+        if may_need_hedge and now < exchange.ends_at:
+            next_check_at = now + max(MIN_RECHECK_SECONDS, delay / 4)
+            actions.append(Schedule(next_check_at, event))
         return actions
 
 
@@ -81,4 +81,4 @@
 
 
 def _is_overdue(call: ServiceCall, delay: float, now: float) -> bool:
-    return all(now - attempt.sent_at >= delay * DUE_RATIO for attempt in call.attempts.values())
+    return all(now - attempt.sent_at >= delay * OVERDUE_RATIO for attempt in call.attempts.values())
--- a/wingquay/forwarding/settling/replica_outcomes.py
+++ b/wingquay/forwarding/settling/replica_outcomes.py
@@ -44,7 +44,7 @@
         self._starter = starter
         self._settlement = settlement
 
-    def answered(self, event: ReplicaAnswered, now: float) -> list[Action]:
+    def on_answered(self, event: ReplicaAnswered, now: float) -> list[Action]:
         """Handle a complete answer of a replica."""
         attempt = self._sender.get(event.attempt_id)
         if attempt is None:
@@ -91,7 +91,7 @@
             return self._retry(call, now)
         return self._settlement.settle(exchange, now)
 
-    def send_failed(self, event: SendFailed, now: float) -> list[Action]:
+    def on_send_failed(self, event: SendFailed, now: float) -> list[Action]:
         """Handle an attempt that failed without an answer."""
         attempt = self._sender.get(event.attempt_id)
         if attempt is None:
@@ -111,10 +111,10 @@
         if not was_sent:
             self._sender.on_not_arrived(attempt)
         if event.is_unanswered:
-            actions += self._guard.disconnected(attempt, now)
+            actions += self._guard.on_disconnected(attempt, now)
         return actions + self._after_failure(attempt, was_sent, now)
 
-    def replica_restarted(self, replica: ReplicaState, now: float) -> list[Action]:
+    def on_replica_restarted(self, replica: ReplicaState, now: float) -> list[Action]:
         """Abort all attempts at the previous incarnation of a replica that has restarted."""
         actions: list[Action] = []
         for attempt_id in tuple(replica.in_flight):
@@ -129,7 +129,7 @@
         self._sender.finish(attempt)
         self._record_history(attempt, "replica restarted", now)
         actions: list[Action] = [CancelSend(attempt.attempt_id)]
-        actions += self._guard.disconnected(attempt, now)
+        actions += self._guard.on_disconnected(attempt, now)
         return actions + self._after_failure(attempt, was_sent=True, now=now)
 
     def _after_failure(self, attempt: Attempt, was_sent: bool, now: float) -> list[Action]:
@@ -145,10 +145,10 @@
                 actions += self._retry(call, now)
         return actions + self._starter.send_queued(call.service, now)
 
-    def connection_tried(self, event: ConnectionTried, now: float) -> list[Action]:
+    def on_connection_tried(self, event: ConnectionTried, now: float) -> list[Action]:
         """Handle the result of a connection test and send calls that were waiting for it."""
         actions = self._sender.on_connection_tried(event, now)
-        probe_actions, exchanges = self._guard.connection_tried(event, now)
+        probe_actions, exchanges = self._guard.on_connection_tried(event, now)
         actions += probe_actions
         for exchange in exchanges:
             actions += self._resume(exchange, now)
--- a/wingquay/forwarding/settling/settlement.py
+++ b/wingquay/forwarding/settling/settlement.py
@@ -62,11 +62,11 @@
         """Return whether an exchange has not ended yet."""
         return exchange.exchange_id in self._exchanges
 
-    def caller_left(self, exchange: Exchange, now: float) -> list[Action]:
+    def on_caller_left(self, exchange: Exchange, now: float) -> list[Action]:
         """End an exchange whose caller has left."""
         if exchange.origin is not None:
             return self._close(exchange, self._ending.close_delegated(exchange, now), now)
-        return self._close(exchange, self._ending.caller_left(exchange, now), now)
+        return self._close(exchange, self._ending.close_abandoned(exchange, now), now)
 
     def end_timed_out(self, exchange: Exchange, now: float) -> list[Action]:
         """End an exchange at its deadline, with a partial answer if it meets the minimum share."""
@@ -77,7 +77,7 @@
             return self._close(
                 exchange, [*settled, *self._ending.close_delegated(exchange, now)], now
             )
-        return self._close(exchange, self._ending.out_of_time(exchange, now), now)
+        return self._close(exchange, self._ending.reply_timed_out(exchange, now), now)
 
     def end_overdue(self, now: float) -> list[Action]:
         """End every exchange whose deadline has passed."""
@@ -106,7 +106,7 @@
             actions += self._sender.cancel(attempt, now)
         if exchange.origin is not None:
             return self._close(exchange, actions + exchange.origin.report_held(held_seconds), now)
-        ended = self._ending.held(exchange, held_seconds, now)
+        ended = self._ending.reply_held(exchange, held_seconds, now)
         return self._close(exchange, actions + ended, now)
 
     def give_back(self, exchange: Exchange, now: float) -> list[Action]:
@@ -122,12 +122,12 @@
         if not self.is_open(exchange):
             return []
         if exchange.origin is not None:
-            return self._settle_for_node(exchange, now)
+            return self._settle_delegated(exchange, now)
         if exchange.route.shards:
             return self._settle_merged(exchange, now)
         return self._settle_single(exchange, now)
 
-    def _settle_for_node(self, exchange: Exchange, now: float) -> list[Action]:
+    def _settle_delegated(self, exchange: Exchange, now: float) -> list[Action]:
         """Report the answers to the delegating node once they are complete, or at the cutoff.
 
         Exhausted shards are reported at once: the request may no longer succeed without them.
@@ -154,9 +154,9 @@
             )
         if not is_over:
             if self._is_unattainable(exchange):
-                return self._close(exchange, self._ending.too_few(exchange, now), now)
+                return self._close(exchange, self._ending.reply_too_few_shards(exchange, now), now)
             return self._reject_if_unsent(exchange, now)
-        merged = self._ending.merged(exchange, exchange.answered_calls, now)
+        merged = self._ending.reply_merged(exchange, exchange.answered_calls, now)
         return self._close(exchange, merged, now)
 
     def _is_unattainable(self, exchange: Exchange) -> bool:
@@ -174,7 +174,9 @@
     def _settle_single(self, exchange: Exchange, now: float) -> list[Action]:
         call = exchange.calls[0]
         if call.answer is not None:
-            return self._close(exchange, self._ending.unchanged(exchange, call.answer, now), now)
+            return self._close(
+                exchange, self._ending.reply_unchanged(exchange, call.answer, now), now
+            )
         if call.attempts or not call.may_have_run:
             return self._reject_if_unsent(exchange, now)
         match self._waiting.decide(exchange, now):
@@ -184,7 +186,7 @@
                 return []
 
     def _reject_if_unsent(self, exchange: Exchange, now: float) -> list[Action]:
-        """Reject a request that was sent to no replica once a retry by its caller is better."""
+        """Reject a request that was not sent yet if its caller should retry instead of waiting."""
         if exchange.may_have_run or any(call.attempts for call in exchange.calls):
             return []
         match self._waiting.decide(exchange, now):
--- a/wingquay/forwarding/store_contents.py
+++ b/wingquay/forwarding/store_contents.py
@@ -30,7 +30,7 @@
         Receives the keys of replica records that were written again without a change.
     configure
         Applies a stored configuration document.
-    replica_restarted
+    on_replica_restarted
         Aborts the attempts at a replica that has restarted.
     """
 
@@ -43,7 +43,7 @@
         follower: StoreFollower,
         rewritten: set[str],
         configure: Callable[[bytes], list[Action]],
-        replica_restarted: Callable[[ReplicaState, float], list[Action]],
+        on_replica_restarted: Callable[[ReplicaState, float], list[Action]],
     ) -> None:
         self._formats = formats
         self._directory = directory
@@ -53,7 +53,7 @@
         self._follower = follower
         self._rewritten = rewritten
         self._configure = configure
-        self._on_replica_restarted = replica_restarted
+        self._on_replica_restarted = on_replica_restarted
 
     def apply_listing(self, values: tuple[StoredValue, ...], now: float) -> list[Action]:
         """Apply a complete listing of the store; keys that it lacks are removed."""
