--- a/tests/adapters/test_forwarding_peer_codec.py
+++ b/tests/adapters/test_forwarding_peer_codec.py
@@ -57,7 +57,7 @@
     merged_records=st.integers(0, 2**31),
     priority=st.integers(0, 2**31),
     objective_seconds=SECONDS,
-    in_time_seconds=SECONDS,
+    cutoff_seconds=SECONDS,
     remaining_seconds=SECONDS,
     is_group_share=st.booleans(),
     tenant=st.text(max_size=9),
