--- a/tests/forwarding/test_awaiting_limits.py
+++ b/tests/forwarding/test_awaiting_limits.py
@@ -52,7 +52,7 @@
     def answer(self, answer: Admitted | Rejected) -> None:
         """Let the word come."""
         machine = self.node.machine._forwarding
-        for action in machine.limit_answered(self.number, answer, self.node.now):
+        for action in machine.on_limit_answered(self.number, answer, self.node.now):
             self.node._apply_action(action)
 
     @property
--- a/tests/forwarding/test_callers_stateful.py
+++ b/tests/forwarding/test_callers_stateful.py
@@ -159,7 +159,9 @@
         self.awaiting.discard(number)
         if answer is OVER_LIMIT and is_open:
             self.rejected.add(number)
-        for action in self.node.machine._forwarding.limit_answered(number, answer, self.node.now):
+        for action in self.node.machine._forwarding.on_limit_answered(
+            number, answer, self.node.now
+        ):
             self.node._apply_action(action)
 
     @rule(data=st.data())
