--- a/tests/adapters/test_forwarding_peer_codec.py
+++ b/tests/adapters/test_forwarding_peer_codec.py
@@ -33,7 +33,7 @@
     SendToPeer,
 )
 from wingquay.ports.proof_messages import ProofReply, ProofRequest
-from wingquay.ports.reachability_messages import ReachabilityReport
+from wingquay.ports.reach_news import ReachabilityReport
 from wingquay.ports.store import StoredValue
 from wingquay.ports.store_update import StoreUpdate
 
@@ -117,7 +117,7 @@
     "wingquay.ports.crash_messages",
     "wingquay.ports.delegation",
     "wingquay.ports.proof_messages",
-    "wingquay.ports.reachability_messages",
+    "wingquay.ports.reach_news",
     "wingquay.ports.store_update",
 )
 """Their messages are those between forwarding nodes."""
--- a/tests/adapters/test_peer_codec.py
+++ b/tests/adapters/test_peer_codec.py
@@ -70,7 +70,7 @@
     "wingquay.ports.crash_messages",
     "wingquay.ports.delegation",
     "wingquay.ports.proof_messages",
-    "wingquay.ports.reachability_messages",
+    "wingquay.ports.reach_news",
     "wingquay.ports.store_update",
 )
 """Their messages have a codec of their own, see test_forwarding_peer_codec."""
--- a/tests/forwarding/readiness/test_cut_zone.py
+++ b/tests/forwarding/readiness/test_cut_zone.py
@@ -13,7 +13,7 @@
 )
 from wingquay.ports.forwarding import OpenConnection, ReplyFailure, ReplyMerged
 from wingquay.ports.peer_link import PeerLinkBroken, SendToPeer
-from wingquay.ports.reachability_messages import ReachabilityReport
+from wingquay.ports.reach_news import ReachabilityReport
 
 ZONES = ("a", "b", "c", "d")
 SHARDS = 12
--- a/wingquay/adapters/forwarding_peer_codec.py
+++ b/wingquay/adapters/forwarding_peer_codec.py
@@ -16,7 +16,7 @@
 from ..ports.forwarding import OpaqueRequest
 from ..ports.peer_link import NodeIdentity, PeerMessage
 from ..ports.proof_messages import ProofReply, ProofRequest
-from ..ports.reachability_messages import ReachabilityReport
+from ..ports.reach_news import ReachabilityReport
 from ..ports.store import StoredValue
 from ..ports.store_update import StoreUpdate
 from .peer_codec_error import PeerCodecFailureKind
--- a/wingquay/forwarding/readiness/reachability_monitor.py
+++ b/wingquay/forwarding/readiness/reachability_monitor.py
@@ -7,7 +7,7 @@
 from ...ports.forwarding import ConnectionTried, ForwardRequested
 from ...ports.machine import Action, Count, Event, Log, LogLevel
 from ...ports.peer_link import PeerReceived
-from ...ports.reachability_messages import ReachabilityReport
+from ...ports.reach_news import ReachabilityReport
 from ...ports.store import StoreFailureKind, StoreResponse, WatchBroken, WatchChanged
 from ..choice.replica_directory import ReplicaDirectory
 from ..knowledge.reachability_evidence import ReachabilityEvidence
--- a/wingquay/forwarding/readiness/zone_prober.py
+++ b/wingquay/forwarding/readiness/zone_prober.py
@@ -11,7 +11,7 @@
 from ...ports.forwarding import ConnectionTried, OpenConnection
 from ...ports.machine import Action, Event, Schedule
 from ...ports.peer_link import NodeIdentity, SendToPeer
-from ...ports.reachability_messages import ReachabilityReport
+from ...ports.reach_news import ReachabilityReport
 from ..choice.replica_directory import ReplicaDirectory
 from ..choice.replica_state import ReplicaState
 from ..knowledge.reachability_evidence import ReachabilityEvidence
