--- a/tests/admission/test_health_pages.py
+++ b/tests/admission/test_health_pages.py
@@ -7,7 +7,7 @@
 from wingquay.admission.shard_table import ShardTable
 from wingquay.model.failure import Failure
 from wingquay.model.identifiers import AttemptId, ReplicaId
-from wingquay.model.key_range import EVERYTHING
+from wingquay.model.key_range import FULL_KEY_RANGE
 from wingquay.ports.backend import (
     AttemptFinished,
     BackendFailureKind,
--- a/tests/query/test_avoided_replicas.py
+++ b/tests/query/test_avoided_replicas.py
@@ -10,7 +10,7 @@
 from wingquay.admission.owner_machine import OwnerMachine
 from wingquay.admission.settings import AdmissionSettings
 from wingquay.model.identifiers import DeploymentName, NodeId, ReplicaId, SubRequestId
-from wingquay.model.key_range import EVERYTHING
+from wingquay.model.key_range import FULL_KEY_RANGE
 from wingquay.ports.backend import StartAttempt
 from wingquay.ports.internal import ConfigurationInForce
 from wingquay.ports.peer import NodeIdentity, PeerReceived, SubRequestBatch
--- a/tests/query/test_class_order.py
+++ b/tests/query/test_class_order.py
@@ -22,7 +22,7 @@
     SubRequestId,
     ZoneName,
 )
-from wingquay.model.key_range import EVERYTHING, KeyRange
+from wingquay.model.key_range import FULL_KEY_RANGE, KeyRange
 from wingquay.model.mechanisms import Mechanism
 from wingquay.model.request import SubRequest
 from wingquay.orchestration.settings import NodeMachineSettings
@@ -40,7 +40,7 @@
         service=ServiceName("s"),
         kind=RequestKindName("k"),
         shard_id=ShardId("s0"),
-        key_ranges=(EVERYTHING,),
+        key_ranges=(FULL_KEY_RANGE,),
         snapshot=SnapshotVersion(1),
         remaining_seconds=1.0,
         class_name=ClassName(class_name),
--- a/wingquay/admission/owner_machine.py
+++ b/wingquay/admission/owner_machine.py
@@ -11,7 +11,7 @@
     ConfigurationInForce,
     LeavingStarted,
     MembershipChanged,
-    ReplicaBelief,
+    ReplicaStateChanged,
     ServiceLoad,
 )
 from ..ports.machine import Action, Event, Schedule, Start
@@ -51,7 +51,7 @@
         ConfigurationInForce,
         MembershipChanged,
         LeavingStarted,
-        ReplicaBelief,
+        ReplicaStateChanged,
         AttemptFinished,
         ReplicaProbed,
         HedgeDue,
--- a/wingquay/admission/replica_observer.py
+++ b/wingquay/admission/replica_observer.py
@@ -19,7 +19,7 @@
     ProbeReplica,
     ReplicaProbed,
 )
-from ..ports.internal import Notify, ReplicaBelief, ReplicaObserved
+from ..ports.internal import Notify, ReplicaObserved, ReplicaStateChanged
 from ..ports.machine import Action
 from ..ports.peer import ReplicaState
 from ..routing.replica_tracker import ReplicaTracker
--- a/wingquay/query/coordinator.py
+++ b/wingquay/query/coordinator.py
@@ -18,7 +18,7 @@
     LeavingStarted,
     MembershipChanged,
     Notify,
-    ReplicaBelief,
+    ReplicaStateChanged,
 )
 from ..ports.machine import Action, Count, Event, EventLoopLag, Schedule
 from ..ports.peer import (
@@ -64,7 +64,7 @@
         ClaimDecided,
         ConfigurationInForce,
         MembershipChanged,
-        ReplicaBelief,
+        ReplicaStateChanged,
         LeavingStarted,
         PeerLinkBroken,
         EventLoopLag,
