--- a/tests/admission/test_health_pages.py
+++ b/tests/admission/test_health_pages.py
@@ -25,7 +25,7 @@
     def setUp(self) -> None:
         super().setUp()
         shards = ShardTable(RoutingSettings(), by_class=True)
-        shards.apply(configuration((EVERYTHING,), 1))
+        shards.apply(configuration((FULL_KEY_RANGE,), 1))
         self.observer = ReplicaObserver("n", RoutingSettings(), shards)
         refused = Failure(BackendFailureKind.DRAINING, "leaving")
         self.observer.on_attempt_finished(AttemptFinished(AttemptId("a"), REPLICA, refused), 10.0)
--- a/tests/query/small_tier.py
+++ b/tests/query/small_tier.py
@@ -253,5 +253,5 @@
 
     def true_rows(self, version: int) -> list[tuple[str, str]]:
         """Return all rows of the service at ``version`` as pairs of key and value."""
-        rows = self.dataset.rows_for(SERVICE, EVERYTHING, SnapshotVersion(version))
+        rows = self.dataset.rows_for(SERVICE, FULL_KEY_RANGE, SnapshotVersion(version))
         return [(row.key, row.value) for row in rows]
--- a/tests/query/test_avoided_replicas.py
+++ b/tests/query/test_avoided_replicas.py
@@ -23,7 +23,7 @@
     def chosen_replicas(self, avoid: tuple[ReplicaId, ...]) -> list[str]:
         identity = NodeIdentity(NodeId("n"), DeploymentName("ro-nord"), ZONES[0], "127.0.0.1", 1)
         owner = OwnerMachine(identity, RoutingSettings(), AdmissionSettings(), random.Random(1))
-        owner.handle(ConfigurationInForce(configuration((EVERYTHING,), 2)), 0.0)
+        owner.handle(ConfigurationInForce(configuration((FULL_KEY_RANGE,), 2)), 0.0)
         sub_request = work_item("q", "gold", 1).sub_request
         batch = SubRequestBatch(
             tuple(
--- a/tests/query/test_class_order.py
+++ b/tests/query/test_class_order.py
@@ -143,7 +143,7 @@
 
     def latency_of_ping(self, tier: SmallTier) -> float:
         sent_at = tier.now
-        tier.send_request("n1", "ping", "outage-ping", (KeyRange.of_key("village-0001"),))
+        tier.send_request("n1", "ping", "outage-ping", (KeyRange.from_key("village-0001"),))
         tier.run_until(tier.now + 3.0)
         return tier.answered_at["ping"] - sent_at
 
--- a/tests/query/test_recovery.py
+++ b/tests/query/test_recovery.py
@@ -33,7 +33,7 @@
         for index in range(PINGS):
             sent_at = self.tier.now
             self.tier.send_request(
-                "n0", f"{name}{index}", "outage-ping", (KeyRange.of_key("village-0001"),)
+                "n0", f"{name}{index}", "outage-ping", (KeyRange.from_key("village-0001"),)
             )
             self.tier.run_until(sent_at + 0.2)
             latencies.append(self.tier.answered_at[f"{name}{index}"] - sent_at)
--- a/tests/query/test_unrepeatable.py
+++ b/tests/query/test_unrepeatable.py
@@ -52,7 +52,7 @@
         self.coordinator = Coordinator(identity, QuerySettings(), owner_selector)
 
     def send_request_while_stopping(self) -> list[Action]:
-        in_force = ConfigurationInForce(configuration((EVERYTHING,), 1))
+        in_force = ConfigurationInForce(configuration((FULL_KEY_RANGE,), 1))
         self.coordinator.handle(in_force, 0.0)
         self.coordinator.handle(LeavingStarted(), 0.0)
         return self.coordinator.handle(CallerRequest(REQUEST), 100.0)
--- a/wingquay/admission/owner_machine.py
+++ b/wingquay/admission/owner_machine.py
@@ -157,8 +157,8 @@
                 self._owned = None
             case LeavingStarted():
                 self._dispatcher.is_stopping = True
-            case ReplicaBelief() if Mechanism.REPLICA_LEAVING not in self._disabled:
-                self._replica_observer.on_replica_belief(event)
+            case ReplicaStateChanged() if Mechanism.REPLICA_LEAVING not in self._disabled:
+                self._replica_observer.on_replica_state_changed(event)
                 return self._dispatcher.on_replica_changed(event.replica_id, now)
             case ReplicaProbed():
                 actions = self._replica_observer.on_probed(event, now)
--- a/wingquay/admission/replica_observer.py
+++ b/wingquay/admission/replica_observer.py
@@ -153,7 +153,7 @@
         self._last_observed[replica_id] = _Observation(state, held, now)
         return [Notify(ReplicaObserved(replica_id, state, held))]
 
-    def on_replica_belief(self, event: ReplicaBelief) -> None:
+    def on_replica_state_changed(self, event: ReplicaStateChanged) -> None:
         """Apply the replica state that the membership machine derived from all evidence."""
         found = self._shards.find_replica(event.replica_id)
         if found is None:
--- a/wingquay/query/coordinator.py
+++ b/wingquay/query/coordinator.py
@@ -160,8 +160,8 @@
             case MembershipChanged():
                 self._owner_selector.on_membership(event)
                 return self._owner_failover.on_membership(event, now)
-            case ReplicaBelief():
-                self._on_replica_belief(event)
+            case ReplicaStateChanged():
+                self._on_replica_state_changed(event)
             case LeavingStarted():
                 self._gate.start_stopping(now)
             case EventLoopLag():
@@ -179,7 +179,7 @@
             actions += self._results.handle(result, now)
         return actions
 
-    def _on_replica_belief(self, event: ReplicaBelief) -> None:
+    def _on_replica_state_changed(self, event: ReplicaStateChanged) -> None:
         excluded = event.state is not ReplicaState.SERVING
         self._planner.versions.set_excluded(event.replica_id, excluded)
         if event.held is not None:
