--- a/tests/claims/faults.py
+++ b/tests/claims/faults.py
@@ -7,15 +7,15 @@
 from wingquay.model.identifiers import ZoneName
 
 KEYS = ("k0", "k1", "k2", "k3")
-MOST_NODES = 24
+MAX_NODES = 24
 SHORT_SECONDS = (0.001, 0.004, 0.02, 0.3, 1.0)
 LONG_SECONDS = (3.0, 7.0, 20.0, 62.0, 106.0, 170.0)
 PROBABILITIES = (0.0, 0.05, 0.3)
 
 
 def _node(world: World, source: random.Random) -> SimulatedNode | None:
-    living = world.living()
-    return source.choice(living) if living else None
+    running = world.running()
+    return source.choice(running) if running else None
 
 
 def submit(world: World, source: random.Random) -> None:
@@ -44,7 +44,7 @@
 
 
 def start(world: World, source: random.Random) -> None:
-    if len(world.nodes) < MOST_NODES:
+    if len(world.nodes) < MAX_NODES:
         world.start_node(source.choice(world.zones))
 
 
@@ -61,52 +61,52 @@
 
 
 def resume(world: World, source: random.Random) -> None:
-    paused = [node for node in world.living() if node.paused]
+    paused = [node for node in world.running() if node.paused]
     if paused:
         world.resume(source.choice(paused))
 
 
-def lagging_view(world: World, source: random.Random) -> None:
+def send_partial_view(world: World, source: random.Random) -> None:
     """Tell a node a view that misses some nodes, or the truth."""
     node = _node(world, source)
     if node is None:
         return
-    others = [other.identity.node_id for other in world.living() if other is not node]
+    others = [other.identity.node_id for other in world.running() if other is not node]
     count = source.randint(0, len(others))
-    world.tell_view(node, set(source.sample(others, count)))
+    world.send_view(node, set(source.sample(others, count)))
 
 
-def true_views(world: World, source: random.Random) -> None:
-    world.tell_membership()
+def send_full_views(world: World, source: random.Random) -> None:
+    world.send_membership()
 
 
 def cut_zones(world: World, source: random.Random) -> None:
     """Cut some zones off from the others; their nodes take the others for lost."""
     zones = source.sample(world.zones, source.randint(1, len(world.zones)))
-    group = {node.identity.node_id for node in world.living() if node.identity.zone in zones}
+    group = {node.identity.node_id for node in world.running() if node.identity.zone in zones}
     _cut(world, source, group)
 
 
 def cut_nodes(world: World, source: random.Random) -> None:
     """Cut any nodes off from the others, across zones."""
-    living = [node.identity.node_id for node in world.living()]
-    _cut(world, source, set(source.sample(living, source.randint(0, len(living)))))
+    running = [node.identity.node_id for node in world.running()]
+    _cut(world, source, set(source.sample(running, source.randint(0, len(running)))))
 
 
 def _cut(world: World, source: random.Random, group: set[str]) -> None:
     world.cut_off({node_id for node_id in world.nodes if node_id in group})
     cuts_store = source.random() < 0.7
-    for node in world.living():
+    for node in world.running():
         inside = node.identity.node_id in group
         if inside and cuts_store:
             world.store.cut_off.add(node.identity.node_id)
         others = {
             other.identity.node_id
-            for other in world.living()
+            for other in world.running()
             if (other.identity.node_id in group) != inside
         }
         if source.random() < 0.8:
-            world.tell_view(node, others)
+            world.send_view(node, others)
 
 
 def heal(world: World, source: random.Random) -> None:
@@ -129,7 +129,7 @@
     names = [ZoneName(f"z{index}") for index in range(5)]
     zones = tuple(sorted(source.sample(names, source.randint(1, 4))))
     for zone in zones:
-        if not world.living(zone):
+        if not world.running(zone):
             world.start_node(zone)
     world.change_zones(zones, {node for node in world.nodes if source.random() < 0.2})
 
@@ -151,8 +151,8 @@
         leave,
         pause,
         resume,
-        lagging_view,
-        true_views,
+        send_partial_view,
+        send_full_views,
         cut_zones,
         cut_nodes,
         heal,
@@ -162,7 +162,7 @@
         change_zones,
     )
 }
-WEIGHTS = {"submit": 8, "wait_shortly": 4, "wait_long": 4, "true_views": 2, "start": 2}
+WEIGHTS = {"submit": 8, "wait_shortly": 4, "wait_long": 4, "send_full_views": 2, "start": 2}
 
 
 def take_random_steps(world: World, source: random.Random, count: int) -> list[str]:
--- a/tests/claims/small_store.py
+++ b/tests/claims/in_memory_store.py
@@ -16,11 +16,11 @@
     SwapResult,
 )
 
-TRIP_SECONDS = 0.002
-LANDS_AFTER_SECONDS = (0.002, 0.4, 5.0, 50.0)
+ONE_WAY_SECONDS = 0.002
+LATE_WRITE_SECONDS = (0.002, 0.4, 5.0, 50.0)
 
 
-class SmallStore:
+class InMemoryStore:
     """A store that answers through ``at(time, run)``."""
 
     def __init__(
@@ -45,26 +45,26 @@
         node_id: str,
         request: StoreRequest,
         now: float,
-        give: Callable[[StoreResponse], None],
+        deliver: Callable[[StoreResponse], None],
     ) -> None:
         self.operations += 1
 
         def answer(result: StoreResult | Failure[StoreFailureKind], at: float) -> None:
-            self._at(at, lambda: give(StoreResponse(request.operation_id, result)))
+            self._at(at, lambda: deliver(StoreResponse(request.operation_id, result)))
 
         if self.is_down or node_id in self.cut_off:
             answer(Failure(StoreFailureKind.UNREACHABLE, "cut off"), now + 0.1)
             return
         if self._random.random() >= self.lost_replies:
-            applied_at = now + TRIP_SECONDS
-            self._at(applied_at, lambda: answer(self._apply(request), applied_at + TRIP_SECONDS))
+            applied_at = now + ONE_WAY_SECONDS
+            self._at(applied_at, lambda: answer(self._apply(request), applied_at + ONE_WAY_SECONDS))
             return
         answer(Failure(StoreFailureKind.LOST_REPLY, "lost"), now + 0.5)
         if self._random.random() < 0.7:
-            lands_at = now + self._random.choice(LANDS_AFTER_SECONDS)
-            self._at(lands_at, lambda: self._land(request))
+            lands_at = now + self._random.choice(LATE_WRITE_SECONDS)
+            self._at(lands_at, lambda: self._apply_late(request))
 
-    def _land(self, request: StoreRequest) -> None:
+    def _apply_late(self, request: StoreRequest) -> None:
         self._apply(request)
 
     def _apply(self, request: StoreRequest) -> StoreResult:
--- a/tests/claims/test_late_messages.py
+++ b/tests/claims/test_late_messages.py
@@ -46,7 +46,7 @@
     assignments = AssignmentTable(quick_settings(), identity)
     assignment = assignments.assignments[partition_of(KEY_DIGEST)]
     assignments.begin_epoch(assignment, 1, ZONES)
-    assignments.vote(assignment)
+    assignments.start_voting(assignment)
     assignment.confirmed_at = 0.0
     return Voter(assignments)
 
@@ -93,7 +93,7 @@
 
         def request_in(epoch: int) -> ClaimTableRequest:
             assignments.begin_epoch(assignment, epoch, zones)
-            assignment.ask_tables_soon(0.0, 1.0)
+            assignment.schedule_table_requests(0.0, 1.0)
             (sent,) = transfers.tick(0.0)
             assert isinstance(sent, SendToPeer)
             assert isinstance(sent.message, ClaimTableRequest)
@@ -106,7 +106,7 @@
         ):
             transfer_id = request.transfer_id
             table = ClaimTable(0, transfer_id, True, False, 1, (), 0.0, "table", ())
-            transfers.receive(there, table, 0.0)
+            transfers.handle_table(there, table, 0.0)
             self.assertIs(expected, assignment.status)
 
 
@@ -115,16 +115,18 @@
         """Its grant was given back; a rival may have it by the time the vote arrives."""
         world = World(2, 1)
         world.settle()
-        asker, other = world.living()
+        submitter, other = world.running()
         world.cut_off({other.identity.node_id})
-        submission = world.submit(asker, "k0")
+        submission = world.submit(submitter, "k0")
         request_id = submission.request.request_id
         key = claim_key(CallerName("surveyor"), ServiceName("survey-intake"), "k0")
         digest = request_digest(submission.request)
         smaller_id = RequestId("0")
         claimed = VoteKind.ALREADY_CLAIMED
-        world.receive(other, asker, ClaimVote(key, request_id, 1, claimed, 1, smaller_id, digest))
-        world.receive(other, asker, ClaimVote(key, request_id, 1, VoteKind.GRANTED, 1))
+        world.receive(
+            other, submitter, ClaimVote(key, request_id, 1, claimed, 1, smaller_id, digest)
+        )
+        world.receive(other, submitter, ClaimVote(key, request_id, 1, VoteKind.GRANTED, 1))
         world.advance(3.0)
         self.assertEqual(ClaimDecisionKind.IN_PROGRESS, submission.decision)
 
@@ -143,16 +145,16 @@
 
         world.delay_rule = delay
         middle = world.start_node(world.zones[0])
-        world.tell_membership()
+        world.send_membership()
         world.advance(4.0)
         key = self._key_held_by(world, middle.identity.node_id)
         world.submit(middle, key)
         world.advance(2.0)
         world.delay_rule = None
         last = world.start_node(world.zones[0])
-        world.tell_membership()
+        world.send_membership()
         world.advance(20.0)
-        world.tell_view(middle, {last.identity.node_id})
+        world.send_view(middle, {last.identity.node_id})
         world.submit(middle, key)
         world.advance(3.0)
         self.assertEqual([], world.violations)
@@ -164,8 +166,8 @@
         while True:
             key = f"k{source.randrange(10**6)}"
             number = partition(key)
-            now = world.living()[0].machine.holder(world.zones[0], number)
-            later = spare.living()[0].machine.holder(world.zones[0], number)
+            now = world.running()[0].machine.holder(world.zones[0], number)
+            later = spare.running()[0].machine.holder(world.zones[0], number)
             if now is not None and later is not None:
                 if (now.node_id, later.node_id) == (node_id, "n2"):
                     return key
--- a/tests/claims/test_mechanisms.py
+++ b/tests/claims/test_mechanisms.py
@@ -26,14 +26,14 @@
 def holder(world: World, zone_index: int) -> SimulatedNode:
     """Return the node that truly holds the zone's assignment for the key."""
     zone = world.zones[zone_index]
-    identity = world.living(zone)[0].machine.holder(zone, PARTITION)
+    identity = world.running(zone)[0].machine.holder(zone, PARTITION)
     assert identity is not None
     return world.nodes[identity.node_id]
 
 
 def other_than(world: World, node: SimulatedNode) -> SimulatedNode:
     """Return another node of the same zone."""
-    return next(mate for mate in world.living(node.identity.zone) if mate is not node)
+    return next(peer for peer in world.running(node.identity.zone) if peer is not node)
 
 
 def separate(world: World, *groups: list[SimulatedNode]) -> None:
@@ -43,7 +43,7 @@
 
 
 def cut_zones(world: World) -> None:
-    left, right = world.living(world.zones[0]), world.living(world.zones[1])
+    left, right = world.running(world.zones[0]), world.running(world.zones[1])
     world.cut_off(ids(left))
     world.submit(left[0], KEY)
     world.submit(right[0], KEY)
@@ -54,21 +54,21 @@
     """The first submission asks the old holder of an assignment, the second one the new holder."""
     old = holder(world, 0)
     new = other_than(world, old)
-    believers = [node for node in world.living() if node is not old]
+    others = [node for node in world.running() if node is not old]
     # Voters hear of the takeover from the new holder only, not from the store.
-    world.store.cut_off |= ids([node for node in world.living() if node is not new])
-    for node in believers:
-        world.tell_view(node, ids([old]))
+    world.store.cut_off |= ids([node for node in world.running() if node is not new])
+    for node in others:
+        world.send_view(node, ids([old]))
     world.advance(5.0)
     middle, last = holder(world, 1), holder(world, 2)
-    first_asker = other_than(world, middle)
-    world.tell_membership(first_asker)
+    first_submitter = other_than(world, middle)
+    world.send_membership(first_submitter)
     separate(world, [last], [new])
     world.network.cut.discard(frozenset(ids([last, new])))
-    second_asker = last
-    world.submit(first_asker, KEY)
+    second_submitter = last
+    world.submit(first_submitter, KEY)
     world.advance(5.0)
-    world.submit(second_asker, KEY)
+    world.submit(second_submitter, KEY)
     world.advance(5.0)
 
 
@@ -81,7 +81,7 @@
     world.crash(old)
     # Whoever ran it cannot tell the outcome to the voter that was never asked.
     world.network.cut = {frozenset(ids([middle, last]))}
-    world.tell_membership()
+    world.send_membership()
     world.advance(5.0)
     world.submit(last, KEY)
     world.advance(5.0)
@@ -92,12 +92,14 @@
     sleeper = holder(world, 0)
     successor = other_than(world, sleeper)
     sleeper.paused = True
-    world.tell_view(successor, ids([sleeper]))
-    world.advance(world.settings.join_takeover_delay_seconds + world.settings.wait_seconds + 5.0)
+    world.send_view(successor, ids([sleeper]))
+    world.advance(
+        world.settings.join_takeover_delay_seconds + world.settings.rebuild_wait_seconds + 5.0
+    )
     world.submit(successor, KEY)
     world.advance(2.0)
     world.submit(sleeper, KEY)
-    sleeper.waiting.reverse()
+    sleeper.pending_events.reverse()
     world.random.seed(1)
     world.resume(sleeper)
     world.advance(5.0)
@@ -105,14 +107,14 @@
 
 class Mechanisms(TestCase):
     def check(self, mechanism: Mechanism, zone_count: int, case: Case) -> None:
-        guarded = World(zone_count, 2, seed=1)
-        guarded.settle()
-        case(guarded)
-        self.assertEqual([], guarded.violations)
-        bare = World(zone_count, 2, 1, quick_settings(frozenset({mechanism})))
-        bare.settle()
-        case(bare)
-        self.assertNotEqual([], bare.violations)
+        with_all = World(zone_count, 2, seed=1)
+        with_all.settle()
+        case(with_all)
+        self.assertEqual([], with_all.violations)
+        without_mechanism = World(zone_count, 2, 1, quick_settings(frozenset({mechanism})))
+        without_mechanism.settle()
+        case(without_mechanism)
+        self.assertNotEqual([], without_mechanism.violations)
 
     def test_quorum(self) -> None:
         self.check(Mechanism.CLAIM_QUORUM, 2, cut_zones)
@@ -136,11 +138,11 @@
 
     def test_no_two_quorums_are_blind_to_each_other(self) -> None:
         for zone_count in (2, 4):
-            for left_asks_first in (True, False):
+            for left_submits_first in (True, False):
                 world = self._crossed(zone_count)
-                askers = [self.left[0], self.right[0]]
-                for asker in askers if left_asks_first else reversed(askers):
-                    world.submit(asker, KEY)
+                submitters = [self.left[0], self.right[0]]
+                for submitter in submitters if left_submits_first else reversed(submitters):
+                    world.submit(submitter, KEY)
                     world.advance(3.0)
                 self.assertEqual([], world.violations)
 
@@ -153,10 +155,10 @@
         self.right = [new[0], old[1], *old[3:4]]
         world.store.cut_off |= ids(old)
         world.cut_off(ids(self.left))
-        everyone = ids(world.living())
+        everyone = ids(world.running())
         for side in (self.left, self.right):
             for node in side:
-                world.tell_view(node, everyone - ids(side))
+                world.send_view(node, everyone - ids(side))
         world.advance(4.0)
         return world
 
@@ -167,17 +169,17 @@
     def test_claimants_and_voters_of_different_lists_do_not_work_together(self) -> None:
         world = World(3, 2, seed=1)
         world.settle()
-        unaware = other_than(world, holder(world, 0))
+        uninformed = other_than(world, holder(world, 0))
         for name in ("z3", "z4"):
             world.start_node(ZoneName(name))
-        world.tell_membership()
+        world.send_membership()
         zones = (*world.zones, ZoneName("z3"), ZoneName("z4"))
-        world.change_zones(zones, ids([unaware]))
+        world.change_zones(zones, ids([uninformed]))
         world.advance(10.0)
-        left = [unaware, holder(world, 0), holder(world, 1)]
+        left = [uninformed, holder(world, 0), holder(world, 1)]
         right = [holder(world, index) for index in (2, 3, 4)]
         world.cut_off(ids(left))
-        world.submit(unaware, KEY)
+        world.submit(uninformed, KEY)
         world.advance(3.0)
         second = world.submit(right[0], KEY)
         world.advance(3.0)
--- a/tests/claims/test_scenarios.py
+++ b/tests/claims/test_scenarios.py
@@ -28,13 +28,13 @@
 
 
 def voting(world: World, zone: ZoneName) -> int:
-    return sum(node.machine.report().assignments_voting for node in world.living(zone))
+    return sum(node.machine.report().assignments_voting for node in world.running(zone))
 
 
 def holder_of(world: World, key: str, zone: ZoneName) -> SimulatedNode:
     """Return the node of ``zone`` that remembers ``key`` or would be asked for it."""
     partition = partition_of(claim_key(CallerName("surveyor"), ServiceName("survey-intake"), key))
-    node = world.living(zone)[0]
+    node = world.running(zone)[0]
     holder = node.machine.holder(zone, partition)
     assert holder is not None
     return world.nodes[holder.node_id]
@@ -44,7 +44,7 @@
     def test_runs_once_and_repeats_get_the_same_answer(self) -> None:
         for zone_count in (1, 2, 3, 4):
             world = settled(zone_count)
-            first, *_, last = world.living()
+            first, *_, last = world.running()
             self.assertEqual(ClaimDecisionKind.GRANTED, decide(world, first))
             repeat = world.submit(last, KEY)
             world.advance(1.0)
@@ -54,14 +54,14 @@
 
     def test_a_key_used_for_other_content_is_refused(self) -> None:
         world = settled(3)
-        first, *_, last = world.living()
+        first, *_, last = world.running()
         decide(world, first)
         self.assertEqual(ClaimDecisionKind.KEY_REUSED, decide(world, last, body="other"))
 
     def test_of_racing_submissions_one_runs(self) -> None:
         for seed in range(30):
             world = settled(1 + seed % 4, seed=seed)
-            racers = [world.submit(node, KEY) for node in world.living()]
+            racers = [world.submit(node, KEY) for node in world.running()]
             world.advance(3.0)
             decisions = [racer.decision for racer in racers]
             self.assertEqual(1, decisions.count(ClaimDecisionKind.GRANTED), decisions)
@@ -70,7 +70,7 @@
     def test_what_did_not_run_may_be_repeated(self) -> None:
         world = settled(3)
         world.refuse_to_run = True
-        first, *_, last = world.living()
+        first, *_, last = world.running()
         self.assertEqual(ClaimDecisionKind.GRANTED, decide(world, first))
         world.refuse_to_run = False
         self.assertEqual(ClaimDecisionKind.GRANTED, decide(world, last))
@@ -78,7 +78,7 @@
     def test_a_release_lost_with_a_connection_is_sent_again(self) -> None:
         world = settled(3)
         world.refuse_to_run = True
-        first, *_, last = world.living()
+        first, *_, last = world.running()
         world.submit(first, KEY)
         world.advance(0.03)
         world.network.loss = 1.0
@@ -90,29 +90,29 @@
 
     def test_a_claimant_lost_in_mid_run_leaves_the_outcome_unknown(self) -> None:
         world = settled(3)
-        first, *_, last = world.living()
+        first, *_, last = world.running()
         world.submit(first, KEY)
         world.advance(0.03)
         self.assertEqual(1, len(world.runs[KEY]))
         world.crash(first)
-        world.tell_membership()
+        world.send_membership()
         world.settle()
         self.assertEqual(ClaimDecisionKind.IN_PROGRESS, decide(world, last))
 
     def test_a_key_is_new_again_after_the_retention(self) -> None:
         world = settled(3)
-        node = world.living()[0]
+        node = world.running()[0]
         decide(world, node)
         world.advance(RETENTION_SECONDS - 10.0)
         self.assertEqual(ClaimDecisionKind.ALREADY_DONE, decide(world, node))
-        world.advance(world.settings.kept_seconds)
+        world.advance(world.settings.total_retention_seconds)
         self.assertEqual(ClaimDecisionKind.GRANTED, decide(world, node))
         self.assertEqual([], world.violations)
 
     def test_a_full_memory_refuses_and_forgets_nothing(self) -> None:
         world = World(3, 1, settings=replace(quick_settings(), capacity_records=5))
         world.settle()
-        node = world.living()[0]
+        node = world.running()[0]
         decisions = [decide(world, node, f"k{number}") for number in range(8)]
         granted = [ClaimDecisionKind.GRANTED] * 5
         self.assertEqual([*granted, *[ClaimDecisionKind.CANNOT_TELL] * 3], decisions)
@@ -122,97 +122,101 @@
 class Faults(TestCase):
     def test_the_majority_side_of_a_cut_goes_on(self) -> None:
         world = settled(3)
-        minority = world.living(world.zones[0])
+        minority = world.running(world.zones[0])
         ids = {node.identity.node_id for node in minority}
         world.cut_off(ids)
-        for node in world.living():
+        for node in world.running():
             outside = set(world.nodes) - ids
-            world.tell_view(node, outside if node in minority else ids)
+            world.send_view(node, outside if node in minority else ids)
         self.assertEqual(ClaimDecisionKind.CANNOT_TELL, decide(world, minority[0], "k1"))
-        majority = world.living(world.zones[1])
+        majority = world.running(world.zones[1])
         self.assertEqual(ClaimDecisionKind.GRANTED, decide(world, majority[0], "k2"))
         self.assertEqual(ClaimDecisionKind.GRANTED, decide(world, majority[0], "k1"))
 
     def test_a_lost_voter_is_rebuilt_from_the_other_zones(self) -> None:
         for zone_count in (2, 3, 4):
             world = settled(zone_count)
-            decide(world, world.living()[0])
+            decide(world, world.running()[0])
             world.crash(holder_of(world, KEY, world.zones[0]))
-            world.tell_membership()
+            world.send_membership()
             world.advance(6.0)
             self.assertEqual(PARTITIONS, voting(world, world.zones[0]), zone_count)
-            self.assertEqual(ClaimDecisionKind.ALREADY_DONE, decide(world, world.living()[-1]))
+            self.assertEqual(
+                ClaimDecisionKind.ALREADY_DONE, decide(world, world.running()[-1])
+            )
 
     def test_voters_replaced_one_by_one_lose_nothing(self) -> None:
         """Planned stops hand memory over; in one zone nothing else could keep it."""
         for zone_count in (1, 3):
             world = settled(zone_count, nodes_per_zone=1)
-            decide(world, world.living()[0])
-            for old in world.living():
+            decide(world, world.running()[0])
+            for old in world.running():
                 world.start_node(old.identity.zone)
-                world.tell_membership()
+                world.send_membership()
                 world.leave(old)
-                world.tell_membership()
+                world.send_membership()
                 world.advance(5.0)
                 self.assertEqual(0, old.machine.assignments_to_hand_over)
                 world.crash(old)
-                world.tell_membership()
+                world.send_membership()
                 world.advance(1.0)
             for zone in world.zones:
                 self.assertEqual(PARTITIONS, voting(world, zone))
-            self.assertEqual(ClaimDecisionKind.ALREADY_DONE, decide(world, world.living()[-1]))
+            self.assertEqual(
+                ClaimDecisionKind.ALREADY_DONE, decide(world, world.running()[-1])
+            )
 
     def test_a_restarted_lone_node_rebuilds_within_seconds(self) -> None:
         """So zones with one node each can be restarted one after the other."""
         world = settled(3, nodes_per_zone=1)
-        decide(world, world.living()[0])
+        decide(world, world.running()[0])
         for zone in world.zones:
-            world.crash(world.living(zone)[0])
+            world.crash(world.running(zone)[0])
             world.start_node(zone)
-            world.tell_membership()
+            world.send_membership()
             world.advance(8.0)
-        self.assertEqual(ClaimDecisionKind.ALREADY_DONE, decide(world, world.living()[0]))
+        self.assertEqual(ClaimDecisionKind.ALREADY_DONE, decide(world, world.running()[0]))
 
     def test_a_zone_whose_nodes_all_crashed_rebuilds_within_seconds(self) -> None:
         world = settled(3)
-        decide(world, world.living()[0])
+        decide(world, world.running()[0])
         for zone in world.zones:
-            for node in world.living(zone):
+            for node in world.running(zone):
                 world.crash(node)
                 world.start_node(zone)
-            world.tell_membership()
+            world.send_membership()
             world.advance(5.0)
             self.assertEqual(PARTITIONS, voting(world, zone))
-        self.assertEqual(ClaimDecisionKind.ALREADY_DONE, decide(world, world.living()[0]))
+        self.assertEqual(ClaimDecisionKind.ALREADY_DONE, decide(world, world.running()[0]))
 
     def test_after_all_memory_was_lost_nothing_is_granted_until_it_is_forgotten_anyway(
         self,
     ) -> None:
         for zone_count in (1, 2, 3, 4):
             world = settled(zone_count)
-            decide(world, world.living()[0])
-            for node in world.living():
+            decide(world, world.running()[0])
+            for node in world.running():
                 world.crash(node)
             for zone in world.zones:
                 world.start_node(zone)
-            world.tell_membership()
+            world.send_membership()
             world.advance(20.0)
-            node = world.living()[0]
+            node = world.running()[0]
             self.assertEqual(ClaimDecisionKind.CANNOT_TELL, decide(world, node))
-            world.advance(world.settings.wait_seconds)
+            world.advance(world.settings.rebuild_wait_seconds)
             self.assertEqual(ClaimDecisionKind.GRANTED, decide(world, node))
             self.assertEqual([], world.violations)
 
     def test_the_store_is_needed_for_takeovers_only(self) -> None:
         world = settled(3)
         world.store.is_down = True
-        decide(world, world.living()[0])
+        decide(world, world.running()[0])
         world.advance(world.settings.assignment_validity_seconds - 20.0)
-        self.assertEqual(ClaimDecisionKind.ALREADY_DONE, decide(world, world.living()[-1]))
+        self.assertEqual(ClaimDecisionKind.ALREADY_DONE, decide(world, world.running()[-1]))
         world.crash(holder_of(world, KEY, world.zones[0]))
-        world.tell_membership()
+        world.send_membership()
         world.advance(5.0)
-        self.assertEqual(ClaimDecisionKind.ALREADY_DONE, decide(world, world.living()[-1]))
+        self.assertEqual(ClaimDecisionKind.ALREADY_DONE, decide(world, world.running()[-1]))
         world.store.is_down = False
         world.advance(10.0)
         self.assertEqual(PARTITIONS, voting(world, world.zones[0]))
@@ -223,8 +227,8 @@
             world = World(3, 2, seed, patient)
             world.store.lost_replies = 0.5
             world.advance(190.0)
-            world.crash(world.living(world.zones[0])[0])
-            world.tell_membership()
+            world.crash(world.running(world.zones[0])[0])
+            world.send_membership()
             world.advance(90.0)
             self.assertEqual(PARTITIONS, voting(world, world.zones[0]), seed)
 
@@ -232,13 +236,13 @@
         before = ("z0", "z1", "z2")
         for after in (("z0",), ("z0", "z1"), ("z0", "z1", "z2", "z3"), ("z2", "z3", "z4", "z5")):
             world = settled(len(before))
-            decide(world, world.living()[0])
+            decide(world, world.running()[0])
             for name in after[len(set(after) & set(before)) :]:
                 world.start_node(ZoneName(name))
-            world.tell_membership()
+            world.send_membership()
             world.change_zones(tuple(ZoneName(name) for name in after))
             world.advance(10.0)
-            node = world.living(world.zones[0])[0]
+            node = world.running(world.zones[0])[0]
             self.assertEqual(ClaimDecisionKind.ALREADY_DONE, decide(world, node), after)
             self.assertEqual(ClaimDecisionKind.GRANTED, decide(world, node, "k1"), after)
             for zone in world.zones:
@@ -246,22 +250,24 @@
 
     def test_another_list_of_zones_without_memory_waits(self) -> None:
         world = settled(3, nodes_per_zone=1)
-        decide(world, world.living()[0])
+        decide(world, world.running()[0])
         for zone in world.zones[:2]:
-            world.crash(world.living(zone)[0])
+            world.crash(world.running(zone)[0])
             world.start_node(zone)
         world.change_zones((*world.zones, ZoneName("z9")))
         world.start_node(ZoneName("z9"))
-        world.tell_membership()
+        world.send_membership()
         world.advance(30.0)
-        self.assertEqual(ClaimDecisionKind.CANNOT_TELL, decide(world, world.living()[0], "k1"))
-        world.advance(world.settings.wait_seconds)
-        self.assertEqual(ClaimDecisionKind.GRANTED, decide(world, world.living()[0], "k1"))
+        self.assertEqual(
+            ClaimDecisionKind.CANNOT_TELL, decide(world, world.running()[0], "k1")
+        )
+        world.advance(world.settings.rebuild_wait_seconds)
+        self.assertEqual(ClaimDecisionKind.GRANTED, decide(world, world.running()[0], "k1"))
 
     def test_a_node_that_has_not_heard_of_a_new_zone_reads_with_pauses(self) -> None:
         world = settled(2)
-        unaware = world.living()[0]
-        world.change_zones(world.zones[:1], {unaware.identity.node_id})
+        uninformed = world.running()[0]
+        world.change_zones(world.zones[:1], {uninformed.identity.node_id})
         world.advance(20.0)
         before = world.store.operations
         seconds = 20.0
@@ -276,7 +282,7 @@
         world.advance(intervals * world.settings.assignment_confirm_interval_seconds)
         reads = world.store.operations - before
         # The interval is shortened by up to a half, so that nodes do not read together.
-        self.assertTrue(reads <= 2 * intervals * len(world.living()), reads)
+        self.assertTrue(reads <= 2 * intervals * len(world.running()), reads)
 
 
 class Settings(TestCase):
--- a/tests/claims/test_stateful.py
+++ b/tests/claims/test_stateful.py
@@ -47,7 +47,7 @@
 
     @invariant()
     def memory_is_accounted_for(self) -> None:
-        for node in self.world.living():
+        for node in self.world.running():
             report = node.machine.report()
             assert report.records >= 0
             assert report.outcome_bytes >= 0
@@ -59,11 +59,11 @@
             return
         world.heal()
         for zone in world.zones:
-            if not any(not node.leaving for node in world.living(zone)):
+            if not any(not node.leaving for node in world.running(zone)):
                 world.start_node(zone)
-        world.tell_membership()
-        world.advance(world.settings.wait_seconds + 180.0)
-        submission = world.submit(world.living()[0], "new")
+        world.send_membership()
+        world.advance(world.settings.rebuild_wait_seconds + 180.0)
+        submission = world.submit(world.running()[0], "new")
         world.advance(3.0)
         assert submission.decision is ClaimDecisionKind.GRANTED, submission
         assert world.violations == []
--- a/tests/claims/world.py
+++ b/tests/claims/world.py
@@ -9,7 +9,7 @@
 from collections.abc import Callable, Collection
 from dataclasses import dataclass, field
 
-from tests.claims.small_store import SmallStore
+from tests.claims.in_memory_store import InMemoryStore
 from wingquay.claims.machine import ClaimsMachine
 from wingquay.claims.settings import ClaimsSettings
 from wingquay.model.configuration import Configuration, Deployment, Service
@@ -68,7 +68,7 @@
     alive: bool = True
     leaving: bool = False
     paused: bool = False
-    waiting: list[Event] = field(default_factory=list)
+    pending_events: list[Event] = field(default_factory=list)
 
 
 @dataclass
@@ -107,7 +107,7 @@
         self.now = 0.0
         self.random = random.Random(seed)
         self.network = Network()
-        self.store = SmallStore(self.random, self._at)
+        self.store = InMemoryStore(self.random, self._at)
         self.zones = tuple(ZoneName(f"z{index}") for index in range(zone_count))
         self.settings = settings or quick_settings()
         self.nodes: dict[NodeId, SimulatedNode] = {}
@@ -122,7 +122,7 @@
         for _ in range(nodes_per_zone):
             for zone in self.zones:
                 self.start_node(zone)
-        self.tell_membership()
+        self.send_membership()
 
     # Nodes
 
@@ -133,8 +133,8 @@
         machine = ClaimsMachine(self.settings, identity, random.Random(self.random.random()))
         node = SimulatedNode(identity, machine)
         self.nodes[node_id] = node
-        self.give(node, Start())
-        self.give(node, ConfigurationInForce(self.configuration()))
+        self.deliver(node, Start())
+        self.deliver(node, ConfigurationInForce(self.configuration()))
         return node
 
     def configuration(self) -> Configuration:
@@ -145,56 +145,56 @@
         )
 
     def change_zones(
-        self, zones: tuple[ZoneName, ...], unaware: Collection[NodeId] = frozenset()
+        self, zones: tuple[ZoneName, ...], uninformed: Collection[NodeId] = frozenset()
     ) -> None:
         """Confirm a configuration with other zones; ``unaware`` nodes do not hear of it."""
         self.zones = zones
         self.zones_revision += 1
-        for node in self.living():
-            if node.identity.node_id not in unaware:
-                self.give(node, ConfigurationInForce(self.configuration()))
+        for node in self.running():
+            if node.identity.node_id not in uninformed:
+                self.deliver(node, ConfigurationInForce(self.configuration()))
 
-    def living(self, zone: ZoneName | None = None) -> list[SimulatedNode]:
+    def running(self, zone: ZoneName | None = None) -> list[SimulatedNode]:
         return [
             node
             for node in self.nodes.values()
             if node.alive and (zone is None or node.identity.zone == zone)
         ]
 
-    def tell_membership(self, node: SimulatedNode | None = None) -> None:
+    def send_membership(self, node: SimulatedNode | None = None) -> None:
         """Tell one node, or all, the truth about all nodes."""
-        for receiver in self.living() if node is None else [node]:
-            self.tell_view(receiver, set())
+        for receiver in self.running() if node is None else [node]:
+            self.send_view(receiver, set())
 
-    def tell_view(self, node: SimulatedNode, missing: set[NodeId]) -> None:
+    def send_view(self, node: SimulatedNode, missing: set[NodeId]) -> None:
         """Tell a node a view in which some nodes are missing."""
-        seen = [other for other in self.living() if other.identity.node_id not in missing]
+        seen = [other for other in self.running() if other.identity.node_id not in missing]
         available = tuple(other.identity for other in seen if not other.leaving)
         leaving = tuple(other.identity for other in seen if other.leaving)
-        self.give(node, MembershipChanged(available, leaving))
+        self.deliver(node, MembershipChanged(available, leaving))
 
     def crash(self, node: SimulatedNode) -> None:
         node.alive = False
-        node.waiting.clear()
+        node.pending_events.clear()
 
     def leave(self, node: SimulatedNode) -> None:
         node.leaving = True
-        self.give(node, LeavingStarted())
+        self.deliver(node, LeavingStarted())
 
     def resume(self, node: SimulatedNode) -> None:
         node.paused = False
-        waiting, node.waiting = node.waiting, []
+        pending_events, node.pending_events = node.pending_events, []
         # What waits in sockets and what waits for timers is read in no certain order.
         if self.random.random() < 0.5:
-            self.random.shuffle(waiting)
-        for event in waiting:
-            self.give(node, event)
+            self.random.shuffle(pending_events)
+        for event in pending_events:
+            self.deliver(node, event)
 
-    def give(self, node: SimulatedNode, event: Event) -> None:
+    def deliver(self, node: SimulatedNode, event: Event) -> None:
         if not node.alive:
             return
         if node.paused:
-            node.waiting.append(event)
+            node.pending_events.append(event)
             return
         for action in node.machine.handle(event, self.now):
             self._perform(node, action)
@@ -204,10 +204,12 @@
             case SendToPeer():
                 self._send(node, action.to, action.message)
             case Schedule():
-                self._at(action.at_seconds, lambda: self.give(node, action.event))
+                self._at(action.at_seconds, lambda: self.deliver(node, action.event))
             case StoreRequest():
                 node_id = node.identity.node_id
-                self.store.submit(node_id, action, self.now, lambda event: self.give(node, event))
+                self.store.submit(
+                    node_id, action, self.now, lambda event: self.deliver(node, event)
+                )
             case Notify(event=ClaimDecided() as decided):
                 self._decided(node, decided)
             case _:
@@ -219,26 +221,26 @@
         receiver = self.nodes[to.node_id]
         event = PeerReceived(sender.identity, message)
         if receiver is sender:
-            self._at(self.now, lambda: self.give(sender, event))
+            self._at(self.now, lambda: self.deliver(sender, event))
             return
         lost = self.random.random() < self.network.loss
         pair = frozenset((sender.identity.node_id, to.node_id))
         if lost or not receiver.alive or pair in self.network.cut:
             if self.random.random() < 0.8:
                 broken = PeerLinkBroken(to.node_id, "cut")
-                self._at(self.now + 0.01, lambda: self.give(sender, broken))
+                self._at(self.now + 0.01, lambda: self.deliver(sender, broken))
             return
         fixed = self.delay_rule(message) if self.delay_rule else None
         if fixed is not None:
-            self._at(self.now + fixed, lambda: self.give(receiver, event))
+            self._at(self.now + fixed, lambda: self.deliver(receiver, event))
             return
         copies = 2 if self.random.random() < self.network.duplicates else 1
         for _ in range(copies):
-            self._at(self.now + self._delay(), lambda: self.give(receiver, event))
+            self._at(self.now + self._delay(), lambda: self.deliver(receiver, event))
 
     def receive(self, sender: SimulatedNode, to: SimulatedNode, message: PeerMessage) -> None:
         """Let a message arrive at once."""
-        self.give(to, PeerReceived(sender.identity, message))
+        self.deliver(to, PeerReceived(sender.identity, message))
 
     def _delay(self) -> float:
         if self.random.random() < self.network.long_delay:
@@ -257,11 +259,11 @@
         self.network = Network()
         self.store.heal()
         self.refuse_to_run = False
-        for node in self.living():
+        for node in self.running():
             if node.paused:
                 self.resume(node)
-            self.give(node, ConfigurationInForce(self.configuration()))
-        self.tell_membership()
+            self.deliver(node, ConfigurationInForce(self.configuration()))
+        self.send_membership()
 
     # Submissions
 
@@ -281,7 +283,7 @@
         )
         submission = Submission(request, node.identity.node_id)
         self.submissions[request_id] = submission
-        self.give(node, ClaimWanted(request, DECIDE_SECONDS))
+        self.deliver(node, ClaimWanted(request, DECIDE_SECONDS))
         return submission
 
     def _decided(self, node: SimulatedNode, decided: ClaimDecided) -> None:
@@ -296,7 +298,7 @@
             self._record_run(submission)
             outcome = decided.request_id.encode()
         finished = ClaimFinished(decided.request_id, outcome)
-        self._at(self.now + RUN_SECONDS, lambda: self.give(node, finished))
+        self._at(self.now + RUN_SECONDS, lambda: self.deliver(node, finished))
 
     def _record_run(self, submission: Submission) -> None:
         key = submission.request.idempotency_key or ""
--- a/wingquay/claims/assignment.py
+++ b/wingquay/claims/assignment.py
@@ -80,9 +80,9 @@
         When everything granted by earlier holders is forgotten anyway.
     takeover_at
         When the assignment may be taken over; infinite while this node does not want it.
-    was_anothers
+    seen_other_holder
         Whether this node has seen another that should hold the assignment.
-    ask_tables_at, ask_tables_delay_seconds
+    request_tables_at, request_tables_delay_seconds
         When tables are next asked for, and how long after that again.
     offer
         The offer of this assignment to another node.
@@ -106,9 +106,9 @@
     confirmed_at: float = -inf
     vote_at: float = inf
     takeover_at: float = inf
-    was_anothers: bool = False
-    ask_tables_at: float = -inf
-    ask_tables_delay_seconds: float = 0.0
+    seen_other_holder: bool = False
+    request_tables_at: float = -inf
+    request_tables_delay_seconds: float = 0.0
     forget_at: float = inf
     offer: AssignmentOffer | None = None
     accepted_offer_id: str | None = None
@@ -124,18 +124,18 @@
             AssignmentEpoch(zone, epoch) for zone, epoch in sorted(self.known_epochs.items())
         )
 
-    def learn(self, assignment_epochs: Iterable[AssignmentEpoch]) -> None:
+    def record_epochs(self, assignment_epochs: Iterable[AssignmentEpoch]) -> None:
         """Take in epochs that another process has heard of."""
         for entry in assignment_epochs:
             known = self.known_epochs.get(entry.zone, 0)
             self.known_epochs[entry.zone] = max(known, entry.epoch)
 
-    def ask_tables_soon(self, now: float, delay_seconds: float) -> None:
+    def schedule_table_requests(self, now: float, delay_seconds: float) -> None:
         """Ask for tables at once, then after ``delay_seconds``, then ever less often."""
-        self.ask_tables_at = now
-        self.ask_tables_delay_seconds = delay_seconds
+        self.request_tables_at = now
+        self.request_tables_delay_seconds = delay_seconds
 
-    def become_empty(self) -> None:
+    def reset(self) -> None:
         """Stop answering for the partition and forget its claims."""
         self.status = AssignmentStatus.EMPTY
         self.memory.clear()
@@ -159,9 +159,9 @@
     def __init__(self, settings: ClaimsSettings, identity: NodeIdentity) -> None:
         self._settings = settings
         self.identity = identity
-        self.use = MemoryUsage()
+        self.usage = MemoryUsage()
         self.assignments = [
-            Assignment(partition, PartitionMemory(settings, self.use))
+            Assignment(partition, PartitionMemory(settings, self.usage))
             for partition in range(PARTITIONS)
         ]
 
@@ -169,11 +169,11 @@
         """Return the assignments that are in ``status``."""
         return [assignment for assignment in self.assignments if assignment.status is status]
 
-    def learn(
+    def record_epochs(
         self, assignment: Assignment, assignment_epochs: Iterable[AssignmentEpoch], now: float
     ) -> bool:
         """Take in epochs; return whether the assignment turned out to be another node's."""
-        assignment.learn(assignment_epochs)
+        assignment.record_epochs(assignment_epochs)
         newest = assignment.known_epochs.get(self.identity.zone, 0)
         held = assignment.status in (AssignmentStatus.REBUILDING, AssignmentStatus.VOTING)
         if not held or newest <= assignment.epoch:
@@ -182,7 +182,7 @@
             return False
         if assignment.status is AssignmentStatus.VOTING:
             self._retire(assignment, now)
-        assignment.become_empty()
+        assignment.reset()
         if assignment.takeover_at < inf:
             assignment.takeover_at = now + self._settings.join_takeover_delay_seconds
         return True
@@ -191,7 +191,7 @@
         self.forget_retired(assignment)
         forget_at = now + self._settings.retired_keep_seconds
         assignment.retired = RetiredMemory(assignment.epoch, assignment.memory, forget_at)
-        assignment.memory = PartitionMemory(self._settings, self.use)
+        assignment.memory = PartitionMemory(self._settings, self.usage)
 
     def forget_retired(self, assignment: Assignment) -> None:
         """Drop the memory of an epoch that has ended."""
@@ -209,13 +209,13 @@
 
     def begin_epoch(self, assignment: Assignment, epoch: int, zones: tuple[ZoneName, ...]) -> None:
         """Start anew with an empty memory in an epoch that the store has confirmed."""
-        assignment.become_empty()
+        assignment.reset()
         assignment.status = AssignmentStatus.REBUILDING
         assignment.epoch = epoch
         assignment.zones = zones
-        assignment.learn((AssignmentEpoch(self.identity.zone, epoch),))
+        assignment.record_epochs((AssignmentEpoch(self.identity.zone, epoch),))
 
-    def vote(self, assignment: Assignment) -> None:
+    def start_voting(self, assignment: Assignment) -> None:
         """Begin to answer for the partition."""
         assignment.status = AssignmentStatus.VOTING
         assignment.accepted_until = -inf
--- a/wingquay/claims/assignment_document.py
+++ b/wingquay/claims/assignment_document.py
@@ -12,7 +12,7 @@
 from ..ports.peer_claims import AssignmentEpoch
 from .keys import PARTITIONS
 
-NOBODY = NodeId("")
+NO_NODE = NodeId("")
 
 Epochs = Annotated[tuple[int, ...], Field(min_length=PARTITIONS, max_length=PARTITIONS)]
 Takers = Annotated[tuple[NodeId, ...], Field(min_length=PARTITIONS, max_length=PARTITIONS)]
@@ -71,17 +71,17 @@
     def taker(self, zone: ZoneName, partition: int) -> NodeId:
         """Return the node that began the newest epoch."""
         assignments = self.assignments.get(zone)
-        return NOBODY if assignments is None else assignments.takers[partition]
+        return NO_NODE if assignments is None else assignments.takers[partition]
 
     def is_vacant(self, zone: ZoneName, partition: int) -> bool:
         """Whether nobody has held the assignment since the list of zones changed."""
-        return not self.zones_unchanged and self.taker(zone, partition) == NOBODY
+        return not self.zones_unchanged and self.taker(zone, partition) == NO_NODE
 
-    def is_genesis(self, zone: ZoneName, partition: int) -> bool:
+    def is_first_epoch(self, zone: ZoneName, partition: int) -> bool:
         """Whether the assignment's newest epoch is the first of a zone that never had a holder."""
         return self.zones_unchanged and self.epoch(zone, partition) == 1
 
-    def with_genesis(self, zone: ZoneName, taker: NodeId) -> "AssignmentDocument":
+    def with_first_holder(self, zone: ZoneName, taker: NodeId) -> "AssignmentDocument":
         """Return the document with the first holder of all assignments of ``zone``."""
         assignments = ZoneAssignments(epochs=(1,) * PARTITIONS, takers=(taker,) * PARTITIONS)
         return self._with_assignments(zone, assignments)
@@ -110,7 +110,7 @@
         ended = {
             zone: ZoneAssignments(
                 epochs=tuple(epoch + 1 for epoch in assignments.epochs),
-                takers=(NOBODY,) * PARTITIONS,
+                takers=(NO_NODE,) * PARTITIONS,
             )
             for zone, assignments in self.assignments.items()
         }
--- a/wingquay/claims/claimant.py
+++ b/wingquay/claims/claimant.py
@@ -20,22 +20,22 @@
 from .pending_claim import ClaimStage, PendingClaim
 from .settings import ClaimsSettings
 
-QUICK_ASKS = 4
+SHORT_INTERVAL_REQUESTS = 4
 """Times that a submission asks at short intervals before the intervals double."""
 
-MOST_DOUBLINGS = 6
+MAX_DOUBLINGS = 6
 
 
 @dataclass(frozen=True, slots=True)
-class ClaimAskDue(Event):
+class ClaimRequestDue(Event):
     """It is time to look at a submission's votes, and to ask again what is missing."""
 
     request_id: RequestId
-    ask_sequence: int
+    timer_sequence: int
 
 
 @dataclass(frozen=True, slots=True)
-class ClaimTellDue(Event):
+class OutcomeResendDue(Event):
     """An outcome may have been lost with a connection: tell it again."""
 
     request_id: RequestId
@@ -79,16 +79,18 @@
         )
         self._claims[request.request_id] = claim
         self._deployments[request.request_id] = service.deployment
-        return self._ask(claim, now)
+        return self._request_votes(claim, now)
 
-    def receive(self, sender: NodeIdentity, vote: ClaimVote, now: float) -> list[Action]:
+    def handle_vote(self, sender: NodeIdentity, vote: ClaimVote, now: float) -> list[Action]:
         """Take in a vote."""
         claim = self._claims.get(vote.request_id)
         if claim is None or sender.deployment != self._deployments[vote.request_id]:
             return []
-        current = claim.stage is ClaimStage.ASKING and vote.round_number == claim.round_number
+        current = (
+            claim.stage is ClaimStage.COLLECTING_VOTES and vote.round_number == claim.round_number
+        )
         if not current:
-            return self._answer_late(claim, sender, vote)
+            return self._return_late_grant(claim, sender, vote)
         if sender.zone not in claim.zones:
             return []
         claim.record(sender.zone, vote)
@@ -97,29 +99,29 @@
         decision = claim.decision(self._settings)
         if decision is not None:
             return self._decide(claim, decision, now)
-        if claim.is_blocked() and claim.gives_way():
-            return self._give_way(claim, now)
+        if claim.is_blocked() and claim.must_yield():
+            return self._yield_to_rival(claim, now)
         return []
 
-    def ask_due(self, event: ClaimAskDue, now: float) -> list[Action]:
+    def request_due(self, event: ClaimRequestDue, now: float) -> list[Action]:
         """Give up, give way to a rival, or ask again."""
         claim = self._claims.get(event.request_id)
-        if claim is None or claim.stage is not ClaimStage.ASKING:
+        if claim is None or claim.stage is not ClaimStage.COLLECTING_VOTES:
             return []
-        if event.ask_sequence != claim.ask_sequence:
+        if event.timer_sequence != claim.timer_sequence:
             return []
         if now >= claim.decide_by:
             return self._give_up(claim, now)
-        if not claim.gives_way():
-            return self._ask(claim, now)
-        return self._give_way(claim, now)
+        if not claim.must_yield():
+            return self._request_votes(claim, now)
+        return self._yield_to_rival(claim, now)
 
-    def _give_way(self, claim: PendingClaim, now: float) -> list[Action]:
+    def _yield_to_rival(self, claim: PendingClaim, now: float) -> list[Action]:
         """Give the grants back, and ask again once the rival has had time to."""
-        actions = self._tell(claim, self._listeners(claim), None)
+        actions = self._send_outcome(claim, self._outcome_recipients(claim), None)
         claim.begin_round()
-        delay = self._settings.ask_retry_seconds * 2.0 ** min(claim.round_number, MOST_DOUBLINGS)
-        return actions + self._schedule_ask(claim, now, delay)
+        delay = self._settings.ask_retry_seconds * 2.0 ** min(claim.round_number, MAX_DOUBLINGS)
+        return actions + self._schedule_request(claim, now, delay)
 
     def finish(self, event: ClaimFinished, now: float) -> list[Action]:
         """Tell the voters what came of a granted request."""
@@ -128,46 +130,46 @@
             return []
         self._close(claim, ClaimStage.NOT_RUN if event.outcome is None else ClaimStage.DONE, now)
         claim.outcome = event.outcome
-        return self._tell(claim, self._listeners(claim), event.outcome)
+        return self._send_outcome(claim, self._outcome_recipients(claim), event.outcome)
 
     def link_broken(self, node_id: NodeId, now: float) -> list[Action]:
         """Tell again what this node may not have received."""
         actions: list[Action] = []
         for claim in self._claims.values():
-            zones = {node.zone for node in claim.told if node.node_id == node_id}
+            zones = {node.zone for node in claim.last_recipients if node.node_id == node_id}
             if not zones or claim.stage not in (ClaimStage.NOT_RUN, ClaimStage.DONE):
                 continue
-            if not claim.tell_again:
-                due = ClaimTellDue(claim.request_id)
-                actions.append(Schedule(now + claim.tell_delay_seconds, due))
-                claim.tell_delay_seconds *= 2.0
-            claim.tell_again |= zones
+            if not claim.resend_zones:
+                due = OutcomeResendDue(claim.request_id)
+                actions.append(Schedule(now + claim.resend_delay_seconds, due))
+                claim.resend_delay_seconds *= 2.0
+            claim.resend_zones |= zones
         return actions
 
-    def tell_due(self, event: ClaimTellDue) -> list[Action]:
+    def resend_due(self, event: OutcomeResendDue) -> list[Action]:
         """Tell the present voters of the zones that may not know the outcome."""
         claim = self._claims.get(event.request_id)
         if claim is None:
             return []
-        zones, claim.tell_again = claim.tell_again, set()
+        zones, claim.resend_zones = claim.resend_zones, set()
         present = self._holders(claim)
         nodes = tuple(node for node in present.values() if node.zone in zones)
-        return self._tell(claim, nodes, claim.outcome)
+        return self._send_outcome(claim, nodes, claim.outcome)
 
     def tick(self, now: float) -> None:
         """Forget submissions that were closed long ago."""
-        over = [
+        closed = [
             claim.request_id
             for claim in self._claims.values()
             if claim.stage in (ClaimStage.NOT_RUN, ClaimStage.DONE) and now >= claim.keep_until
         ]
-        for request_id in over:
+        for request_id in closed:
             del self._claims[request_id]
             del self._deployments[request_id]
 
-    def _ask(self, claim: PendingClaim, now: float) -> list[Action]:
+    def _request_votes(self, claim: PendingClaim, now: float) -> list[Action]:
         assignment_epochs = claim.assignment_epochs()
-        counted = claim.granted_zones(self._settings)
+        granted = claim.granted_zones(self._settings)
         request = ClaimRequest(
             claim_key=claim.claim_key,
             request_digest=claim.request_digest,
@@ -176,20 +178,20 @@
             zones=claim.zones,
             assignment_epochs=assignment_epochs,
         )
-        claim.forget_refusals()
+        claim.discard_refusals()
         actions: list[Action] = []
         for zone, holder in self._holders(claim).items():
-            if zone not in counted:
-                claim.asked[zone] = holder
+            if zone not in granted:
+                claim.requested_nodes[zone] = holder
                 actions.append(SendToPeer(holder, request))
-        claim.asks += 1
-        doublings = min(max(claim.asks - QUICK_ASKS, 0), MOST_DOUBLINGS)
+        claim.requests_sent += 1
+        doublings = min(max(claim.requests_sent - SHORT_INTERVAL_REQUESTS, 0), MAX_DOUBLINGS)
         delay = self._settings.ask_retry_seconds * 2.0**doublings
-        return actions + self._schedule_ask(claim, now, delay)
+        return actions + self._schedule_request(claim, now, delay)
 
-    def _schedule_ask(self, claim: PendingClaim, now: float, delay: float) -> list[Action]:
-        claim.ask_sequence += 1
-        due = ClaimAskDue(claim.request_id, claim.ask_sequence)
+    def _schedule_request(self, claim: PendingClaim, now: float, delay: float) -> list[Action]:
+        claim.timer_sequence += 1
+        due = ClaimRequestDue(claim.request_id, claim.timer_sequence)
         jittered = delay * self._random.uniform(0.5, 1.0)
         return [Schedule(min(now + jittered, claim.decide_by), due)]
 
@@ -202,14 +204,18 @@
                 holders[zone] = holder
         return holders
 
-    def _listeners(self, claim: PendingClaim) -> tuple[NodeIdentity, ...]:
+    def _outcome_recipients(self, claim: PendingClaim) -> tuple[NodeIdentity, ...]:
         """Return who may remember the submission: the voters asked, and those of now."""
-        nodes = {node.node_id: node for node in claim.asked.values()}
+        nodes = {node.node_id: node for node in claim.requested_nodes.values()}
         nodes.update((node.node_id, node) for node in self._holders(claim).values())
         return tuple(nodes.values())
 
     def _give_up(self, claim: PendingClaim, now: float) -> list[Action]:
-        kind = ClaimDecisionKind.IN_PROGRESS if claim.met_holder else ClaimDecisionKind.CANNOT_TELL
+        kind = (
+            ClaimDecisionKind.IN_PROGRESS
+            if claim.saw_other_submission
+            else ClaimDecisionKind.CANNOT_TELL
+        )
         return self._decide(claim, kind, now)
 
     def _decide(
@@ -225,7 +231,7 @@
             claim.stage = ClaimStage.GRANTED
         else:
             self._close(claim, ClaimStage.NOT_RUN, now)
-            actions += self._tell(claim, self._listeners(claim), None)
+            actions += self._send_outcome(claim, self._outcome_recipients(claim), None)
         if decision is ClaimDecisionKind.ALREADY_DONE:
             outcome = claim.stored_outcome()
         return actions + _notify(claim.request_id, decision, outcome)
@@ -234,7 +240,7 @@
         claim.stage = stage
         claim.keep_until = now + self._settings.closed_keep_seconds
 
-    def _answer_late(
+    def _return_late_grant(
         self,
         claim: PendingClaim,
         sender: NodeIdentity,
@@ -248,13 +254,13 @@
             return []
         return [SendToPeer(sender, _outcome(claim, vote.round_number, None))]
 
-    def _tell(
+    def _send_outcome(
         self,
         claim: PendingClaim,
         nodes: tuple[NodeIdentity, ...],
         outcome: bytes | None,
     ) -> list[Action]:
-        claim.told = nodes
+        claim.last_recipients = nodes
         message = _outcome(claim, claim.round_number, outcome)
         return [SendToPeer(node, message) for node in nodes]
 
--- a/wingquay/claims/directory.py
+++ b/wingquay/claims/directory.py
@@ -47,7 +47,7 @@
         """Return the available nodes of a zone."""
         return frozenset(node.node_id for node in self._nodes.get((deployment, zone), []))
 
-    def mates(self, identity: NodeIdentity) -> list[NodeIdentity]:
+    def zone_peers(self, identity: NodeIdentity) -> list[NodeIdentity]:
         """Return the other nodes of the zone, leaving ones last."""
         zone = (identity.deployment, identity.zone)
         leaving = [node for node in self._leaving_nodes if (node.deployment, node.zone) == zone]
--- a/wingquay/claims/machine.py
+++ b/wingquay/claims/machine.py
@@ -27,8 +27,8 @@
 from .assignment import AssignmentStatus, AssignmentTable
 from .claimant import (
     Claimant,
-    ClaimAskDue,
-    ClaimTellDue,
+    ClaimRequestDue,
+    OutcomeResendDue,
     deployment_zones,
 )
 from .directory import AssignmentDirectory
@@ -36,7 +36,7 @@
 from .offers import AssignmentOffers
 from .settings import ClaimsSettings
 from .table_sender import TableSender
-from .takeover import AssignmentKeeper
+from .takeover import AssignmentManager
 from .takeover_timing import TakeoverTiming
 from .transfers import TableTransfers
 from .voter import Voter
@@ -73,8 +73,8 @@
         ClaimsTick,
         ClaimWanted,
         ClaimFinished,
-        ClaimAskDue,
-        ClaimTellDue,
+        ClaimRequestDue,
+        OutcomeResendDue,
         PeerLinkBroken,
         StoreResponse,
         MembershipChanged,
@@ -105,9 +105,9 @@
         self._offers = AssignmentOffers(settings, self._assignments, self._directory)
         self._transfers = TableTransfers(settings, self._assignments, self._directory)
         self._timing = TakeoverTiming(settings, self._assignments, self._directory)
-        self._keeper = AssignmentKeeper(settings, self._assignments, self._timing, random_source)
+        self._manager = AssignmentManager(settings, self._assignments, self._timing, random_source)
         self._claimant = Claimant(settings, self._directory, random_source)
-        self._expired_partition = 0
+        self._next_expiry_partition = 0
 
     def handle(self, event: Event, now: float) -> list[Action]:
         """Take in ``event`` at time ``now`` (seconds); other machines' events are ignored."""
@@ -120,12 +120,12 @@
                 return self._claimant.begin(event, now)
             case ClaimFinished():
                 return self._claimant.finish(event, now)
-            case ClaimAskDue():
-                return self._claimant.ask_due(event, now)
-            case ClaimTellDue():
-                return self._claimant.tell_due(event)
+            case ClaimRequestDue():
+                return self._claimant.request_due(event, now)
+            case OutcomeResendDue():
+                return self._claimant.resend_due(event)
             case _:
-                return self._take_in_change(event, now)
+                return self._handle_change(event, now)
 
     @property
     def assignments_to_hand_over(self) -> int:
@@ -142,13 +142,13 @@
     def report(self) -> ClaimsReport:
         """Return how much is remembered and how many assignments answer."""
         return ClaimsReport(
-            records=self._assignments.use.records,
-            outcome_bytes=self._assignments.use.outcome_bytes,
+            records=self._assignments.usage.records,
+            outcome_bytes=self._assignments.usage.outcome_bytes,
             assignments_voting=len(self._assignments.with_status(AssignmentStatus.VOTING)),
             assignments_rebuilding=len(self._assignments.with_status(AssignmentStatus.REBUILDING)),
         )
 
-    def _take_in_change(self, event: Event, now: float) -> list[Action]:
+    def _handle_change(self, event: Event, now: float) -> list[Action]:
         match event:
             case Start():
                 return [self._next_tick(now)]
@@ -157,16 +157,16 @@
                 return self._claimant.link_broken(event.node_id, now)
             case StoreResponse():
                 # A node whose swap came too late reads again at once, not at the next tick.
-                return self._keeper.respond(event, now) + self._keeper.tick(now)
+                return self._manager.handle_response(event, now) + self._manager.tick(now)
             case MembershipChanged():
                 self._directory.update(event.available, event.leaving)
-                self._timing.review(now)
-                self._transfers.on_membership(now)
-                self._offers.on_membership()
-                return self._keeper.tick(now)
+                self._timing.reevaluate(now)
+                self._transfers.membership_changed(now)
+                self._offers.membership_changed()
+                return self._manager.tick(now)
             case ConfigurationInForce():
-                self._take_in_configuration(event.configuration, now)
-                return self._keeper.tick(now)
+                self._apply_configuration(event.configuration, now)
+                return self._manager.tick(now)
             case LeavingStarted():
                 self._timing.stop()
                 self._transfers.stop_accepting()
@@ -174,13 +174,13 @@
                 return self._offers.tick(now)
         return []
 
-    def _take_in_configuration(self, configuration: Configuration, now: float) -> None:
+    def _apply_configuration(self, configuration: Configuration, now: float) -> None:
         zones = deployment_zones(configuration, self._identity.deployment)
         self._claimant.set_configuration(configuration)
         self._transfers.set_zones(zones)
         self._timing.set_zones(zones)
-        self._keeper.set_zones(zones, configuration.revision)
-        self._timing.review(now)
+        self._manager.set_zones(zones, configuration.revision)
+        self._timing.reevaluate(now)
 
     def _receive(self, event: PeerReceived, now: float) -> list[Action]:
         sender = event.sender
@@ -188,28 +188,28 @@
             case ClaimRequest() as request:
                 return [SendToPeer(sender, self._voter.vote(request, now))]
             case ClaimVote() as vote:
-                return self._claimant.receive(sender, vote, now)
+                return self._claimant.handle_vote(sender, vote, now)
             case ClaimOutcome() as outcome:
                 self._voter.record_outcome(outcome, now)
                 return []
             case ClaimAssignmentOffer() as offer:
-                self._timing.hear_from(sender.node_id)
+                self._timing.record_offer_from(sender.node_id)
                 return self._transfers.accept_offer(sender, offer, now)
             case ClaimTableRequest() as request:
-                return self._sender.give(sender, request, now)
+                return self._sender.send_table(sender, request, now)
             case ClaimTable() as table:
-                return self._transfers.receive(sender, table, now)
+                return self._transfers.handle_table(sender, table, now)
             case _:
                 return []
 
     def _tick(self, now: float) -> list[Action]:
-        self._assignments.assignments[self._expired_partition].memory.expire(now)
-        self._expired_partition = (self._expired_partition + 1) % PARTITIONS
+        self._assignments.assignments[self._next_expiry_partition].memory.expire(now)
+        self._next_expiry_partition = (self._next_expiry_partition + 1) % PARTITIONS
         self._claimant.tick(now)
         return [
             *self._transfers.tick(now),
             *self._offers.tick(now),
-            *self._keeper.tick(now),
+            *self._manager.tick(now),
             self._next_tick(now),
         ]
 
--- a/wingquay/claims/memory.py
+++ b/wingquay/claims/memory.py
@@ -49,9 +49,9 @@
 class PartitionMemory:
     """The claims of one partition."""
 
-    def __init__(self, settings: ClaimsSettings, use: MemoryUsage) -> None:
+    def __init__(self, settings: ClaimsSettings, usage: MemoryUsage) -> None:
         self._settings = settings
-        self._use = use
+        self._usage = usage
         self._claims: dict[str, Submission] = {}
 
     def __len__(self) -> int:
@@ -60,7 +60,7 @@
     @property
     def is_full(self) -> bool:
         """Whether the node holds as many claims as it may."""
-        return self._use.records >= self._settings.capacity_records
+        return self._usage.records >= self._settings.capacity_records
 
     def submissions(self, claim_key: str, now: float) -> list[Submission]:
         """Return what is remembered of a key, oldest knowledge first."""
@@ -82,7 +82,7 @@
             submission.outcome = self._account_outcome(submission.outcome)
             submission.rival = first
             self._claims[claim_key] = submission
-            self._use.records += 1
+            self._usage.records += 1
             return
         known.round_number = max(known.round_number, submission.round_number)
         known.granted_at = max(known.granted_at, submission.granted_at)
@@ -92,11 +92,11 @@
     def release(self, claim_key: str, request_id: RequestId, round_number: int) -> None:
         """Forget a submission that did not run with the grants of this round or earlier ones."""
 
-        def released(entry: Submission) -> bool:
+        def is_released(entry: Submission) -> bool:
             same_round = entry.request_id == request_id and entry.round_number <= round_number
             return same_round and entry.outcome is None
 
-        self._drop(claim_key, released)
+        self._drop(claim_key, is_released)
 
     def merge(self, record: ClaimRecord, now: float) -> None:
         """Take in a record of another voter's table."""
@@ -140,28 +140,28 @@
             self._drop(claim_key, lambda entry: True)
 
     def _expired(self, entry: Submission, now: float) -> bool:
-        return now - entry.granted_at > self._settings.kept_seconds
+        return now - entry.granted_at > self._settings.total_retention_seconds
 
     def _account_outcome(self, outcome: bytes | None) -> bytes | None:
         if outcome is None or len(outcome) > self._settings.outcome_limit_bytes:
             return None
-        total = self._use.outcome_bytes + len(outcome)
+        total = self._usage.outcome_bytes + len(outcome)
         if total > self._settings.outcomes_capacity_bytes:
             return None
-        self._use.outcome_bytes = total
+        self._usage.outcome_bytes = total
         return outcome
 
-    def _drop(self, claim_key: str, dropped: Callable[[Submission], bool]) -> None:
+    def _drop(self, claim_key: str, should_drop: Callable[[Submission], bool]) -> None:
         first = self._claims.pop(claim_key, None)
         if first is None:
             return
-        kept: Submission | None = None
+        remaining: Submission | None = None
         for entry in list(first.chain()):
-            if dropped(entry):
-                self._use.records -= 1
-                self._use.outcome_bytes -= len(entry.outcome or b"")
+            if should_drop(entry):
+                self._usage.records -= 1
+                self._usage.outcome_bytes -= len(entry.outcome or b"")
             else:
-                entry.rival = kept
-                kept = entry
-        if kept is not None:
-            self._claims[claim_key] = kept
+                entry.rival = remaining
+                remaining = entry
+        if remaining is not None:
+            self._claims[claim_key] = remaining
--- a/wingquay/claims/offers.py
+++ b/wingquay/claims/offers.py
@@ -27,26 +27,26 @@
         self._assignments = assignments
         self._directory = directory
         self._leaving = False
-        self._offers = 0
+        self._offer_count = 0
         self._next_offer_at = 0.0
-        self._greeted: set[NodeId] = set()
+        self._notified: set[NodeId] = set()
 
-    def on_membership(self) -> None:
+    def membership_changed(self) -> None:
         """Offer at the next tick, and greet the nodes that are new in the zone."""
-        self.offer_soon()
-        mates = self._directory.mates(self._assignments.identity)
-        self._greeted &= {node.node_id for node in mates}
+        self.offer_at_next_tick()
+        zone_peers = self._directory.zone_peers(self._assignments.identity)
+        self._notified &= {node.node_id for node in zone_peers}
 
     def link_broken(self, node_id: NodeId) -> None:
         """Greet the node again: it may not have heard the first time."""
-        self._greeted.discard(node_id)
+        self._notified.discard(node_id)
 
     def begin_leaving(self) -> None:
         """Offer every assignment to the node that holds it next."""
         self._leaving = True
-        self.offer_soon()
+        self.offer_at_next_tick()
 
-    def offer_soon(self) -> None:
+    def offer_at_next_tick(self) -> None:
         """Offer at the next tick, not after the usual time."""
         self._next_offer_at = 0.0
 
@@ -64,8 +64,8 @@
 
     def _offer(self) -> list[Action]:
         offered: dict[AssignmentOffer, tuple[NodeIdentity, list[int]]] = {}
-        self._offers += 1
-        offer_id = f"{self._assignments.identity.node_id}/{self._offers}"
+        self._offer_count += 1
+        offer_id = f"{self._assignments.identity.node_id}/{self._offer_count}"
         for assignment in self._assignments.with_status(AssignmentStatus.VOTING):
             receiver = self._receiver(assignment)
             if receiver is None:
@@ -74,19 +74,19 @@
             if assignment.offer is None or assignment.offer.receiver != receiver.node_id:
                 assignment.offer = AssignmentOffer(offer_id, receiver.node_id)
             offered.setdefault(assignment.offer, (receiver, []))[1].append(assignment.partition)
-        self._greeted |= {offer.receiver for offer in offered}
+        self._notified |= {offer.receiver for offer in offered}
         actions: list[Action] = [
             SendToPeer(receiver, ClaimAssignmentOffer(offer.offer_id, tuple(partitions)))
             for offer, (receiver, partitions) in offered.items()
         ]
-        return actions + self._greet(offer_id)
+        return actions + self._send_empty_offers(offer_id)
 
-    def _greet(self, offer_id: str) -> list[Action]:
+    def _send_empty_offers(self, offer_id: str) -> list[Action]:
         """Tell nodes seen for the first time that there is nothing to offer them."""
-        mates = self._directory.mates(self._assignments.identity)
-        strangers = [node for node in mates if node.node_id not in self._greeted]
-        self._greeted |= {node.node_id for node in strangers}
-        return [SendToPeer(node, ClaimAssignmentOffer(offer_id, ())) for node in strangers]
+        zone_peers = self._directory.zone_peers(self._assignments.identity)
+        new_peers = [node for node in zone_peers if node.node_id not in self._notified]
+        self._notified |= {node.node_id for node in new_peers}
+        return [SendToPeer(node, ClaimAssignmentOffer(offer_id, ())) for node in new_peers]
 
     def _receiver(self, assignment: Assignment) -> NodeIdentity | None:
         identity = self._assignments.identity
--- a/wingquay/claims/pending_claim.py
+++ b/wingquay/claims/pending_claim.py
@@ -11,13 +11,13 @@
 from .quorum import majority
 from .settings import ClaimsSettings
 
-FIRST_TELL_DELAY_SECONDS = 1.0
+INITIAL_RESEND_DELAY_SECONDS = 1.0
 
 
 class ClaimStage(Enum):
     """Where a submission stands."""
 
-    ASKING = "asking"
+    COLLECTING_VOTES = "asking"
     GRANTED = "granted"
     NOT_RUN = "not_run"
     """Closed: it did not run and will not, so grants that come late are given back."""
@@ -37,15 +37,15 @@
         The node that was last asked in each zone.
     told
         The nodes that were last told the outcome.
-    tell_again
+    resend_zones
         The zones that are told again when the timer for it is due; there is one timer at most.
-    tell_delay_seconds
+    resend_delay_seconds
         The delay of the next such timer; it doubles each time.
-    met_holder
+    saw_other_submission
         Whether any vote named another submission.
     asks
         How many times the voters were asked.
-    ask_sequence
+    timer_sequence
         Tells the newest timer from earlier ones.
     keep_until
         Time until which a closed claim is kept.
@@ -57,17 +57,17 @@
     zones: tuple[ZoneName, ...]
     partition: int
     decide_by: float
-    stage: ClaimStage = ClaimStage.ASKING
+    stage: ClaimStage = ClaimStage.COLLECTING_VOTES
     round_number: int = 1
     votes: dict[ZoneName, ClaimVote] = field(default_factory=dict)
-    asked: dict[ZoneName, NodeIdentity] = field(default_factory=dict)
-    told: tuple[NodeIdentity, ...] = ()
-    tell_again: set[ZoneName] = field(default_factory=set)
-    tell_delay_seconds: float = FIRST_TELL_DELAY_SECONDS
-    met_holder: bool = False
+    requested_nodes: dict[ZoneName, NodeIdentity] = field(default_factory=dict)
+    last_recipients: tuple[NodeIdentity, ...] = ()
+    resend_zones: set[ZoneName] = field(default_factory=set)
+    resend_delay_seconds: float = INITIAL_RESEND_DELAY_SECONDS
+    saw_other_submission: bool = False
     outcome: bytes | None = None
-    ask_sequence: int = 0
-    asks: int = 0
+    timer_sequence: int = 0
+    requests_sent: int = 0
     keep_until: float = 0.0
 
     def record(self, zone: ZoneName, vote: ClaimVote) -> None:
@@ -76,7 +76,7 @@
         if present is None or vote.epoch >= present.epoch:
             self.votes[zone] = vote
         if vote.vote is VoteKind.ALREADY_CLAIMED:
-            self.met_holder = True
+            self.saw_other_submission = True
 
     def known_epochs(self) -> dict[ZoneName, int]:
         """Return the newest epoch of each zone's assignment that any vote speaks of."""
@@ -113,29 +113,29 @@
             needed = 1
         if len(self.granted_zones(settings)) >= needed:
             return ClaimDecisionKind.GRANTED
-        holders = self.holders()
-        if any(vote.holder_request_digest != self.request_digest for vote in holders):
+        rival_votes = self.rival_votes()
+        if any(vote.holder_request_digest != self.request_digest for vote in rival_votes):
             return ClaimDecisionKind.KEY_REUSED
-        if any(vote.outcome is not None for vote in holders):
+        if any(vote.outcome is not None for vote in rival_votes):
             return ClaimDecisionKind.ALREADY_DONE
         return None
 
-    def holders(self) -> list[ClaimVote]:
+    def rival_votes(self) -> list[ClaimVote]:
         """Return the votes that name another submission."""
         return [vote for vote in self.votes.values() if vote.vote is VoteKind.ALREADY_CLAIMED]
 
     def stored_outcome(self) -> bytes | None:
         """Return the outcome of another submission, if a vote brought it."""
-        outcomes = (vote.outcome for vote in self.holders() if vote.outcome is not None)
+        outcomes = (vote.outcome for vote in self.rival_votes() if vote.outcome is not None)
         return next(outcomes, None)
 
     def is_blocked(self) -> bool:
         """Whether so many zones named another submission that the others are no majority."""
-        return len(self.zones) - len(self.holders()) < majority(len(self.zones))
+        return len(self.zones) - len(self.rival_votes()) < majority(len(self.zones))
 
-    def gives_way(self) -> bool:
+    def must_yield(self) -> bool:
         """Whether a rival has the smaller request id, so that this one gives its grants back."""
-        rivals = [vote.holder_request_id for vote in self.holders()]
+        rivals = [vote.holder_request_id for vote in self.rival_votes()]
         return any(rival is not None and rival < self.request_id for rival in rivals)
 
     def begin_round(self) -> None:
@@ -143,7 +143,7 @@
         self.round_number += 1
         self.votes.clear()
 
-    def forget_refusals(self) -> None:
+    def discard_refusals(self) -> None:
         """Keep only the grants of this round, to ask the other zones again."""
         self.votes = {
             zone: vote for zone, vote in self.votes.items() if vote.vote is VoteKind.GRANTED
--- a/wingquay/claims/settings.py
+++ b/wingquay/claims/settings.py
@@ -88,14 +88,14 @@
     disabled: frozenset[Mechanism] = frozenset()
 
     @property
-    def kept_seconds(self) -> float:
+    def total_retention_seconds(self) -> float:
         """How long a claim is remembered after its grant."""
         return self.retention_seconds + self.retention_margin_seconds
 
     @property
-    def wait_seconds(self) -> float:
+    def rebuild_wait_seconds(self) -> float:
         """How long after a takeover every claim of earlier holders is forgotten anyway."""
-        return self.assignment_validity_seconds + self.kept_seconds
+        return self.assignment_validity_seconds + self.total_retention_seconds
 
     def enabled(self, mechanism: Mechanism) -> bool:
         """Whether ``mechanism`` is in place."""
--- a/wingquay/claims/table_sender.py
+++ b/wingquay/claims/table_sender.py
@@ -14,7 +14,7 @@
 from .memory import PartitionMemory
 from .settings import ClaimsSettings
 
-NEVER_CONFIRMED_SECONDS = 1e9
+MAX_CONFIRMED_AGE_SECONDS = 1e9
 
 
 class TableSender:
@@ -23,11 +23,11 @@
     def __init__(self, settings: ClaimsSettings, assignments: AssignmentTable) -> None:
         self._settings = settings
         self._assignments = assignments
-        self._tables_given = 0
+        self._tables_sent = 0
 
-    def give(
+    def send_table(
         self,
-        asker: NodeIdentity,
+        requester: NodeIdentity,
         request: ClaimTableRequest,
         now: float,
     ) -> list[Action]:
@@ -35,15 +35,15 @@
         if not 0 <= request.partition < len(self._assignments.assignments):
             return []
         assignment = self._assignments.assignments[request.partition]
-        self._assignments.learn(assignment, request.assignment_epochs, now)
+        self._assignments.record_epochs(assignment, request.assignment_epochs, now)
         if request.ended_epoch:
-            return self._give_retired(asker, request, assignment, now)
+            return self._send_retired(requester, request, assignment, now)
         if request.offer_id is None:
             complete = self._assignments.can_vote(assignment, request.zones, now)
-            return self._pieces(
-                asker, request, assignment.memory if complete else None, assignment.epoch, now
+            return self._table_messages(
+                requester, request, assignment.memory if complete else None, assignment.epoch, now
             )
-        offered = assignment.offer == AssignmentOffer(request.offer_id, asker.node_id)
+        offered = assignment.offer == AssignmentOffer(request.offer_id, requester.node_id)
         same_zones = assignment.zones == request.zones
         if not offered or not same_zones:
             return []
@@ -52,23 +52,23 @@
             assignment.forget_at = now + self._settings.handed_over_keep_seconds
         if assignment.status is not AssignmentStatus.HANDED_OVER:
             return []
-        return self._pieces(asker, request, assignment.memory, assignment.epoch, now)
+        return self._table_messages(requester, request, assignment.memory, assignment.epoch, now)
 
-    def _give_retired(
+    def _send_retired(
         self,
-        asker: NodeIdentity,
+        requester: NodeIdentity,
         request: ClaimTableRequest,
         assignment: Assignment,
         now: float,
     ) -> list[Action]:
         retired = assignment.retired
         if retired is None or retired.epoch != request.ended_epoch:
-            return self._pieces(asker, request, None, 0, now)
-        return self._pieces(asker, request, retired.memory, retired.epoch, now)
+            return self._table_messages(requester, request, None, 0, now)
+        return self._table_messages(requester, request, retired.memory, retired.epoch, now)
 
-    def _pieces(
+    def _table_messages(
         self,
-        asker: NodeIdentity,
+        requester: NodeIdentity,
         request: ClaimTableRequest,
         memory: PartitionMemory | None,
         epoch: int,
@@ -76,13 +76,13 @@
     ) -> list[Action]:
         """Return the table as messages; without ``memory`` it is said not to be complete."""
         assignment = self._assignments.assignments[request.partition]
-        self._tables_given += 1
-        table_id = f"{self._assignments.identity.node_id}/{self._tables_given}"
+        self._tables_sent += 1
+        table_id = f"{self._assignments.identity.node_id}/{self._tables_sent}"
         records = [] if memory is None else memory.records(now)
         groups = list(self._groups(records)) or [[]]
         return [
             SendToPeer(
-                asker,
+                requester,
                 ClaimTable(
                     partition=assignment.partition,
                     transfer_id=request.transfer_id,
@@ -91,7 +91,7 @@
                     epoch=epoch,
                     assignment_epochs=assignment.assignment_epochs(),
                     confirmed_age_seconds=min(
-                        now - assignment.confirmed_at, NEVER_CONFIRMED_SECONDS
+                        now - assignment.confirmed_at, MAX_CONFIRMED_AGE_SECONDS
                     ),
                     table_id=table_id,
                     records=tuple(group),
--- a/wingquay/claims/takeover.py
+++ b/wingquay/claims/takeover.py
@@ -40,7 +40,7 @@
     proposed: AssignmentDocument | None
 
 
-class AssignmentKeeper:
+class AssignmentManager:
     """Confirms this node's assignments by the store, and takes over those that it should hold."""
 
     def __init__(
@@ -57,7 +57,7 @@
         self._zones: tuple[ZoneName, ...] = ()
         self._zones_revision = 0
         self._pending: _PendingOperation | None = None
-        self._operations = 0
+        self._operation_count = 0
         self._next_operation_at = -inf
         self._confirm_at = -inf
 
@@ -70,14 +70,14 @@
 
     def tick(self, now: float) -> list[Action]:
         """Read the document when something is to be learned from it."""
-        if self._pending is not None or now < self._next_operation_at or not self._in_service():
+        if self._pending is not None or now < self._next_operation_at or not self._is_ready():
             return []
-        if now < self._confirm_at and not self._timing.wanted(now):
+        if now < self._confirm_at and not self._timing.due_takeovers(now):
             return []
         key = document_key(self._assignments.identity.deployment)
         return self._send(Read(key), None, now)
 
-    def respond(self, response: StoreResponse, now: float) -> list[Action]:
+    def handle_response(self, response: StoreResponse, now: float) -> list[Action]:
         """Take in the result of an operation; others' are ignored."""
         pending = self._pending
         if pending is None or response.operation_id != pending.operation_id:
@@ -86,10 +86,10 @@
         was_swap = pending.proposed is not None
         match response.result:
             case ReadResult() as read:
-                return self._read(read, pending.sent_at, now)
+                return self._handle_read(read, pending.sent_at, now)
             case SwapResult(succeeded=True) if pending.proposed is not None:
                 actions = self._apply(pending.proposed, pending.sent_at, now)
-                if self._vacant(pending.proposed):
+                if self._vacant_assignments(pending.proposed):
                     self._confirm_at = now
                 return actions
             case Failure():
@@ -99,10 +99,10 @@
             self._confirm_at = now
         return []
 
-    def _in_service(self) -> bool:
-        return self._assignments.identity.zone in self._zones and self._timing.knows_nodes
+    def _is_ready(self) -> bool:
+        return self._assignments.identity.zone in self._zones and self._timing.has_membership
 
-    def _vacant(self, document: AssignmentDocument) -> list[Assignment]:
+    def _vacant_assignments(self, document: AssignmentDocument) -> list[Assignment]:
         """Return the assignments to be taken over at once, since no node can offer them."""
         zone = self._assignments.identity.zone
         if document.zones != self._zones:
@@ -110,7 +110,7 @@
         return [
             assignment
             for assignment in self._assignments.with_status(AssignmentStatus.EMPTY)
-            if self._timing.is_ours(assignment.partition)
+            if self._timing.should_hold(assignment.partition)
             and document.is_vacant(zone, assignment.partition)
         ]
 
@@ -120,9 +120,9 @@
         proposed: AssignmentDocument | None,
         now: float,
     ) -> list[Action]:
-        self._operations += 1
+        self._operation_count += 1
         node_id = self._assignments.identity.node_id
-        operation_id = f"{OPERATION_PREFIX}/{node_id}/{self._operations}"
+        operation_id = f"{OPERATION_PREFIX}/{node_id}/{self._operation_count}"
         self._pending = _PendingOperation(operation_id, now, proposed)
         return [StoreRequest(operation_id, operation)]
 
@@ -130,7 +130,7 @@
         jitter = self._random.uniform(1.0, 2.0)
         self._next_operation_at = now + self._settings.store_retry_seconds * jitter
 
-    def _read(self, read: ReadResult, sent_at: float, now: float) -> list[Action]:
+    def _handle_read(self, read: ReadResult, sent_at: float, now: float) -> list[Action]:
         stored = read.values[0] if read.values else None
         document = AssignmentDocument(zones=self._zones, zones_revision=self._zones_revision)
         modified_at = 0
@@ -142,7 +142,7 @@
             document = parsed
             modified_at = stored.modified_at
         actions = self._apply(document, sent_at, now)
-        proposed = self._proposal(document, now)
+        proposed = self._propose(document, now)
         if proposed is None:
             # Assignments may stay wanted although nothing can be written: do not read without a
             # pause.
@@ -152,29 +152,32 @@
         swap = CompareAndSwap(key, modified_at, proposed.to_bytes())
         return actions + self._send(swap, proposed, now)
 
-    def _proposal(self, document: AssignmentDocument, now: float) -> AssignmentDocument | None:
+    def _propose(self, document: AssignmentDocument, now: float) -> AssignmentDocument | None:
         """Return what this node wants to write, or ``None``."""
         identity = self._assignments.identity
         if document.zones != self._zones:
             if document.zones_revision >= self._zones_revision:
                 return None
             return document.with_zones(self._zones, self._zones_revision)
-        if self._may_be_first(document):
-            return document.with_genesis(identity.zone, identity.node_id)
+        if self._may_create_first_entry(document):
+            return document.with_first_holder(identity.zone, identity.node_id)
         new_epochs = {
             assignment.partition: self._next_epoch(document, assignment)
-            for assignment in (*self._timing.wanted(now), *self._vacant(document))
+            for assignment in (
+                *self._timing.due_takeovers(now),
+                *self._vacant_assignments(document),
+            )
         }
         if not new_epochs:
             return None
         return document.with_takeover(identity.zone, new_epochs, identity.node_id)
 
-    def _may_be_first(self, document: AssignmentDocument) -> bool:
+    def _may_create_first_entry(self, document: AssignmentDocument) -> bool:
         zone = self._assignments.identity.zone
         if zone in document.assignments or not document.zones_unchanged:
             return False
         assignments = self._assignments.assignments
-        holds_any = any(self._timing.is_ours(partition) for partition in range(PARTITIONS))
+        holds_any = any(self._timing.should_hold(partition) for partition in range(PARTITIONS))
         # Whoever has heard of a holder in this zone knows that the document lost something.
         return holds_any and all(
             assignment.known_epochs.get(zone, 0) == 0 for assignment in assignments
@@ -189,7 +192,7 @@
 
     def _apply(self, document: AssignmentDocument, sent_at: float, now: float) -> list[Action]:
         """Take in the document as the store had it after ``sent_at``."""
-        self._timing.note_document(document)
+        self._timing.record_document(document)
         self._confirm_at = now + self._settings.assignment_confirm_interval_seconds * (
             self._random.uniform(0.5, 1.0)
         )
@@ -199,10 +202,10 @@
         for assignment in self._assignments.assignments:
             newest = document.epoch(zone, assignment.partition)
             if newest > assignment.epoch:
-                begun += self._begin(document, assignment, sent_at, now)
+                begun += self._begin_epoch(document, assignment, sent_at, now)
             elif newest == assignment.epoch:
                 assignment.confirmed_at = max(assignment.confirmed_at, sent_at)
-            lost += self._assignments.learn(
+            lost += self._assignments.record_epochs(
                 assignment, document.assignment_epochs(assignment.partition), now
             )
         if not begun and not lost:
@@ -210,13 +213,13 @@
         fields = (("begun", begun), ("lost", lost))
         return [Log("claims_assignments_changed", fields=fields)]
 
-    def _begin(
+    def _begin_epoch(
         self, document: AssignmentDocument, assignment: Assignment, sent_at: float, now: float
     ) -> bool:
         """Begin the assignment's newest epoch if this node made it; return whether it did."""
         identity = self._assignments.identity
-        ours = document.taker(identity.zone, assignment.partition) == identity.node_id
-        if not ours or document.zones != self._zones:
+        taken_here = document.taker(identity.zone, assignment.partition) == identity.node_id
+        if not taken_here or document.zones != self._zones:
             return False
         epoch = document.epoch(identity.zone, assignment.partition)
         assignment.confirmed_at = sent_at
@@ -226,10 +229,12 @@
             # and no other node can have voted in between.
             assignment.epoch = epoch
             return True
-        self._assignments.learn(assignment, document.assignment_epochs(assignment.partition), now)
+        self._assignments.record_epochs(
+            assignment, document.assignment_epochs(assignment.partition), now
+        )
         self._assignments.begin_epoch(assignment, epoch, self._zones)
-        assignment.vote_at = now + self._settings.wait_seconds
-        assignment.ask_tables_soon(now, self._settings.table_retry_seconds)
+        assignment.vote_at = now + self._settings.rebuild_wait_seconds
+        assignment.schedule_table_requests(now, self._settings.table_retry_seconds)
         if document.previous_zones:
             epochs = {
                 zone: epochs[assignment.partition]
@@ -237,6 +242,6 @@
             }
             assignment.previous = PreviousAssignments(document.previous_zones, epochs)
         skips_rebuild = not self._settings.enabled(Mechanism.CLAIM_REBUILD)
-        if document.is_genesis(identity.zone, assignment.partition) or skips_rebuild:
-            self._assignments.vote(assignment)
+        if document.is_first_epoch(identity.zone, assignment.partition) or skips_rebuild:
+            self._assignments.start_voting(assignment)
         return True
--- a/wingquay/claims/takeover_timing.py
+++ b/wingquay/claims/takeover_timing.py
@@ -30,11 +30,11 @@
         self._document: AssignmentDocument | None = None
         self._nodes: frozenset[NodeId] = frozenset()
         self._alone_since = inf
-        self._heard_from: set[NodeId] = set()
+        self._offered_by: set[NodeId] = set()
         self._last_holders: dict[int, NodeId] = {}
 
     @property
-    def knows_nodes(self) -> bool:
+    def has_membership(self) -> bool:
         """Whether any view of the membership has come."""
         return bool(self._nodes)
 
@@ -46,15 +46,15 @@
         """Want no more assignments: the node leaves."""
         self._leaving = True
 
-    def note_document(self, document: AssignmentDocument) -> None:
+    def record_document(self, document: AssignmentDocument) -> None:
         """Take in the assignment document as last read."""
         self._document = document
 
-    def hear_from(self, node_id: NodeId) -> None:
+    def record_offer_from(self, node_id: NodeId) -> None:
         """Note that a node has offered all that it has for this one, if anything."""
-        self._heard_from.add(node_id)
+        self._offered_by.add(node_id)
 
-    def is_ours(self, partition: int) -> bool:
+    def should_hold(self, partition: int) -> bool:
         """Whether this node should hold the assignment."""
         identity = self._assignments.identity
         if self._leaving or identity.zone not in self._zones:
@@ -62,7 +62,7 @@
         holder = self._directory.holder(identity.deployment, identity.zone, partition)
         return holder is not None and holder.node_id == identity.node_id
 
-    def review(self, now: float) -> None:
+    def reevaluate(self, now: float) -> None:
         """Look anew at which assignments this node should hold, after the membership changed."""
         identity = self._assignments.identity
         nodes = self._directory.node_ids(identity.deployment, identity.zone)
@@ -70,21 +70,25 @@
             node_id for node_id in self._nodes - nodes if not self._directory.is_leaving(node_id)
         }
         self._nodes = nodes
-        if self._directory.mates(identity):
+        if self._directory.zone_peers(identity):
             self._alone_since = inf
         elif self._alone_since == inf:
             self._alone_since = now
         for assignment in self._assignments.assignments:
-            self._review_assignment(assignment, crashed, now)
+            self._reevaluate_assignment(assignment, crashed, now)
 
-    def _review_assignment(self, assignment: Assignment, crashed: set[NodeId], now: float) -> None:
+    def _reevaluate_assignment(
+        self, assignment: Assignment, crashed: set[NodeId], now: float
+    ) -> None:
         identity = self._assignments.identity
         holder = self._directory.holder(identity.deployment, identity.zone, assignment.partition)
         last_holder = self._last_holders.get(assignment.partition)
         if holder is not None:
             self._last_holders[assignment.partition] = holder.node_id
-            assignment.was_anothers = assignment.was_anothers or holder.node_id != identity.node_id
-        if not self.is_ours(assignment.partition):
+            assignment.seen_other_holder = (
+                assignment.seen_other_holder or holder.node_id != identity.node_id
+            )
+        if not self.should_hold(assignment.partition):
             assignment.takeover_at = inf
         elif assignment.takeover_at == inf:
             assignment.takeover_at = now + self._delay(last_holder in crashed)
@@ -95,42 +99,45 @@
             return self._settings.crash_takeover_delay_seconds
         return self._settings.join_takeover_delay_seconds
 
-    def wanted(self, now: float) -> list[Assignment]:
+    def due_takeovers(self, now: float) -> list[Assignment]:
         """Return the assignments that are to be taken over now."""
-        nobody_offers = self._nobody_offers(now)
+        no_offers_expected = self._no_offers_expected(now)
         return [
             assignment
             for assignment in self._assignments.assignments
-            if self.is_ours(assignment.partition)
-            and self._is_free(assignment)
+            if self.should_hold(assignment.partition)
+            and self._can_take_over(assignment)
             and now >= assignment.accepted_until
-            and (now >= assignment.takeover_at or (nobody_offers and self._is_orphan(assignment)))
+            and (
+                now >= assignment.takeover_at
+                or (no_offers_expected and self._is_orphaned(assignment))
+            )
         ]
 
-    def _is_free(self, assignment: Assignment) -> bool:
+    def _can_take_over(self, assignment: Assignment) -> bool:
         """Whether this node neither holds the assignment nor gives it to a node that is there."""
         if assignment.status is not AssignmentStatus.HANDED_OVER:
             return assignment.status is AssignmentStatus.EMPTY
         receiver = None if assignment.offer is None else assignment.offer.receiver
-        mates = self._directory.mates(self._assignments.identity)
-        return all(node.node_id != receiver for node in mates)
+        zone_peers = self._directory.zone_peers(self._assignments.identity)
+        return all(node.node_id != receiver for node in zone_peers)
 
-    def _nobody_offers(self, now: float) -> bool:
+    def _no_offers_expected(self, now: float) -> bool:
         """Whether every other node of the zone that is seen has had its say."""
         if len(self._zones) == 1:
             return False
-        mates = self._directory.mates(self._assignments.identity)
-        if not mates:
+        zone_peers = self._directory.zone_peers(self._assignments.identity)
+        if not zone_peers:
             return now - self._alone_since >= self._settings.alone_takeover_delay_seconds
-        return all(node.node_id in self._heard_from for node in mates)
+        return all(node.node_id in self._offered_by for node in zone_peers)
 
-    def _is_orphan(self, assignment: Assignment) -> bool:
+    def _is_orphaned(self, assignment: Assignment) -> bool:
         """Whether nobody seen since this node started can have held the assignment.
 
         What the others said at the beginning tells nothing of assignments that they got later.
         """
-        if assignment.was_anothers or self._document is None:
+        if assignment.seen_other_holder or self._document is None:
             return False
         identity = self._assignments.identity
         taker = self._document.taker(identity.zone, assignment.partition)
-        return all(node.node_id != taker for node in self._directory.mates(identity))
+        return all(node.node_id != taker for node in self._directory.zone_peers(identity))
--- a/wingquay/claims/transfers.py
+++ b/wingquay/claims/transfers.py
@@ -33,7 +33,7 @@
     ended_epoch: int
     zones: tuple[ZoneName, ...]
     requested_at: float
-    ask_again_at: float
+    retry_at: float
     pieces: dict[str, dict[int, ClaimTable]] = field(default_factory=dict)
 
 
@@ -52,7 +52,7 @@
         self._zones: tuple[ZoneName, ...] = ()
         self._leaving = False
         self._fetches: dict[str, _Fetch] = {}
-        self._transfers = 0
+        self._transfer_count = 0
 
     def set_zones(self, zones: tuple[ZoneName, ...]) -> None:
         """Take in the deployment's zones from the configuration in force."""
@@ -62,47 +62,47 @@
         """Accept no more assignments: the node leaves."""
         self._leaving = True
 
-    def on_membership(self, now: float) -> None:
+    def membership_changed(self, now: float) -> None:
         """Ask at the next tick: other nodes hold assignments now."""
         for assignment in self._assignments.with_status(AssignmentStatus.REBUILDING):
-            assignment.ask_tables_soon(now, self._settings.table_retry_seconds)
+            assignment.schedule_table_requests(now, self._settings.table_retry_seconds)
 
     def tick(self, now: float) -> list[Action]:
         """Ask for the tables that are missing, and forget what has served its time."""
         actions: list[Action] = []
         for assignment in self._assignments.with_status(AssignmentStatus.REBUILDING):
             if now >= assignment.vote_at:
-                self._assignments.vote(assignment)
-            elif now >= assignment.ask_tables_at:
-                assignment.ask_tables_at = now + assignment.ask_tables_delay_seconds
-                assignment.ask_tables_delay_seconds = min(
-                    assignment.ask_tables_delay_seconds * 2.0,
+                self._assignments.start_voting(assignment)
+            elif now >= assignment.request_tables_at:
+                assignment.request_tables_at = now + assignment.request_tables_delay_seconds
+                assignment.request_tables_delay_seconds = min(
+                    assignment.request_tables_delay_seconds * 2.0,
                     self._settings.table_retry_most_seconds,
                 )
-                actions += self._ask_for_tables(assignment, now)
-        self._forget_old(now)
-        return actions + self._ask_again_for_assignments(now)
+                actions += self._request_tables(assignment, now)
+        self._drop_expired(now)
+        return actions + self._retry_handovers(now)
 
-    def _forget_old(self, now: float) -> None:
+    def _drop_expired(self, now: float) -> None:
         for assignment in self._assignments.assignments:
             if assignment.status is AssignmentStatus.HANDED_OVER and now >= assignment.forget_at:
-                assignment.become_empty()
+                assignment.reset()
             if assignment.retired is not None and now >= assignment.retired.forget_at:
                 self._assignments.forget_retired(assignment)
         self._drop_old_fetches(now)
 
-    def _ask_for_tables(self, assignment: Assignment, now: float) -> list[Action]:
+    def _request_tables(self, assignment: Assignment, now: float) -> list[Action]:
         identity = self._assignments.identity
         actions: list[Action] = []
         for zone in assignment.zones:
-            if zone == identity.zone or zone in self._counted_tables(assignment):
+            if zone == identity.zone or zone in self._current_tables(assignment):
                 continue
             holder = self._directory.holder(identity.deployment, zone, assignment.partition)
             if holder is not None:
                 actions.append(self._request(assignment, holder, None, now))
-        return actions + self._ask_for_previous_tables(assignment, now)
+        return actions + self._request_previous_tables(assignment, now)
 
-    def _ask_for_previous_tables(self, assignment: Assignment, now: float) -> list[Action]:
+    def _request_previous_tables(self, assignment: Assignment, now: float) -> list[Action]:
         """Ask for the tables of the last list of zones; this node's own needs no message."""
         identity = self._assignments.identity
         if assignment.previous is None:
@@ -124,12 +124,12 @@
         now: float,
         ended_epoch: int = 0,
     ) -> SendToPeer:
-        self._transfers += 1
-        transfer_id = f"{self._assignments.identity.node_id}/{self._transfers}"
+        self._transfer_count += 1
+        transfer_id = f"{self._assignments.identity.node_id}/{self._transfer_count}"
         zones = self._zones if offer_id is not None else assignment.zones
-        ask_again_at = now + self._settings.table_retry_seconds if offer_id is not None else inf
+        retry_at = now + self._settings.table_retry_seconds if offer_id is not None else inf
         fetch = _Fetch(
-            assignment, assignment.epoch, sender, offer_id, ended_epoch, zones, now, ask_again_at
+            assignment, assignment.epoch, sender, offer_id, ended_epoch, zones, now, retry_at
         )
         self._fetches[transfer_id] = fetch
         request = ClaimTableRequest(
@@ -142,12 +142,12 @@
         )
         return SendToPeer(sender, request)
 
-    def _ask_again_for_assignments(self, now: float) -> list[Action]:
+    def _retry_handovers(self, now: float) -> list[Action]:
         """Fetch accepted assignments once more: their holder votes no more since it gave them."""
-        late = [fetch for fetch in self._fetches.values() if now >= fetch.ask_again_at]
+        late = [fetch for fetch in self._fetches.values() if now >= fetch.retry_at]
         actions: list[Action] = []
         for fetch in late:
-            fetch.ask_again_at = inf
+            fetch.retry_at = inf
             assignment = fetch.assignment
             is_open = (
                 assignment.accepted_offer_id == fetch.offer_id and now < assignment.accepted_until
@@ -164,7 +164,7 @@
             if fetch.requested_at >= oldest
         }
 
-    def receive(self, sender: NodeIdentity, table: ClaimTable, now: float) -> list[Action]:
+    def handle_table(self, sender: NodeIdentity, table: ClaimTable, now: float) -> list[Action]:
         """Take in a piece of a table; pieces that were not asked for are ignored."""
         fetch = self._fetches.get(table.transfer_id)
         if fetch is None or fetch.sender.node_id != sender.node_id:
@@ -176,15 +176,15 @@
         if len(pieces) < table.pieces:
             return []
         del self._fetches[table.transfer_id]
-        self._assignments.learn(fetch.assignment, table.assignment_epochs, now)
-        whole = tuple(pieces.values())
+        self._assignments.record_epochs(fetch.assignment, table.assignment_epochs, now)
+        complete_table = tuple(pieces.values())
         if fetch.offer_id is None:
-            self._count_table(fetch, whole, now)
+            self._record_table(fetch, complete_table, now)
         elif table.handed_over:
-            self._adopt(fetch, whole, now)
+            self._complete_handover(fetch, complete_table, now)
         return []
 
-    def _count_table(self, fetch: _Fetch, pieces: tuple[ClaimTable, ...], now: float) -> None:
+    def _record_table(self, fetch: _Fetch, pieces: tuple[ClaimTable, ...], now: float) -> None:
         assignment = fetch.assignment
         table = pieces[0]
         if (
@@ -203,16 +203,16 @@
         ):
             assignment.previous_tables.add(zone)
         if self._is_rebuilt(assignment):
-            self._assignments.vote(assignment)
+            self._assignments.start_voting(assignment)
 
     def _is_rebuilt(self, assignment: Assignment) -> bool:
-        if len(self._counted_tables(assignment)) >= tables_needed(len(assignment.zones)):
+        if len(self._current_tables(assignment)) >= tables_needed(len(assignment.zones)):
             return True
         if assignment.previous is None:
             return False
         return len(assignment.previous_tables) >= tables_needed(len(assignment.previous.zones))
 
-    def _counted_tables(self, assignment: Assignment) -> list[ZoneName]:
+    def _current_tables(self, assignment: Assignment) -> list[ZoneName]:
         """Return the zones whose table was read from their newest known epoch."""
         if not self._settings.enabled(Mechanism.CLAIM_ASSIGNMENT_EPOCHS):
             return list(assignment.tables)
@@ -222,7 +222,7 @@
             if source.epoch >= assignment.known_epochs.get(zone, 0)
         ]
 
-    def _adopt(self, fetch: _Fetch, pieces: tuple[ClaimTable, ...], now: float) -> None:
+    def _complete_handover(self, fetch: _Fetch, pieces: tuple[ClaimTable, ...], now: float) -> None:
         """Continue the epoch of the node that handed its assignment over."""
         assignment = fetch.assignment
         table = pieces[0]
@@ -231,14 +231,14 @@
             newest, assignment.epoch
         ):
             return
-        self._forget_fetches_of(assignment)
+        self._drop_fetches_of(assignment)
         self._assignments.begin_epoch(assignment, table.epoch, fetch.zones)
         _merge(assignment, pieces, now)
         # Counted from the request, so that a table that was long under way is not trusted more.
         assignment.confirmed_at = fetch.requested_at - table.confirmed_age_seconds
-        self._assignments.vote(assignment)
+        self._assignments.start_voting(assignment)
 
-    def _forget_fetches_of(self, assignment: Assignment) -> None:
+    def _drop_fetches_of(self, assignment: Assignment) -> None:
         # A late copy of the same assignment must not be taken after this node has handed it on.
         self._fetches = {
             transfer_id: fetch
--- a/wingquay/claims/voter.py
+++ b/wingquay/claims/voter.py
@@ -15,7 +15,7 @@
     def vote(self, request: ClaimRequest, now: float) -> ClaimVote:
         """Return the vote on ``request`` and remember a grant."""
         assignment = self._assignments.assignments[partition_of(request.claim_key)]
-        self._assignments.learn(assignment, request.assignment_epochs, now)
+        self._assignments.record_epochs(assignment, request.assignment_epochs, now)
         votes = self._assignments.can_vote(assignment, request.zones, now)
         remembered = assignment.memory.submissions(request.claim_key, now)
         for entry in sorted(remembered, key=_unknown_outcomes_last):
@@ -40,8 +40,10 @@
             assignment.memory.release(outcome.claim_key, outcome.request_id, outcome.round_number)
             return
         known = assignment.memory.submissions(outcome.claim_key, now)
-        has_room = assignment.status is AssignmentStatus.VOTING and not assignment.memory.is_full
-        if not known and not has_room:
+        has_capacity = (
+            assignment.status is AssignmentStatus.VOTING and not assignment.memory.is_full
+        )
+        if not known and not has_capacity:
             return
         finished = Submission(
             request_id=outcome.request_id,
