--- a/tests/claims/test_scenarios.py
+++ b/tests/claims/test_scenarios.py
@@ -141,9 +141,7 @@
             world.send_membership()
             world.advance(6.0)
             self.assertEqual(PARTITIONS, voting(world, world.zones[0]), zone_count)
-            self.assertEqual(
-                ClaimDecisionKind.ALREADY_DONE, decide(world, world.running()[-1])
-            )
+            self.assertEqual(ClaimDecisionKind.ALREADY_DONE, decide(world, world.running()[-1]))
 
     def test_voters_replaced_one_by_one_lose_nothing(self) -> None:
         """Planned stops hand memory over; in one zone nothing else could keep it."""
@@ -162,9 +160,7 @@
                 world.advance(1.0)
             for zone in world.zones:
                 self.assertEqual(PARTITIONS, voting(world, zone))
-            self.assertEqual(
-                ClaimDecisionKind.ALREADY_DONE, decide(world, world.running()[-1])
-            )
+            self.assertEqual(ClaimDecisionKind.ALREADY_DONE, decide(world, world.running()[-1]))
 
     def test_a_restarted_lone_node_rebuilds_within_seconds(self) -> None:
         """So zones with one node each can be restarted one after the other."""
@@ -258,9 +254,7 @@
         world.start_node(ZoneName("z9"))
         world.send_membership()
         world.advance(30.0)
-        self.assertEqual(
-            ClaimDecisionKind.CANNOT_TELL, decide(world, world.running()[0], "k1")
-        )
+        self.assertEqual(ClaimDecisionKind.CANNOT_TELL, decide(world, world.running()[0], "k1"))
         world.advance(world.settings.rebuild_wait_seconds)
         self.assertEqual(ClaimDecisionKind.GRANTED, decide(world, world.running()[0], "k1"))
 
--- a/tests/membership/hollow_cluster.py
+++ b/tests/membership/simulated_cluster.py
@@ -27,7 +27,7 @@
 MessageWatcher = Callable[[NodeIdentity, NodeIdentity, PeerMessage], None]
 
 
-class HollowNode:
+class SimulatedNode:
     """One process: its machine, and what it was last told."""
 
     def __init__(self, identity: NodeIdentity, machine: MembershipMachine) -> None:
@@ -41,7 +41,7 @@
         self.counts: Counter[str] = Counter()
 
 
-class HollowCluster:
+class SimulatedCluster:
     """Starts, stops, pauses and cuts off nodes, and runs the clock."""
 
     def __init__(
@@ -54,21 +54,21 @@
         self.random = random.Random(seed)
         self.settings = settings or MembershipSettings()
         self.replica_settings = ReplicaEvidenceSettings()
-        self.nodes: dict[str, HollowNode] = {}
+        self.nodes: dict[str, SimulatedNode] = {}
         self.loss = 0.0
         self.lost_from: set[str] = set()
         self.lost_to: set[str] = set()
         self.cut_zones: set[frozenset[str]] = set()
         self.machine_list: MachineListRead | None = None
-        self.on_notify: Callable[[HollowNode, Event], None] | None = None
-        self.on_log: Callable[[HollowNode, Log], None] | None = None
+        self.on_notify: Callable[[SimulatedNode, Event], None] | None = None
+        self.on_log: Callable[[SimulatedNode, Log], None] | None = None
         self._watcher = watcher
-        self._by_address: dict[tuple[str, int], HollowNode] = {}
-        self._heap: list[tuple[float, int, HollowNode, Event]] = []
+        self._by_address: dict[tuple[str, int], SimulatedNode] = {}
+        self._heap: list[tuple[float, int, SimulatedNode, Event]] = []
         self._order = 0
         self._starts = 0
 
-    def start_node(self, index: int) -> HollowNode:
+    def start_node(self, index: int) -> SimulatedNode:
         """Start a process at address ``index``; a new id each time."""
         self._starts += 1
         host = f"10.0.{index // 250}.{index % 250 + 1}"
@@ -78,30 +78,30 @@
         seeds = [SeedAddress(f"10.0.0.{number + 1}", 7000) for number in range(SEED_COUNT)]
         source = random.Random(self.random.getrandbits(64))
         machine = MembershipMachine(identity, seeds, self.settings, self.replica_settings, source)
-        node = HollowNode(identity, machine)
+        node = SimulatedNode(identity, machine)
         self.nodes[node_id] = node
         self._by_address[(host, 7000)] = node
-        self.give(node, Start())
+        self.deliver(node, Start())
         return node
 
-    def start_nodes(self, count: int) -> list[HollowNode]:
+    def start_nodes(self, count: int) -> list[SimulatedNode]:
         return [self.start_node(index) for index in range(count)]
 
-    def kill(self, node: HollowNode) -> None:
+    def kill(self, node: SimulatedNode) -> None:
         """End a process without a word."""
         node.is_running = False
         self.nodes.pop(node.identity.node_id, None)
 
-    def pause(self, node: HollowNode, seconds: float) -> None:
+    def pause(self, node: SimulatedNode, seconds: float) -> None:
         """Stop a process; what arrives meanwhile is handled afterwards."""
         node.paused_until = self.now + seconds
 
-    def give(self, node: HollowNode, event: Event) -> None:
+    def deliver(self, node: SimulatedNode, event: Event) -> None:
         """Hand an event to a node now and perform what it decides."""
         for action in self.decide(node, event):
             self._perform(node, action)
 
-    def decide(self, node: HollowNode, event: Event) -> list[Action]:
+    def decide(self, node: SimulatedNode, event: Event) -> list[Action]:
         """Let the machine take in an event."""
         return node.machine.handle(event, self.now)
 
@@ -115,7 +115,7 @@
             if node.paused_until > self.now:
                 self._push(node.paused_until, node, event)
                 continue
-            self.give(node, event)
+            self.deliver(node, event)
         self.now = end
 
     def run_until(self, condition: Callable[[], bool], limit_seconds: float) -> float:
@@ -135,7 +135,7 @@
     def total(self, name: str) -> int:
         return sum(node.counts[name] for node in self.nodes.values())
 
-    def knows(self, node_id: str) -> int:
+    def count_seeing(self, node_id: str) -> int:
         """How many of the other nodes believe that ``node_id`` is there."""
         return sum(
             node_id in node.available
@@ -143,7 +143,7 @@
             if node.identity.node_id != node_id
         )
 
-    def _perform(self, node: HollowNode, action: Action) -> None:
+    def _perform(self, node: SimulatedNode, action: Action) -> None:
         match action:
             case Schedule():
                 self._push(max(action.at_seconds, self.now), node, action.event)
@@ -159,7 +159,7 @@
                 if self.machine_list is not None:
                     self._push(self.now + ONE_WAY_SECONDS, node, self.machine_list)
 
-    def _notify(self, node: HollowNode, event: Event) -> None:
+    def _notify(self, node: SimulatedNode, event: Event) -> None:
         if isinstance(event, MembershipChanged):
             node.available = frozenset(identity.node_id for identity in event.available)
             node.leaving = frozenset(identity.node_id for identity in event.leaving)
@@ -168,7 +168,7 @@
         if self.on_notify is not None:
             self.on_notify(node, event)
 
-    def _send(self, node: HollowNode, action: SendToPeer) -> None:
+    def _send(self, node: SimulatedNode, action: SendToPeer) -> None:
         if self._watcher is not None:
             self._watcher(node.identity, action.to, action.message)
         receiver = self._by_address.get((action.to.host, action.to.port))
@@ -184,7 +184,7 @@
             broken = PeerLinkBroken(action.to.node_id, "unreachable")
             self._push(self.now + 2 * ONE_WAY_SECONDS, node, broken)
 
-    def _passes(self, sender: HollowNode, receiver: HollowNode, is_datagram: bool) -> bool:
+    def _passes(self, sender: SimulatedNode, receiver: SimulatedNode, is_datagram: bool) -> bool:
         zones = frozenset((sender.identity.zone, receiver.identity.zone))
         if len(zones) > 1 and zones in self.cut_zones:
             return False
@@ -203,6 +203,6 @@
     def heal(self) -> None:
         self.cut_zones.clear()
 
-    def _push(self, at: float, node: HollowNode, event: Event) -> None:
+    def _push(self, at: float, node: SimulatedNode, event: Event) -> None:
         self._order += 1
         heapq.heappush(self._heap, (at, self._order, node, event))
--- a/tests/membership/test_membership_faults.py
+++ b/tests/membership/test_membership_faults.py
@@ -2,7 +2,7 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, initialize, invariant, rule
 
-from tests.membership.hollow_cluster import SEED_COUNT, ZONES, HollowCluster
+from tests.membership.simulated_cluster import SEED_COUNT, ZONES, SimulatedCluster
 from wingquay.ports.internal import LeavingStarted
 
 ADDRESSES = 9
@@ -14,7 +14,7 @@
 
     @initialize(seed=st.integers(0, 2**32))
     def begin(self, seed):
-        self.cluster = HollowCluster(seed)
+        self.cluster = SimulatedCluster(seed)
         self.running = dict(enumerate(self.cluster.start_nodes(ADDRESSES)))
         self.cluster.run_until(self.cluster.is_settled, 60)
 
@@ -37,7 +37,7 @@
     @rule(index=INDEXES)
     def leave(self, index):
         if index in self.running:
-            self.cluster.give(self.running[index], LeavingStarted())
+            self.cluster.deliver(self.running[index], LeavingStarted())
 
     @rule(zone=st.sampled_from(ZONES))
     def cut_off(self, zone):
@@ -51,14 +51,14 @@
     def lose_datagrams(self, loss):
         self.cluster.loss = loss
 
-    @rule(index=INDEXES, deaf=st.booleans())
-    def lose_one_way(self, index, deaf):
+    @rule(index=INDEXES, incoming=st.booleans())
+    def lose_one_way(self, index, incoming):
         if index in self.running:
-            lost = self.cluster.lost_to if deaf else self.cluster.lost_from
+            lost = self.cluster.lost_to if incoming else self.cluster.lost_from
             lost.add(self.running[index].identity.node_id)
 
     @rule()
-    def hear_all(self):
+    def restore_links(self):
         self.cluster.lost_from.clear()
         self.cluster.lost_to.clear()
 
@@ -74,7 +74,7 @@
 
     def teardown(self):
         self.heal()
-        self.hear_all()
+        self.restore_links()
         self.lose_datagrams(0.0)
         for index in range(SEED_COUNT):
             if index not in self.running:
--- a/tests/membership/test_membership_machine.py
+++ b/tests/membership/test_membership_machine.py
@@ -1,8 +1,8 @@
 import testtools
 
-from tests.membership.hollow_cluster import HollowCluster
+from tests.membership.simulated_cluster import SimulatedCluster
 from wingquay.adapters import peer_codec
-from wingquay.membership.replica_evidence import REPLICA_LEAVING_BOUND_SECONDS
+from wingquay.membership.replica_evidence import MAX_REPLICA_LEAVING_SECONDS
 from wingquay.membership.settings import MembershipSettings
 from wingquay.model.configuration import Configuration
 from wingquay.ports.internal import (
@@ -20,7 +20,7 @@
 
 class MembershipMachineTest(testtools.TestCase):
     def cluster(self, count=NODES, seed=1, **keywords):
-        cluster = HollowCluster(seed, **keywords)
+        cluster = SimulatedCluster(seed, **keywords)
         cluster.start_nodes(count)
         cluster.run_until(cluster.is_settled, 60)
         return cluster
@@ -39,7 +39,7 @@
         cluster = self.cluster()
         victim = self.victim(cluster)
         cluster.kill(victim)
-        cluster.run_until(lambda: cluster.knows(victim.identity.node_id) == 0, 20)
+        cluster.run_until(lambda: cluster.count_seeing(victim.identity.node_id) == 0, 20)
         cluster.run(60)
         self.assertTrue(cluster.is_settled())
         self.assertEqual(0, cluster.total("membership_refutations_total"))
@@ -55,8 +55,8 @@
         cluster = self.cluster()
         victim = self.victim(cluster)
         node_id = victim.identity.node_id
-        cluster.give(victim, LeavingStarted())
-        cluster.run_until(lambda: cluster.knows(node_id) == 0, 3)
+        cluster.deliver(victim, LeavingStarted())
+        cluster.run_until(lambda: cluster.count_seeing(node_id) == 0, 3)
         cluster.run(120)
         self.assertTrue(all(node_id in node.leaving for node in cluster.nodes.values()))
         cluster.kill(victim)
@@ -82,7 +82,7 @@
         victim = self.victim(cluster)
         cluster.pause(victim, 60)
         cluster.run(60)
-        self.assertEqual(0, cluster.knows(victim.identity.node_id))
+        self.assertEqual(0, cluster.count_seeing(victim.identity.node_id))
         cluster.run_until(cluster.is_settled, 10)
         self.assertEqual(0, victim.counts["membership_deaths_total"])
 
@@ -98,7 +98,7 @@
         cluster = self.cluster()
         node_id = self.victim(cluster).identity.node_id
         cluster.lost_from.add(node_id)
-        cluster.run_until(lambda: cluster.knows(node_id) == 0, 60)
+        cluster.run_until(lambda: cluster.count_seeing(node_id) == 0, 60)
         self.assertEqual({NODES - 1}, self.sizes_without(cluster, node_id))
         cluster.lost_from.clear()
         cluster.run_until(cluster.is_settled, 60)
@@ -107,7 +107,7 @@
         cluster = self.cluster()
         node_id = self.victim(cluster).identity.node_id
         cluster.lost_to.add(node_id)
-        cluster.run_until(lambda: cluster.knows(node_id) == 0, 60)
+        cluster.run_until(lambda: cluster.count_seeing(node_id) == 0, 60)
         self.assertEqual({NODES - 1}, self.sizes_without(cluster, node_id))
         cluster.lost_to.clear()
         cluster.run_until(cluster.is_settled, 60)
@@ -146,7 +146,7 @@
         cluster.run_until(cluster.is_settled, 60)
 
     def test_nodes_without_seeds_join_through_the_machine_list(self):
-        cluster = HollowCluster(1)
+        cluster = SimulatedCluster(1)
         cluster.machine_list = MachineListRead(
             tuple(
                 MachineEntry(f"10.0.0.{number}", 7000, "dej", MachineState.LIVE)
@@ -175,26 +175,26 @@
         def fetch(node, event):
             if isinstance(event, NewerRevisionHeard):
                 in_force.add(node.identity.node_id)
-                cluster.give(node, ConfigurationInForce(Configuration(revision=event.revision)))
+                cluster.deliver(node, ConfigurationInForce(Configuration(revision=event.revision)))
 
         cluster.on_notify = fetch
         first = self.victim(cluster)
-        cluster.give(first, ConfigurationInForce(Configuration(revision=7)))
+        cluster.deliver(first, ConfigurationInForce(Configuration(revision=7)))
         everyone_else = set(cluster.nodes) - {first.identity.node_id}
         cluster.run_until(lambda: in_force == everyone_else, 4)
 
     def test_replica_seen_leaving_by_one_node_is_known_to_all_within_the_bound(self):
         cluster = self.cluster()
-        cluster.give(self.victim(cluster), ReplicaObserved("r1", ReplicaState.LEAVING))
+        cluster.deliver(self.victim(cluster), ReplicaObserved("r1", ReplicaState.LEAVING))
         belief = ReplicaBelief("r1", ReplicaState.LEAVING)
-        bound = REPLICA_LEAVING_BOUND_SECONDS
+        bound = MAX_REPLICA_LEAVING_SECONDS
         cluster.run_until(
             lambda: all(belief in node.notified for node in cluster.nodes.values()), bound
         )
 
     def test_joining_node_learns_of_leaving_replicas(self):
         cluster = self.cluster()
-        cluster.give(self.victim(cluster), ReplicaObserved("r1", ReplicaState.LEAVING))
+        cluster.deliver(self.victim(cluster), ReplicaObserved("r1", ReplicaState.LEAVING))
         cluster.run(60)
         newcomer = cluster.start_node(NODES)
         belief = ReplicaBelief("r1", ReplicaState.LEAVING)
@@ -210,14 +210,14 @@
         cluster = self.cluster(watcher=watch)
         for number in range(300):
             node = self.victim(cluster, number % NODES)
-            cluster.give(node, ReplicaObserved(f"replica-{number}", ReplicaState.LEAVING))
+            cluster.deliver(node, ReplicaObserved(f"replica-{number}", ReplicaState.LEAVING))
         cluster.run(30)
         self.assertLessEqual(max(sizes), cluster.settings.gossip_maximum_bytes + 200)
 
     def test_same_seed_gives_the_same_run(self):
         def trace(seed):
             sent = []
-            cluster = HollowCluster(seed, watcher=lambda *message: sent.append(message))
+            cluster = SimulatedCluster(seed, watcher=lambda *message: sent.append(message))
             cluster.start_nodes(8)
             cluster.loss = 0.2
             cluster.run(30)
--- a/tests/membership/test_one_machine.py
+++ b/tests/membership/test_one_machine.py
@@ -21,7 +21,7 @@
 )
 
 SETTINGS = MembershipSettings()
-QUIET = Gossip(0)
+NO_GOSSIP = Gossip(0)
 
 
 def identity(node_id, number):
@@ -42,7 +42,7 @@
         self.actions = []
         self.handle(Start())
         for peer in (B, C, D):
-            self.receive(peer, Ping(1, QUIET))
+            self.receive(peer, Ping(1, NO_GOSSIP))
 
     def handle(self, event):
         actions = self.machine.handle(event, self.now)
@@ -97,20 +97,20 @@
         target, sequence = self.start_probe()
         self.tick()
         requests = self.sent(self.tick(), PingRequest)
-        self.receive(requests[0][0], Acknowledgement(sequence, target.node_id, QUIET))
+        self.receive(requests[0][0], Acknowledgement(sequence, target.node_id, NO_GOSSIP))
         self.tick()
         self.tick()
         self.assertEqual([], self.suspected())
 
     def test_relay_brings_the_answer_or_says_that_there_is_none(self):
-        (_, ping) = self.sent(self.receive(B, PingRequest(77, C, QUIET)), Ping)[0]
+        (_, ping) = self.sent(self.receive(B, PingRequest(77, C, NO_GOSSIP)), Ping)[0]
         answers = self.sent(
-            self.receive(C, Acknowledgement(ping.sequence, "c", QUIET)), Acknowledgement
+            self.receive(C, Acknowledgement(ping.sequence, "c", NO_GOSSIP)), Acknowledgement
         )
         self.assertEqual([(B, 77, "c")], [(to, m.sequence, m.subject) for to, m in answers])
-        self.receive(B, PingRequest(78, D, QUIET))
-        refusals = self.sent(self.tick(), Acknowledgement)
-        self.assertEqual([(B, 78, "a")], [(to, m.sequence, m.subject) for to, m in refusals])
+        self.receive(B, PingRequest(78, D, NO_GOSSIP))
+        nacks = self.sent(self.tick(), Acknowledgement)
+        self.assertEqual([(B, 78, "a")], [(to, m.sequence, m.subject) for to, m in nacks])
 
     def test_pause_is_not_held_against_the_node_that_was_being_probed(self):
         self.start_probe()
@@ -135,13 +135,13 @@
         self.assertIn("b", self.available())
 
     def test_new_process_at_an_address_replaces_the_old_one_at_once(self):
-        self.receive(identity("b2", 2), Ping(1, QUIET))
+        self.receive(identity("b2", 2), Ping(1, NO_GOSSIP))
         self.tick()
         self.assertEqual({"a", "b2", "c", "d"}, self.available())
 
     def test_doubt_about_this_node_is_refuted(self):
-        doubt = NodeUpdate(OWN, NodeState.SUSPECT, 0, "c")
-        answers = self.sent(self.receive(C, Ping(9, Gossip(0, (doubt,)))), Acknowledgement)
+        suspicion = NodeUpdate(OWN, NodeState.SUSPECT, 0, "c")
+        answers = self.sent(self.receive(C, Ping(9, Gossip(0, (suspicion,)))), Acknowledgement)
         refutation = NodeUpdate(OWN, NodeState.ALIVE, 1)
         self.assertIn(refutation, answers[0][1].gossip.node_updates)
 
@@ -150,5 +150,5 @@
         self.receive(C, Ping(0, Gossip(0, (death,))))
         for _ in range(60):
             self.tick()
-        answers = self.sent(self.receive(B, Ping(9, QUIET)), Acknowledgement)
+        answers = self.sent(self.receive(B, Ping(9, NO_GOSSIP)), Acknowledgement)
         self.assertEqual(death, answers[0][1].gossip.node_updates[0])
--- a/tests/membership/test_over_sockets.py
+++ b/tests/membership/test_over_sockets.py
@@ -14,7 +14,7 @@
 from wingquay.runtime import NodeRuntime
 
 KEY = b"a key of the cluster that is long enough"
-PATIENCE_SECONDS = 60.0
+TIMEOUT_SECONDS = 60.0
 FAST = MembershipSettings(
     tick_seconds=0.05,
     probe_interval_seconds=0.4,
@@ -63,15 +63,15 @@
             seed = await nodes["a"].start([])
             for name in ("b", "c", "d"):
                 await nodes[name].start([seed])
-            await self.everybody_sees(nodes)
+            await self.wait_until_all_see(nodes)
             await nodes.pop("d").stop()
-            await self.everybody_sees(nodes)
+            await self.wait_until_all_see(nodes)
             for node in nodes.values():
                 await node.stop()
 
         asyncio.run(scenario())
 
-    async def everybody_sees(self, nodes):
-        async with asyncio.timeout(PATIENCE_SECONDS):
+    async def wait_until_all_see(self, nodes):
+        async with asyncio.timeout(TIMEOUT_SECONDS):
             while any(node.available != set(nodes) for node in nodes.values()):
                 await asyncio.sleep(0.02)
--- a/tests/membership/test_parts.py
+++ b/tests/membership/test_parts.py
@@ -6,7 +6,7 @@
 
 from wingquay.adapters import peer_codec
 from wingquay.membership.gossip_queue import (
-    MAXIMUM_ORDINARY_PIECES,
+    MAX_ORDINARY_UPDATES,
     GossipQueue,
     estimated_bytes,
 )
@@ -64,10 +64,10 @@
 
     def test_pieces_that_can_wait_are_bounded_in_number(self):
         queue = GossipQueue(2.0)
-        for number in range(MAXIMUM_ORDINARY_PIECES + 50):
+        for number in range(MAX_ORDINARY_UPDATES + 50):
             queue.put(ReplicaUpdate(f"r{number}", ReplicaState.SERVING, 1), urgent=False)
         queue.put(update(1))
-        self.assertEqual(MAXIMUM_ORDINARY_PIECES + 1, len(queue))
+        self.assertEqual(MAX_ORDINARY_UPDATES + 1, len(queue))
         self.assertEqual(update(1), queue.take(1000, 470)[0])
 
     def test_only_urgent_pieces_call_for_messages_of_their_own(self):
@@ -158,7 +158,7 @@
     def test_times_grow_with_bad_health_and_each_step_comes_once(self):
         probe = new_probe(identity(1), 1, SETTINGS, health_multiplier=2, now=0.0)
         self.assertEqual(ProbeStep.WAIT, probe.next_step(0.3))
-        self.assertEqual(ProbeStep.SEND_AGAIN, probe.next_step(0.5))
+        self.assertEqual(ProbeStep.RESEND, probe.next_step(0.5))
         self.assertEqual(ProbeStep.WAIT, probe.next_step(0.6))
-        self.assertEqual(ProbeStep.ASK_OTHERS, probe.next_step(1.0))
+        self.assertEqual(ProbeStep.PROBE_INDIRECTLY, probe.next_step(1.0))
         self.assertEqual(ProbeStep.GIVE_UP, probe.next_step(2.0))
--- a/wingquay/membership/contacts.py
+++ b/wingquay/membership/contacts.py
@@ -9,7 +9,7 @@
 from .settings import SeedAddress
 
 
-class Contacts:
+class ContactCandidates:
     """Seeds, addresses from the machine list, and nodes that are believed dead.
 
     Parameters
@@ -27,13 +27,13 @@
     ) -> None:
         self._own = own
         self._seeds = tuple(dict.fromkeys(seeds))
-        self._listed: tuple[SeedAddress, ...] = ()
+        self._listed_addresses: tuple[SeedAddress, ...] = ()
         self._table = table
         self._random = random_source
 
-    def set_listed(self, addresses: Iterable[SeedAddress]) -> None:
+    def set_listed_addresses(self, addresses: Iterable[SeedAddress]) -> None:
         """Take in the addresses of the machine list that may be nodes."""
-        self._listed = tuple(addresses)
+        self._listed_addresses = tuple(addresses)
 
     def choose(self, count: int) -> list[NodeIdentity]:
         """Return up to ``count`` addresses at which no living node is known."""
@@ -41,8 +41,8 @@
         return self._random.sample(candidates, min(count, len(candidates)))
 
     def _unknown_addresses(self) -> list[NodeIdentity]:
-        addresses = dict.fromkeys((*self._seeds, *self._listed))
-        return [_anyone_at(address) for address in addresses if self._is_unknown(address)]
+        addresses = dict.fromkeys((*self._seeds, *self._listed_addresses))
+        return [_unidentified_node(address) for address in addresses if self._is_unknown(address)]
 
     def _is_unknown(self, address: SeedAddress) -> bool:
         if address == self._own:
@@ -52,10 +52,12 @@
 
     def _dead(self) -> list[NodeIdentity]:
         return [
-            member.identity for member in self._table.dead() if self._is_last_there(member.identity)
+            member.identity
+            for member in self._table.dead()
+            if self._is_latest_at_address(member.identity)
         ]
 
-    def _is_last_there(self, identity: NodeIdentity) -> bool:
+    def _is_latest_at_address(self, identity: NodeIdentity) -> bool:
         """Whether no other node, this one included, is known to have taken the address over."""
         if SeedAddress(identity.host, identity.port) == self._own:
             return False
@@ -63,5 +65,5 @@
         return latest is None or latest.identity == identity
 
 
-def _anyone_at(address: SeedAddress) -> NodeIdentity:
+def _unidentified_node(address: SeedAddress) -> NodeIdentity:
     return NodeIdentity(NodeId(""), DeploymentName(""), ZoneName(""), address.host, address.port)
--- a/wingquay/membership/gossip_queue.py
+++ b/wingquay/membership/gossip_queue.py
@@ -17,10 +17,10 @@
 """Tags, lengths, state, version and held versions of an encoded replica update."""
 
 
-SMALLEST_UPDATE_BYTES = REPLICA_UPDATE_OVERHEAD_BYTES
+MIN_UPDATE_BYTES = REPLICA_UPDATE_OVERHEAD_BYTES
 """With less room than this, no further piece is looked for."""
 
-MAXIMUM_ORDINARY_PIECES = 300
+MAX_ORDINARY_UPDATES = 300
 """Pieces that are not urgent; when there are more, the most often sent are dropped."""
 
 _Key = tuple[str, NodeId | ReplicaId]
@@ -47,7 +47,7 @@
     times_sent: int = 0
 
 
-class _Lane:
+class _SendQueue:
     """Pieces of one urgency, by how often they have been sent.
 
     What has not been sent yet goes newest first, the rest in turn.
@@ -80,25 +80,25 @@
         most_sent = next(level for level in reversed(self._levels) if level)
         self.remove(next(iter(most_sent)))
 
-    def take(self, maximum_bytes: int, limit: int) -> tuple[list[NodeUpdate | ReplicaUpdate], int]:
-        """Return pieces of at most ``maximum_bytes``, least sent first, and the bytes left."""
+    def take(self, max_bytes: int, limit: int) -> tuple[list[NodeUpdate | ReplicaUpdate], int]:
+        """Return pieces of at most ``max_bytes``, least sent first, and the bytes left."""
         chosen: list[tuple[_Key, _Entry]] = []
         for times_sent, level in enumerate(self._levels):
             for key in level if times_sent else reversed(level):
                 entry = level[key]
-                if entry.size_bytes <= maximum_bytes:
-                    maximum_bytes -= entry.size_bytes
+                if entry.size_bytes <= max_bytes:
+                    max_bytes -= entry.size_bytes
                     chosen.append((key, entry))
-                if maximum_bytes < SMALLEST_UPDATE_BYTES:
+                if max_bytes < MIN_UPDATE_BYTES:
                     break
-            if maximum_bytes < SMALLEST_UPDATE_BYTES:
+            if max_bytes < MIN_UPDATE_BYTES:
                 break
         for key, entry in chosen:
             self.remove(key)
             entry.times_sent += 1
             if entry.times_sent < limit:
                 self.put(key, entry)
-        return [entry.update for _, entry in chosen], maximum_bytes
+        return [entry.update for _, entry in chosen], max_bytes
 
 
 class GossipQueue:
@@ -113,8 +113,8 @@
 
     def __init__(self, retransmission_factor: float) -> None:
         self._factor = retransmission_factor
-        self._urgent = _Lane()
-        self._ordinary = _Lane()
+        self._urgent = _SendQueue()
+        self._ordinary = _SendQueue()
 
     def __len__(self) -> int:
         return len(self._urgent) + len(self._ordinary)
@@ -124,7 +124,7 @@
         """Whether something waits that is worth messages of its own."""
         return len(self._urgent) > 0
 
-    def holds_node(self, node_id: NodeId) -> bool:
+    def has_update_about(self, node_id: NodeId) -> bool:
         """Whether something about that node still has to be spread."""
         key = ("node", node_id)
         return key in self._urgent or key in self._ordinary
@@ -134,20 +134,20 @@
         key = _key_of(update)
         self._urgent.remove(key)
         self._ordinary.remove(key)
-        lane = self._urgent if urgent else self._ordinary
-        lane.put(key, _Entry(update, estimated_bytes(update)))
-        if len(self._ordinary) > MAXIMUM_ORDINARY_PIECES:
+        queue = self._urgent if urgent else self._ordinary
+        queue.put(key, _Entry(update, estimated_bytes(update)))
+        if len(self._ordinary) > MAX_ORDINARY_UPDATES:
             self._ordinary.drop_most_sent()
 
     def take(
         self,
-        maximum_bytes: int,
+        max_bytes: int,
         node_count: int,
     ) -> list[NodeUpdate | ReplicaUpdate]:
-        """Return what to send now, of at most ``maximum_bytes``, and count it as sent."""
+        """Return what to send now, of at most ``max_bytes``, and count it as sent."""
         limit = self.transmissions(node_count)
-        urgent, left_bytes = self._urgent.take(maximum_bytes, limit)
-        ordinary, _ = self._ordinary.take(left_bytes, max(1, limit // 2))
+        urgent, remaining_bytes = self._urgent.take(max_bytes, limit)
+        ordinary, _ = self._ordinary.take(remaining_bytes, max(1, limit // 2))
         return urgent + ordinary
 
     def transmissions(self, node_count: int) -> int:
--- a/wingquay/membership/member_table.py
+++ b/wingquay/membership/member_table.py
@@ -6,9 +6,9 @@
 from ..model.identifiers import NodeId
 from ..ports.peer import NodeIdentity, NodeState, NodeUpdate
 
-NOBODY = NodeId("")
+NO_NODE = NodeId("")
 
-_RANKS = {
+_PRECEDENCES = {
     NodeState.ALIVE: 0,
     NodeState.SUSPECT: 1,
     NodeState.LEAVING: 2,
@@ -28,7 +28,7 @@
         When ``state`` was last changed (seconds).
     answered_at
         When the node last answered a probe of ours: proof of a way there and back.
-    told_at
+    notified_at
         When the node was last told that it is not believed alive.
     """
 
@@ -37,9 +37,9 @@
     incarnation: int
     changed_at: float
     answered_at: float = float("-inf")
-    told_at: float = float("-inf")
+    notified_at: float = float("-inf")
 
-    def as_update(self, suspected_by: NodeId = NOBODY) -> NodeUpdate:
+    def as_update(self, suspected_by: NodeId = NO_NODE) -> NodeUpdate:
         """Return the belief as gossip."""
         return NodeUpdate(self.identity, self.state, self.incarnation, suspected_by)
 
@@ -48,7 +48,7 @@
     """Whether ``update`` replaces what is believed of ``member``."""
     if update.incarnation != member.incarnation:
         return update.incarnation > member.incarnation
-    return _RANKS[update.state] > _RANKS[member.state]
+    return _PRECEDENCES[update.state] > _PRECEDENCES[member.state]
 
 
 class MemberTable:
--- a/wingquay/membership/membership_machine.py
+++ b/wingquay/membership/membership_machine.py
@@ -31,24 +31,24 @@
     Ping,
     PingRequest,
 )
-from .contacts import Contacts
+from .contacts import ContactCandidates
 from .gossip_queue import GossipQueue
 from .member_table import MemberTable
 from .message_sender import MessageSender
-from .node_beliefs import NodeBeliefs
 from .node_lists import NodeLists
+from .node_state_tracker import NodeStateTracker
 from .outbox import Outbox
 from .prober import Prober
 from .probing import ProbeOrder
 from .replica_evidence import ReplicaEvidenceSettings
-from .replica_table import ReplicaNews, ReplicaTable
+from .replica_table import ReplicaChanges, ReplicaTable
 from .revision_spreader import RevisionSpreader
 from .settings import MembershipSettings, SeedAddress
 
-JOIN_CONTACTS = 3
+MAX_JOIN_CONTACTS = 3
 """Addresses that a node without any other tries at once."""
 
-TELLS_PER_TICK = 8
+MAX_NOTIFICATIONS_PER_TICK = 8
 """Nodes that are told in one tick what is said of them."""
 
 LEAVING_FANOUT = 6
@@ -108,13 +108,13 @@
         self._queue = GossipQueue(settings.retransmission_factor)
         self._replicas = ReplicaTable(replica_settings)
         own_address = SeedAddress(identity.host, identity.port)
-        self._contacts = Contacts(own_address, seeds, self._table, random_source)
+        self._contacts = ContactCandidates(own_address, seeds, self._table, random_source)
         order = ProbeOrder(self._table, random_source)
         self._order = order
         self._messages = MessageSender(
             settings, self._table, self._queue, self._outbox, random_source
         )
-        self._beliefs = NodeBeliefs(
+        self._tracker = NodeStateTracker(
             identity, settings, self._table, self._queue, order, self._outbox, random_source
         )
         self._prober = Prober(
@@ -122,12 +122,12 @@
             settings,
             self._table,
             order,
-            self._beliefs,
+            self._tracker,
             self._messages,
             random_source,
         )
         self._lists = NodeLists(
-            settings, self._table, self._beliefs, self._replicas, self._messages, random_source
+            settings, self._table, self._tracker, self._replicas, self._messages, random_source
         )
         self._revisions = RevisionSpreader(settings, self._messages, self._outbox)
         self._last_event_at: float | None = None
@@ -137,19 +137,19 @@
 
     def handle(self, event: Event, now: float) -> list[Action]:
         """Take in one event."""
-        self._notice_pause(now)
+        self._detect_pause(now)
         match event:
             case MembershipTick():
                 self._on_tick(now)
             case PeerReceived():
                 self._on_peer(event, now)
             case ReplicaObserved():
-                self._take_news(self._replicas.observe(event, now))
+                self._apply_changes(self._replicas.observe(event, now))
             case _:
-                self._on_rare(event, now)
+                self._handle_infrequent(event, now)
         return self._outbox.drain()
 
-    def _on_rare(self, event: Event, now: float) -> None:
+    def _handle_infrequent(self, event: Event, now: float) -> None:
         match event:
             case Start():
                 self._on_start(now)
@@ -158,20 +158,20 @@
             case MachineListRead():
                 self._on_machine_list(event, now)
             case LeavingStarted():
-                self._beliefs.leave()
+                self._tracker.leave()
                 self._messages.push(LEAVING_FANOUT)
-                self._tell_changes()
+                self._notify_membership_changed()
             case ConfigurationInForce():
-                self._take_news(self._replicas.configure(event.configuration))
-                self._revisions.in_force(event.configuration.revision, self._push_rounds())
+                self._apply_changes(self._replicas.configure(event.configuration))
+                self._revisions.set_revision(event.configuration.revision, self._push_rounds())
 
     def _on_start(self, now: float) -> None:
-        self._beliefs.announce()
-        self._tell_changes()
+        self._tracker.announce()
+        self._notify_membership_changed()
         phase_seconds = self._random.random() * self._settings.tick_seconds
         self._outbox.add(Schedule(now + phase_seconds, MembershipTick()))
 
-    def _notice_pause(self, now: float) -> None:
+    def _detect_pause(self, now: float) -> None:
         """Do not blame others for time in which this node itself stood still."""
         last_event_at, self._last_event_at = self._last_event_at, now
         if last_event_at is None:
@@ -180,18 +180,18 @@
         if pause_seconds < self._settings.pause_threshold_seconds:
             return
         self._outbox.count("membership_pauses_total")
-        self._beliefs.health.worsen()
-        self._beliefs.postpone_suspicions(pause_seconds)
+        self._tracker.health.worsen()
+        self._tracker.postpone_suspicions(pause_seconds)
         self._prober.cancel()
         if pause_seconds >= self._settings.refute_pause_seconds:
-            self._beliefs.refute_unheard()
+            self._tracker.refute_preemptively()
 
     def _on_tick(self, now: float) -> None:
         self._outbox.add(Schedule(now + self._settings.tick_seconds, MembershipTick()))
         self._prober.tick(now)
-        self._beliefs.expire_suspicions(now)
-        self._take_news(self._replicas.tick(now))
-        self._tell_subjects()
+        self._tracker.expire_suspicions(now)
+        self._apply_changes(self._replicas.tick(now))
+        self._notify_subjects()
         is_revision_due = self._revisions.take_push_round()
         if self._queue.has_urgent or is_revision_due:
             self._messages.push(self._settings.gossip_fanout)
@@ -199,77 +199,77 @@
         self._try_contacts(now)
         self._read_machine_list(now)
         self._forget_dead(now)
-        self._tell_changes()
+        self._notify_membership_changed()
 
     def _on_peer(self, event: PeerReceived, now: float) -> None:
         sender, message = event.sender, event.message
         if sender.node_id == self._own_id:
             return
-        self._beliefs.hear_from(sender, now)
+        self._tracker.record_contact(sender, now)
         match message:
             case Ping():
-                self._hear_gossip(message, message.gossip, sender, now)
+                self._apply_gossip(message, message.gossip, sender, now)
                 self._prober.on_ping(sender, message)
             case Acknowledgement():
-                self._hear_gossip(message, message.gossip, sender, now)
+                self._apply_gossip(message, message.gossip, sender, now)
                 self._prober.on_acknowledgement(sender, message, now)
             case PingRequest():
-                self._hear_gossip(message, message.gossip, sender, now)
+                self._apply_gossip(message, message.gossip, sender, now)
                 self._prober.on_ping_request(sender, message, now)
             case NodeListRequest():
                 self._lists.answer(sender)
             case NodeList():
-                self._revisions.hear(sender, message.gossip.configuration_revision, now)
-                self._lists.take(message.gossip, now)
-                self._hear_replicas(message.gossip, now)
-        self._lists.heard_from(sender, now)
+                self._revisions.handle_revision(sender, message.gossip.configuration_revision, now)
+                self._lists.apply(message.gossip, now)
+                self._apply_replica_updates(message.gossip, now)
+        self._lists.message_received(sender, now)
 
-    def _hear_gossip(
+    def _apply_gossip(
         self, message: MembershipMessage, gossip: Gossip, sender: NodeIdentity, now: float
     ) -> None:
         for update in gossip.node_updates:
-            self._beliefs.hear_gossip(update, now)
-        self._hear_replicas(gossip, now)
-        self._revisions.hear(sender, gossip.configuration_revision, now)
+            self._tracker.apply_gossip(update, now)
+        self._apply_replica_updates(gossip, now)
+        self._revisions.handle_revision(sender, gossip.configuration_revision, now)
         if isinstance(message, Ping):
             self._revisions.answer_outdated(sender, message)
 
-    def _hear_replicas(self, gossip: Gossip, now: float) -> None:
+    def _apply_replica_updates(self, gossip: Gossip, now: float) -> None:
         for update in gossip.replica_updates:
-            news = self._replicas.hear(update, now)
-            if news is not None:
-                self._take_news(news)
+            changes = self._replicas.apply_gossip(update, now)
+            if changes is not None:
+                self._apply_changes(changes)
 
-    def _take_news(self, news: ReplicaNews) -> None:
-        for belief in news.beliefs:
+    def _apply_changes(self, changes: ReplicaChanges) -> None:
+        for belief in changes.state_changes:
             self._outbox.add(Notify(belief))
-        for update in news.urgent_updates:
+        for update in changes.urgent_updates:
             self._queue.put(update)
-        for update in news.other_updates:
+        for update in changes.other_updates:
             self._queue.put(update, urgent=False)
 
     def _on_machine_list(self, event: MachineListRead, now: float) -> None:
         if isinstance(event.result, Failure):
             return
-        self._take_news(self._replicas.read_list(event.result, now))
-        self._contacts.set_listed(
+        self._apply_changes(self._replicas.apply_machine_list(event.result, now))
+        self._contacts.set_listed_addresses(
             SeedAddress(entry.host, entry.port)
             for entry in event.result
             if entry.state is MachineState.LIVE
             and not self._replicas.is_replica_address(entry.host, entry.port)
         )
 
-    def _tell_subjects(self) -> None:
-        for node_id in list(self._beliefs.to_tell)[:TELLS_PER_TICK]:
-            self._messages.tell(self._beliefs.to_tell.pop(node_id))
+    def _notify_subjects(self) -> None:
+        for node_id in list(self._tracker.pending_notifications)[:MAX_NOTIFICATIONS_PER_TICK]:
+            self._messages.notify_subject(self._tracker.pending_notifications.pop(node_id))
 
     def _try_contacts(self, now: float) -> None:
         if now < self._next_contact_at:
             return
         is_alone = self._table.node_count == 1
-        count = JOIN_CONTACTS if is_alone else 1
-        pause = self._settings.join_seconds if is_alone else self._settings.contact_seconds
-        self._next_contact_at = now + pause * self._jitter()
+        count = MAX_JOIN_CONTACTS if is_alone else 1
+        interval = self._settings.join_seconds if is_alone else self._settings.contact_seconds
+        self._next_contact_at = now + interval * self._jitter()
         for identity in self._contacts.choose(count):
             self._messages.ping(identity, self._prober.next_sequence())
 
@@ -277,8 +277,10 @@
         if now < self._next_machine_list_at:
             return
         per_node_seconds = self._settings.machine_list_seconds_per_node
-        pause = max(self._settings.machine_list_seconds, per_node_seconds * self._table.node_count)
-        self._next_machine_list_at = now + pause * self._jitter()
+        interval = max(
+            self._settings.machine_list_seconds, per_node_seconds * self._table.node_count
+        )
+        self._next_machine_list_at = now + interval * self._jitter()
         self._outbox.add(ReadMachineList())
 
     def _forget_dead(self, now: float) -> None:
@@ -286,10 +288,10 @@
             self._next_forget_at = now + FORGET_INTERVAL_SECONDS
             self._table.forget_dead_before(now - self._settings.forget_dead_seconds)
 
-    def _tell_changes(self) -> None:
-        if self._beliefs.is_changed:
-            self._beliefs.is_changed = False
-            self._outbox.add(Notify(self._beliefs.available()))
+    def _notify_membership_changed(self) -> None:
+        if self._tracker.is_changed:
+            self._tracker.is_changed = False
+            self._outbox.add(Notify(self._tracker.available()))
 
     def _push_rounds(self) -> int:
         transmissions = self._queue.transmissions(self._table.node_count)
--- a/wingquay/membership/message_sender.py
+++ b/wingquay/membership/message_sender.py
@@ -20,7 +20,7 @@
 from .outbox import Outbox
 from .settings import MembershipSettings
 
-NO_ANSWER_WANTED = 0
+NO_ACK_SEQUENCE = 0
 """Sequence number of a ping that only carries gossip."""
 
 
@@ -53,7 +53,7 @@
         self._outbox.add(SendToPeer(to, message))
 
     def ping(self, to: NodeIdentity, sequence: int, first: NodeUpdate | None = None) -> None:
-        """Probe a node, or with ``NO_ANSWER_WANTED`` bring it gossip, ``first`` before all."""
+        """Probe a node, or with ``NO_ACK_SEQUENCE`` bring it gossip, ``first`` before all."""
         self.send(to, Ping(sequence, self._gossip_for(to.node_id, first)))
 
     def acknowledge(self, to: NodeIdentity, sequence: int, subject: NodeId) -> None:
@@ -68,17 +68,17 @@
         """Bring what is to be spread to ``fanout`` random nodes."""
         reachable = self._table.reachable()
         for member in self._random.sample(reachable, min(fanout, len(reachable))):
-            self.ping(member.identity, NO_ANSWER_WANTED)
+            self.ping(member.identity, NO_ACK_SEQUENCE)
 
-    def tell(self, update: NodeUpdate) -> None:
+    def notify_subject(self, update: NodeUpdate) -> None:
         """Tell a node what is said of it, so that it can refute."""
-        self.ping(update.identity, NO_ANSWER_WANTED, first=update)
+        self.ping(update.identity, NO_ACK_SEQUENCE, first=update)
 
     def _gossip_for(self, receiver: NodeId, first: NodeUpdate | None = None) -> Gossip:
         budget = self._settings.gossip_maximum_bytes
         node_updates: list[NodeUpdate] = []
         replica_updates: list[ReplicaUpdate] = []
-        about_receiver = first or self._doubt_about(receiver)
+        about_receiver = first or self._suspicion_of(receiver)
         if about_receiver is not None:
             node_updates.append(about_receiver)
             budget -= estimated_bytes(about_receiver)
@@ -89,7 +89,7 @@
                 node_updates.append(update)
         return Gossip(self.revision, tuple(node_updates), tuple(replica_updates))
 
-    def _doubt_about(self, receiver: NodeId) -> NodeUpdate | None:
+    def _suspicion_of(self, receiver: NodeId) -> NodeUpdate | None:
         """Return our suspicion of the receiver, so that it can refute at once (Lifeguard)."""
         member = self._table.get(receiver)
         if member is None or member.state in (NodeState.ALIVE, NodeState.LEAVING):
--- a/wingquay/membership/node_lists.py
+++ b/wingquay/membership/node_lists.py
@@ -9,16 +9,16 @@
 from ..ports.peer import Gossip, NodeIdentity, NodeList, NodeListRequest
 from .member_table import MemberTable
 from .message_sender import MessageSender
-from .node_beliefs import Haste, NodeBeliefs
+from .node_state_tracker import NodeStateTracker, SpreadMode
 from .replica_table import ReplicaTable
 from .settings import MembershipSettings
 
-MANY_ARRIVALS = 3
-MANY_ARRIVALS_SHARE = 0.1
+MIN_ARRIVALS = 3
+MIN_ARRIVALS_SHARE = 0.1
 """So many new or returned nodes since the last list, and at least this share of all, mean that
 many have started at once or that a cut has healed: gossip alone would take long."""
 
-SOON_SECONDS = (1.0, 4.0)
+EARLY_LIST_DELAY_SECONDS = (1.0, 4.0)
 """Then the next list is fetched at a random moment between these."""
 
 
@@ -29,14 +29,14 @@
         self,
         settings: MembershipSettings,
         table: MemberTable,
-        beliefs: NodeBeliefs,
+        tracker: NodeStateTracker,
         replicas: ReplicaTable,
         messages: MessageSender,
         random_source: random.Random,
     ) -> None:
         self._settings = settings
         self._table = table
-        self._beliefs = beliefs
+        self._tracker = tracker
         self._replicas = replicas
         self._messages = messages
         self._random = random_source
@@ -44,68 +44,74 @@
         self._requested_at = float("-inf")
         self._next_at = float("inf")
         self._arrivals_at_list = 0
-        self._is_list_due_soon = False
+        self._is_early_list_scheduled = False
 
-    def heard_from(self, sender: NodeIdentity, now: float) -> None:
+    def message_received(self, sender: NodeIdentity, now: float) -> None:
         """Ask whoever is heard first for the list."""
         if not self._has_joined:
             self._request(sender, now)
 
     def tick(self, now: float) -> None:
         """Ask for a list when it is time."""
-        if not self._is_list_due_soon and self._has_much_changed():
-            self._is_list_due_soon = True
-            self._next_at = min(self._next_at, now + self._random.uniform(*SOON_SECONDS))
+        if not self._is_early_list_scheduled and self._needs_early_list():
+            self._is_early_list_scheduled = True
+            self._next_at = min(
+                self._next_at, now + self._random.uniform(*EARLY_LIST_DELAY_SECONDS)
+            )
         if now < self._next_at:
             return
-        source = self._source()
+        source = self._choose_source()
         if source is not None and self._request(source, now):
             self._schedule(now)
 
-    def _source(self) -> NodeIdentity | None:
+    def _choose_source(self) -> NodeIdentity | None:
         """Return whom to ask: from behind a healed cut if possible, else anyone."""
-        returned, self._beliefs.last_returned = self._beliefs.last_returned, None
+        returned, self._tracker.last_returned = self._tracker.last_returned, None
         if returned is not None:
             return returned
         reachable = self._table.reachable()
         return self._random.choice(reachable).identity if reachable else None
 
-    def _has_much_changed(self) -> bool:
-        if self._beliefs.last_returned is not None:
+    def _needs_early_list(self) -> bool:
+        if self._tracker.last_returned is not None:
             return True
-        arrivals = self._beliefs.arrivals - self._arrivals_at_list
-        return arrivals >= max(MANY_ARRIVALS, MANY_ARRIVALS_SHARE * self._table.node_count)
+        arrivals = self._tracker.arrivals - self._arrivals_at_list
+        return arrivals >= max(MIN_ARRIVALS, MIN_ARRIVALS_SHARE * self._table.node_count)
 
     def answer(self, sender: NodeIdentity) -> None:
         """Send everything that is believed here."""
         members = tuple(member.as_update() for member in self._table.all())
-        updates = (self._beliefs.own_update(), *members)
-        warnings = tuple(self._replicas.warnings())
-        self._messages.send(sender, NodeList(Gossip(self._messages.revision, updates, warnings)))
+        updates = (self._tracker.own_update(), *members)
+        not_serving_updates = tuple(self._replicas.not_serving_updates())
+        self._messages.send(
+            sender, NodeList(Gossip(self._messages.revision, updates, not_serving_updates))
+        )
 
-    def take(self, gossip: Gossip, now: float) -> None:
+    def apply(self, gossip: Gossip, now: float) -> None:
         """Take in a list."""
         # The others know already what the first list brings; of later ones they fetch their own.
-        if not self._has_joined or self._has_much_changed():
+        if not self._has_joined or self._needs_early_list():
             # What was announced before was meant for fewer nodes.
-            self._beliefs.announce()
-        self._arrivals_at_list = self._beliefs.arrivals
-        self._is_list_due_soon = False
-        haste = Haste.WHERE_THERE_IS_ROOM if self._has_joined else Haste.NOT
+            self._tracker.announce()
+        self._arrivals_at_list = self._tracker.arrivals
+        self._is_early_list_scheduled = False
+        spread_mode = SpreadMode.ORDINARY if self._has_joined else SpreadMode.NONE
         self._has_joined = True
         self._schedule(now)
         for update in gossip.node_updates:
-            self._beliefs.hear_listed(update, now, haste)
+            self._tracker.apply_listed(update, now, spread_mode)
 
     def _request(self, node: NodeIdentity, now: float) -> bool:
         if now - self._requested_at < self._settings.list_request_pause_seconds:
             return False
         self._requested_at = now
-        self._is_list_due_soon = False
+        self._is_early_list_scheduled = False
         self._messages.send(node, NodeListRequest())
         return True
 
     def _schedule(self, now: float) -> None:
         per_node_seconds = self._settings.anti_entropy_seconds_per_node
-        pause = max(self._settings.anti_entropy_seconds, per_node_seconds * self._table.node_count)
-        self._next_at = now + pause * self._random.uniform(0.75, 1.25)
+        interval = max(
+            self._settings.anti_entropy_seconds, per_node_seconds * self._table.node_count
+        )
+        self._next_at = now + interval * self._random.uniform(0.75, 1.25)
--- a/wingquay/membership/node_beliefs.py
+++ b/wingquay/membership/node_state_tracker.py
@@ -14,31 +14,31 @@
 from .settings import MembershipSettings
 from .suspicion import Suspicion, new_suspicion
 
-TELL_PAUSE_SECONDS = 1.0
+MIN_NOTIFY_INTERVAL_SECONDS = 1.0
 """Shortest time between two times that a node is told that it is believed dead."""
 
-LONG_DEAD_SECONDS = 10.0
+MIN_PARTITION_SECONDS = 10.0
 """A node that returns after this time was cut off rather than suspected in error."""
 
 _AVAILABLE = (NodeState.ALIVE, NodeState.SUSPECT)
 
 
-class Haste(Enum):
+class SpreadMode(Enum):
     """How something that was heard is passed on."""
 
-    AT_ONCE = "at_once"
-    WHERE_THERE_IS_ROOM = "where_there_is_room"
-    NOT = "not"
+    URGENT = "at_once"
+    ORDINARY = "where_there_is_room"
+    NONE = "not"
 
 
-class NodeBeliefs:
+class NodeStateTracker:
     """What this node believes of the others and says of itself.
 
     Attributes
     ----------
     is_changed
         Whether the nodes that may be asked have changed since this was last set to ``False``.
-    to_tell
+    pending_notifications
         Nodes that should hear what is said of them, so that they can refute it.
     arrivals
         How many nodes were first heard of or came back from the dead.
@@ -68,7 +68,7 @@
         self._own_incarnation = 0
         self.health = LocalHealth(settings.health_maximum)
         self.is_changed = True
-        self.to_tell: dict[NodeId, NodeUpdate] = {}
+        self.pending_notifications: dict[NodeId, NodeUpdate] = {}
         self.arrivals = 0
         self.last_returned: NodeIdentity | None = None
 
@@ -93,7 +93,7 @@
         self._outbox.count("membership_refutations_total")
         self.announce()
 
-    def refute_unheard(self) -> None:
+    def refute_preemptively(self) -> None:
         """Contradict what may be said of this node and has not reached it."""
         self.refute(self._own_incarnation)
 
@@ -107,46 +107,51 @@
             tuple(sorted(available, key=_node_id)), tuple(sorted(leaving, key=_node_id))
         )
 
-    def hear_from(self, sender: NodeIdentity, now: float) -> None:
+    def record_contact(self, sender: NodeIdentity, now: float) -> None:
         """Take note of a message that came from ``sender`` itself."""
         member = self._table.get(sender.node_id)
         if member is None:
             self._replace_predecessor(sender, now)
             self._add(NodeUpdate(sender, NodeState.ALIVE, 0), now)
-        elif member.state is NodeState.DEAD and now - member.told_at >= TELL_PAUSE_SECONDS:
-            member.told_at = now
-            self.to_tell[sender.node_id] = member.as_update()
+        elif (
+            member.state is NodeState.DEAD
+            and now - member.notified_at >= MIN_NOTIFY_INTERVAL_SECONDS
+        ):
+            member.notified_at = now
+            self.pending_notifications[sender.node_id] = member.as_update()
 
-    def answered(self, node_id: NodeId, now: float) -> None:
+    def record_answer(self, node_id: NodeId, now: float) -> None:
         """Take note of an answer to a probe of ours."""
         member = self._table.get(node_id)
         if member is not None:
             member.answered_at = now
 
-    def found_other_process(self, expected: NodeId, now: float) -> None:
+    def record_replaced_process(self, expected: NodeId, now: float) -> None:
         """Take note that another process has the address of ``expected``: it is gone."""
         member = self._table.get(expected)
         if member is not None and member.state is not NodeState.DEAD:
             self._declare_dead(member, now, "its address has a new process")
 
-    def hear_gossip(self, update: NodeUpdate, now: float, haste: Haste = Haste.AT_ONCE) -> None:
+    def apply_gossip(
+        self, update: NodeUpdate, now: float, spread_mode: SpreadMode = SpreadMode.URGENT
+    ) -> None:
         """Take in one piece of gossip, and spread it if it is new."""
         if update.identity.node_id == self._identity.node_id:
-            self._hear_of_self(update)
+            self._handle_own_update(update)
             return
         member = self._table.get(update.identity.node_id)
         if member is None:
             if update.state is not NodeState.DEAD:
-                self._add(update, now, haste)
+                self._add(update, now, spread_mode)
         elif update.state is NodeState.SUSPECT and self._confirm(update):
             self._queue.put(update)
         elif overrides(update, member):
-            if update.state is NodeState.DEAD and self._speaks_against(member, now):
-                self._ask_subject(update)
+            if update.state is NodeState.DEAD and self._answered_recently(member, now):
+                self._request_refutation(update)
             else:
-                self._change(member, update, now, haste)
+                self._change(member, update, now, spread_mode)
 
-    def hear_listed(self, update: NodeUpdate, now: float, haste: Haste) -> None:
+    def apply_listed(self, update: NodeUpdate, now: float, spread_mode: SpreadMode) -> None:
         """Take in one entry of another node's whole list.
 
         A list may be from behind a cut that has just healed. So the dead on it are not taken for
@@ -154,9 +159,9 @@
         """
         member = self._table.get(update.identity.node_id)
         if update.state is not NodeState.DEAD or update.identity == self._identity:
-            self.hear_gossip(update, now, haste)
+            self.apply_gossip(update, now, spread_mode)
         elif member is not None and overrides(update, member):
-            self._ask_subject(update)
+            self._request_refutation(update)
 
     def suspect(self, node_id: NodeId, now: float) -> None:
         """Take note that a probe of ours was not answered, directly or through others."""
@@ -191,40 +196,42 @@
                 del self._suspicions[node_id]
             elif member.answered_at > suspicion.started_at:
                 suspicion.started_at = now
-                self.to_tell[node_id] = member.as_update()
+                self.pending_notifications[node_id] = member.as_update()
             else:
                 self._declare_dead(member, now, "it did not refute")
 
-    def _hear_of_self(self, update: NodeUpdate) -> None:
-        is_doubt = update.state in (NodeState.SUSPECT, NodeState.DEAD)
+    def _handle_own_update(self, update: NodeUpdate) -> None:
+        is_suspicion = update.state in (NodeState.SUSPECT, NodeState.DEAD)
         if update.incarnation > self._own_incarnation or (
-            is_doubt and update.incarnation == self._own_incarnation
+            is_suspicion and update.incarnation == self._own_incarnation
         ):
             self.health.worsen()
             self.refute(update.incarnation)
-        elif is_doubt and not self._queue.holds_node(self._identity.node_id):
+        elif is_suspicion and not self._queue.has_update_about(self._identity.node_id):
             # Refuted before, but not everybody has heard it: we may have been mute.
             self.announce()
 
     def _replace_predecessor(self, newcomer: NodeIdentity, now: float) -> None:
         predecessor = self._table.at_address(newcomer.host, newcomer.port)
         if predecessor is not None:
-            self.found_other_process(predecessor.identity.node_id, now)
+            self.record_replaced_process(predecessor.identity.node_id, now)
 
-    def _add(self, update: NodeUpdate, now: float, haste: Haste = Haste.AT_ONCE) -> None:
+    def _add(
+        self, update: NodeUpdate, now: float, spread_mode: SpreadMode = SpreadMode.URGENT
+    ) -> None:
         member = self._table.put(update, now)
         node_id = update.identity.node_id
         self._order.insert(node_id)
         self.arrivals += 1
-        self._spread(update, haste)
+        self._spread(update, spread_mode)
         self.is_changed = True
         self._outbox.log("node_joined", ("node", node_id), ("zone", update.identity.zone))
         if member.state is NodeState.SUSPECT:
             self._begin_suspicion(update, now)
 
-    def _spread(self, update: NodeUpdate, haste: Haste) -> None:
-        if haste is not Haste.NOT:
-            self._queue.put(update, urgent=haste is Haste.AT_ONCE)
+    def _spread(self, update: NodeUpdate, spread_mode: SpreadMode) -> None:
+        if spread_mode is not SpreadMode.NONE:
+            self._queue.put(update, urgent=spread_mode is SpreadMode.URGENT)
 
     def _confirm(self, update: NodeUpdate) -> bool:
         """Count an independent suspicion; return whether it is news."""
@@ -236,17 +243,21 @@
             return False
         return suspicion.confirm(update.suspected_by)
 
-    def _speaks_against(self, member: Member, now: float) -> bool:
+    def _answered_recently(self, member: Member, now: float) -> bool:
         """Whether what we saw ourselves contradicts that ``member`` is dead."""
         fresh = now - member.answered_at < self._settings.round_trip_fresh_seconds
         return fresh and member.state is not NodeState.LEAVING
 
-    def _ask_subject(self, update: NodeUpdate) -> None:
-        self.to_tell[update.identity.node_id] = update
+    def _request_refutation(self, update: NodeUpdate) -> None:
+        self.pending_notifications[update.identity.node_id] = update
         self._order.prefer(update.identity.node_id)
 
     def _change(
-        self, member: Member, update: NodeUpdate, now: float, haste: Haste = Haste.AT_ONCE
+        self,
+        member: Member,
+        update: NodeUpdate,
+        now: float,
+        spread_mode: SpreadMode = SpreadMode.URGENT,
     ) -> None:
         before, dead_seconds = member.state, now - member.changed_at
         self._table.put(update, now)
@@ -255,11 +266,11 @@
             self._begin_suspicion(update, now)
         if before is NodeState.DEAD:
             self.arrivals += 1
-            if dead_seconds >= LONG_DEAD_SECONDS:
+            if dead_seconds >= MIN_PARTITION_SECONDS:
                 self.last_returned = update.identity
             self._outbox.log("node_returned", ("node", update.identity.node_id))
-        self.is_changed |= _kind(before) != _kind(update.state)
-        self._spread(update, haste)
+        self.is_changed |= _reported_state(before) != _reported_state(update.state)
+        self._spread(update, spread_mode)
 
     def _begin_suspicion(self, update: NodeUpdate, now: float) -> None:
         suspicion = self._new_suspicion(now)
@@ -279,7 +290,7 @@
         self._change(member, NodeUpdate(member.identity, NodeState.DEAD, member.incarnation), now)
 
 
-def _kind(state: NodeState) -> NodeState:
+def _reported_state(state: NodeState) -> NodeState:
     """Return the state as the other machines of the node tell them apart."""
     return NodeState.ALIVE if state is NodeState.SUSPECT else state
 
--- a/wingquay/membership/prober.py
+++ b/wingquay/membership/prober.py
@@ -12,12 +12,12 @@
     PingRequest,
 )
 from .member_table import MemberTable
-from .message_sender import NO_ANSWER_WANTED, MessageSender
-from .node_beliefs import NodeBeliefs
+from .message_sender import NO_ACK_SEQUENCE, MessageSender
+from .node_state_tracker import NodeStateTracker
 from .probing import Probe, ProbeOrder, ProbeStep, new_probe
 from .settings import MembershipSettings
 
-MAXIMUM_RELAYED_PROBES = 1_000
+MAX_RELAYED_PROBES = 1_000
 """Probes on behalf of others that are remembered at once."""
 
 FIRST_SEQUENCE_BITS = 32
@@ -30,7 +30,7 @@
     requester: NodeIdentity
     requester_sequence: int
     subject: NodeId
-    refuse_at: float
+    nack_at: float
 
 
 class Prober:
@@ -42,7 +42,7 @@
         settings: MembershipSettings,
         table: MemberTable,
         order: ProbeOrder,
-        beliefs: NodeBeliefs,
+        tracker: NodeStateTracker,
         messages: MessageSender,
         random_source: random.Random,
     ) -> None:
@@ -50,7 +50,7 @@
         self._settings = settings
         self._table = table
         self._order = order
-        self._beliefs = beliefs
+        self._tracker = tracker
         self._messages = messages
         self._random = random_source
         self._sequence = random_source.getrandbits(FIRST_SEQUENCE_BITS)
@@ -73,10 +73,10 @@
             self._continue(self._probe, now)
         if self._probe is None and now >= self._next_probe_at:
             self._start(now)
-        self._refuse_relayed(now)
+        self._send_nacks(now)
 
     def _start(self, now: float) -> None:
-        multiplier = self._beliefs.health.multiplier
+        multiplier = self._tracker.health.multiplier
         self._next_probe_at = now + self._settings.probe_interval_seconds * multiplier
         target = self._order.next_target()
         if target is None:
@@ -87,14 +87,14 @@
 
     def _continue(self, probe: Probe, now: float) -> None:
         match probe.next_step(now):
-            case ProbeStep.SEND_AGAIN:
+            case ProbeStep.RESEND:
                 self._messages.ping(probe.target, probe.sequence)
-            case ProbeStep.ASK_OTHERS:
-                self._ask_others(probe)
+            case ProbeStep.PROBE_INDIRECTLY:
+                self._probe_indirectly(probe)
             case ProbeStep.GIVE_UP:
                 self._give_up(probe, now)
 
-    def _ask_others(self, probe: Probe) -> None:
+    def _probe_indirectly(self, probe: Probe) -> None:
         self._messages.ping(probe.target, probe.sequence)
         others = [
             member.identity
@@ -107,14 +107,14 @@
 
     def _give_up(self, probe: Probe, now: float) -> None:
         self._probe = None
-        if probe.refusals == 0:
+        if probe.nacks == 0:
             # Not even the relays answer: perhaps it is this node that is not heard.
-            self._beliefs.health.worsen()
-        self._beliefs.suspect(probe.target.node_id, now)
+            self._tracker.health.worsen()
+        self._tracker.suspect(probe.target.node_id, now)
 
     def on_ping(self, sender: NodeIdentity, message: Ping) -> None:
         """Answer a probe."""
-        if message.sequence != NO_ANSWER_WANTED:
+        if message.sequence != NO_ACK_SEQUENCE:
             self._messages.acknowledge(sender, message.sequence, self._own_id)
 
     def on_acknowledgement(
@@ -132,31 +132,31 @@
             return
         if message.subject == probe.target.node_id:
             self._probe = None
-            self._beliefs.health.improve()
-            self._beliefs.answered(probe.target.node_id, now)
+            self._tracker.health.improve()
+            self._tracker.record_answer(probe.target.node_id, now)
         elif (sender.host, sender.port) == (probe.target.host, probe.target.port):
             self._probe = None
-            self._beliefs.found_other_process(probe.target.node_id, now)
+            self._tracker.record_replaced_process(probe.target.node_id, now)
         else:
-            probe.refusals += 1
+            probe.nacks += 1
 
     def on_ping_request(self, sender: NodeIdentity, message: PingRequest, now: float) -> None:
         """Probe on behalf of ``sender``."""
         if message.subject.node_id == self._own_id:
             self._messages.acknowledge(sender, message.sequence, self._own_id)
             return
-        if len(self._relayed) >= MAXIMUM_RELAYED_PROBES:
+        if len(self._relayed) >= MAX_RELAYED_PROBES:
             return
         sequence = self.next_sequence()
-        refuse_at = now + self._settings.probe_resend_seconds
+        nack_at = now + self._settings.probe_resend_seconds
         subject = message.subject.node_id
-        self._relayed[sequence] = _RelayedProbe(sender, message.sequence, subject, refuse_at)
+        self._relayed[sequence] = _RelayedProbe(sender, message.sequence, subject, nack_at)
         self._messages.ping(message.subject, sequence)
 
-    def _refuse_relayed(self, now: float) -> None:
+    def _send_nacks(self, now: float) -> None:
         """Tell those who asked that there was no answer; it shows them that they are heard."""
         for sequence, relayed in list(self._relayed.items()):
-            if now >= relayed.refuse_at:
+            if now >= relayed.nack_at:
                 del self._relayed[sequence]
                 requester, requester_sequence = relayed.requester, relayed.requester_sequence
                 self._messages.acknowledge(requester, requester_sequence, self._own_id)
--- a/wingquay/membership/probing.py
+++ b/wingquay/membership/probing.py
@@ -18,8 +18,8 @@
     """What is to be done about the probe that is under way."""
 
     WAIT = "wait"
-    SEND_AGAIN = "send_again"
-    ASK_OTHERS = "ask_others"
+    RESEND = "send_again"
+    PROBE_INDIRECTLY = "ask_others"
     GIVE_UP = "give_up"
 
 
@@ -29,7 +29,7 @@
 
     Parameters
     ----------
-    again_at, indirect_at, ends_at
+    resend_at, indirect_at, give_up_at
         When to repeat it, to ask others, to give up (seconds).
     refusals
         How many of the others that were asked said that they had no answer either.
@@ -37,23 +37,23 @@
 
     target: NodeIdentity
     sequence: int
-    again_at: float
+    resend_at: float
     indirect_at: float
-    ends_at: float
-    sent_again: bool = False
-    has_asked_others: bool = False
-    refusals: int = 0
+    give_up_at: float
+    was_resent: bool = False
+    has_probed_indirectly: bool = False
+    nacks: int = 0
 
     def next_step(self, now: float) -> ProbeStep:
         """Return what is due ``now``; each step is returned once."""
-        if now >= self.ends_at:
+        if now >= self.give_up_at:
             return ProbeStep.GIVE_UP
-        if now >= self.indirect_at and not self.has_asked_others:
-            self.has_asked_others = True
-            return ProbeStep.ASK_OTHERS
-        if now >= self.again_at and not self.sent_again:
-            self.sent_again = True
-            return ProbeStep.SEND_AGAIN
+        if now >= self.indirect_at and not self.has_probed_indirectly:
+            self.has_probed_indirectly = True
+            return ProbeStep.PROBE_INDIRECTLY
+        if now >= self.resend_at and not self.was_resent:
+            self.was_resent = True
+            return ProbeStep.RESEND
         return ProbeStep.WAIT
 
 
@@ -68,9 +68,9 @@
     return Probe(
         target=target,
         sequence=sequence,
-        again_at=now + settings.probe_resend_seconds * health_multiplier,
+        resend_at=now + settings.probe_resend_seconds * health_multiplier,
         indirect_at=now + settings.probe_indirect_seconds * health_multiplier,
-        ends_at=now + settings.probe_interval_seconds * health_multiplier,
+        give_up_at=now + settings.probe_interval_seconds * health_multiplier,
     )
 
 
--- a/wingquay/membership/replica_evidence.py
+++ b/wingquay/membership/replica_evidence.py
@@ -11,7 +11,7 @@
 
 from ..ports.peer import ReplicaState
 
-REPLICA_LEAVING_BOUND_SECONDS = 3.0
+MAX_REPLICA_LEAVING_SECONDS = 3.0
 """What the settings below must add up to.
 
 After this time from the first hint that a replica is leaving, no node sends it new work, unless
@@ -86,10 +86,10 @@
     def is_undisputed(self) -> bool:
         """Whether every source that speaks says that it serves."""
         sources = (self.own, self.gossip, self.listed)
-        return not any(_is_warning(source) for source in sources)
+        return not any(_is_not_serving(source) for source in sources)
 
 
-def believed_state(
+def effective_state(
     evidence: ReplicaEvidence, settings: ReplicaEvidenceSettings, now: float
 ) -> ReplicaState:
     """Return what to believe of a replica ``now``."""
@@ -101,15 +101,15 @@
     if now - evidence.own_leaving_at < settings.return_seconds:
         return ReplicaState.LEAVING
     gossip, listed = evidence.gossip, evidence.listed
-    if gossip is not None and _is_warning(gossip) and _is_warning(listed):
+    if gossip is not None and _is_not_serving(gossip) and _is_not_serving(listed):
         return gossip.state
     return ReplicaState.SERVING
 
 
 def _state_without_own_evidence(evidence: ReplicaEvidence) -> ReplicaState:
-    witnesses = [source for source in (evidence.own, evidence.gossip) if source is not None]
-    newest = max(witnesses, key=lambda source: source.at, default=None)
-    if newest is not None and _is_warning(newest):
+    sources = [source for source in (evidence.own, evidence.gossip) if source is not None]
+    newest = max(sources, key=lambda source: source.at, default=None)
+    if newest is not None and _is_not_serving(newest):
         return newest.state
     listed = evidence.listed
     if listed is not None and (newest is None or listed.at > newest.at):
@@ -131,17 +131,17 @@
     spread_state = ReplicaState.SERVING if spread is None else spread.state
     if own is None or now - own.at > settings.own_fresh_seconds:
         listed = evidence.listed
-        if listed is not None and _is_warning(listed) and spread is None:
+        if listed is not None and _is_not_serving(listed) and spread is None:
             return listed.state
         return None
-    believed = believed_state(evidence, settings, now)
-    if _is_warning(own):
-        return None if believed is spread_state else believed
-    if spread is None or not _is_warning(spread):
+    effective = effective_state(evidence, settings, now)
+    if _is_not_serving(own):
+        return None if effective is spread_state else effective
+    if spread is None or not _is_not_serving(spread):
         return None
     disputed_since = max(spread.at, evidence.own_serving_since)
     return ReplicaState.SERVING if now - disputed_since >= settings.return_seconds else None
 
 
-def _is_warning(source: Evidence | None) -> bool:
+def _is_not_serving(source: Evidence | None) -> bool:
     return source is not None and source.state is not ReplicaState.SERVING
--- a/wingquay/membership/replica_table.py
+++ b/wingquay/membership/replica_table.py
@@ -13,14 +13,14 @@
     Evidence,
     ReplicaEvidence,
     ReplicaEvidenceSettings,
-    believed_state,
+    effective_state,
     state_to_spread,
 )
 
 _SEVERITIES = {ReplicaState.SERVING: 0, ReplicaState.LEAVING: 1, ReplicaState.GONE: 2}
 
 
-_UNTOLD: tuple[ReplicaState, HeldVersions | None] = (ReplicaState.SERVING, None)
+_DEFAULT_STATE: tuple[ReplicaState, HeldVersions | None] = (ReplicaState.SERVING, None)
 """What the other machines take for granted of a replica that they were told nothing of."""
 
 
@@ -34,7 +34,7 @@
         Of the newest update that is spread; 0 if there has been none.
     held
         The versions that the replica holds, as we last saw, or heard if we saw nothing lately.
-    held_seen_at
+    held_observed_at
         When we last saw them ourselves (seconds).
     told
         What the node's other machines were last told.
@@ -43,12 +43,12 @@
     evidence: ReplicaEvidence = field(default_factory=ReplicaEvidence)
     version: int = 0
     held: HeldVersions | None = None
-    held_seen_at: float = float("-inf")
-    told: tuple[ReplicaState, HeldVersions | None] = _UNTOLD
+    held_observed_at: float = float("-inf")
+    last_notified: tuple[ReplicaState, HeldVersions | None] = _DEFAULT_STATE
 
 
 @dataclass(frozen=True, slots=True)
-class ReplicaNews:
+class ReplicaChanges:
     """What follows from new evidence.
 
     Parameters
@@ -61,7 +61,7 @@
         To be spread where there is room: held versions have changed.
     """
 
-    beliefs: list[ReplicaBelief] = field(default_factory=list)
+    state_changes: list[ReplicaBelief] = field(default_factory=list)
     urgent_updates: list[ReplicaUpdate] = field(default_factory=list)
     other_updates: list[ReplicaUpdate] = field(default_factory=list)
 
@@ -79,7 +79,7 @@
         """Whether the configuration has a replica there."""
         return (host, port) in self._by_address
 
-    def configure(self, configuration: Configuration) -> ReplicaNews:
+    def configure(self, configuration: Configuration) -> ReplicaChanges:
         """Learn the replicas' addresses; forget replicas that are not configured any more.
 
         What was heard of a replica before it was configured here meant nothing to the other
@@ -98,31 +98,31 @@
         for replica_id in [key for key in self._records if key not in configured]:
             del self._records[replica_id]
             self._disputed.pop(replica_id, None)
-        return ReplicaNews(
-            beliefs=[
-                ReplicaBelief(replica_id, *record.told)
+        return ReplicaChanges(
+            state_changes=[
+                ReplicaBelief(replica_id, *record.last_notified)
                 for replica_id, record in self._records.items()
-                if record.told != _UNTOLD
+                if record.last_notified != _DEFAULT_STATE
             ]
         )
 
-    def observe(self, event: ReplicaObserved, now: float) -> ReplicaNews:
+    def observe(self, event: ReplicaObserved, now: float) -> ReplicaChanges:
         """Take in our own evidence."""
         record = self._record(event.replica_id)
         if event.state is not None:
             record.evidence = record.evidence.with_own(event.state, now)
-        news = self._conclude(event.replica_id, record, now)
+        changes = self._evaluate(event.replica_id, record, now)
         if event.held is None:
-            return news
-        record.held_seen_at = now
+            return changes
+        record.held_observed_at = now
         if event.held != record.held:
             record.held = event.held
-            self._tell(event.replica_id, record, now, news)
-            if not news.urgent_updates:
-                news.other_updates.append(self._next_update(event.replica_id, record))
-        return news
+            self._notify(event.replica_id, record, now, changes)
+            if not changes.urgent_updates:
+                changes.other_updates.append(self._next_update(event.replica_id, record))
+        return changes
 
-    def hear(self, update: ReplicaUpdate, now: float) -> ReplicaNews | None:
+    def apply_gossip(self, update: ReplicaUpdate, now: float) -> ReplicaChanges | None:
         """Take in gossip; ``None`` if it is not new."""
         record = self._record(update.replica_id)
         if not self._overrides(update, record):
@@ -131,16 +131,16 @@
         record.version = update.version
         if state_changed or record.evidence.gossip is None:
             record.evidence = replace(record.evidence, gossip=Evidence(update.state, now))
-        if update.held is not None and not self._saw_held_lately(record, now):
+        if update.held is not None and not self._observed_held_recently(record, now):
             record.held = update.held
-        news = self._conclude(update.replica_id, record, now)
-        relayed = news.urgent_updates if state_changed else news.other_updates
+        changes = self._evaluate(update.replica_id, record, now)
+        relayed = changes.urgent_updates if state_changed else changes.other_updates
         relayed.insert(0, update)
-        return news
+        return changes
 
-    def read_list(self, entries: Iterable[MachineEntry], now: float) -> ReplicaNews:
+    def apply_machine_list(self, entries: Iterable[MachineEntry], now: float) -> ReplicaChanges:
         """Take in the machine list; a replica that it does not name is not spoken of."""
-        news = ReplicaNews()
+        changes = ReplicaChanges()
         for entry in entries:
             replica_id = self._by_address.get((entry.host, entry.port))
             if replica_id is None:
@@ -152,17 +152,17 @@
             record = self._record(replica_id)
             listed = Evidence(ReplicaState.LEAVING, now) if is_leaving else None
             record.evidence = replace(record.evidence, listed=listed)
-            self._conclude(replica_id, record, now, news)
-        return news
+            self._evaluate(replica_id, record, now, changes)
+        return changes
 
-    def tick(self, now: float) -> ReplicaNews:
+    def tick(self, now: float) -> ReplicaChanges:
         """Decide anew where sources disagree, since evidence ages."""
-        news = ReplicaNews()
+        changes = ReplicaChanges()
         for replica_id in list(self._disputed):
-            self._conclude(replica_id, self._records[replica_id], now, news)
-        return news
+            self._evaluate(replica_id, self._records[replica_id], now, changes)
+        return changes
 
-    def warnings(self) -> list[ReplicaUpdate]:
+    def not_serving_updates(self) -> list[ReplicaUpdate]:
         """Return what is spread of replicas that do not serve, for a whole node list."""
         return [
             ReplicaUpdate(replica_id, self._spread_state(record), record.version, record.held)
@@ -178,39 +178,41 @@
             return update.version > record.version
         return _SEVERITIES[update.state] > _SEVERITIES[self._spread_state(record)]
 
-    def _saw_held_lately(self, record: _Record, now: float) -> bool:
-        return now - record.held_seen_at <= self._settings.own_fresh_seconds
+    def _observed_held_recently(self, record: _Record, now: float) -> bool:
+        return now - record.held_observed_at <= self._settings.own_fresh_seconds
 
     def _spread_state(self, record: _Record) -> ReplicaState:
         gossip = record.evidence.gossip
         return ReplicaState.SERVING if gossip is None else gossip.state
 
-    def _conclude(
+    def _evaluate(
         self,
         replica_id: ReplicaId,
         record: _Record,
         now: float,
-        news: ReplicaNews | None = None,
-    ) -> ReplicaNews:
-        news = ReplicaNews() if news is None else news
+        changes: ReplicaChanges | None = None,
+    ) -> ReplicaChanges:
+        changes = ReplicaChanges() if changes is None else changes
         spread = state_to_spread(record.evidence, self._settings, now)
         if spread is not None:
             record.evidence = replace(record.evidence, gossip=Evidence(spread, now))
-            news.urgent_updates.append(self._next_update(replica_id, record))
-        self._tell(replica_id, record, now, news)
-        if record.evidence.is_undisputed and record.told[0] is ReplicaState.SERVING:
+            changes.urgent_updates.append(self._next_update(replica_id, record))
+        self._notify(replica_id, record, now, changes)
+        if record.evidence.is_undisputed and record.last_notified[0] is ReplicaState.SERVING:
             self._disputed.pop(replica_id, None)
         else:
             self._disputed[replica_id] = None
-        return news
+        return changes
 
     def _next_update(self, replica_id: ReplicaId, record: _Record) -> ReplicaUpdate:
         record.version += 1
         state = self._spread_state(record)
         return ReplicaUpdate(replica_id, state, record.version, record.held)
 
-    def _tell(self, replica_id: ReplicaId, record: _Record, now: float, news: ReplicaNews) -> None:
-        belief = (believed_state(record.evidence, self._settings, now), record.held)
-        if belief != record.told:
-            record.told = belief
-            news.beliefs.append(ReplicaBelief(replica_id, *belief))
+    def _notify(
+        self, replica_id: ReplicaId, record: _Record, now: float, changes: ReplicaChanges
+    ) -> None:
+        belief = (effective_state(record.evidence, self._settings, now), record.held)
+        if belief != record.last_notified:
+            record.last_notified = belief
+            changes.state_changes.append(ReplicaBelief(replica_id, *belief))
--- a/wingquay/membership/revision_spreader.py
+++ b/wingquay/membership/revision_spreader.py
@@ -3,7 +3,7 @@
 from ..model.identifiers import Revision
 from ..ports.internal import NewerRevisionHeard, Notify
 from ..ports.peer import NodeIdentity, Ping
-from .message_sender import NO_ANSWER_WANTED, MessageSender
+from .message_sender import NO_ACK_SEQUENCE, MessageSender
 from .outbox import Outbox
 from .settings import MembershipSettings
 
@@ -18,10 +18,10 @@
         self._messages = messages
         self._outbox = outbox
         self._rounds_left = 0
-        self._last_heard = Revision(0)
-        self._quiet_until = float("-inf")
+        self._last_notified = Revision(0)
+        self._next_notify_at = float("-inf")
 
-    def in_force(self, revision: Revision, push_rounds: int) -> None:
+    def set_revision(self, revision: Revision, push_rounds: int) -> None:
         """Tell ``revision`` from now on, and push it for a number of ticks."""
         if revision > self._messages.revision:
             self._messages.revision = revision
@@ -35,18 +35,18 @@
         self._rounds_left -= 1
         return True
 
-    def hear(self, sender: NodeIdentity, revision: Revision, now: float) -> None:
+    def handle_revision(self, sender: NodeIdentity, revision: Revision, now: float) -> None:
         """Notify the node of a greater revision, once a tick while it is not in force."""
         if revision <= self._messages.revision:
             return
-        if revision <= self._last_heard and now < self._quiet_until:
+        if revision <= self._last_notified and now < self._next_notify_at:
             return
-        self._last_heard = revision
-        self._quiet_until = now + self._settings.tick_seconds
+        self._last_notified = revision
+        self._next_notify_at = now + self._settings.tick_seconds
         self._outbox.add(Notify(NewerRevisionHeard(sender, revision)))
 
     def answer_outdated(self, sender: NodeIdentity, message: Ping) -> None:
         """Tell a node that pushed an older revision; a probe's answer tells it anyway."""
         is_outdated = message.gossip.configuration_revision < self._messages.revision
-        if is_outdated and message.sequence == NO_ANSWER_WANTED:
-            self._messages.ping(sender, NO_ANSWER_WANTED)
+        if is_outdated and message.sequence == NO_ACK_SEQUENCE:
+            self._messages.ping(sender, NO_ACK_SEQUENCE)
--- a/wingquay/membership/suspicion.py
+++ b/wingquay/membership/suspicion.py
@@ -27,12 +27,12 @@
     started_at: float
     minimum_seconds: float
     maximum_seconds: float
-    needed: int
+    needed_confirmations: int
     reporters: list[NodeId] = field(default_factory=list)
 
     def confirm(self, reporter: NodeId) -> bool:
         """Take in who else suspects; return whether that is news worth spreading."""
-        if reporter in self.reporters or len(self.reporters) > self.needed:
+        if reporter in self.reporters or len(self.reporters) > self.needed_confirmations:
             return False
         self.reporters.append(reporter)
         return True
@@ -45,9 +45,9 @@
     def expires_at(self) -> float:
         """When the suspected node is to be taken for dead."""
         confirmations = max(0, len(self.reporters) - 1)
-        if confirmations >= self.needed:
+        if confirmations >= self.needed_confirmations:
             return self.started_at + self.minimum_seconds
-        shrunk = math.log(confirmations + 1) / math.log(self.needed + 1)
+        shrunk = math.log(confirmations + 1) / math.log(self.needed_confirmations + 1)
         span = self.maximum_seconds - self.minimum_seconds
         return self.started_at + self.maximum_seconds - span * shrunk
 
@@ -64,5 +64,5 @@
         started_at=now,
         minimum_seconds=minimum,
         maximum_seconds=minimum * settings.suspicion_spread,
-        needed=min(settings.suspicion_confirmations, others),
+        needed_confirmations=min(settings.suspicion_confirmations, others),
     )
