--- a/tests/claims/faults.py
+++ b/tests/claims/faults.py
@@ -1,4 +1,4 @@
-"""Steps that a fuzzer takes on a ``World``: submissions, faults of every kind, repairs, time."""
+"""Random steps of a fuzzer on a ``World``: submissions, faults of every kind, repairs, waiting."""
 
 import random
 from collections.abc import Callable
@@ -19,7 +19,7 @@
 
 
 def submit(world: World, source: random.Random) -> None:
-    """Submit a key, perhaps through several nodes at once."""
+    """Submit a key, possibly through several nodes at once."""
     key = source.choice(KEYS)
     for _ in range(source.choice((1, 1, 2, 3))):
         node = _node(world, source)
@@ -67,7 +67,7 @@
 
 
 def send_partial_view(world: World, source: random.Random) -> None:
-    """Tell a node a view that misses some nodes, or the truth."""
+    """Send a node a membership view that misses some nodes, or none."""
     node = _node(world, source)
     if node is None:
         return
@@ -81,24 +81,24 @@
 
 
 def cut_zones(world: World, source: random.Random) -> None:
-    """Cut some zones off from the others; their nodes take the others for lost."""
+    """Cut some zones off from the others; most nodes then see the other side as gone."""
     zones = source.sample(world.zones, source.randint(1, len(world.zones)))
     group = {node.identity.node_id for node in world.running() if node.identity.zone in zones}
     _cut(world, source, group)
 
 
 def cut_nodes(world: World, source: random.Random) -> None:
-    """Cut any nodes off from the others, across zones."""
+    """Cut random nodes off from the others, across zones."""
     running = [node.identity.node_id for node in world.running()]
     _cut(world, source, set(source.sample(running, source.randint(0, len(running)))))
 
 
 def _cut(world: World, source: random.Random, group: set[str]) -> None:
     world.cut_off({node_id for node_id in world.nodes if node_id in group})
-    cuts_store = source.random() < 0.7
+    store_is_cut_off = source.random() < 0.7
     for node in world.running():
         inside = node.identity.node_id in group
-        if inside and cuts_store:
+        if inside and store_is_cut_off:
             world.store.cut_off.add(node.identity.node_id)
         others = {
             other.identity.node_id
@@ -125,7 +125,7 @@
 
 
 def change_zones(world: World, source: random.Random) -> None:
-    """Change the deployment's list of zones; nodes of zones left out go on for a while."""
+    """Change the deployment's zones; some nodes do not receive the new configuration."""
     names = [ZoneName(f"z{index}") for index in range(5)]
     zones = tuple(sorted(source.sample(names, source.randint(1, 4))))
     for zone in zones:
@@ -166,7 +166,7 @@
 
 
 def take_random_steps(world: World, source: random.Random, count: int) -> list[str]:
-    """Take ``count`` steps; stop at the first violation; return the steps' names."""
+    """Take up to ``count`` steps, stop at the first violation, and return the steps' names."""
     names = list(STEPS)
     weights = [WEIGHTS.get(name, 1) for name in names]
     taken: list[str] = []
--- a/tests/claims/in_memory_store.py
+++ b/tests/claims/in_memory_store.py
@@ -1,4 +1,4 @@
-"""The platform's store in a few lines: one value a key, lost replies, writes that land late."""
+"""An in-memory store with one value per key, lost replies and delayed writes."""
 
 import random
 from collections.abc import Callable
@@ -21,7 +21,7 @@
 
 
 class InMemoryStore:
-    """A store that answers through ``at(time, run)``."""
+    """A store that schedules its replies through ``at(time, run)``."""
 
     def __init__(
         self, source: random.Random, at: Callable[[float, Callable[[], None]], None]
--- a/tests/claims/test_late_messages.py
+++ b/tests/claims/test_late_messages.py
@@ -1,4 +1,4 @@
-"""Messages that come late, doubled or out of order undo nothing."""
+"""Late, duplicated and reordered messages must not undo a grant, an outcome or a handover."""
 
 import random
 
@@ -79,8 +79,8 @@
 
 
 class Rebuilding(TestCase):
-    def test_a_table_asked_for_in_an_earlier_epoch_does_not_count(self) -> None:
-        """Its giver votes on without knowing of the later epoch."""
+    def test_a_table_requested_in_an_earlier_epoch_does_not_count(self) -> None:
+        """The sender of such a table still votes without having received the later epoch."""
         zones = (ZoneName("z0"), ZoneName("z1"))
         here, there = (
             NodeIdentity(NodeId(zone), DEPLOYMENT, zone, "127.0.0.1", 7000) for zone in zones
@@ -112,7 +112,7 @@
 
 class Delays(TestCase):
     def test_a_vote_of_an_earlier_round_does_not_count(self) -> None:
-        """Its grant was given back; a rival may have it by the time the vote arrives."""
+        """Its grant was released, so a rival may have been granted by the time the vote arrives."""
         world = World(2, 1)
         world.settle()
         submitter, other = world.running()
@@ -130,8 +130,8 @@
         world.advance(3.0)
         self.assertEqual(ClaimDecisionKind.IN_PROGRESS, submission.decision)
 
-    def test_a_late_copy_of_a_assignment_is_not_taken(self) -> None:
-        """Assignment and memory go from n0 to n1 to n2; then n0's first copy reaches n1."""
+    def test_a_late_copy_of_an_assignment_is_ignored(self) -> None:
+        """The assignment moves from n0 to n1 to n2; then n0's first copy reaches n1."""
         world = World(1, 1)
         world.settle()
         held: list[PeerMessage] = []
@@ -160,7 +160,7 @@
         self.assertEqual([], world.violations)
 
     def _key_held_by(self, world: World, node_id: NodeId) -> str:
-        """Return a key that is the node's now and goes to the next node that starts."""
+        """Return a key whose assignment the node holds now and the next started node will hold."""
         source = random.Random(0)
         spare = World(1, 3)
         while True:
--- a/tests/claims/test_mechanisms.py
+++ b/tests/claims/test_mechanisms.py
@@ -1,6 +1,6 @@
-"""Each mechanism is needed: without it, a sequence of faults makes a request run twice.
+"""Each mechanism is needed: without it, some sequence of faults makes a request run twice.
 
-Every case is run twice, with all mechanisms and without the one it is about.
+Every case runs with all mechanisms and again without the one under test.
 """
 
 from collections.abc import Callable
@@ -24,7 +24,7 @@
 
 
 def holder(world: World, zone_index: int) -> SimulatedNode:
-    """Return the node that truly holds the zone's assignment for the key."""
+    """Return the node that holds the zone's assignment for the key, in its own zone's view."""
     zone = world.zones[zone_index]
     identity = world.running(zone)[0].machine.holder(zone, PARTITION)
     assert identity is not None
@@ -37,7 +37,7 @@
 
 
 def separate(world: World, *groups: list[SimulatedNode]) -> None:
-    """Cut groups off from each other, without anyone's view of the membership changing."""
+    """Cut groups off from each other without changing any node's view of the membership."""
     for group in groups:
         world.cut_off(ids(group))
 
@@ -50,12 +50,12 @@
     world.advance(5.0)
 
 
-def assignment_taken_over_from_a_living_holder(world: World) -> None:
-    """The first submission asks the old holder of an assignment, the second one the new holder."""
+def assignment_taken_over_from_a_live_holder(world: World) -> None:
+    """The first submission uses the old holder of an assignment, the second the new one."""
     old = holder(world, 0)
     new = other_than(world, old)
     others = [node for node in world.running() if node is not old]
-    # Voters hear of the takeover from the new holder only, not from the store.
+    # Voters learn of the takeover from the new holder only, not from the store.
     world.store.cut_off |= ids([node for node in world.running() if node is not new])
     for node in others:
         world.send_view(node, ids([old]))
@@ -73,13 +73,13 @@
 
 
 def new_holder_after_a_crash(world: World) -> None:
-    """The second submission asks the successor of a lost voter, and a voter never asked before."""
+    """The second submission uses a crashed voter's successor and a voter that was not used before."""
     old, middle, last = holder(world, 0), holder(world, 1), holder(world, 2)
     separate(world, [last])
     world.submit(middle, KEY)
     world.advance(2.0)
     world.crash(old)
-    # Whoever ran it cannot tell the outcome to the voter that was never asked.
+    # The node that ran the request cannot send the outcome to the voter that was cut off.
     world.network.cut = {frozenset(ids([middle, last]))}
     world.send_membership()
     world.advance(5.0)
@@ -88,20 +88,20 @@
 
 
 def paused_holder(world: World) -> None:
-    """A holder sleeps until its successor has waited the memory out, then goes on as before."""
-    sleeper = holder(world, 0)
-    successor = other_than(world, sleeper)
-    sleeper.paused = True
-    world.send_view(successor, ids([sleeper]))
+    """A holder is paused until the rebuild wait of its successor is over, then resumes."""
+    paused = holder(world, 0)
+    successor = other_than(world, paused)
+    paused.paused = True
+    world.send_view(successor, ids([paused]))
     world.advance(
         world.settings.join_takeover_delay_seconds + world.settings.rebuild_wait_seconds + 5.0
     )
     world.submit(successor, KEY)
     world.advance(2.0)
-    world.submit(sleeper, KEY)
-    sleeper.pending_events.reverse()
+    world.submit(paused, KEY)
+    paused.pending_events.reverse()
     world.random.seed(1)
-    world.resume(sleeper)
+    world.resume(paused)
     world.advance(5.0)
 
 
@@ -120,7 +120,7 @@
         self.check(Mechanism.CLAIM_QUORUM, 2, cut_zones)
 
     def test_assignment_epochs(self) -> None:
-        self.check(Mechanism.CLAIM_ASSIGNMENT_EPOCHS, 3, assignment_taken_over_from_a_living_holder)
+        self.check(Mechanism.CLAIM_ASSIGNMENT_EPOCHS, 3, assignment_taken_over_from_a_live_holder)
 
     def test_rebuild(self) -> None:
         self.check(Mechanism.CLAIM_REBUILD, 3, new_holder_after_a_crash)
@@ -130,13 +130,13 @@
 
 
 class CrossedTakeovers(TestCase):
-    """Two zones' assignments are taken over at the same time, each seeing the other's old holder.
+    """Two zones' assignments are taken over at once, each with the other's old holder in view.
 
-    Were the epochs agreed by the voters alone, each new holder could rebuild from the other
-    zone's old one, and two pairs of voters, each blind to the other, would both be a majority.
+    If the voters alone agreed on epochs, each new holder could rebuild from the other zone's old
+    one, and two disjoint groups of voters would each form a majority.
     """
 
-    def test_no_two_quorums_are_blind_to_each_other(self) -> None:
+    def test_no_two_disjoint_quorums_form(self) -> None:
         for zone_count in (2, 4):
             for left_submits_first in (True, False):
                 world = self._crossed(zone_count)
@@ -164,9 +164,9 @@
 
 
 class ZoneLists(TestCase):
-    """A node that has not heard of two new zones takes two of three for a majority."""
+    """A node that has not received two new zones counts two of three zones as a majority."""
 
-    def test_claimants_and_voters_of_different_lists_do_not_work_together(self) -> None:
+    def test_voters_reject_claimants_with_another_zone_list(self) -> None:
         world = World(3, 2, seed=1)
         world.settle()
         uninformed = other_than(world, holder(world, 0))
--- a/tests/claims/test_real_nodes.py
+++ b/tests/claims/test_real_nodes.py
@@ -1,4 +1,4 @@
-"""Real nodes on loopback: one edit runs once, through every node and past planned stops."""
+"""Real nodes on loopback: an edit runs once, through every node and across planned stops."""
 
 import asyncio
 from collections.abc import Coroutine
@@ -40,7 +40,7 @@
 
 
 class SmallSystem:
-    """Four nodes in two zones, set up, with a caller."""
+    """A deployment of four nodes in two zones, with a caller."""
 
     def __init__(self) -> None:
         self.deployment = DemoDeployment(1, PROFILE, TWO_NODES_A_ZONE)
@@ -65,7 +65,7 @@
         return Question("intake", "edit", keys, idempotency_key=key, body=body)
 
     async def ask_until_run(self, node_index: int, question: Question) -> Reply:
-        """Ask until the voters have come to vote after the start."""
+        """Repeat the question until the voters are ready after the start."""
         while True:
             reply = await self.caller.ask(node_index, question)
             if reply.outcome is Outcome.COMPLETE:
@@ -100,8 +100,8 @@
                 while not system.times_run(raced):
                     asked = [system.caller.ask(index, raced) for index in range(4)]
                     outcomes = {reply.outcome for reply in await asyncio.gather(*asked)}
-                    # The voters of this key may still be coming to vote after the start: then it
-                    # has not run, and nobody is told anything else.
+                    # Until the voters of this key are ready after the start, the edit has not run
+                    # and every reply is UNKNOWN.
                     has_run = bool(system.times_run(raced))
                     self.assertTrue(has_run or outcomes == {Outcome.UNKNOWN}, outcomes)
                 self.assertEqual(1, system.times_run(raced))
--- a/tests/claims/test_scenarios.py
+++ b/tests/claims/test_scenarios.py
@@ -1,4 +1,4 @@
-"""What callers are told, and that each fault by itself neither doubles a run nor stops claims."""
+"""Decisions sent to callers, and single faults: none runs a key twice or stops claims for good."""
 
 from dataclasses import replace
 
@@ -32,7 +32,7 @@
 
 
 def holder_of(world: World, key: str, zone: ZoneName) -> SimulatedNode:
-    """Return the node of ``zone`` that remembers ``key`` or would be asked for it."""
+    """Return the node of ``zone`` that should hold the assignment for ``key``."""
     partition = partition_of(claim_key(CallerName("surveyor"), ServiceName("survey-intake"), key))
     node = world.running(zone)[0]
     holder = node.machine.holder(zone, partition)
@@ -58,16 +58,16 @@
         decide(world, first)
         self.assertEqual(ClaimDecisionKind.KEY_REUSED, decide(world, last, body="other"))
 
-    def test_of_racing_submissions_one_runs(self) -> None:
+    def test_one_of_several_concurrent_submissions_runs(self) -> None:
         for seed in range(30):
             world = settled(1 + seed % 4, seed=seed)
-            racers = [world.submit(node, KEY) for node in world.running()]
+            submissions = [world.submit(node, KEY) for node in world.running()]
             world.advance(3.0)
-            decisions = [racer.decision for racer in racers]
+            decisions = [submission.decision for submission in submissions]
             self.assertEqual(1, decisions.count(ClaimDecisionKind.GRANTED), decisions)
             self.assertEqual([], world.violations)
 
-    def test_what_did_not_run_may_be_repeated(self) -> None:
+    def test_a_request_that_did_not_run_may_be_repeated(self) -> None:
         world = settled(3)
         world.refuse_to_run = True
         first, *_, last = world.running()
@@ -88,7 +88,7 @@
         world.refuse_to_run = False
         self.assertEqual(ClaimDecisionKind.GRANTED, decide(world, last))
 
-    def test_a_claimant_lost_in_mid_run_leaves_the_outcome_unknown(self) -> None:
+    def test_a_claimant_crash_during_a_run_leaves_the_outcome_unknown(self) -> None:
         world = settled(3)
         first, *_, last = world.running()
         world.submit(first, KEY)
@@ -109,7 +109,7 @@
         self.assertEqual(ClaimDecisionKind.GRANTED, decide(world, node))
         self.assertEqual([], world.violations)
 
-    def test_a_full_memory_refuses_and_forgets_nothing(self) -> None:
+    def test_a_full_memory_refuses_new_claims_and_drops_none(self) -> None:
         world = World(3, 1, settings=replace(quick_settings(), capacity_records=5))
         world.settle()
         node = world.running()[0]
@@ -120,7 +120,7 @@
 
 
 class Faults(TestCase):
-    def test_the_majority_side_of_a_cut_goes_on(self) -> None:
+    def test_the_majority_side_of_a_network_partition_keeps_granting(self) -> None:
         world = settled(3)
         minority = world.running(world.zones[0])
         ids = {node.identity.node_id for node in minority}
@@ -133,7 +133,7 @@
         self.assertEqual(ClaimDecisionKind.GRANTED, decide(world, majority[0], "k2"))
         self.assertEqual(ClaimDecisionKind.GRANTED, decide(world, majority[0], "k1"))
 
-    def test_a_lost_voter_is_rebuilt_from_the_other_zones(self) -> None:
+    def test_a_crashed_voter_is_rebuilt_from_the_other_zones(self) -> None:
         for zone_count in (2, 3, 4):
             world = settled(zone_count)
             decide(world, world.running()[0])
@@ -144,7 +144,7 @@
             self.assertEqual(ClaimDecisionKind.ALREADY_DONE, decide(world, world.running()[-1]))
 
     def test_voters_replaced_one_by_one_lose_nothing(self) -> None:
-        """Planned stops hand memory over; in one zone nothing else could keep it."""
+        """Planned stops hand the claims over; with a single zone there is no other copy."""
         for zone_count in (1, 3):
             world = settled(zone_count, nodes_per_zone=1)
             decide(world, world.running()[0])
@@ -163,7 +163,7 @@
             self.assertEqual(ClaimDecisionKind.ALREADY_DONE, decide(world, world.running()[-1]))
 
     def test_a_restarted_lone_node_rebuilds_within_seconds(self) -> None:
-        """So zones with one node each can be restarted one after the other."""
+        """Zones with one node each can therefore be restarted one after the other."""
         world = settled(3, nodes_per_zone=1)
         decide(world, world.running()[0])
         for zone in world.zones:
@@ -185,7 +185,7 @@
             self.assertEqual(PARTITIONS, voting(world, zone))
         self.assertEqual(ClaimDecisionKind.ALREADY_DONE, decide(world, world.running()[0]))
 
-    def test_after_all_memory_was_lost_nothing_is_granted_until_it_is_forgotten_anyway(
+    def test_after_all_memory_is_lost_nothing_is_granted_until_claims_expire(
         self,
     ) -> None:
         for zone_count in (1, 2, 3, 4):
@@ -203,7 +203,7 @@
             self.assertEqual(ClaimDecisionKind.GRANTED, decide(world, node))
             self.assertEqual([], world.violations)
 
-    def test_the_store_is_needed_for_takeovers_only(self) -> None:
+    def test_only_takeovers_need_the_store(self) -> None:
         world = settled(3)
         world.store.is_down = True
         decide(world, world.running()[0])
@@ -217,10 +217,10 @@
         world.advance(10.0)
         self.assertEqual(PARTITIONS, voting(world, world.zones[0]))
 
-    def test_takeovers_get_through_lost_replies(self) -> None:
+    def test_takeovers_succeed_despite_lost_replies(self) -> None:
         for seed in range(10):
-            patient = replace(quick_settings(), join_takeover_delay_seconds=200.0)
-            world = World(3, 2, seed, patient)
+            late_takeover = replace(quick_settings(), join_takeover_delay_seconds=200.0)
+            world = World(3, 2, seed, late_takeover)
             world.store.lost_replies = 0.5
             world.advance(190.0)
             world.crash(world.running(world.zones[0])[0])
@@ -228,7 +228,7 @@
             world.advance(90.0)
             self.assertEqual(PARTITIONS, voting(world, world.zones[0]), seed)
 
-    def test_another_list_of_zones_keeps_the_memory(self) -> None:
+    def test_a_change_of_zones_keeps_the_claims(self) -> None:
         before = ("z0", "z1", "z2")
         for after in (("z0",), ("z0", "z1"), ("z0", "z1", "z2", "z3"), ("z2", "z3", "z4", "z5")):
             world = settled(len(before))
@@ -244,7 +244,7 @@
             for zone in world.zones:
                 self.assertEqual(PARTITIONS, voting(world, zone), after)
 
-    def test_another_list_of_zones_without_memory_waits(self) -> None:
+    def test_a_change_of_zones_without_enough_tables_waits(self) -> None:
         world = settled(3, nodes_per_zone=1)
         decide(world, world.running()[0])
         for zone in world.zones[:2]:
@@ -258,7 +258,7 @@
         world.advance(world.settings.rebuild_wait_seconds)
         self.assertEqual(ClaimDecisionKind.GRANTED, decide(world, world.running()[0], "k1"))
 
-    def test_a_node_that_has_not_heard_of_a_new_zone_reads_with_pauses(self) -> None:
+    def test_a_node_with_an_outdated_zone_list_limits_its_store_reads(self) -> None:
         world = settled(2)
         uninformed = world.running()[0]
         world.change_zones(world.zones[:1], {uninformed.identity.node_id})
@@ -275,7 +275,8 @@
         intervals = 20
         world.advance(intervals * world.settings.assignment_confirm_interval_seconds)
         reads = world.store.operations - before
-        # The interval is shortened by up to a half, so that nodes do not read together.
+        # The interval has random jitter of up to a half, so that nodes do not read at the same
+        # time.
         self.assertTrue(reads <= 2 * intervals * len(world.running()), reads)
 
 
--- a/tests/claims/test_stateful.py
+++ b/tests/claims/test_stateful.py
@@ -1,7 +1,4 @@
-"""Stateful fuzzing: whatever faults come in whatever order, no key runs twice.
-
-When the faults end, claims are granted again.
-"""
+"""Stateful fuzzing: no order of faults runs a key twice, and claims work again afterwards."""
 
 import random
 
@@ -20,7 +17,7 @@
 
 
 class ClaimsFuzz(RuleBasedStateMachine):
-    """Draws steps; Hypothesis shrinks a failing sequence."""
+    """Draws random steps; Hypothesis shrinks a failing sequence."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -53,7 +50,7 @@
             assert report.outcome_bytes >= 0
 
     def teardown(self) -> None:
-        """Everyone gets well; when all memory is waited out, a new key runs."""
+        """End all faults; once the rebuild wait is over, a new key must be granted."""
         world = self.world
         if world.violations:
             return
@@ -84,7 +81,7 @@
 
 
 class RandomSteps(TestCase):
-    """Longer sequences than Hypothesis draws, from fixed seeds."""
+    """Sequences from fixed seeds that are longer than those that Hypothesis draws."""
 
     def test_no_key_runs_twice(self) -> None:
         for seed in range(8):
--- a/tests/claims/world.py
+++ b/tests/claims/world.py
@@ -1,7 +1,6 @@
-"""Several claims machines on a virtual clock, with every fault the protocol is made for.
+"""Several claims machines on a virtual clock, with simulated network, store and node faults.
 
-The oracle: of the submissions of one key that were granted and run, no two lie closer together
-than the retention.
+The oracle: no two runs of one key are closer together than the retention.
 """
 
 import heapq
@@ -48,7 +47,7 @@
 
 
 def quick_settings(disabled: frozenset[Mechanism] = frozenset()) -> ClaimsSettings:
-    """Return settings whose long times are short enough to be passed often."""
+    """Return settings with short times, so that tests pass them often."""
     return ClaimsSettings(
         retention_seconds=RETENTION_SECONDS,
         retention_margin_seconds=5.0,
@@ -61,7 +60,7 @@
 
 @dataclass
 class SimulatedNode:
-    """A process; while it is paused, what reaches it waits."""
+    """A node process; events that arrive while it is paused are queued."""
 
     identity: NodeIdentity
     machine: ClaimsMachine
@@ -73,7 +72,7 @@
 
 @dataclass
 class Submission:
-    """One submission and what was decided."""
+    """One submission and its decisions."""
 
     request: QueryRequest
     node_id: NodeId
@@ -86,7 +85,7 @@
 
 @dataclass
 class Network:
-    """Faults of the network."""
+    """The present faults of the network, as probabilities (0 to 1) and cut pairs of nodes."""
 
     loss: float = 0.0
     duplicates: float = 0.0
@@ -95,7 +94,7 @@
 
 
 class World:
-    """Nodes, network, store and oracle."""
+    """Simulated nodes, network, store and oracle."""
 
     def __init__(
         self,
@@ -147,7 +146,7 @@
     def change_zones(
         self, zones: tuple[ZoneName, ...], uninformed: Collection[NodeId] = frozenset()
     ) -> None:
-        """Confirm a configuration with other zones; ``unaware`` nodes do not hear of it."""
+        """Apply a configuration with other zones at all nodes except the ``uninformed``."""
         self.zones = zones
         self.zones_revision += 1
         for node in self.running():
@@ -162,12 +161,12 @@
         ]
 
     def send_membership(self, node: SimulatedNode | None = None) -> None:
-        """Tell one node, or all, the truth about all nodes."""
+        """Send one node, or all, the correct view of the membership."""
         for receiver in self.running() if node is None else [node]:
             self.send_view(receiver, set())
 
     def send_view(self, node: SimulatedNode, missing: set[NodeId]) -> None:
-        """Tell a node a view in which some nodes are missing."""
+        """Send a node a membership view in which some nodes are missing."""
         seen = [other for other in self.running() if other.identity.node_id not in missing]
         available = tuple(other.identity for other in seen if not other.leaving)
         leaving = tuple(other.identity for other in seen if other.leaving)
@@ -184,7 +183,7 @@
     def resume(self, node: SimulatedNode) -> None:
         node.paused = False
         pending_events, node.pending_events = node.pending_events, []
-        # What waits in sockets and what waits for timers is read in no certain order.
+        # Messages in sockets and expired timers are read in no particular order.
         if self.random.random() < 0.5:
             self.random.shuffle(pending_events)
         for event in pending_events:
@@ -239,7 +238,7 @@
             self._at(self.now + self._delay(), lambda: self.deliver(receiver, event))
 
     def receive(self, sender: SimulatedNode, to: SimulatedNode, message: PeerMessage) -> None:
-        """Let a message arrive at once."""
+        """Deliver a message at once."""
         self.deliver(to, PeerReceived(sender.identity, message))
 
     def _delay(self) -> float:
@@ -255,7 +254,7 @@
                     self.network.cut.add(frozenset((left, right)))
 
     def heal(self) -> None:
-        """End every fault and tell everyone the truth."""
+        """End every fault and send all nodes the correct configuration and membership."""
         self.network = Network()
         self.store.heal()
         self.refuse_to_run = False
@@ -269,7 +268,7 @@
 
     def submit(self, node: SimulatedNode, key: str, body: str = "edit") -> Submission:
         number = len(self.submissions)
-        # Ids in no order, so that the later submission is often the preferred one.
+        # Random ids, so that the later submission often has the smaller one, which is preferred.
         request_id = RequestId(f"{self.random.randrange(10**6):06}-{number}")
         request = QueryRequest(
             request_id=request_id,
@@ -326,5 +325,5 @@
         self.now = until
 
     def settle(self) -> None:
-        """Pass the time in which a tier without faults comes to vote everywhere."""
+        """Advance until all assignments vote, if there are no faults."""
         self.advance(8.0)
--- a/wingquay/claims/__init__.py
+++ b/wingquay/claims/__init__.py
@@ -1,4 +1,4 @@
-"""Claims: an unrepeatable request runs at most once, also through several nodes.
+"""Claims: ensure that an unrepeatable request runs at most once, even if several nodes receive it.
 
-The protocol and the argument why it is safe are in ``docs/design/at-most-once.md``.
+``docs/design/at-most-once.md`` describes the protocol and its safety argument.
 """
--- a/wingquay/claims/assignment.py
+++ b/wingquay/claims/assignment.py
@@ -1,4 +1,4 @@
-"""A node's assignment for one partition: whether it votes, since when, and in which epoch."""
+"""The assignment of one partition at this node: its status, epoch and claims."""
 
 from collections.abc import Iterable
 from dataclasses import dataclass, field
@@ -15,21 +15,21 @@
 
 
 class AssignmentStatus(Enum):
-    """What a node can say about a partition."""
+    """What this node can do for a partition."""
 
     EMPTY = "empty"
-    """Nothing: it never held the assignment, or lost it."""
+    """The node never held the assignment or has lost it; it has no claims of the partition."""
     REBUILDING = "rebuilding"
-    """It took the assignment over and gathers what earlier holders had granted."""
+    """The node took the assignment over and collects the claims that earlier holders granted."""
     VOTING = "voting"
-    """Its memory holds every claim that this zone's votes helped to grant."""
+    """The node stores every claim that was granted with a vote of this zone, and votes."""
     HANDED_OVER = "handed_over"
-    """Its memory went to another node, which may fetch the same once more."""
+    """The node passed its claims to another node, which may still fetch them again."""
 
 
 @dataclass(frozen=True, slots=True)
 class AssignmentOffer:
-    """The offer of an assignment that is open to one node."""
+    """An open offer of an assignment to one node."""
 
     offer_id: str
     receiver: NodeId
@@ -37,16 +37,16 @@
 
 @dataclass(frozen=True, slots=True)
 class TableSource:
-    """From which epoch of a zone's assignment a complete table was read."""
+    """The epoch of a zone's assignment from which a complete table was read."""
 
     epoch: int
 
 
 @dataclass(frozen=True, slots=True)
 class PreviousAssignments:
-    """The assignments of a partition under the list of zones before.
+    """The assignments of a partition under the previous list of zones.
 
-    Nobody votes from them any more.
+    No node votes with them any more.
     """
 
     zones: tuple[ZoneName, ...]
@@ -55,7 +55,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RetiredMemory:
-    """A complete memory of an epoch that has ended, kept for those that rebuild from it."""
+    """The complete claims of an ended epoch, kept until ``forget_at`` for nodes that rebuild."""
 
     epoch: int
     memory: PartitionMemory
@@ -64,37 +64,42 @@
 
 @dataclass(slots=True)
 class Assignment:
-    """One partition's assignment at this node.
+    """The assignment of one partition at this node.
+
+    Times are in seconds on this node's clock; an infinite time means that nothing is scheduled.
 
     Parameters
     ----------
     epoch
-        The epoch of the memory that this node has, or had last.
+        The epoch of the claims that this node has or had last.
     zones
         The zones whose majority decided when the epoch began.
     known_epochs
-        The newest epoch of each zone's assignment that this node has heard of.
+        The newest known epoch of each zone's assignment.
     confirmed_at
-        When the store was last asked and said that ``epoch`` is the newest of this zone.
+        When the last store operation that confirmed ``epoch`` as the newest of this zone was sent.
     vote_at
-        When everything granted by earlier holders is forgotten anyway.
+        When every claim granted by earlier holders has expired, so that this node may vote without
+        having their tables.
     takeover_at
-        When the assignment may be taken over; infinite while this node does not want it.
+        When this node may take the assignment over; infinite while it should not hold it.
     seen_other_holder
-        Whether this node has seen another that should hold the assignment.
+        Whether, in this node's view, another node was ever the one that should hold the assignment.
     request_tables_at, request_tables_delay_seconds
-        When tables are next asked for, and how long after that again.
+        When tables are next requested, and the delay until the request after that.
+    forget_at
+        When a handed-over memory is dropped.
     offer
         The offer of this assignment to another node.
     accepted_offer_id, accepted_until
-        Another node's offer of its assignment, and how long this node tries to fetch it.
+        The accepted offer of another node, and how long this node tries to fetch the assignment.
     tables
-        The complete tables that were read since ``epoch`` began.
+        The zones whose complete table was read since ``epoch`` began.
     previous, previous_tables
-        The assignments under the last list of zones, while this epoch is the first under the new
-        one, and the zones whose table of then was read.
+        The assignments under the previous list of zones, and the zones whose table of that time was
+        read. Set only during the first epoch under a new list of zones.
     retired
-        This node's own memory of an epoch that has ended.
+        The claims that this node stored in an ended epoch.
     """
 
     partition: int
@@ -125,18 +130,18 @@
         )
 
     def record_epochs(self, assignment_epochs: Iterable[AssignmentEpoch]) -> None:
-        """Take in epochs that another process has heard of."""
+        """Record epochs received from another process; older ones have no effect."""
         for entry in assignment_epochs:
             known = self.known_epochs.get(entry.zone, 0)
             self.known_epochs[entry.zone] = max(known, entry.epoch)
 
     def schedule_table_requests(self, now: float, delay_seconds: float) -> None:
-        """Ask for tables at once, then after ``delay_seconds``, then ever less often."""
+        """Request tables at the next tick, then after ``delay_seconds``, doubled each time."""
         self.request_tables_at = now
         self.request_tables_delay_seconds = delay_seconds
 
     def reset(self) -> None:
-        """Stop answering for the partition and forget its claims."""
+        """Drop all claims of the partition and stop voting."""
         self.status = AssignmentStatus.EMPTY
         self.memory.clear()
         self.tables.clear()
@@ -153,7 +158,7 @@
     Parameters
     ----------
     identity
-        The node.
+        This node.
     """
 
     def __init__(self, settings: ClaimsSettings, identity: NodeIdentity) -> None:
@@ -172,7 +177,7 @@
     def record_epochs(
         self, assignment: Assignment, assignment_epochs: Iterable[AssignmentEpoch], now: float
     ) -> bool:
-        """Take in epochs; return whether the assignment turned out to be another node's."""
+        """Record epochs; return whether they show that another node took the assignment over."""
         assignment.record_epochs(assignment_epochs)
         newest = assignment.known_epochs.get(self.identity.zone, 0)
         held = assignment.status in (AssignmentStatus.REBUILDING, AssignmentStatus.VOTING)
@@ -194,13 +199,13 @@
         assignment.memory = PartitionMemory(self._settings, self.usage)
 
     def forget_retired(self, assignment: Assignment) -> None:
-        """Drop the memory of an epoch that has ended."""
+        """Drop the claims of an ended epoch."""
         if assignment.retired is not None:
             assignment.retired.memory.clear()
             assignment.retired = None
 
     def can_vote(self, assignment: Assignment, zones: tuple[ZoneName, ...], now: float) -> bool:
-        """Whether the assignment's memory is complete for a majority of ``zones``."""
+        """Whether this node has all claims it needs to vote under ``zones``."""
         if assignment.status is not AssignmentStatus.VOTING or assignment.zones != zones:
             return False
         if not self._settings.enabled(Mechanism.CLAIM_PAUSE_DETECTION):
@@ -208,7 +213,7 @@
         return now - assignment.confirmed_at <= self._settings.assignment_validity_seconds
 
     def begin_epoch(self, assignment: Assignment, epoch: int, zones: tuple[ZoneName, ...]) -> None:
-        """Start anew with an empty memory in an epoch that the store has confirmed."""
+        """Start ``epoch``, which the store has confirmed, without any claims."""
         assignment.reset()
         assignment.status = AssignmentStatus.REBUILDING
         assignment.epoch = epoch
@@ -216,7 +221,7 @@
         assignment.record_epochs((AssignmentEpoch(self.identity.zone, epoch),))
 
     def start_voting(self, assignment: Assignment) -> None:
-        """Begin to answer for the partition."""
+        """Start to vote for the partition."""
         assignment.status = AssignmentStatus.VOTING
         assignment.accepted_until = -inf
         assignment.tables.clear()
--- a/wingquay/claims/assignment_document.py
+++ b/wingquay/claims/assignment_document.py
@@ -1,7 +1,7 @@
-"""The document in the platform's store that puts all takeovers of assignments into one order.
+"""The stored document that puts all takeovers of assignments into one order.
 
-There is one for each deployment. A takeover writes it by compare-and-swap, so each one knows of
-all that came before it. Votes never read it.
+Each deployment has one document. A takeover writes it by compare-and-swap, so that it takes all
+earlier takeovers into account. Voting does not read the document.
 """
 
 from typing import Annotated
@@ -19,10 +19,11 @@
 
 
 class ZoneAssignments(BaseModel):
-    """The assignments of one zone, by partition.
+    """The assignments of one zone, indexed by partition.
 
-    ``epochs`` counts the takeovers (0: never held); ``takers`` names the nodes that made the
-    last ones. Handovers leave no trace: the memory stays the same.
+    ``epochs`` counts the takeovers (0: never held); ``takers`` names the nodes that made the last
+    ones, with ``NO_NODE`` where there was none. Handovers are not recorded, because they keep the
+    claims.
     """
 
     model_config = ConfigDict(frozen=True, extra="ignore")
@@ -41,10 +42,12 @@
     zones_revision
         The configuration revision that ``zones`` comes from.
     zones_unchanged
-        Whether ``zones`` is the first list ever: only then has a zone without an entry certainly
-        never granted anything that matters.
+        Whether ``zones`` is the deployment's first list of zones. Only then is it certain that a
+        zone without an entry has never granted a claim that still counts.
     previous_zones, previous_epochs
-        The list of zones before, and the newest epochs when it ended.
+        The previous list of zones, and the newest epochs at the time it was replaced.
+    assignments
+        The assignments of each zone; zones that have never held any are missing.
     """
 
     model_config = ConfigDict(frozen=True, extra="ignore")
@@ -69,20 +72,20 @@
         return 0 if assignments is None else assignments.epochs[partition]
 
     def taker(self, zone: ZoneName, partition: int) -> NodeId:
-        """Return the node that began the newest epoch."""
+        """Return the node that began the newest epoch, or ``NO_NODE``."""
         assignments = self.assignments.get(zone)
         return NO_NODE if assignments is None else assignments.takers[partition]
 
     def is_vacant(self, zone: ZoneName, partition: int) -> bool:
-        """Whether nobody has held the assignment since the list of zones changed."""
+        """Whether no node has taken the assignment over since the list of zones changed."""
         return not self.zones_unchanged and self.taker(zone, partition) == NO_NODE
 
     def is_first_epoch(self, zone: ZoneName, partition: int) -> bool:
-        """Whether the assignment's newest epoch is the first of a zone that never had a holder."""
+        """Whether the newest epoch is the first one of a zone that had no holder before."""
         return self.zones_unchanged and self.epoch(zone, partition) == 1
 
     def with_first_holder(self, zone: ZoneName, taker: NodeId) -> "AssignmentDocument":
-        """Return the document with the first holder of all assignments of ``zone``."""
+        """Return the document with ``taker`` as first holder of all assignments of ``zone``."""
         assignments = ZoneAssignments(epochs=(1,) * PARTITIONS, takers=(taker,) * PARTITIONS)
         return self._with_assignments(zone, assignments)
 
@@ -92,7 +95,7 @@
         new_epochs: dict[int, int],
         taker: NodeId,
     ) -> "AssignmentDocument":
-        """Return the document with new epochs, by partition, begun by ``taker``."""
+        """Return the document with the new epochs, by partition, that ``taker`` begins."""
         epochs = [self.epoch(zone, partition) for partition in range(PARTITIONS)]
         takers = [self.taker(zone, partition) for partition in range(PARTITIONS)]
         for partition, epoch in new_epochs.items():
@@ -105,7 +108,7 @@
     def with_zones(self, zones: tuple[ZoneName, ...], revision: int) -> "AssignmentDocument":
         """Return the document for another list of zones.
 
-        Every assignment must be taken over anew.
+        Every assignment ends and must be taken over again.
         """
         ended = {
             zone: ZoneAssignments(
--- a/wingquay/claims/claimant.py
+++ b/wingquay/claims/claimant.py
@@ -1,4 +1,4 @@
-"""The node that received an unrepeatable request: asks the voters, tells them the outcome."""
+"""The claimant: requests votes for unrepeatable requests of this node and reports the outcomes."""
 
 import random
 from dataclasses import dataclass
@@ -21,14 +21,17 @@
 from .settings import ClaimsSettings
 
 SHORT_INTERVAL_REQUESTS = 4
-"""Times that a submission asks at short intervals before the intervals double."""
+"""Number of vote requests sent at the short interval before the interval doubles."""
 
 MAX_DOUBLINGS = 6
 
 
 @dataclass(frozen=True, slots=True)
 class ClaimRequestDue(Event):
-    """It is time to look at a submission's votes, and to ask again what is missing."""
+    """The timer for the next vote request of a submission has expired.
+
+    Stale unless ``timer_sequence`` is the submission's current one.
+    """
 
     request_id: RequestId
     timer_sequence: int
@@ -36,13 +39,17 @@
 
 @dataclass(frozen=True, slots=True)
 class OutcomeResendDue(Event):
-    """An outcome may have been lost with a connection: tell it again."""
+    """The timer for resending an outcome that may have been lost with a connection has expired."""
 
     request_id: RequestId
 
 
 class Claimant:
-    """All submissions of this node."""
+    """The claims of all submissions that this node received.
+
+    A submission collects the votes of the zones. If a majority grants it, the request may run, and
+    its outcome is sent to the voters afterwards; otherwise the grants are released.
+    """
 
     def __init__(
         self,
@@ -58,11 +65,11 @@
         self._deployments: dict[RequestId, DeploymentName] = {}
 
     def set_configuration(self, configuration: Configuration) -> None:
-        """Take in the configuration in force."""
+        """Use ``configuration`` from now on."""
         self._configuration = configuration
 
     def begin(self, event: ClaimWanted, now: float) -> list[Action]:
-        """Ask the voters about a new submission."""
+        """Request the votes for a new submission."""
         request = event.request
         service = self._configuration.service(request.service)
         zones = () if service is None else deployment_zones(self._configuration, service.deployment)
@@ -82,7 +89,7 @@
         return self._request_votes(claim, now)
 
     def handle_vote(self, sender: NodeIdentity, vote: ClaimVote, now: float) -> list[Action]:
-        """Take in a vote."""
+        """Record a vote, and decide the submission if the votes suffice."""
         claim = self._claims.get(vote.request_id)
         if claim is None or sender.deployment != self._deployments[vote.request_id]:
             return []
@@ -104,7 +111,7 @@
         return []
 
     def request_due(self, event: ClaimRequestDue, now: float) -> list[Action]:
-        """Give up, give way to a rival, or ask again."""
+        """Give up, yield to a rival submission, or request the missing votes again."""
         claim = self._claims.get(event.request_id)
         if claim is None or claim.stage is not ClaimStage.COLLECTING_VOTES:
             return []
@@ -117,14 +124,14 @@
         return self._yield_to_rival(claim, now)
 
     def _yield_to_rival(self, claim: PendingClaim, now: float) -> list[Action]:
-        """Give the grants back, and ask again once the rival has had time to."""
+        """Release the grants, and start a new round after a delay that leaves the rival time."""
         actions = self._send_outcome(claim, self._outcome_recipients(claim), None)
         claim.begin_round()
         delay = self._settings.ask_retry_seconds * 2.0 ** min(claim.round_number, MAX_DOUBLINGS)
         return actions + self._schedule_request(claim, now, delay)
 
     def finish(self, event: ClaimFinished, now: float) -> list[Action]:
-        """Tell the voters what came of a granted request."""
+        """Send the outcome of a granted request to the voters."""
         claim = self._claims.get(event.request_id)
         if claim is None or claim.stage is not ClaimStage.GRANTED:
             return []
@@ -133,7 +140,10 @@
         return self._send_outcome(claim, self._outcome_recipients(claim), event.outcome)
 
     def link_broken(self, node_id: NodeId, now: float) -> list[Action]:
-        """Tell again what this node may not have received."""
+        """Schedule resending of the outcomes that may not have reached this node.
+
+        Each resend timer of a claim doubles the delay of its next one.
+        """
         actions: list[Action] = []
         for claim in self._claims.values():
             zones = {node.zone for node in claim.last_recipients if node.node_id == node_id}
@@ -147,7 +157,7 @@
         return actions
 
     def resend_due(self, event: OutcomeResendDue) -> list[Action]:
-        """Tell the present voters of the zones that may not know the outcome."""
+        """Resend the outcome to the current voters of the zones that may not have received it."""
         claim = self._claims.get(event.request_id)
         if claim is None:
             return []
@@ -157,7 +167,7 @@
         return self._send_outcome(claim, nodes, claim.outcome)
 
     def tick(self, now: float) -> None:
-        """Forget submissions that were closed long ago."""
+        """Forget closed submissions once their keep time is over."""
         closed = [
             claim.request_id
             for claim in self._claims.values()
@@ -205,7 +215,7 @@
         return holders
 
     def _outcome_recipients(self, claim: PendingClaim) -> tuple[NodeIdentity, ...]:
-        """Return who may remember the submission: the voters asked, and those of now."""
+        """Return the nodes that may store the submission: the voters requested before and now."""
         nodes = {node.node_id: node for node in claim.requested_nodes.values()}
         nodes.update((node.node_id, node) for node in self._holders(claim).values())
         return tuple(nodes.values())
@@ -246,7 +256,7 @@
         sender: NodeIdentity,
         vote: ClaimVote,
     ) -> list[Action]:
-        """Give back a grant of an earlier round or of a submission that will not run."""
+        """Release a grant of an earlier round or of a submission that will not run."""
         if vote.vote is not VoteKind.GRANTED:
             return []
         earlier_round = vote.round_number < claim.round_number
@@ -269,7 +279,7 @@
     configuration: Configuration,
     name: DeploymentName,
 ) -> tuple[ZoneName, ...]:
-    """Return the sorted zones of a deployment; none if it is unknown."""
+    """Return the sorted zones of a deployment; empty if it is unknown."""
     for deployment in configuration.deployments:
         if deployment.name == name:
             return tuple(sorted(deployment.zones))
--- a/wingquay/claims/directory.py
+++ b/wingquay/claims/directory.py
@@ -1,4 +1,4 @@
-"""Which node holds which assignment, as this node believes from its view of the membership."""
+"""Which node should hold which assignment, according to this node's view of the membership."""
 
 from collections.abc import Iterable
 
@@ -9,7 +9,7 @@
 
 
 def assignment_holder(nodes: Iterable[NodeIdentity], partition: int) -> NodeIdentity | None:
-    """Return the rendezvous-hash winner for ``partition``, or ``None`` if there is no node.
+    """Return the rendezvous-hash winner for ``partition``, or ``None`` if there are no nodes.
 
     Source: Thaler and Ravishankar, "Using name-based mappings to increase hit rates", 1998.
     """
@@ -21,7 +21,11 @@
 
 
 class AssignmentDirectory:
-    """The available nodes by zone, and the assignment holders that follow from them."""
+    """The available nodes by zone, and the assignment holders computed from them.
+
+    Leaving nodes hold no assignments in this view. Computed holders are cached until the next
+    membership update.
+    """
 
     def __init__(self) -> None:
         self._nodes: dict[tuple[DeploymentName, ZoneName], list[NodeIdentity]] = {}
@@ -34,7 +38,7 @@
         available: Iterable[NodeIdentity],
         leaving: Iterable[NodeIdentity],
     ) -> None:
-        """Take in a new view of the membership."""
+        """Replace the view of the membership."""
         self._leaving_nodes = tuple(leaving)
         self._leaving = frozenset(node.node_id for node in self._leaving_nodes)
         self._nodes = {}
@@ -48,7 +52,7 @@
         return frozenset(node.node_id for node in self._nodes.get((deployment, zone), []))
 
     def zone_peers(self, identity: NodeIdentity) -> list[NodeIdentity]:
-        """Return the other nodes of the zone, leaving ones last."""
+        """Return the other nodes of the same zone, leaving ones last."""
         zone = (identity.deployment, identity.zone)
         leaving = [node for node in self._leaving_nodes if (node.deployment, node.zone) == zone]
         nodes = (*self._nodes.get(zone, []), *leaving)
@@ -64,7 +68,7 @@
         zone: ZoneName,
         partition: int,
     ) -> NodeIdentity | None:
-        """Return the node that holds the zone's assignment for ``partition``."""
+        """Return the node that should hold the assignment, or ``None`` if the zone has no node."""
         key = (deployment, zone, partition)
         if key not in self._holders:
             nodes = self._nodes.get((deployment, zone), [])
@@ -72,7 +76,7 @@
         return self._holders[key]
 
     def successor(self, leaver: NodeIdentity, partition: int) -> NodeIdentity | None:
-        """Return the holder of the assignment in the zone of ``leaver`` once it has left."""
+        """Return the node that should hold the assignment after ``leaver`` has left its zone."""
         nodes = self._nodes.get((leaver.deployment, leaver.zone), [])
         others = (node for node in nodes if node.node_id != leaver.node_id)
         return assignment_holder(others, partition)
--- a/wingquay/claims/keys.py
+++ b/wingquay/claims/keys.py
@@ -1,4 +1,4 @@
-"""Digests that name claims, and the partitions they fall into."""
+"""Claim keys, request digests, and the partitions of claims."""
 
 from collections.abc import Iterable
 from hashlib import blake2b
@@ -7,7 +7,7 @@
 from ..model.request import QueryRequest
 
 PARTITIONS = 64
-"""Partitions of the claims of a deployment; fixed, since the assignment document counts on it."""
+"""Number of claim partitions of a deployment. Fixed, since the stored document depends on it."""
 
 DIGEST_BYTES = 16
 _PARTITION_DIGITS = 8
@@ -15,12 +15,12 @@
 
 
 def claim_key(caller: CallerName, service: ServiceName, idempotency_key: str) -> str:
-    """Return the name of the claim that a caller's idempotency key stands for."""
+    """Return the key of the claim for a caller's idempotency key."""
     return _digest((caller, service, idempotency_key))
 
 
 def request_digest(request: QueryRequest) -> str:
-    """Return a digest of what the request asks; deadlines and traces do not count."""
+    """Return a digest of the request's content, without deadline and trace."""
     parts = [request.kind, request.body]
     for key_range in request.key_ranges:
         end = "" if key_range.end is None else f"={key_range.end}"
@@ -37,7 +37,7 @@
     digest = blake2b(digest_size=DIGEST_BYTES)
     for part in parts:
         encoded = part.encode()
-        # The length keeps ("ab", "c") apart from ("a", "bc").
+        # The length distinguishes ("ab", "c") from ("a", "bc").
         digest.update(len(encoded).to_bytes(_LENGTH_BYTES, "big"))
         digest.update(encoded)
     return digest.hexdigest()
--- a/wingquay/claims/machine.py
+++ b/wingquay/claims/machine.py
@@ -1,4 +1,4 @@
-"""The claims machine of one node: routes events to voter, claimant, keeper and transfers."""
+"""The claims machine of one node: dispatches events to the voter, claimant and assignments."""
 
 import random
 from dataclasses import dataclass
@@ -44,7 +44,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ClaimsTick(Event):
-    """It is time to look at the timers of assignments."""
+    """The periodic timer of the claims machine has expired."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -63,9 +63,9 @@
     Parameters
     ----------
     identity
-        This node; its assignments are those of its deployment and zone.
+        This node; it holds assignments of its own deployment and zone.
     random_source
-        Seeded by the surroundings.
+        Source of jitter, seeded by the caller.
     """
 
     EVENTS: ClassVar[tuple[type[Event], ...]] = (
@@ -110,7 +110,7 @@
         self._next_expiry_partition = 0
 
     def handle(self, event: Event, now: float) -> list[Action]:
-        """Take in ``event`` at time ``now`` (seconds); other machines' events are ignored."""
+        """Handle ``event`` at time ``now`` (seconds); events of other machines are ignored."""
         match event:
             case PeerReceived():
                 return self._receive(event, now)
@@ -129,18 +129,18 @@
 
     @property
     def assignments_to_hand_over(self) -> int:
-        """Assignments that wait for their next holder to fetch them.
+        """Number of assignments that their next holder has not fetched yet.
 
-        A planned stop waits for these.
+        A planned stop waits until it is 0.
         """
         return self._offers.assignments_to_hand_over()
 
     def holder(self, zone: ZoneName, partition: int) -> NodeIdentity | None:
-        """Return the node that this node would ask for the vote of ``zone``."""
+        """Return the node to which this node would send a vote request for ``zone``."""
         return self._directory.holder(self._identity.deployment, zone, partition)
 
     def report(self) -> ClaimsReport:
-        """Return how much is remembered and how many assignments answer."""
+        """Return the number of stored claims and of assignments by status."""
         return ClaimsReport(
             records=self._assignments.usage.records,
             outcome_bytes=self._assignments.usage.outcome_bytes,
@@ -156,7 +156,7 @@
                 self._offers.link_broken(event.node_id)
                 return self._claimant.link_broken(event.node_id, now)
             case StoreResponse():
-                # A node whose swap came too late reads again at once, not at the next tick.
+                # After a failed swap, read again at once instead of at the next tick.
                 return self._manager.handle_response(event, now) + self._manager.tick(now)
             case MembershipChanged():
                 self._directory.update(event.available, event.leaving)
--- a/wingquay/claims/memory.py
+++ b/wingquay/claims/memory.py
@@ -1,4 +1,4 @@
-"""The claims that a voter remembers, bounded in number, size and time."""
+"""The claims that a voter stores, bounded in number, size and age."""
 
 from collections.abc import Callable, Iterator
 from dataclasses import dataclass
@@ -10,17 +10,17 @@
 
 @dataclass(slots=True)
 class Submission:
-    """One submission that a voter remembers for a claim key.
+    """One submission that a voter stores for a claim key.
 
     Parameters
     ----------
     granted_at
-        Seconds on this node's clock.
+        Time of the grant, in seconds on this node's clock.
     outcome
-        The stored answer; ``None`` while it is not known or if it was too large to keep.
+        The stored answer; ``None`` if it is unknown or was too large to store.
     rival
-        Another submission of the same key. There is one only when tables that were merged
-        named different submissions: either may have run.
+        Another submission of the same key. Set only if merged tables named different submissions of
+        the key, each of which may have run.
     """
 
     request_id: RequestId
@@ -40,14 +40,14 @@
 
 @dataclass(slots=True)
 class MemoryUsage:
-    """What all partitions of a node hold together."""
+    """Totals over all partitions of a node."""
 
     records: int = 0
     outcome_bytes: int = 0
 
 
 class PartitionMemory:
-    """The claims of one partition."""
+    """The stored claims of one partition."""
 
     def __init__(self, settings: ClaimsSettings, usage: MemoryUsage) -> None:
         self._settings = settings
@@ -59,18 +59,18 @@
 
     @property
     def is_full(self) -> bool:
-        """Whether the node holds as many claims as it may."""
+        """Whether the node stores its maximum number of claims."""
         return self._usage.records >= self._settings.capacity_records
 
     def submissions(self, claim_key: str, now: float) -> list[Submission]:
-        """Return what is remembered of a key, oldest knowledge first."""
+        """Return the unexpired submissions of a key, last added first."""
         first = self._claims.get(claim_key)
         if first is None:
             return []
         return [entry for entry in first.chain() if not self._expired(entry, now)]
 
     def add(self, claim_key: str, submission: Submission) -> None:
-        """Add a submission, or add what is new about one that is already remembered."""
+        """Store a submission, or update the stored one with the same request id."""
         first = self._claims.get(claim_key)
         known = None
         if first is not None:
@@ -90,7 +90,7 @@
             known.outcome = self._account_outcome(submission.outcome)
 
     def release(self, claim_key: str, request_id: RequestId, round_number: int) -> None:
-        """Forget a submission that did not run with the grants of this round or earlier ones."""
+        """Drop a submission that did not run, unless it was granted in a later round."""
 
         def is_released(entry: Submission) -> bool:
             same_round = entry.request_id == request_id and entry.round_number <= round_number
@@ -99,7 +99,7 @@
         self._drop(claim_key, is_released)
 
     def merge(self, record: ClaimRecord, now: float) -> None:
-        """Take in a record of another voter's table."""
+        """Add a record from another voter's table."""
         submission = Submission(
             request_id=record.request_id,
             request_digest=record.request_digest,
@@ -110,7 +110,7 @@
         self.add(record.claim_key, submission)
 
     def records(self, now: float) -> list[ClaimRecord]:
-        """Return everything as it is to be sent to another voter."""
+        """Return all unexpired claims as records for another voter."""
         return [
             ClaimRecord(
                 claim_key=claim_key,
@@ -125,7 +125,7 @@
         ]
 
     def expire(self, now: float) -> None:
-        """Forget the claims whose time is over."""
+        """Drop the claims whose retention is over."""
         expired = [
             claim_key
             for claim_key, first in self._claims.items()
@@ -135,7 +135,7 @@
             self._drop(claim_key, lambda entry: self._expired(entry, now))
 
     def clear(self) -> None:
-        """Forget everything: this node no longer answers for the partition."""
+        """Drop all claims."""
         for claim_key in list(self._claims):
             self._drop(claim_key, lambda entry: True)
 
--- a/wingquay/claims/offers.py
+++ b/wingquay/claims/offers.py
@@ -1,4 +1,4 @@
-"""Offering assignments to the nodes that should hold them."""
+"""Offers of assignments to the nodes that should hold them."""
 
 from ..model.identifiers import NodeId
 from ..ports.machine import Action
@@ -15,7 +15,11 @@
 
 
 class AssignmentOffers:
-    """Offers the assignments that another node should hold, until it has fetched them."""
+    """Offers assignments that another node should hold, and repeats each offer until it is fetched.
+
+    A node that has nothing to offer to a peer of its zone sends it one empty offer, so that the
+    peer need not wait for offers before it takes assignments over.
+    """
 
     def __init__(
         self,
@@ -32,31 +36,34 @@
         self._notified: set[NodeId] = set()
 
     def membership_changed(self) -> None:
-        """Offer at the next tick, and greet the nodes that are new in the zone."""
+        """Offer at the next tick, and forget peers that have gone.
+
+        A peer that returns gets an empty offer again.
+        """
         self.offer_at_next_tick()
         zone_peers = self._directory.zone_peers(self._assignments.identity)
         self._notified &= {node.node_id for node in zone_peers}
 
     def link_broken(self, node_id: NodeId) -> None:
-        """Greet the node again: it may not have heard the first time."""
+        """Send this node an empty offer again, since the first may have been lost."""
         self._notified.discard(node_id)
 
     def begin_leaving(self) -> None:
-        """Offer every assignment to the node that holds it next."""
+        """Offer every assignment to its successor from now on."""
         self._leaving = True
         self.offer_at_next_tick()
 
     def offer_at_next_tick(self) -> None:
-        """Offer at the next tick, not after the usual time."""
+        """Send offers at the next tick instead of after the usual interval."""
         self._next_offer_at = 0.0
 
     def assignments_to_hand_over(self) -> int:
-        """Return how many assignments are held that another node should hold."""
+        """Return the number of voting assignments that another node should hold."""
         voting = self._assignments.with_status(AssignmentStatus.VOTING)
         return sum(self._receiver(assignment) is not None for assignment in voting)
 
     def tick(self, now: float) -> list[Action]:
-        """Offer now and then."""
+        """Send offers if the interval has passed."""
         if now < self._next_offer_at:
             return []
         self._next_offer_at = now + self._settings.table_retry_seconds
@@ -82,7 +89,7 @@
         return actions + self._send_empty_offers(offer_id)
 
     def _send_empty_offers(self, offer_id: str) -> list[Action]:
-        """Tell nodes seen for the first time that there is nothing to offer them."""
+        """Send an empty offer to the peers that have not had any offer yet."""
         zone_peers = self._directory.zone_peers(self._assignments.identity)
         new_peers = [node for node in zone_peers if node.node_id not in self._notified]
         self._notified |= {node.node_id for node in new_peers}
--- a/wingquay/claims/pending_claim.py
+++ b/wingquay/claims/pending_claim.py
@@ -1,4 +1,4 @@
-"""One submission at the node that received it: who was asked, and what the votes amount to."""
+"""The claim of one submission at the node that received it, with the votes collected so far."""
 
 from dataclasses import dataclass, field
 from enum import Enum
@@ -15,40 +15,45 @@
 
 
 class ClaimStage(Enum):
-    """Where a submission stands."""
+    """The stage of a submission's claim."""
 
-    COLLECTING_VOTES = "asking"
+    COLLECTING_VOTES = "collecting_votes"
     GRANTED = "granted"
     NOT_RUN = "not_run"
-    """Closed: it did not run and will not, so grants that come late are given back."""
+    """Closed: the request did not run and will not; grants that arrive late are released."""
     DONE = "done"
-    """Closed: it ran or may have run, and the voters were told."""
+    """Closed: the request ran or may have run; the outcome was sent to the voters."""
 
 
 @dataclass(slots=True)
 class PendingClaim:
-    """A submission's claim.
+    """The claim of one submission.
 
     Parameters
     ----------
+    zones
+        The zones whose majority decides.
     decide_by
-        Time until which votes count.
-    asked
-        The node that was last asked in each zone.
-    told
-        The nodes that were last told the outcome.
+        Time (seconds) until which votes count.
+    round_number
+        Incremented when the grants are released to a rival; votes of other rounds do not count.
+    requested_nodes
+        The node that was last sent a vote request, by zone.
+    last_recipients
+        The nodes to which the outcome was last sent.
     resend_zones
-        The zones that are told again when the timer for it is due; there is one timer at most.
+        The zones to which the outcome is sent again when the resend timer expires; there is at most
+        one such timer.
     resend_delay_seconds
-        The delay of the next such timer; it doubles each time.
+        The delay of the next resend timer; it doubles each time.
     saw_other_submission
-        Whether any vote named another submission.
-    asks
-        How many times the voters were asked.
+        Whether any vote has named another submission.
     timer_sequence
-        Tells the newest timer from earlier ones.
+        Number of the newest request timer; earlier timers are stale.
+    requests_sent
+        How many times votes were requested.
     keep_until
-        Time until which a closed claim is kept.
+        Time (seconds) until which a closed claim is kept.
     """
 
     claim_key: str
@@ -71,7 +76,7 @@
     keep_until: float = 0.0
 
     def record(self, zone: ZoneName, vote: ClaimVote) -> None:
-        """Keep the vote of a zone, unless one from a newer epoch of its assignment is there."""
+        """Record the vote of a zone, unless it is from an older epoch than the stored one."""
         present = self.votes.get(zone)
         if present is None or vote.epoch >= present.epoch:
             self.votes[zone] = vote
@@ -79,7 +84,7 @@
             self.saw_other_submission = True
 
     def known_epochs(self) -> dict[ZoneName, int]:
-        """Return the newest epoch of each zone's assignment that any vote speaks of."""
+        """Return the newest epoch of each zone's assignment that any vote reports."""
         known: dict[ZoneName, int] = {}
         for zone, vote in self.votes.items():
             known[zone] = max(known.get(zone, 0), vote.epoch)
@@ -96,7 +101,7 @@
     def granted_zones(self, settings: ClaimsSettings) -> list[ZoneName]:
         """Return the zones whose grant counts.
 
-        No vote speaks of a newer epoch of their assignment.
+        A grant counts unless some vote reports a newer epoch of the zone's assignment.
         """
         known = self.known_epochs()
         uses_epochs = settings.enabled(Mechanism.CLAIM_ASSIGNMENT_EPOCHS)
@@ -107,7 +112,7 @@
         ]
 
     def decision(self, settings: ClaimsSettings) -> ClaimDecisionKind | None:
-        """Return what the votes decide, or ``None`` while they do not."""
+        """Return the decision, or ``None`` while the votes do not suffice for one."""
         needed = majority(len(self.zones))
         if not settings.enabled(Mechanism.CLAIM_QUORUM):
             needed = 1
@@ -125,26 +130,26 @@
         return [vote for vote in self.votes.values() if vote.vote is VoteKind.ALREADY_CLAIMED]
 
     def stored_outcome(self) -> bytes | None:
-        """Return the outcome of another submission, if a vote brought it."""
+        """Return the outcome of another submission, or ``None`` if no vote includes one."""
         outcomes = (vote.outcome for vote in self.rival_votes() if vote.outcome is not None)
         return next(outcomes, None)
 
     def is_blocked(self) -> bool:
-        """Whether so many zones named another submission that the others are no majority."""
+        """Whether the zones that have not named another submission are too few for a majority."""
         return len(self.zones) - len(self.rival_votes()) < majority(len(self.zones))
 
     def must_yield(self) -> bool:
-        """Whether a rival has the smaller request id, so that this one gives its grants back."""
+        """Whether a rival has a smaller request id; this submission then releases its grants."""
         rivals = [vote.holder_request_id for vote in self.rival_votes()]
         return any(rival is not None and rival < self.request_id for rival in rivals)
 
     def begin_round(self) -> None:
-        """Ask anew; votes of earlier rounds do not count any more."""
+        """Start a new round without votes."""
         self.round_number += 1
         self.votes.clear()
 
     def discard_refusals(self) -> None:
-        """Keep only the grants of this round, to ask the other zones again."""
+        """Keep only the grants of this round, so that the other zones are requested again."""
         self.votes = {
             zone: vote for zone, vote in self.votes.items() if vote.vote is VoteKind.GRANTED
         }
--- a/wingquay/claims/settings.py
+++ b/wingquay/claims/settings.py
@@ -89,14 +89,14 @@
 
     @property
     def total_retention_seconds(self) -> float:
-        """How long a claim is remembered after its grant."""
+        """How long after its grant a claim is stored."""
         return self.retention_seconds + self.retention_margin_seconds
 
     @property
     def rebuild_wait_seconds(self) -> float:
-        """How long after a takeover every claim of earlier holders is forgotten anyway."""
+        """Time after a takeover until every claim that earlier holders granted has expired."""
         return self.assignment_validity_seconds + self.total_retention_seconds
 
     def enabled(self, mechanism: Mechanism) -> bool:
-        """Whether ``mechanism`` is in place."""
+        """Whether ``mechanism`` is enabled; only tests disable any."""
         return mechanism not in self.disabled
--- a/wingquay/claims/table_sender.py
+++ b/wingquay/claims/table_sender.py
@@ -1,4 +1,4 @@
-"""Giving tables of claims to other voters."""
+"""Sends tables, which contain the claims of one partition, to other voters."""
 
 from collections.abc import Iterator
 
@@ -14,11 +14,11 @@
 from .memory import PartitionMemory
 from .settings import ClaimsSettings
 
-MAX_CONFIRMED_AGE_SECONDS = 1e9
+MAX_CONFIRMED_AGE_SECONDS = 1e9  # finite, as sent for an infinite age
 
 
 class TableSender:
-    """Answers requests for tables; whoever gets one learns what this node's votes rest on."""
+    """Answers requests for tables with the claims on which this node's votes are based."""
 
     def __init__(self, settings: ClaimsSettings, assignments: AssignmentTable) -> None:
         self._settings = settings
@@ -74,7 +74,7 @@
         epoch: int,
         now: float,
     ) -> list[Action]:
-        """Return the table as messages; without ``memory`` it is said not to be complete."""
+        """Return the table as messages; without ``memory``, one message marked as incomplete."""
         assignment = self._assignments.assignments[request.partition]
         self._tables_sent += 1
         table_id = f"{self._assignments.identity.node_id}/{self._tables_sent}"
--- a/wingquay/claims/takeover.py
+++ b/wingquay/claims/takeover.py
@@ -1,4 +1,4 @@
-"""Taking assignments over: the only part of claims that uses the platform's store."""
+"""Takeovers of assignments: the only part of claims that uses the platform's store."""
 
 import random
 from dataclasses import dataclass
@@ -33,7 +33,7 @@
 
 @dataclass(frozen=True, slots=True)
 class _PendingOperation:
-    """The one operation in flight; ``proposed`` is what a swap writes."""
+    """The store operation in flight; ``proposed`` is the document that a swap writes."""
 
     operation_id: str
     sent_at: float
@@ -41,7 +41,10 @@
 
 
 class AssignmentManager:
-    """Confirms this node's assignments by the store, and takes over those that it should hold."""
+    """Confirms this node's assignments with the store, and takes over those that it should hold.
+
+    At most one store operation is in flight at a time.
+    """
 
     def __init__(
         self,
@@ -62,14 +65,14 @@
         self._confirm_at = -inf
 
     def set_zones(self, zones: tuple[ZoneName, ...], revision: int) -> None:
-        """Take in the deployment's zones from the configuration in force."""
+        """Use the zones of the deployment, from configuration ``revision``."""
         if zones != self._zones:
             self._confirm_at = -inf
         self._zones = zones
         self._zones_revision = revision
 
     def tick(self, now: float) -> list[Action]:
-        """Read the document when something is to be learned from it."""
+        """Read the document if a confirmation or a takeover is due."""
         if self._pending is not None or now < self._next_operation_at or not self._is_ready():
             return []
         if now < self._confirm_at and not self._timing.due_takeovers(now):
@@ -78,7 +81,7 @@
         return self._send(Read(key), None, now)
 
     def handle_response(self, response: StoreResponse, now: float) -> list[Action]:
-        """Take in the result of an operation; others' are ignored."""
+        """Handle the result of the operation in flight; other results are ignored."""
         pending = self._pending
         if pending is None or response.operation_id != pending.operation_id:
             return []
@@ -95,7 +98,7 @@
             case Failure():
                 self._back_off(now)
         if was_swap:
-            # Another node came first, or the reply was lost: a read tells what took effect.
+            # Another node may have written first, or the reply was lost: read what took effect.
             self._confirm_at = now
         return []
 
@@ -144,8 +147,8 @@
         actions = self._apply(document, sent_at, now)
         proposed = self._propose(document, now)
         if proposed is None:
-            # Assignments may stay wanted although nothing can be written: do not read without a
-            # pause.
+            # A takeover may be due although nothing can be written: wait a tick before the next
+            # read.
             self._next_operation_at = now + self._settings.tick_seconds
             return actions
         key = document_key(self._assignments.identity.deployment)
@@ -153,7 +156,7 @@
         return actions + self._send(swap, proposed, now)
 
     def _propose(self, document: AssignmentDocument, now: float) -> AssignmentDocument | None:
-        """Return what this node wants to write, or ``None``."""
+        """Return the document to write, or ``None`` if there is nothing to write."""
         identity = self._assignments.identity
         if document.zones != self._zones:
             if document.zones_revision >= self._zones_revision:
@@ -178,7 +181,7 @@
             return False
         assignments = self._assignments.assignments
         holds_any = any(self._timing.should_hold(partition) for partition in range(PARTITIONS))
-        # Whoever has heard of a holder in this zone knows that the document lost something.
+        # A known holder in this zone means that the document has lost its entry.
         return holds_any and all(
             assignment.known_epochs.get(zone, 0) == 0 for assignment in assignments
         )
@@ -191,7 +194,7 @@
         )
 
     def _apply(self, document: AssignmentDocument, sent_at: float, now: float) -> list[Action]:
-        """Take in the document as the store had it after ``sent_at``."""
+        """Apply the document, which was in the store at some time after ``sent_at``."""
         self._timing.record_document(document)
         self._confirm_at = now + self._settings.assignment_confirm_interval_seconds * (
             self._random.uniform(0.5, 1.0)
@@ -216,7 +219,7 @@
     def _begin_epoch(
         self, document: AssignmentDocument, assignment: Assignment, sent_at: float, now: float
     ) -> bool:
-        """Begin the assignment's newest epoch if this node made it; return whether it did."""
+        """Begin the assignment's newest epoch if this node took it over; return whether it did."""
         identity = self._assignments.identity
         taken_here = document.taker(identity.zone, assignment.partition) == identity.node_id
         if not taken_here or document.zones != self._zones:
@@ -225,8 +228,8 @@
         assignment.confirmed_at = sent_at
         continues = assignment.zones == document.zones and epoch == assignment.epoch + 1
         if assignment.status is AssignmentStatus.VOTING and continues:
-            # The memory came by a handover while the takeover was under way: it is complete,
-            # and no other node can have voted in between.
+            # The claims arrived by a handover during the takeover: they are complete, and no other
+            # node can have voted in between.
             assignment.epoch = epoch
             return True
         self._assignments.record_epochs(
--- a/wingquay/claims/takeover_timing.py
+++ b/wingquay/claims/takeover_timing.py
@@ -1,4 +1,4 @@
-"""When a node should take over an assignment: at once, or after waiting for an offer of it."""
+"""When a node should take an assignment over: at once, or after waiting for an offer of it."""
 
 from math import inf
 
@@ -10,10 +10,10 @@
 
 
 class TakeoverTiming:
-    """Watches the nodes of this node's zone.
+    """Decides when assignments are taken over, based on the nodes of this node's zone.
 
-    Nothing here matters for safety: a takeover in spite of a living holder is noticed by its
-    epoch. It only costs that holder's memory, which must then be rebuilt.
+    The timing does not affect safety: a takeover from a live holder is detected by its epoch. It
+    only loses the holder's claims, which must then be rebuilt.
     """
 
     def __init__(
@@ -35,23 +35,23 @@
 
     @property
     def has_membership(self) -> bool:
-        """Whether any view of the membership has come."""
+        """Whether any membership view with nodes of this zone has been received."""
         return bool(self._nodes)
 
     def set_zones(self, zones: tuple[ZoneName, ...]) -> None:
-        """Take in the deployment's zones from the configuration in force."""
+        """Use the zones of the deployment from the configuration in force."""
         self._zones = zones
 
     def stop(self) -> None:
-        """Want no more assignments: the node leaves."""
+        """Take over no more assignments: the node is leaving."""
         self._leaving = True
 
     def record_document(self, document: AssignmentDocument) -> None:
-        """Take in the assignment document as last read."""
+        """Store the assignment document that was last read."""
         self._document = document
 
     def record_offer_from(self, node_id: NodeId) -> None:
-        """Note that a node has offered all that it has for this one, if anything."""
+        """Record that a node has sent its offers to this node, possibly none."""
         self._offered_by.add(node_id)
 
     def should_hold(self, partition: int) -> bool:
@@ -63,7 +63,7 @@
         return holder is not None and holder.node_id == identity.node_id
 
     def reevaluate(self, now: float) -> None:
-        """Look anew at which assignments this node should hold, after the membership changed."""
+        """Update the takeover times after a change of the membership or of the zones."""
         identity = self._assignments.identity
         nodes = self._directory.node_ids(identity.deployment, identity.zone)
         crashed = {
@@ -94,13 +94,14 @@
             assignment.takeover_at = now + self._delay(last_holder in crashed)
 
     def _delay(self, holder_crashed: bool) -> float:
-        # In a single zone no other voter has a copy: a holder may be wrongly believed lost.
+        # With a single zone no other voter has a copy, so wait longer in case the holder is still
+        # alive.
         if holder_crashed and len(self._zones) > 1:
             return self._settings.crash_takeover_delay_seconds
         return self._settings.join_takeover_delay_seconds
 
     def due_takeovers(self, now: float) -> list[Assignment]:
-        """Return the assignments that are to be taken over now."""
+        """Return the assignments to take over now."""
         no_offers_expected = self._no_offers_expected(now)
         return [
             assignment
@@ -115,7 +116,7 @@
         ]
 
     def _can_take_over(self, assignment: Assignment) -> bool:
-        """Whether this node neither holds the assignment nor gives it to a node that is there."""
+        """Whether this node neither holds the assignment nor is handing it to a present peer."""
         if assignment.status is not AssignmentStatus.HANDED_OVER:
             return assignment.status is AssignmentStatus.EMPTY
         receiver = None if assignment.offer is None else assignment.offer.receiver
@@ -123,7 +124,11 @@
         return all(node.node_id != receiver for node in zone_peers)
 
     def _no_offers_expected(self, now: float) -> bool:
-        """Whether every other node of the zone that is seen has had its say."""
+        """Whether no peer of the zone has offers left to send.
+
+        True once every peer has sent its offers, or after some time without any peer. Always false
+        if the deployment has a single zone.
+        """
         if len(self._zones) == 1:
             return False
         zone_peers = self._directory.zone_peers(self._assignments.identity)
@@ -132,9 +137,10 @@
         return all(node.node_id in self._offered_by for node in zone_peers)
 
     def _is_orphaned(self, assignment: Assignment) -> bool:
-        """Whether nobody seen since this node started can have held the assignment.
+        """Whether no present peer can hold the assignment.
 
-        What the others said at the beginning tells nothing of assignments that they got later.
+        Offers that the peers sent earlier do not cover assignments that they received later, so
+        this is false once another node should have held the assignment since this node started.
         """
         if assignment.seen_other_holder or self._document is None:
             return False
--- a/wingquay/claims/transfers.py
+++ b/wingquay/claims/transfers.py
@@ -1,4 +1,4 @@
-"""Asking other voters for tables: to rebuild an assignment, and to hand an assignment over."""
+"""Fetches tables from other voters, to rebuild an assignment or to receive a handover."""
 
 from dataclasses import dataclass, field
 from math import inf
@@ -16,14 +16,23 @@
 
 @dataclass(slots=True)
 class _Fetch:
-    """A table that was asked for.
+    """A table request that has not been answered completely.
 
     Parameters
     ----------
+    sender
+        The node from which the table is requested.
     assignment_epoch
-        The assignment's epoch when it asked: whoever answered knew of this one, not of later ones.
+        The assignment's epoch at the time of the request. The answering node may have voted since
+        without having received any later epoch.
     offer_id
-        Set when the assignment itself is to pass.
+        Set if the assignment itself is to be handed over.
+    ended_epoch
+        The ended epoch whose table is requested; 0 for the current one.
+    retry_at
+        When an unanswered request for a handover is sent again; infinite for other requests.
+    pieces
+        The received pieces by table id and piece number.
     """
 
     assignment: Assignment
@@ -38,7 +47,7 @@
 
 
 class TableTransfers:
-    """Asks for the tables of assignments that this node takes over or is offered."""
+    """Requests the tables of assignments that this node takes over or is offered."""
 
     def __init__(
         self,
@@ -55,20 +64,23 @@
         self._transfer_count = 0
 
     def set_zones(self, zones: tuple[ZoneName, ...]) -> None:
-        """Take in the deployment's zones from the configuration in force."""
+        """Use the zones of the deployment from the configuration in force."""
         self._zones = zones
 
     def stop_accepting(self) -> None:
-        """Accept no more assignments: the node leaves."""
+        """Accept no more assignments: the node is leaving."""
         self._leaving = True
 
     def membership_changed(self, now: float) -> None:
-        """Ask at the next tick: other nodes hold assignments now."""
+        """Request missing tables at the next tick, since other nodes may hold assignments now."""
         for assignment in self._assignments.with_status(AssignmentStatus.REBUILDING):
             assignment.schedule_table_requests(now, self._settings.table_retry_seconds)
 
     def tick(self, now: float) -> list[Action]:
-        """Ask for the tables that are missing, and forget what has served its time."""
+        """Request the missing tables, and drop what has expired.
+
+        An assignment whose earlier claims have all expired starts voting without tables.
+        """
         actions: list[Action] = []
         for assignment in self._assignments.with_status(AssignmentStatus.REBUILDING):
             if now >= assignment.vote_at:
@@ -103,7 +115,7 @@
         return actions + self._request_previous_tables(assignment, now)
 
     def _request_previous_tables(self, assignment: Assignment, now: float) -> list[Action]:
-        """Ask for the tables of the last list of zones; this node's own needs no message."""
+        """Request the tables of the previous list of zones, including this zone's own."""
         identity = self._assignments.identity
         if assignment.previous is None:
             return []
@@ -143,7 +155,7 @@
         return SendToPeer(sender, request)
 
     def _retry_handovers(self, now: float) -> list[Action]:
-        """Fetch accepted assignments once more: their holder votes no more since it gave them."""
+        """Request accepted assignments again; their previous holder may have stopped voting."""
         late = [fetch for fetch in self._fetches.values() if now >= fetch.retry_at]
         actions: list[Action] = []
         for fetch in late:
@@ -165,7 +177,7 @@
         }
 
     def handle_table(self, sender: NodeIdentity, table: ClaimTable, now: float) -> list[Action]:
-        """Take in a piece of a table; pieces that were not asked for are ignored."""
+        """Handle a piece of a table; pieces that were not requested are ignored."""
         fetch = self._fetches.get(table.transfer_id)
         if fetch is None or fetch.sender.node_id != sender.node_id:
             return []
@@ -234,12 +246,13 @@
         self._drop_fetches_of(assignment)
         self._assignments.begin_epoch(assignment, table.epoch, fetch.zones)
         _merge(assignment, pieces, now)
-        # Counted from the request, so that a table that was long under way is not trusted more.
+        # Counted from the request time, so that time in transit does not make the confirmation look
+        # newer.
         assignment.confirmed_at = fetch.requested_at - table.confirmed_age_seconds
         self._assignments.start_voting(assignment)
 
     def _drop_fetches_of(self, assignment: Assignment) -> None:
-        # A late copy of the same assignment must not be taken after this node has handed it on.
+        # A late copy of the same assignment must not be applied after this node has handed it on.
         self._fetches = {
             transfer_id: fetch
             for transfer_id, fetch in self._fetches.items()
@@ -252,7 +265,7 @@
         offer: ClaimAssignmentOffer,
         now: float,
     ) -> list[Action]:
-        """Ask for the assignments that another node of this zone offers."""
+        """Request the assignments that another node of this zone offers."""
         identity = self._assignments.identity
         same_zone = (sender.deployment, sender.zone) == (
             identity.deployment,
--- a/wingquay/claims/voter.py
+++ b/wingquay/claims/voter.py
@@ -1,4 +1,4 @@
-"""The voter: grants claims, remembers what came of them."""
+"""The voter: grants claims and stores their outcomes."""
 
 from ..ports.peer_claims import ClaimOutcome, ClaimRequest, ClaimVote, VoteKind
 from .assignment import Assignment, AssignmentStatus, AssignmentTable
@@ -7,13 +7,13 @@
 
 
 class Voter:
-    """Answers claim requests from the assignments of this node."""
+    """Votes on claim requests with the assignments of this node."""
 
     def __init__(self, assignments: AssignmentTable) -> None:
         self._assignments = assignments
 
     def vote(self, request: ClaimRequest, now: float) -> ClaimVote:
-        """Return the vote on ``request`` and remember a grant."""
+        """Return the vote on ``request``, and store the claim if it is granted."""
         assignment = self._assignments.assignments[partition_of(request.claim_key)]
         self._assignments.record_epochs(assignment, request.assignment_epochs, now)
         votes = self._assignments.can_vote(assignment, request.zones, now)
@@ -34,7 +34,7 @@
         return _vote(request, assignment, VoteKind.GRANTED)
 
     def record_outcome(self, outcome: ClaimOutcome, now: float) -> None:
-        """Remember what came of a claim, or that it is free again."""
+        """Store the outcome of a claim, or release the claim if there is none."""
         assignment = self._assignments.assignments[partition_of(outcome.claim_key)]
         if outcome.outcome is None:
             assignment.memory.release(outcome.claim_key, outcome.request_id, outcome.round_number)
