--- a/tests/claims/test_mechanisms.py
+++ b/tests/claims/test_mechanisms.py
@@ -73,7 +73,7 @@
 
 
 def new_holder_after_a_crash(world: World) -> None:
-    """The second submission uses a crashed voter's successor and a voter that was not used before."""
+    """The second submission uses a crashed voter's successor and a voter not used before."""
     old, middle, last = holder(world, 0), holder(world, 1), holder(world, 2)
     separate(world, [last])
     world.submit(middle, KEY)
--- a/tests/membership/simulated_cluster.py
+++ b/tests/membership/simulated_cluster.py
@@ -28,7 +28,7 @@
 
 
 class SimulatedNode:
-    """One process: its machine, and what it was last told."""
+    """One node process: its machine and the notifications from it."""
 
     def __init__(self, identity: NodeIdentity, machine: MembershipMachine) -> None:
         self.identity = identity
@@ -42,7 +42,7 @@
 
 
 class SimulatedCluster:
-    """Starts, stops, pauses and cuts off nodes, and runs the clock."""
+    """Starts, stops, pauses and cuts off nodes, and advances the clock."""
 
     def __init__(
         self,
@@ -69,7 +69,7 @@
         self._starts = 0
 
     def start_node(self, index: int) -> SimulatedNode:
-        """Start a process at address ``index``; a new id each time."""
+        """Start a process at address ``index``, with a new node id each time."""
         self._starts += 1
         host = f"10.0.{index // 250}.{index % 250 + 1}"
         zone = ZONES[index % len(ZONES)]
@@ -88,25 +88,25 @@
         return [self.start_node(index) for index in range(count)]
 
     def kill(self, node: SimulatedNode) -> None:
-        """End a process without a word."""
+        """Stop a process without notifying the other nodes."""
         node.is_running = False
         self.nodes.pop(node.identity.node_id, None)
 
     def pause(self, node: SimulatedNode, seconds: float) -> None:
-        """Stop a process; what arrives meanwhile is handled afterwards."""
+        """Pause a process; messages that arrive meanwhile are handled afterwards."""
         node.paused_until = self.now + seconds
 
     def deliver(self, node: SimulatedNode, event: Event) -> None:
-        """Hand an event to a node now and perform what it decides."""
+        """Deliver an event to a node now and perform the resulting actions."""
         for action in self.decide(node, event):
             self._perform(node, action)
 
     def decide(self, node: SimulatedNode, event: Event) -> list[Action]:
-        """Let the machine take in an event."""
+        """Return the actions of the node's machine for an event."""
         return node.machine.handle(event, self.now)
 
     def run(self, seconds: float) -> None:
-        """Let time pass."""
+        """Advance the clock by ``seconds``."""
         end = self.now + seconds
         while self._heap and self._heap[0][0] <= end:
             self.now, _, node, event = heapq.heappop(self._heap)
@@ -119,16 +119,16 @@
         self.now = end
 
     def run_until(self, condition: Callable[[], bool], limit_seconds: float) -> float:
-        """Let time pass until ``condition`` holds; return the seconds that it took."""
-        begun = self.now
+        """Advance the clock until ``condition`` holds; return the virtual seconds that passed."""
+        started_at = self.now
         while not condition():
-            if self.now - begun > limit_seconds:
-                raise AssertionError(f"still not so after {limit_seconds} virtual seconds")
+            if self.now - started_at > limit_seconds:
+                raise AssertionError(f"condition not met after {limit_seconds} virtual seconds")
             self.run(self.settings.tick_seconds / 2)
-        return self.now - begun
+        return self.now - started_at
 
     def is_settled(self) -> bool:
-        """Whether every node sees exactly the running nodes."""
+        """Whether the nodes in every node's view are exactly the running ones."""
         everyone = frozenset(self.nodes)
         return all(node.available | node.leaving == everyone for node in self.nodes.values())
 
@@ -136,7 +136,7 @@
         return sum(node.counts[name] for node in self.nodes.values())
 
     def count_seeing(self, node_id: str) -> int:
-        """How many of the other nodes believe that ``node_id`` is there."""
+        """Return how many other nodes have ``node_id`` as available."""
         return sum(
             node_id in node.available
             for node in self.nodes.values()
@@ -188,16 +188,16 @@
         zones = frozenset((sender.identity.zone, receiver.identity.zone))
         if len(zones) > 1 and zones in self.cut_zones:
             return False
-        ends = (
+        losses = (
             sender.identity.node_id in self.lost_from,
             receiver.identity.node_id in self.lost_to,
         )
-        if any(ends):
+        if any(losses):
             return False
         return not is_datagram or self.random.random() >= self.loss
 
     def cut_off(self, zone: str) -> None:
-        """Let nothing pass between ``zone`` and the others."""
+        """Drop all messages between ``zone`` and the others."""
         self.cut_zones |= {frozenset((zone, other)) for other in ZONES if other != zone}
 
     def heal(self) -> None:
--- a/tests/membership/test_membership_faults.py
+++ b/tests/membership/test_membership_faults.py
@@ -10,7 +10,7 @@
 
 
 class MembershipFaults(RuleBasedStateMachine):
-    """Whatever happens, afterwards every node sees exactly the nodes that run."""
+    """After any sequence of faults has ended, every node sees exactly the running nodes."""
 
     @initialize(seed=st.integers(0, 2**32))
     def begin(self, seed):
@@ -67,7 +67,7 @@
         self.cluster.run(seconds)
 
     @invariant()
-    def nodes_know_themselves(self):
+    def nodes_see_themselves(self):
         for node_id, node in self.cluster.nodes.items():
             assert node_id in node.available | node.leaving
             assert not node.available & node.leaving
--- a/tests/membership/test_membership_machine.py
+++ b/tests/membership/test_membership_machine.py
@@ -35,7 +35,7 @@
         cluster = self.cluster(count=1)
         self.assertEqual(frozenset(cluster.nodes), self.victim(cluster).available)
 
-    def test_silent_node_is_known_dead_everywhere_and_nobody_else(self):
+    def test_only_the_killed_node_is_declared_dead_at_every_node(self):
         cluster = self.cluster()
         victim = self.victim(cluster)
         cluster.kill(victim)
@@ -44,14 +44,14 @@
         self.assertTrue(cluster.is_settled())
         self.assertEqual(0, cluster.total("membership_refutations_total"))
 
-    def test_restarted_node_takes_its_predecessors_place_at_once(self):
+    def test_restarted_node_replaces_its_predecessor_at_once(self):
         cluster = self.cluster()
         victim = self.victim(cluster)
         cluster.kill(victim)
         cluster.start_node(NODES - 1)
         cluster.run_until(cluster.is_settled, 5)
 
-    def test_leaving_node_gets_nothing_new_and_is_not_suspected(self):
+    def test_leaving_node_is_unavailable_and_not_suspected(self):
         cluster = self.cluster()
         victim = self.victim(cluster)
         node_id = victim.identity.node_id
@@ -62,7 +62,7 @@
         cluster.kill(victim)
         cluster.run_until(cluster.is_settled, 20)
 
-    def test_loss_of_datagrams_kills_nobody(self):
+    def test_loss_of_datagrams_causes_no_deaths(self):
         cluster = self.cluster()
         cluster.loss = 0.1
         cluster.run(600)
@@ -70,14 +70,14 @@
         cluster.loss = 0.0
         cluster.run_until(cluster.is_settled, 60)
 
-    def test_short_pauses_kill_nobody(self):
+    def test_short_pauses_cause_no_deaths(self):
         cluster = self.cluster()
         for node in list(cluster.nodes.values()):
             cluster.pause(node, 1.5)
             cluster.run(5)
         self.assertEqual(0, cluster.total("membership_deaths_total"))
 
-    def test_long_pause_blames_nobody_else_and_ends_well(self):
+    def test_node_paused_for_long_declares_nobody_dead_and_returns(self):
         cluster = self.cluster()
         victim = self.victim(cluster)
         cluster.pause(victim, 60)
@@ -86,7 +86,7 @@
         cluster.run_until(cluster.is_settled, 10)
         self.assertEqual(0, victim.counts["membership_deaths_total"])
 
-    def test_pause_of_every_node_at_once_kills_nobody(self):
+    def test_simultaneous_pause_of_all_nodes_causes_no_deaths(self):
         cluster = self.cluster()
         for node in cluster.nodes.values():
             cluster.pause(node, 30)
@@ -94,7 +94,7 @@
         self.assertEqual(0, cluster.total("membership_deaths_total"))
         self.assertTrue(cluster.is_settled())
 
-    def test_mute_node_goes_and_comes_back(self):
+    def test_node_with_lost_outgoing_messages_is_removed_and_returns(self):
         cluster = self.cluster()
         node_id = self.victim(cluster).identity.node_id
         cluster.lost_from.add(node_id)
@@ -103,7 +103,7 @@
         cluster.lost_from.clear()
         cluster.run_until(cluster.is_settled, 60)
 
-    def test_deaf_node_goes_and_comes_back(self):
+    def test_node_with_lost_incoming_messages_is_removed_and_returns(self):
         cluster = self.cluster()
         node_id = self.victim(cluster).identity.node_id
         cluster.lost_to.add(node_id)
@@ -116,7 +116,7 @@
         others = [node for key, node in cluster.nodes.items() if key != node_id]
         return {len(node.available) for node in others}
 
-    def test_cut_zone_heals(self):
+    def test_cluster_recovers_from_a_network_partition(self):
         cluster = self.cluster()
         cluster.cut_off("dej")
         cluster.run(60)
@@ -125,7 +125,7 @@
         cluster.heal()
         cluster.run_until(cluster.is_settled, 60)
 
-    def test_cut_that_outlasts_the_memory_heals_through_the_seeds(self):
+    def test_partition_longer_than_the_memory_of_dead_nodes_heals_through_seeds(self):
         settings = MembershipSettings(forget_dead_seconds=60)
         cluster = self.cluster(settings=settings)
         cluster.cut_off("dej")
@@ -133,7 +133,7 @@
         cluster.heal()
         cluster.run_until(cluster.is_settled, 120)
 
-    def test_hundreds_of_restarts_leave_nothing_behind(self):
+    def test_hundreds_of_restarts_leave_no_stale_nodes(self):
         cluster = self.cluster()
         for _ in range(200):
             index = cluster.random.randrange(NODES)
@@ -157,7 +157,7 @@
             cluster.start_node(index)
         cluster.run_until(cluster.is_settled, 60)
 
-    def test_lagging_machine_list_removes_nobody_we_hear_from(self):
+    def test_lagging_machine_list_does_not_remove_responsive_nodes(self):
         cluster = self.cluster()
         entries = [
             MachineEntry(node.identity.host, 7000, node.identity.zone, MachineState.LEAVING)
@@ -168,7 +168,7 @@
         self.assertTrue(cluster.is_settled())
         self.assertEqual(0, cluster.total("membership_suspicions_total"))
 
-    def test_newer_revision_reaches_everybody(self):
+    def test_newer_revision_reaches_all_nodes(self):
         cluster = self.cluster()
         in_force = set()
 
@@ -183,7 +183,7 @@
         everyone_else = set(cluster.nodes) - {first.identity.node_id}
         cluster.run_until(lambda: in_force == everyone_else, 4)
 
-    def test_replica_seen_leaving_by_one_node_is_known_to_all_within_the_bound(self):
+    def test_replica_leaving_is_spread_to_all_nodes_within_the_bound(self):
         cluster = self.cluster()
         cluster.deliver(self.victim(cluster), ReplicaObserved("r1", ReplicaState.LEAVING))
         belief = ReplicaBelief("r1", ReplicaState.LEAVING)
@@ -192,7 +192,7 @@
             lambda: all(belief in node.notified for node in cluster.nodes.values()), bound
         )
 
-    def test_joining_node_learns_of_leaving_replicas(self):
+    def test_joining_node_receives_leaving_replicas(self):
         cluster = self.cluster()
         cluster.deliver(self.victim(cluster), ReplicaObserved("r1", ReplicaState.LEAVING))
         cluster.run(60)
@@ -200,7 +200,7 @@
         belief = ReplicaBelief("r1", ReplicaState.LEAVING)
         cluster.run_until(lambda: belief in newcomer.notified, 10)
 
-    def test_datagrams_stay_small_however_much_there_is_to_tell(self):
+    def test_datagram_size_is_bounded_with_many_pending_updates(self):
         sizes = []
 
         def watch(sender, to, message):
--- a/tests/membership/test_one_machine.py
+++ b/tests/membership/test_one_machine.py
@@ -32,7 +32,7 @@
 
 
 class OneMachineTest(testtools.TestCase):
-    """One machine, whose peers are played by the test."""
+    """A single machine; the test sends the messages of its peers."""
 
     def setUp(self):
         super().setUp()
@@ -64,7 +64,7 @@
         ]
 
     def start_probe(self):
-        """Tick until a probe leaves; return whom it goes to and its number."""
+        """Tick until a probe is sent; return its target and its sequence number."""
         while True:
             probes = [
                 (to, ping.sequence) for to, ping in self.sent(self.tick(), Ping) if ping.sequence
@@ -81,7 +81,7 @@
         latest = [event for event in changes if isinstance(event, MembershipChanged)][-1]
         return {entry.node_id for entry in latest.available}
 
-    def test_unanswered_probe_is_repeated_then_asked_of_others_then_suspected(self):
+    def test_unanswered_probe_is_resent_then_relayed_then_raises_suspicion(self):
         target, sequence = self.start_probe()
         repeated = [(to, ping.sequence) for to, ping in self.sent(self.tick(), Ping)]
         self.assertIn((target, sequence), repeated)
@@ -93,7 +93,7 @@
         self.tick()
         self.assertEqual([target.node_id], self.suspected())
 
-    def test_answer_through_another_node_clears_the_probe(self):
+    def test_answer_through_a_relay_ends_the_probe(self):
         target, sequence = self.start_probe()
         self.tick()
         requests = self.sent(self.tick(), PingRequest)
@@ -102,7 +102,7 @@
         self.tick()
         self.assertEqual([], self.suspected())
 
-    def test_relay_brings_the_answer_or_says_that_there_is_none(self):
+    def test_relay_forwards_the_answer_or_sends_a_nack(self):
         (_, ping) = self.sent(self.receive(B, PingRequest(77, C, NO_GOSSIP)), Ping)[0]
         answers = self.sent(
             self.receive(C, Acknowledgement(ping.sequence, "c", NO_GOSSIP)), Acknowledgement
@@ -112,7 +112,7 @@
         nacks = self.sent(self.tick(), Acknowledgement)
         self.assertEqual([(B, 78, "a")], [(to, m.sequence, m.subject) for to, m in nacks])
 
-    def test_pause_is_not_held_against_the_node_that_was_being_probed(self):
+    def test_own_pause_does_not_raise_suspicion_of_the_probed_node(self):
         self.start_probe()
         actions = self.tick(10.0)
         self.assertEqual([], self.suspected())
@@ -120,18 +120,20 @@
         self.assertIn("membership_pauses_total", counted)
         self.assertIn("membership_refutations_total", counted)
 
-    def test_pause_does_not_count_against_a_suspect(self):
+    def test_own_pause_extends_suspicions(self):
         suspicion = NodeUpdate(B, NodeState.SUSPECT, 0, "c")
         self.receive(C, Ping(0, Gossip(0, (suspicion,))))
         self.tick(100.0)
         self.tick()
         self.assertIn("b", self.available())
 
-    def test_the_dead_of_a_list_are_told_and_not_believed(self):
+    def test_nodes_listed_as_dead_are_notified_and_not_declared_dead(self):
         dead = NodeUpdate(B, NodeState.DEAD, 0)
         self.receive(C, NodeList(Gossip(0, (dead,))))
-        tells = [ping for to, ping in self.sent(self.tick(), Ping) if to == B]
-        self.assertIn(dead, [update for ping in tells for update in ping.gossip.node_updates])
+        notifications = [ping for to, ping in self.sent(self.tick(), Ping) if to == B]
+        self.assertIn(
+            dead, [update for ping in notifications for update in ping.gossip.node_updates]
+        )
         self.assertIn("b", self.available())
 
     def test_new_process_at_an_address_replaces_the_old_one_at_once(self):
@@ -139,13 +141,13 @@
         self.tick()
         self.assertEqual({"a", "b2", "c", "d"}, self.available())
 
-    def test_doubt_about_this_node_is_refuted(self):
+    def test_suspicion_of_this_node_is_refuted(self):
         suspicion = NodeUpdate(OWN, NodeState.SUSPECT, 0, "c")
         answers = self.sent(self.receive(C, Ping(9, Gossip(0, (suspicion,)))), Acknowledgement)
         refutation = NodeUpdate(OWN, NodeState.ALIVE, 1)
         self.assertIn(refutation, answers[0][1].gossip.node_updates)
 
-    def test_doubted_node_is_told_even_when_the_gossip_is_spent(self):
+    def test_dead_node_is_notified_even_after_the_gossip_was_sent_out(self):
         death = NodeUpdate(B, NodeState.DEAD, 0)
         self.receive(C, Ping(0, Gossip(0, (death,))))
         for _ in range(60):
--- a/tests/membership/test_over_sockets.py
+++ b/tests/membership/test_over_sockets.py
@@ -27,7 +27,7 @@
 
 
 class SocketNode:
-    """A membership machine behind a real peer link."""
+    """A membership machine with a real peer link."""
 
     def __init__(self, node_id):
         identity = NodeIdentity(node_id, "ro-nord", "dej", "127.0.0.1", 0)
@@ -57,7 +57,7 @@
 
 
 class MembershipOverSocketsTest(testtools.TestCase):
-    def test_nodes_join_and_one_that_goes_is_missed(self):
+    def test_nodes_join_and_a_stopped_node_is_removed(self):
         async def scenario():
             nodes = {name: SocketNode(name) for name in ("a", "b", "c", "d")}
             seed = await nodes["a"].start([])
--- a/tests/membership/test_parts.py
+++ b/tests/membership/test_parts.py
@@ -38,20 +38,20 @@
 
 
 class GossipQueueTest(testtools.TestCase):
-    def test_piece_is_sent_a_bounded_number_of_times(self):
+    def test_update_is_sent_a_bounded_number_of_times(self):
         queue = GossipQueue(2.0)
         queue.put(update(1))
         sent = sum(len(queue.take(1000, 470)) for _ in range(100))
         self.assertEqual(queue.transmissions(470), sent)
         self.assertFalse(queue.has_urgent)
 
-    def test_newer_piece_replaces_the_older_one(self):
+    def test_newer_update_replaces_the_older_one(self):
         queue = GossipQueue(2.0)
         queue.put(update(1))
         queue.put(update(1, NodeState.DEAD))
         self.assertEqual([update(1, NodeState.DEAD)], queue.take(1000, 8))
 
-    def test_urgent_and_least_sent_pieces_go_first(self):
+    def test_urgent_and_least_sent_updates_go_first(self):
         queue = GossipQueue(2.0)
         replica = ReplicaUpdate("replica", ReplicaState.SERVING, 1)
         queue.put(replica, urgent=False)
@@ -62,7 +62,7 @@
         self.assertEqual([update(1)], queue.take(size, 470))
         self.assertEqual([update(2), update(1), replica], queue.take(1000, 470))
 
-    def test_pieces_that_can_wait_are_bounded_in_number(self):
+    def test_ordinary_updates_are_bounded_in_number(self):
         queue = GossipQueue(2.0)
         for number in range(MAX_ORDINARY_UPDATES + 50):
             queue.put(ReplicaUpdate(f"r{number}", ReplicaState.SERVING, 1), urgent=False)
@@ -70,7 +70,7 @@
         self.assertEqual(MAX_ORDINARY_UPDATES + 1, len(queue))
         self.assertEqual(update(1), queue.take(1000, 470)[0])
 
-    def test_only_urgent_pieces_call_for_messages_of_their_own(self):
+    def test_only_urgent_updates_count_as_urgent(self):
         queue = GossipQueue(2.0)
         queue.put(ReplicaUpdate("replica", ReplicaState.SERVING, 1), urgent=False)
         self.assertFalse(queue.has_urgent)
@@ -78,7 +78,7 @@
         self.assertTrue(queue.has_urgent)
 
     @given(st.integers(0, 5), st.integers(0, 2**40), st.booleans())
-    def test_estimate_covers_what_the_codec_makes(self, count, number, reported):
+    def test_estimate_covers_the_encoded_size(self, count, number, reported):
         reporter = "dej-0007-00aa11" if reported else ""
         node_updates = tuple(
             NodeUpdate(identity(index), NodeState.SUSPECT, number % 1000, reporter)
@@ -96,13 +96,13 @@
 class SuspicionTest(testtools.TestCase):
     def test_confirmations_by_others_shorten_the_time(self):
         suspicion = new_suspicion(SETTINGS, 470, now=0.0)
-        ends = [suspicion.expires_at]
+        expiries = [suspicion.expires_at]
         for reporter in ("a", "b", "c", "d"):
             suspicion.confirm(reporter)
-            ends.append(suspicion.expires_at)
-        self.assertEqual(suspicion.maximum_seconds, ends[1])
-        self.assertEqual(sorted(ends, reverse=True), ends)
-        self.assertEqual(suspicion.minimum_seconds, ends[-1])
+            expiries.append(suspicion.expires_at)
+        self.assertEqual(suspicion.maximum_seconds, expiries[1])
+        self.assertEqual(sorted(expiries, reverse=True), expiries)
+        self.assertEqual(suspicion.minimum_seconds, expiries[-1])
 
     def test_the_same_reporter_counts_once(self):
         suspicion = new_suspicion(SETTINGS, 470, now=0.0)
@@ -123,12 +123,12 @@
 
 
 class MemberTableTest(testtools.TestCase):
-    def test_leaving_is_not_undone_by_a_suspicion(self):
+    def test_suspicion_does_not_override_leaving(self):
         member = MemberTable().put(update(1, NodeState.LEAVING, 1), now=0.0)
         self.assertFalse(overrides(update(1, NodeState.SUSPECT, 1), member))
         self.assertTrue(overrides(update(1, NodeState.DEAD, 1), member))
 
-    def test_greater_incarnation_overrides_even_death(self):
+    def test_greater_incarnation_overrides_dead_state(self):
         member = MemberTable().put(update(1, NodeState.DEAD, 1), now=0.0)
         self.assertTrue(overrides(update(1, NodeState.ALIVE, 2), member))
         self.assertFalse(overrides(update(1, NodeState.ALIVE, 1), member))
@@ -155,7 +155,7 @@
         targets = {self.order.next_target().identity for _ in range(40)}
         self.assertNotIn(identity(3), targets)
 
-    def test_times_grow_with_bad_health_and_each_step_comes_once(self):
+    def test_probe_times_scale_with_health_and_each_step_is_returned_once(self):
         probe = new_probe(identity(1), 1, SETTINGS, health_multiplier=2, now=0.0)
         self.assertEqual(ProbeStep.WAIT, probe.next_step(0.3))
         self.assertEqual(ProbeStep.RESEND, probe.next_step(0.5))
--- a/tests/membership/test_replica_states.py
+++ b/tests/membership/test_replica_beliefs.py
@@ -36,49 +36,49 @@
 
 
 class ReplicaEvidenceTest(testtools.TestCase):
-    def test_what_we_saw_ourselves_just_now_counts(self):
+    def test_fresh_own_evidence_decides(self):
         for state in ReplicaState:
             self.assertEqual(state, effective(own=Evidence(state, NOW - 1)))
 
-    def test_one_lagging_source_does_not_win_over_our_own_fresh_evidence(self):
+    def test_one_other_source_does_not_override_fresh_own_evidence(self):
         own = Evidence(SERVING, NOW - 1)
         self.assertEqual(SERVING, effective(own=own, listed=Evidence(LEAVING, NOW)))
         self.assertEqual(SERVING, effective(own=own, gossip=Evidence(LEAVING, NOW)))
 
-    def test_two_sources_win_over_our_own_evidence(self):
-        hints = {"listed": Evidence(LEAVING, NOW), "gossip": Evidence(GONE, NOW)}
-        self.assertEqual(GONE, effective(own=Evidence(SERVING, NOW - 1), **hints))
+    def test_two_other_sources_override_own_evidence(self):
+        others = {"listed": Evidence(LEAVING, NOW), "gossip": Evidence(GONE, NOW)}
+        self.assertEqual(GONE, effective(own=Evidence(SERVING, NOW - 1), **others))
 
-    def test_one_source_is_enough_without_fresh_evidence(self):
+    def test_one_source_is_enough_without_fresh_own_evidence(self):
         stale = Evidence(SERVING, NOW - SETTINGS.own_fresh_seconds - 0.1)
         self.assertEqual(LEAVING, effective(listed=Evidence(LEAVING, NOW)))
         self.assertEqual(LEAVING, effective(own=stale, listed=Evidence(LEAVING, NOW)))
         self.assertEqual(LEAVING, effective(own=stale, gossip=Evidence(LEAVING, NOW)))
 
-    def test_gossip_that_it_serves_wins_over_an_older_list(self):
-        hints = {"listed": Evidence(LEAVING, NOW - 5), "gossip": Evidence(SERVING, NOW)}
-        self.assertEqual(SERVING, effective(**hints))
+    def test_newer_serving_gossip_overrides_an_older_list(self):
+        others = {"listed": Evidence(LEAVING, NOW - 5), "gossip": Evidence(SERVING, NOW)}
+        self.assertEqual(SERVING, effective(**others))
 
-    def test_replica_that_contradicts_itself_is_leaving_for_a_while(self):
+    def test_replica_serving_after_leaving_stays_leaving_for_return_seconds(self):
         evidence = ReplicaEvidence().with_own(LEAVING, NOW).with_own(SERVING, NOW + 1)
         self.assertEqual(LEAVING, effective_state(evidence, SETTINGS, NOW + 1))
         later = NOW + SETTINGS.return_seconds
         evidence = evidence.with_own(SERVING, later)
         self.assertEqual(SERVING, effective_state(evidence, SETTINGS, later))
 
-    def test_own_warning_is_spread_at_once(self):
+    def test_own_leaving_evidence_is_spread_at_once(self):
         self.assertEqual(LEAVING, spread(own=Evidence(LEAVING, NOW)))
         same = Evidence(LEAVING, NOW - 1)
         self.assertIsNone(spread(own=Evidence(LEAVING, NOW), gossip=same))
 
-    def test_wrong_warning_is_contradicted_only_after_a_while(self):
-        warning = Evidence(LEAVING, NOW - 1)
+    def test_wrong_leaving_gossip_is_corrected_only_after_return_seconds(self):
+        wrong_gossip = Evidence(LEAVING, NOW - 1)
         own = {"own": Evidence(SERVING, NOW), "own_serving_since": NOW - 50}
-        self.assertIsNone(spread(gossip=warning, **own))
+        self.assertIsNone(spread(gossip=wrong_gossip, **own))
         older = Evidence(LEAVING, NOW - SETTINGS.return_seconds)
         self.assertEqual(SERVING, spread(gossip=older, **own))
 
-    def test_list_is_passed_on_only_where_nobody_has_spoken(self):
+    def test_list_is_spread_only_without_gossip_and_own_evidence(self):
         listed = Evidence(LEAVING, NOW)
         self.assertEqual(LEAVING, spread(listed=listed))
         self.assertIsNone(spread(listed=listed, gossip=Evidence(SERVING, NOW - 500)))
@@ -109,20 +109,20 @@
     def listed(self, state, now):
         return self.table.apply_machine_list([MachineEntry("10.1.0.1", 80, "dej", state)], now)
 
-    def test_drain_flag_is_told_and_spread_once(self):
+    def test_drain_flag_is_reported_and_spread_once(self):
         changes = self.table.observe(ReplicaObserved("r1", LEAVING), NOW)
         self.assertEqual([ReplicaBelief("r1", LEAVING)], changes.state_changes)
         self.assertEqual([ReplicaUpdate("r1", LEAVING, 1)], changes.urgent_updates)
         again = self.table.observe(ReplicaObserved("r1", LEAVING), NOW + 1)
         self.assertEqual(([], []), (again.state_changes, again.urgent_updates))
 
-    def test_what_was_heard_before_the_configuration_is_told_again_with_it(self):
+    def test_gossip_before_the_configuration_is_reported_again_with_it(self):
         table = ReplicaTable(SETTINGS)
         table.apply_gossip(ReplicaUpdate("r1", LEAVING, 1), NOW)
         changes = table.configure(CONFIGURATION)
         self.assertEqual([ReplicaBelief("r1", LEAVING)], changes.state_changes)
 
-    def test_greater_version_overrides_and_a_tie_goes_to_the_warning(self):
+    def test_greater_version_overrides_and_leaving_wins_a_tie(self):
         self.table.apply_gossip(ReplicaUpdate("r1", SERVING, 5), NOW)
         self.assertIsNone(self.table.apply_gossip(ReplicaUpdate("r1", LEAVING, 4), NOW))
         changes = self.table.apply_gossip(ReplicaUpdate("r1", LEAVING, 5), NOW)
@@ -130,21 +130,21 @@
         self.assertIsNone(self.table.apply_gossip(ReplicaUpdate("r1", SERVING, 5), NOW))
         self.assertEqual([ReplicaUpdate("r1", LEAVING, 5)], self.table.not_serving_updates())
 
-    def test_gossip_is_believed_within_the_bound_when_own_evidence_ages(self):
+    def test_gossip_takes_effect_within_the_bound_as_own_evidence_ages(self):
         self.table.observe(ReplicaObserved("r1", SERVING), NOW)
         changes = self.table.apply_gossip(ReplicaUpdate("r1", LEAVING, 1), NOW + 0.5)
         self.assertEqual([], changes.state_changes)
         changes = self.table.tick(NOW + MAX_REPLICA_LEAVING_SECONDS)
         self.assertEqual([ReplicaBelief("r1", LEAVING)], changes.state_changes)
 
-    def test_stale_list_against_live_evidence_changes_nothing(self):
+    def test_stale_list_does_not_override_own_evidence(self):
         for second in range(20):
             changes = self.table.observe(ReplicaObserved("r1", SERVING), NOW + second)
             self.assertEqual([], changes.state_changes)
             changes = self.listed(MachineState.LEAVING, NOW + second + 0.5)
             self.assertEqual(([], []), (changes.state_changes, changes.urgent_updates))
 
-    def test_wrong_warning_is_contradicted_and_ends(self):
+    def test_wrong_leaving_gossip_is_corrected_once(self):
         self.table.apply_gossip(ReplicaUpdate("r1", LEAVING, 1), NOW)
         spread_updates, beliefs = [], []
         for second in range(10):
@@ -155,7 +155,7 @@
         self.assertEqual(SERVING, beliefs[-1].state)
         self.assertEqual([], self.table.not_serving_updates())
 
-    def test_list_that_takes_its_word_back_is_heard(self):
+    def test_list_entry_that_returns_to_live_takes_effect(self):
         self.assertEqual(
             [ReplicaBelief("r1", LEAVING)], self.listed(MachineState.LEAVING, 1).state_changes
         )
@@ -164,23 +164,23 @@
         self.assertEqual([], self.table.not_serving_updates())
         self.assertEqual([], changes.state_changes)
 
-    def test_versions_are_told_and_spread_without_haste(self):
+    def test_held_versions_are_reported_and_spread_without_urgency(self):
         held = HeldVersions("r1", 3, 7)
         changes = self.table.observe(ReplicaObserved("r1", SERVING, held), NOW)
         self.assertEqual([ReplicaBelief("r1", SERVING, held)], changes.state_changes)
         self.assertEqual([], changes.urgent_updates)
         self.assertEqual([ReplicaUpdate("r1", SERVING, 1, held)], changes.other_updates)
 
-    def test_versions_seen_lately_are_not_replaced_by_older_gossip(self):
-        seen, heard = HeldVersions("r1", 3, 7), HeldVersions("r1", 2, 6)
-        self.table.observe(ReplicaObserved("r1", SERVING, seen), NOW)
-        changes = self.table.apply_gossip(ReplicaUpdate("r1", SERVING, 5, heard), NOW + 1)
+    def test_recently_observed_versions_are_not_replaced_by_gossip(self):
+        observed, gossiped = HeldVersions("r1", 3, 7), HeldVersions("r1", 2, 6)
+        self.table.observe(ReplicaObserved("r1", SERVING, observed), NOW)
+        changes = self.table.apply_gossip(ReplicaUpdate("r1", SERVING, 5, gossiped), NOW + 1)
         self.assertEqual([], changes.state_changes)
-        self.assertEqual([ReplicaUpdate("r1", SERVING, 5, heard)], changes.other_updates)
-        changes = self.table.apply_gossip(ReplicaUpdate("r1", SERVING, 6, heard), NOW + 10)
-        self.assertEqual([ReplicaBelief("r1", SERVING, heard)], changes.state_changes)
+        self.assertEqual([ReplicaUpdate("r1", SERVING, 5, gossiped)], changes.other_updates)
+        changes = self.table.apply_gossip(ReplicaUpdate("r1", SERVING, 6, gossiped), NOW + 10)
+        self.assertEqual([ReplicaBelief("r1", SERVING, gossiped)], changes.state_changes)
 
-    def test_replicas_out_of_the_configuration_are_forgotten(self):
+    def test_replicas_removed_from_the_configuration_are_forgotten(self):
         self.table.apply_gossip(ReplicaUpdate("r1", LEAVING, 1), NOW)
         self.table.configure(Configuration())
         self.assertEqual([], self.table.not_serving_updates())
--- a/wingquay/membership/__init__.py
+++ b/wingquay/membership/__init__.py
@@ -1,1 +1,1 @@
-"""Which nodes and replicas there are: alive, suspect, leaving, gone."""
+"""Membership: which nodes and replicas exist, and in which state they are."""
--- a/wingquay/membership/contacts.py
+++ b/wingquay/membership/contacts.py
@@ -1,4 +1,4 @@
-"""Addresses worth trying: to join at the start, and to find each other again after a cut."""
+"""Addresses to contact: to join the cluster, and to rejoin it after a network partition."""
 
 import random
 from collections.abc import Iterable
@@ -10,12 +10,14 @@
 
 
 class ContactCandidates:
-    """Seeds, addresses from the machine list, and nodes that are believed dead.
+    """Seeds, addresses from the machine list, and nodes that are considered dead.
 
     Parameters
     ----------
     own
-        This node's own address, which is never tried.
+        This node's own address, which is never returned.
+    seeds
+        Configured addresses of nodes.
     """
 
     def __init__(
@@ -32,11 +34,11 @@
         self._random = random_source
 
     def set_listed_addresses(self, addresses: Iterable[SeedAddress]) -> None:
-        """Take in the addresses of the machine list that may be nodes."""
+        """Replace the addresses from the machine list that may be nodes."""
         self._listed_addresses = tuple(addresses)
 
     def choose(self, count: int) -> list[NodeIdentity]:
-        """Return up to ``count`` addresses at which no living node is known."""
+        """Return up to ``count`` random addresses at which no live node is known."""
         candidates = [*self._unknown_addresses(), *self._dead()]
         return self._random.sample(candidates, min(count, len(candidates)))
 
@@ -58,7 +60,7 @@
         ]
 
     def _is_latest_at_address(self, identity: NodeIdentity) -> bool:
-        """Whether no other node, this one included, is known to have taken the address over."""
+        """Whether no other node, this one included, has been seen at the address since."""
         if SeedAddress(identity.host, identity.port) == self._own:
             return False
         latest = self._table.at_address(identity.host, identity.port)
--- a/wingquay/membership/gossip_queue.py
+++ b/wingquay/membership/gossip_queue.py
@@ -1,7 +1,7 @@
-"""What is to be spread, and how often each piece still has to be sent.
+"""The gossip updates to spread, and how often each one still has to be sent.
 
-Every piece rides on messages a number of times that grows with the logarithm of the number of
-nodes; the least sent go first. Source: SWIM (2002), section 4.1.
+Each update is piggybacked on messages a number of times that grows with the logarithm of the number
+of nodes; the least sent updates go first. Source: SWIM (2002), section 4.1.
 """
 
 import math
@@ -18,16 +18,16 @@
 
 
 MIN_UPDATE_BYTES = REPLICA_UPDATE_OVERHEAD_BYTES
-"""With less room than this, no further piece is looked for."""
+"""Smallest estimated size of an update; with less space left, the search for updates stops."""
 
 MAX_ORDINARY_UPDATES = 300
-"""Pieces that are not urgent; when there are more, the most often sent are dropped."""
+"""Maximum number of updates that are not urgent; above it, the most often sent ones are dropped."""
 
 _Key = tuple[str, NodeId | ReplicaId]
 
 
 def estimated_bytes(update: NodeUpdate | ReplicaUpdate) -> int:
-    """Return about how many bytes ``update`` takes on the wire."""
+    """Return the approximate encoded size of ``update`` in bytes."""
     if isinstance(update, ReplicaUpdate):
         return REPLICA_UPDATE_OVERHEAD_BYTES + len(update.replica_id)
     reporter_bytes = len(update.suspected_by)
@@ -48,9 +48,9 @@
 
 
 class _SendQueue:
-    """Pieces of one urgency, by how often they have been sent.
+    """Updates of one urgency, grouped by how often they have been sent.
 
-    What has not been sent yet goes newest first, the rest in turn.
+    Unsent updates go newest first, the others oldest first.
     """
 
     def __init__(self) -> None:
@@ -76,12 +76,15 @@
             del self._levels[level][key]
 
     def drop_most_sent(self) -> None:
-        """Drop the oldest of the pieces that have been sent most often."""
+        """Drop the oldest of the updates that have been sent most often."""
         most_sent = next(level for level in reversed(self._levels) if level)
         self.remove(next(iter(most_sent)))
 
     def take(self, max_bytes: int, limit: int) -> tuple[list[NodeUpdate | ReplicaUpdate], int]:
-        """Return pieces of at most ``max_bytes``, least sent first, and the bytes left."""
+        """Return updates of at most ``max_bytes``, least sent first, and the bytes left.
+
+        Updates that have then been sent ``limit`` times are removed.
+        """
         chosen: list[tuple[_Key, _Entry]] = []
         for times_sent, level in enumerate(self._levels):
             for key in level if times_sent else reversed(level):
@@ -102,13 +105,13 @@
 
 
 class GossipQueue:
-    """Pieces of gossip, at most one for each node and each replica: the newest.
+    """The newest gossip update about each node and each replica.
 
     Parameters
     ----------
     retransmission_factor
-        Times the natural logarithm of the number of nodes: how often an urgent piece is sent;
-        others are sent half as often.
+        Multiplied by the natural logarithm of the number of nodes, this gives how often an urgent
+        update is sent; others are sent half as often.
     """
 
     def __init__(self, retransmission_factor: float) -> None:
@@ -121,16 +124,16 @@
 
     @property
     def has_urgent(self) -> bool:
-        """Whether something waits that is worth messages of its own."""
+        """Whether any urgent update is left; these also justify messages of their own."""
         return len(self._urgent) > 0
 
     def has_update_about(self, node_id: NodeId) -> bool:
-        """Whether something about that node still has to be spread."""
+        """Whether an update about that node still has to be sent."""
         key = ("node", node_id)
         return key in self._urgent or key in self._ordinary
 
     def put(self, update: NodeUpdate | ReplicaUpdate, urgent: bool = True) -> None:
-        """Spread ``update`` instead of what was to be spread about the same subject."""
+        """Queue ``update`` in place of any earlier update about the same node or replica."""
         key = _key_of(update)
         self._urgent.remove(key)
         self._ordinary.remove(key)
@@ -144,14 +147,14 @@
         max_bytes: int,
         node_count: int,
     ) -> list[NodeUpdate | ReplicaUpdate]:
-        """Return what to send now, of at most ``max_bytes``, and count it as sent."""
+        """Return the updates to send now, of at most ``max_bytes``, and count them as sent."""
         limit = self.transmissions(node_count)
         urgent, remaining_bytes = self._urgent.take(max_bytes, limit)
         ordinary, _ = self._ordinary.take(remaining_bytes, max(1, limit // 2))
         return urgent + ordinary
 
     def transmissions(self, node_count: int) -> int:
-        """Return how often an urgent piece is sent among ``node_count`` nodes."""
+        """Return how often an urgent update is sent in a cluster of ``node_count`` nodes."""
         return max(1, math.ceil(self._factor * math.log(node_count + 1)))
 
 
--- a/wingquay/membership/local_health.py
+++ b/wingquay/membership/local_health.py
@@ -1,4 +1,4 @@
-"""The local health multiplier: a node that is slow itself gives others more time.
+"""The local health multiplier: a node that is slow itself gives others more time to answer.
 
 Source: Lifeguard: Local Health Awareness for More Accurate Failure Detection (Dadgar, Phillips,
 Currey, 2018), section IV-A.
@@ -6,13 +6,7 @@
 
 
 class LocalHealth:
-    """A score from 0 (healthy) to ``maximum``.
-
-    Parameters
-    ----------
-    maximum
-        Greatest score.
-    """
+    """A health score of this node, from 0 (healthy) to ``maximum``."""
 
     def __init__(self, maximum: int) -> None:
         self._maximum = maximum
@@ -20,13 +14,13 @@
 
     @property
     def multiplier(self) -> int:
-        """By what probe times are to be multiplied."""
+        """The factor by which probe times are multiplied."""
         return self.score + 1
 
     def worsen(self, steps: int = 1) -> None:
-        """Take note of signs that this node is slow or cannot be heard."""
+        """Record signs that this node is slow or unreachable."""
         self.score = min(self._maximum, self.score + steps)
 
     def improve(self) -> None:
-        """Take note of a sign that all is well."""
+        """Record a sign that this node is healthy."""
         self.score = max(0, self.score - 1)
--- a/wingquay/membership/member_table.py
+++ b/wingquay/membership/member_table.py
@@ -1,4 +1,4 @@
-"""What this node believes of every other node, and which belief overrides which."""
+"""The state of every other node as stored at this node, and which update overrides which."""
 
 from collections.abc import Iterable
 from dataclasses import dataclass
@@ -14,22 +14,25 @@
     NodeState.LEAVING: 2,
     NodeState.DEAD: 3,
 }
-"""At equal incarnation the higher rank overrides. Only the node itself says that it is leaving,
-and under a new incarnation; a mere suspicion must not undo that."""
+"""At equal incarnation the higher precedence overrides.
+
+Only the node itself announces that it is leaving, and it does so under a new incarnation; a
+suspicion must not override that.
+"""
 
 
 @dataclass(slots=True)
 class Member:
-    """A node as this one sees it.
+    """Another node in this node's view.
 
     Parameters
     ----------
     changed_at
         When ``state`` was last changed (seconds).
     answered_at
-        When the node last answered a probe of ours: proof of a way there and back.
+        When the node last answered a probe of this node (seconds).
     notified_at
-        When the node was last told that it is not believed alive.
+        When the node was last notified that it is considered dead (seconds).
     """
 
     identity: NodeIdentity
@@ -40,19 +43,19 @@
     notified_at: float = float("-inf")
 
     def as_update(self, suspected_by: NodeId = NO_NODE) -> NodeUpdate:
-        """Return the belief as gossip."""
+        """Return the member's state as a gossip update."""
         return NodeUpdate(self.identity, self.state, self.incarnation, suspected_by)
 
 
 def overrides(update: NodeUpdate, member: Member) -> bool:
-    """Whether ``update`` replaces what is believed of ``member``."""
+    """Whether ``update`` replaces the stored state of ``member``."""
     if update.incarnation != member.incarnation:
         return update.incarnation > member.incarnation
     return _PRECEDENCES[update.state] > _PRECEDENCES[member.state]
 
 
 class MemberTable:
-    """Every other node that is known, the dead included until they are forgotten."""
+    """Every other known node; dead ones stay until they are forgotten."""
 
     def __init__(self) -> None:
         self._members: dict[NodeId, Member] = {}
@@ -60,16 +63,16 @@
         self._reachable: list[Member] | None = None
 
     def get(self, node_id: NodeId) -> Member | None:
-        """Return the member with that id."""
+        """Return the member with that id, or ``None``."""
         return self._members.get(node_id)
 
     def at_address(self, host: str, port: int) -> Member | None:
-        """Return the member last known to listen there."""
+        """Return the member last known at that address, or ``None``."""
         node_id = self._by_address.get((host, port))
         return None if node_id is None else self._members.get(node_id)
 
     def put(self, update: NodeUpdate, now: float) -> Member:
-        """Believe ``update`` from ``now`` on."""
+        """Store ``update`` as the state from ``now`` on."""
         self._reachable = None
         identity = update.identity
         member = self._members.get(identity.node_id)
@@ -85,7 +88,7 @@
         return member
 
     def reachable(self) -> list[Member]:
-        """Return the members that are not dead, in the order in which they became known."""
+        """Return the members that are not dead, in the order in which they were added."""
         if self._reachable is None:
             members = self._members.values()
             self._reachable = [entry for entry in members if entry.state is not NodeState.DEAD]
@@ -100,7 +103,7 @@
         return [entry for entry in self._members.values() if entry.state is NodeState.DEAD]
 
     def forget_dead_before(self, moment: float) -> None:
-        """Forget the nodes that have been dead since before ``moment``."""
+        """Remove the nodes that have been dead since before ``moment`` (seconds)."""
         for member in self.dead():
             if member.changed_at < moment:
                 identity = member.identity
@@ -110,5 +113,5 @@
 
     @property
     def node_count(self) -> int:
-        """How many nodes there are, this one included."""
+        """Number of nodes that are not dead, including this one."""
         return len(self.reachable()) + 1
--- a/wingquay/membership/membership_machine.py
+++ b/wingquay/membership/membership_machine.py
@@ -1,7 +1,7 @@
-"""The membership machine: which nodes and replicas there are.
+"""The membership machine: detects which nodes and replicas exist and in which state they are.
 
-SWIM with suspicion, incarnations and the additions of Lifeguard, gossip that rides on its
-messages, and node lists fetched at long intervals. See docs/design/membership.md.
+It implements SWIM with suspicion, incarnations and the Lifeguard extensions. Gossip is piggybacked
+on its messages, and whole node lists are fetched at long intervals. See docs/design/membership.md.
 """
 
 import random
@@ -46,33 +46,33 @@
 from .settings import MembershipSettings, SeedAddress
 
 MAX_JOIN_CONTACTS = 3
-"""Addresses that a node without any other tries at once."""
+"""Maximum number of addresses that a node without any known peer contacts at once."""
 
 MAX_NOTIFICATIONS_PER_TICK = 8
-"""Nodes that are told in one tick what is said of them."""
+"""Maximum number of nodes that are notified per tick of the state attributed to them."""
 
 LEAVING_FANOUT = 6
-"""Nodes that are told at once that this node is leaving."""
+"""Number of nodes that are notified at once that this node is leaving."""
 
 FORGET_INTERVAL_SECONDS = 30.0
 
 
 @dataclass(frozen=True, slots=True)
 class MembershipTick(Event):
-    """It is time to look at the timers."""
+    """The periodic timer of the membership machine has expired."""
 
 
 class MembershipMachine:
-    """Decides which nodes and replicas there are.
+    """Detects which nodes and replicas exist, and notifies the other machines of this node.
 
     Parameters
     ----------
     identity
         This node.
     seeds
-        Addresses that are asked at the start; this node's own is ignored.
+        Addresses that are contacted at the start; this node's own is ignored.
     random_source
-        Every random choice comes from it.
+        Source of every random choice.
     """
 
     EVENTS: ClassVar[tuple[type[Event], ...]] = (
@@ -136,7 +136,7 @@
         self._next_forget_at = float("-inf")
 
     def handle(self, event: Event, now: float) -> list[Action]:
-        """Take in one event."""
+        """Handle one event at time ``now`` (seconds)."""
         self._detect_pause(now)
         match event:
             case MembershipTick():
@@ -172,7 +172,7 @@
         self._outbox.add(Schedule(now + phase_seconds, MembershipTick()))
 
     def _detect_pause(self, now: float) -> None:
-        """Do not blame others for time in which this node itself stood still."""
+        """Detect a pause of this node, so that it does not count against other nodes."""
         last_event_at, self._last_event_at = self._last_event_at, now
         if last_event_at is None:
             return
--- a/wingquay/membership/message_sender.py
+++ b/wingquay/membership/message_sender.py
@@ -1,4 +1,4 @@
-"""Puts membership messages together, with the gossip that rides on them."""
+"""Builds membership messages and adds gossip to them."""
 
 import random
 
@@ -21,7 +21,7 @@
 from .settings import MembershipSettings
 
 NO_ACK_SEQUENCE = 0
-"""Sequence number of a ping that only carries gossip."""
+"""Sequence number of a ping that only carries gossip and must not be acknowledged."""
 
 
 class MessageSender:
@@ -30,7 +30,7 @@
     Attributes
     ----------
     revision
-        Of the configuration in force here; told with every message.
+        Revision of the configuration in force at this node; included in every message.
     """
 
     def __init__(
@@ -53,25 +53,28 @@
         self._outbox.add(SendToPeer(to, message))
 
     def ping(self, to: NodeIdentity, sequence: int, first: NodeUpdate | None = None) -> None:
-        """Probe a node, or with ``NO_ACK_SEQUENCE`` bring it gossip, ``first`` before all."""
+        """Probe a node, or only send it gossip if ``sequence`` is ``NO_ACK_SEQUENCE``.
+
+        ``first`` is an update that precedes all others.
+        """
         self.send(to, Ping(sequence, self._gossip_for(to.node_id, first)))
 
     def acknowledge(self, to: NodeIdentity, sequence: int, subject: NodeId) -> None:
-        """Answer a probe of ``subject``."""
+        """Acknowledge a probe of ``subject``."""
         self.send(to, Acknowledgement(sequence, subject, self._gossip_for(to.node_id)))
 
     def request_probe(self, relay: NodeIdentity, sequence: int, subject: NodeIdentity) -> None:
-        """Ask ``relay`` to probe ``subject``."""
+        """Request ``relay`` to probe ``subject``."""
         self.send(relay, PingRequest(sequence, subject, self._gossip_for(relay.node_id)))
 
     def push(self, fanout: int) -> None:
-        """Bring what is to be spread to ``fanout`` random nodes."""
+        """Send queued gossip to ``fanout`` random nodes."""
         reachable = self._table.reachable()
         for member in self._random.sample(reachable, min(fanout, len(reachable))):
             self.ping(member.identity, NO_ACK_SEQUENCE)
 
     def notify_subject(self, update: NodeUpdate) -> None:
-        """Tell a node what is said of it, so that it can refute."""
+        """Send a node the update about itself, so that it can refute it."""
         self.ping(update.identity, NO_ACK_SEQUENCE, first=update)
 
     def _gossip_for(self, receiver: NodeId, first: NodeUpdate | None = None) -> Gossip:
@@ -90,7 +93,10 @@
         return Gossip(self.revision, tuple(node_updates), tuple(replica_updates))
 
     def _suspicion_of(self, receiver: NodeId) -> NodeUpdate | None:
-        """Return our suspicion of the receiver, so that it can refute at once (Lifeguard)."""
+        """Return an update if the receiver is suspect or dead here, so that it can refute at once.
+
+        Source: Lifeguard.
+        """
         member = self._table.get(receiver)
         if member is None or member.state in (NodeState.ALIVE, NodeState.LEAVING):
             return None
--- a/wingquay/membership/node_lists.py
+++ b/wingquay/membership/node_lists.py
@@ -1,6 +1,6 @@
-"""Whole node lists: fetched to join, at long intervals, and after a cut has healed.
+"""Whole node lists: fetched to join, at long intervals, and after a network partition has healed.
 
-Gossip is sent a bounded number of times, so some node may miss some of it; lists repair that
+Gossip is sent a bounded number of times, so nodes may miss updates; lists repair that
 (anti-entropy).
 """
 
@@ -15,15 +15,15 @@
 
 MIN_ARRIVALS = 3
 MIN_ARRIVALS_SHARE = 0.1
-"""So many new or returned nodes since the last list, and at least this share of all, mean that
-many have started at once or that a cut has healed: gossip alone would take long."""
+"""If both this number of nodes and this share of all nodes have arrived or returned since the last
+list, many have started at once or a network partition has healed: a list is fetched early."""
 
 EARLY_LIST_DELAY_SECONDS = (1.0, 4.0)
-"""Then the next list is fetched at a random moment between these."""
+"""Bounds of the random delay before an early list is fetched."""
 
 
 class NodeLists:
-    """Asks for node lists, answers with them and takes them in."""
+    """Requests node lists, answers requests for them and applies them."""
 
     def __init__(
         self,
@@ -47,12 +47,12 @@
         self._is_early_list_scheduled = False
 
     def message_received(self, sender: NodeIdentity, now: float) -> None:
-        """Ask whoever is heard first for the list."""
+        """Request the first list from the first node that sends a message."""
         if not self._has_joined:
             self._request(sender, now)
 
     def tick(self, now: float) -> None:
-        """Ask for a list when it is time."""
+        """Request a list if one is due."""
         if not self._is_early_list_scheduled and self._needs_early_list():
             self._is_early_list_scheduled = True
             self._next_at = min(
@@ -65,7 +65,10 @@
             self._schedule(now)
 
     def _choose_source(self) -> NodeIdentity | None:
-        """Return whom to ask: from behind a healed cut if possible, else anyone."""
+        """Return a node to request the list from, or ``None`` if no node is reachable.
+
+        A node from the other side of a healed network partition is preferred.
+        """
         returned, self._tracker.last_returned = self._tracker.last_returned, None
         if returned is not None:
             return returned
@@ -79,7 +82,7 @@
         return arrivals >= max(MIN_ARRIVALS, MIN_ARRIVALS_SHARE * self._table.node_count)
 
     def answer(self, sender: NodeIdentity) -> None:
-        """Send everything that is believed here."""
+        """Send the states of all nodes, and of the replicas that do not serve."""
         members = tuple(member.as_update() for member in self._table.all())
         updates = (self._tracker.own_update(), *members)
         not_serving_updates = tuple(self._replicas.not_serving_updates())
@@ -88,10 +91,11 @@
         )
 
     def apply(self, gossip: Gossip, now: float) -> None:
-        """Take in a list."""
-        # The others know already what the first list brings; of later ones they fetch their own.
+        """Apply a received list."""
+        # The first list contains nothing new for the others; they fetch their own copies of later
+        # ones.
         if not self._has_joined or self._needs_early_list():
-            # What was announced before was meant for fewer nodes.
+            # The earlier announcement was limited for a smaller cluster.
             self._tracker.announce()
         self._arrivals_at_list = self._tracker.arrivals
         self._is_early_list_scheduled = False
--- a/wingquay/membership/node_state_tracker.py
+++ b/wingquay/membership/node_state_tracker.py
@@ -1,4 +1,4 @@
-"""Takes in what is said of nodes, this one included, and decides what to believe and spread."""
+"""Applies updates about nodes, this one included, and decides what to store and spread."""
 
 import random
 from enum import Enum
@@ -15,35 +15,38 @@
 from .suspicion import Suspicion, new_suspicion
 
 MIN_NOTIFY_INTERVAL_SECONDS = 1.0
-"""Shortest time between two times that a node is told that it is believed dead."""
+"""Minimum time between two notifications of a node that it is considered dead."""
 
 MIN_PARTITION_SECONDS = 10.0
-"""A node that returns after this time was cut off rather than suspected in error."""
+"""A node that returns after it was dead for at least this time is assumed to have been cut off."""
 
 _AVAILABLE = (NodeState.ALIVE, NodeState.SUSPECT)
 
 
 class SpreadMode(Enum):
-    """How something that was heard is passed on."""
+    """How an update is spread further."""
 
-    URGENT = "at_once"
-    ORDINARY = "where_there_is_room"
-    NONE = "not"
+    URGENT = "urgent"
+    ORDINARY = "ordinary"
+    NONE = "none"
 
 
 class NodeStateTracker:
-    """What this node believes of the others and says of itself.
+    """The states of all nodes: stores those of the others and announces that of this node.
 
     Attributes
     ----------
+    health
+        The health score of this node.
     is_changed
-        Whether the nodes that may be asked have changed since this was last set to ``False``.
+        Whether the available or leaving nodes have changed since this was last set to ``False``.
     pending_notifications
-        Nodes that should hear what is said of them, so that they can refute it.
+        Updates to be sent to the nodes that they are about, so that these can refute them.
     arrivals
-        How many nodes were first heard of or came back from the dead.
+        Number of nodes that were added or came back from the dead.
     last_returned
-        The node that last came back after it had been dead for a while: perhaps a cut has healed.
+        The node that last came back after it had been dead for ``MIN_PARTITION_SECONDS``, which may
+        mean that a network partition has healed; ``None`` if there is none.
     """
 
     def __init__(
@@ -73,32 +76,32 @@
         self.last_returned: NodeIdentity | None = None
 
     def own_update(self) -> NodeUpdate:
-        """Return what this node says of itself."""
+        """Return the update about this node."""
         return NodeUpdate(self._identity, self._own_state, self._own_incarnation)
 
     def announce(self) -> None:
-        """Spread what this node says of itself."""
+        """Spread the state of this node."""
         self._queue.put(self.own_update())
 
     def leave(self) -> None:
-        """Say from now on that this node is leaving."""
+        """Announce from now on that this node is leaving."""
         self._own_state = NodeState.LEAVING
         self._own_incarnation += 1
         self.is_changed = True
         self.announce()
 
     def refute(self, incarnation: int) -> None:
-        """Contradict whatever is said of this node at ``incarnation``."""
+        """Override any update about this node up to ``incarnation``."""
         self._own_incarnation = max(self._own_incarnation, incarnation) + 1
         self._outbox.count("membership_refutations_total")
         self.announce()
 
     def refute_preemptively(self) -> None:
-        """Contradict what may be said of this node and has not reached it."""
+        """Override updates about this node that may exist but have not been received."""
         self.refute(self._own_incarnation)
 
     def available(self) -> MembershipChanged:
-        """Return the nodes that may be asked and those that are leaving."""
+        """Return the available nodes and the leaving ones, this node included."""
         everyone = [(member.identity, member.state) for member in self._table.reachable()]
         everyone.append((self._identity, self._own_state))
         available = [identity for identity, state in everyone if state in _AVAILABLE]
@@ -108,7 +111,7 @@
         )
 
     def record_contact(self, sender: NodeIdentity, now: float) -> None:
-        """Take note of a message that came from ``sender`` itself."""
+        """Record that a message from ``sender`` was received."""
         member = self._table.get(sender.node_id)
         if member is None:
             self._replace_predecessor(sender, now)
@@ -121,21 +124,21 @@
             self.pending_notifications[sender.node_id] = member.as_update()
 
     def record_answer(self, node_id: NodeId, now: float) -> None:
-        """Take note of an answer to a probe of ours."""
+        """Record that the node answered a probe of this node."""
         member = self._table.get(node_id)
         if member is not None:
             member.answered_at = now
 
     def record_replaced_process(self, expected: NodeId, now: float) -> None:
-        """Take note that another process has the address of ``expected``: it is gone."""
+        """Record that another process uses the address of ``expected``, which is therefore dead."""
         member = self._table.get(expected)
         if member is not None and member.state is not NodeState.DEAD:
-            self._declare_dead(member, now, "its address has a new process")
+            self._declare_dead(member, now, "a new process uses its address")
 
     def apply_gossip(
         self, update: NodeUpdate, now: float, spread_mode: SpreadMode = SpreadMode.URGENT
     ) -> None:
-        """Take in one piece of gossip, and spread it if it is new."""
+        """Apply a gossip update, and spread it if it is new."""
         if update.identity.node_id == self._identity.node_id:
             self._handle_own_update(update)
             return
@@ -152,10 +155,10 @@
                 self._change(member, update, now, spread_mode)
 
     def apply_listed(self, update: NodeUpdate, now: float, spread_mode: SpreadMode) -> None:
-        """Take in one entry of another node's whole list.
+        """Apply one entry of another node's whole list.
 
-        A list may be from behind a cut that has just healed. So the dead on it are not taken for
-        dead here; they are told, and refute if they live.
+        The list may come from the other side of a network partition that has just healed. So nodes
+        that it lists as dead are not declared dead; they are notified and refute if they are alive.
         """
         member = self._table.get(update.identity.node_id)
         if update.state is not NodeState.DEAD or update.identity == self._identity:
@@ -164,12 +167,12 @@
             self._request_refutation(update)
 
     def suspect(self, node_id: NodeId, now: float) -> None:
-        """Take note that a probe of ours was not answered, directly or through others."""
+        """Record that a node answered neither a probe of this node nor the indirect probes."""
         member = self._table.get(node_id)
         if member is None or member.state is NodeState.DEAD:
             return
         if member.state is NodeState.LEAVING:
-            # It says itself that it goes; a suspicion would only hide that.
+            # A leaving node stays leaving; a suspect state would hide that.
             self._suspicions.setdefault(node_id, self._new_suspicion(now))
             return
         own_id = self._identity.node_id
@@ -182,12 +185,15 @@
             self._queue.put(update)
 
     def postpone_suspicions(self, seconds: float) -> None:
-        """Do not count time in which this node itself was paused."""
+        """Extend all suspicions by the time in which this node itself was paused."""
         for suspicion in self._suspicions.values():
             suspicion.postpone(seconds)
 
     def expire_suspicions(self, now: float) -> None:
-        """Declare those dead that have not refuted in time."""
+        """Declare the nodes dead whose suspicion has expired.
+
+        A node that has answered this node since its suspicion began is notified and gets more time.
+        """
         for node_id, suspicion in list(self._suspicions.items()):
             if suspicion.expires_at > now:
                 continue
@@ -198,7 +204,7 @@
                 suspicion.started_at = now
                 self.pending_notifications[node_id] = member.as_update()
             else:
-                self._declare_dead(member, now, "it did not refute")
+                self._declare_dead(member, now, "the suspicion was not refuted")
 
     def _handle_own_update(self, update: NodeUpdate) -> None:
         is_suspicion = update.state in (NodeState.SUSPECT, NodeState.DEAD)
@@ -208,7 +214,8 @@
             self.health.worsen()
             self.refute(update.incarnation)
         elif is_suspicion and not self._queue.has_update_about(self._identity.node_id):
-            # Refuted before, but not everybody has heard it: we may have been mute.
+            # Already refuted, but some node has not received it: this node's messages may have been
+            # lost.
             self.announce()
 
     def _replace_predecessor(self, newcomer: NodeIdentity, now: float) -> None:
@@ -234,7 +241,7 @@
             self._queue.put(update, urgent=spread_mode is SpreadMode.URGENT)
 
     def _confirm(self, update: NodeUpdate) -> bool:
-        """Count an independent suspicion; return whether it is news."""
+        """Record an independent suspicion; return whether it is new."""
         member = self._table.get(update.identity.node_id)
         suspicion = self._suspicions.get(update.identity.node_id)
         if member is None or suspicion is None or member.state is not NodeState.SUSPECT:
@@ -244,7 +251,10 @@
         return suspicion.confirm(update.suspected_by)
 
     def _answered_recently(self, member: Member, now: float) -> bool:
-        """Whether what we saw ourselves contradicts that ``member`` is dead."""
+        """Whether a recent answer of ``member`` is evidence that it is not dead.
+
+        Never true for a leaving node.
+        """
         fresh = now - member.answered_at < self._settings.round_trip_fresh_seconds
         return fresh and member.state is not NodeState.LEAVING
 
@@ -291,7 +301,7 @@
 
 
 def _reported_state(state: NodeState) -> NodeState:
-    """Return the state as the other machines of the node tell them apart."""
+    """Return the state as reported to the other machines, which treat suspect nodes as alive."""
     return NodeState.ALIVE if state is NodeState.SUSPECT else state
 
 
--- a/wingquay/membership/prober.py
+++ b/wingquay/membership/prober.py
@@ -1,4 +1,4 @@
-"""Probes other nodes, and on behalf of others."""
+"""Sends probes to other nodes, for this node and on behalf of others."""
 
 import random
 from dataclasses import dataclass
@@ -18,14 +18,17 @@
 from .settings import MembershipSettings
 
 MAX_RELAYED_PROBES = 1_000
-"""Probes on behalf of others that are remembered at once."""
+"""Maximum number of unanswered probes on behalf of others."""
 
 FIRST_SEQUENCE_BITS = 32
 
 
 @dataclass(frozen=True, slots=True)
 class _RelayedProbe:
-    """A probe on behalf of ``requester``, who waits under ``requester_sequence``."""
+    """A probe on behalf of ``requester``, whose own probe has the number ``requester_sequence``.
+
+    If it is still unanswered at ``nack_at`` (seconds), the requester gets a nack.
+    """
 
     requester: NodeIdentity
     requester_sequence: int
@@ -34,7 +37,7 @@
 
 
 class Prober:
-    """Drives the probe that is under way and the probes on behalf of others."""
+    """Runs one probe of this node at a time, and the probes on behalf of others."""
 
     def __init__(
         self,
@@ -59,16 +62,16 @@
         self._relayed: dict[int, _RelayedProbe] = {}
 
     def next_sequence(self) -> int:
-        """Return a number that no probe of this node has had."""
+        """Return an unused sequence number."""
         self._sequence += 1
         return self._sequence
 
     def cancel(self) -> None:
-        """Give up the probe under way without a verdict."""
+        """Abort the current probe without a result."""
         self._probe = None
 
     def tick(self, now: float) -> None:
-        """Go on with the probe under way, or start the next one when it is time."""
+        """Advance the current probe, or start the next one if it is due."""
         if self._probe is not None:
             self._continue(self._probe, now)
         if self._probe is None and now >= self._next_probe_at:
@@ -108,7 +111,7 @@
     def _give_up(self, probe: Probe, now: float) -> None:
         self._probe = None
         if probe.nacks == 0:
-            # Not even the relays answer: perhaps it is this node that is not heard.
+            # No relay has answered either: this node itself may be unreachable.
             self._tracker.health.worsen()
         self._tracker.suspect(probe.target.node_id, now)
 
@@ -120,7 +123,10 @@
     def on_acknowledgement(
         self, sender: NodeIdentity, message: Acknowledgement, now: float
     ) -> None:
-        """Take in an answer to a probe of ours, or to one on behalf of another node."""
+        """Handle an answer to a probe of this node, or to one on behalf of another node.
+
+        An acknowledgement whose subject is not the probe's target is a nack from a relay.
+        """
         relayed = self._relayed.pop(message.sequence, None)
         if relayed is not None:
             if message.subject == relayed.subject:
@@ -141,7 +147,7 @@
             probe.nacks += 1
 
     def on_ping_request(self, sender: NodeIdentity, message: PingRequest, now: float) -> None:
-        """Probe on behalf of ``sender``."""
+        """Probe a node on behalf of ``sender``."""
         if message.subject.node_id == self._own_id:
             self._messages.acknowledge(sender, message.sequence, self._own_id)
             return
@@ -154,7 +160,10 @@
         self._messages.ping(message.subject, sequence)
 
     def _send_nacks(self, now: float) -> None:
-        """Tell those who asked that there was no answer; it shows them that they are heard."""
+        """Send a nack for each unanswered relayed probe.
+
+        The nack shows the requester that its own messages get through.
+        """
         for sequence, relayed in list(self._relayed.items()):
             if now >= relayed.nack_at:
                 del self._relayed[sequence]
--- a/wingquay/membership/probing.py
+++ b/wingquay/membership/probing.py
@@ -1,7 +1,7 @@
-"""Which node is probed next, and the probe that is under way.
+"""The steps of one probe, and the order in which nodes are probed.
 
-Source: SWIM (2002), sections 3.1 and 4.3: randomized round robin bounds the time until any node
-is probed; an unanswered probe is repeated through others before it counts.
+Source: SWIM (2002), sections 3.1 and 4.3: randomized round robin bounds the time until any node is
+probed, and an unanswered probe is repeated through other nodes before it fails.
 """
 
 import random
@@ -15,11 +15,11 @@
 
 
 class ProbeStep(Enum):
-    """What is to be done about the probe that is under way."""
+    """The next step of the current probe."""
 
     WAIT = "wait"
-    RESEND = "send_again"
-    PROBE_INDIRECTLY = "ask_others"
+    RESEND = "resend"
+    PROBE_INDIRECTLY = "probe_indirectly"
     GIVE_UP = "give_up"
 
 
@@ -30,9 +30,9 @@
     Parameters
     ----------
     resend_at, indirect_at, give_up_at
-        When to repeat it, to ask others, to give up (seconds).
-    refusals
-        How many of the others that were asked said that they had no answer either.
+        When to repeat it, to probe through other nodes, and to give up (seconds).
+    nacks
+        Number of relays that reported that they got no answer either.
     """
 
     target: NodeIdentity
@@ -45,7 +45,7 @@
     nacks: int = 0
 
     def next_step(self, now: float) -> ProbeStep:
-        """Return what is due ``now``; each step is returned once."""
+        """Return the step that is due ``now``; each step is returned once."""
         if now >= self.give_up_at:
             return ProbeStep.GIVE_UP
         if now >= self.indirect_at and not self.has_probed_indirectly:
@@ -64,7 +64,7 @@
     health_multiplier: int,
     now: float,
 ) -> Probe:
-    """Return a probe that starts ``now``, with times for this node's own health."""
+    """Return a probe that starts ``now``, with timeouts scaled by this node's health."""
     return Probe(
         target=target,
         sequence=sequence,
@@ -75,7 +75,7 @@
 
 
 class ProbeOrder:
-    """Goes through all nodes in a random order, then in another one."""
+    """Returns all nodes in a random order, which changes every round."""
 
     def __init__(self, table: MemberTable, random_source: random.Random) -> None:
         self._table = table
@@ -84,11 +84,11 @@
         self._preferred: dict[NodeId, None] = {}
 
     def prefer(self, node_id: NodeId) -> None:
-        """Probe this node next."""
+        """Probe this node before all others."""
         self._preferred[node_id] = None
 
     def next_target(self) -> Member | None:
-        """Return the node to probe now, or ``None`` if there is no other."""
+        """Return the node to probe now, or ``None`` if there is no other node."""
         while self._preferred:
             member = self._probeable(self._preferred.popitem()[0])
             if member is not None:
@@ -103,7 +103,7 @@
         return None
 
     def insert(self, node_id: NodeId) -> None:
-        """Give a new node a random place in the present round."""
+        """Insert a new node at a random position of the current round."""
         self._remaining.insert(self._random.randint(0, len(self._remaining)), node_id)
 
     def _probeable(self, node_id: NodeId) -> Member | None:
--- a/wingquay/membership/replica_evidence.py
+++ b/wingquay/membership/replica_evidence.py
@@ -1,10 +1,10 @@
-"""Which evidence about a replica is believed; pure policy, no state.
+"""Decides the state of a replica from the evidence about it; pure functions without stored state.
 
-Three sources speak of a replica. Our own exchanges are first-hand: answers, drain flags, refused
-connections. Gossip is what another node saw first-hand, seconds ago. The platform's machine list
-lags without a bound. The rule: what we saw ourselves within the last moments wins over one other
-source; two others together win over it; without fresh evidence of our own the newest word wins.
-See docs/design/membership.md.
+There are three sources of evidence. Own evidence comes from this node's requests to the replica:
+answers, drain flags, refused connections. Gossip is what another node observed seconds ago. The
+platform's machine list may lag without bound. Fresh own evidence overrides one other source, but
+not two that agree. Without fresh own evidence the newest source decides. See
+docs/design/membership.md.
 """
 
 from dataclasses import dataclass
@@ -12,11 +12,10 @@
 from ..ports.peer import ReplicaState
 
 MAX_REPLICA_LEAVING_SECONDS = 3.0
-"""What the settings below must add up to.
+"""Maximum time from the first evidence that a replica is leaving until it gets no new requests.
 
-After this time from the first hint that a replica is leaving, no node sends it new work, unless
-the hint came from one lagging source and our own exchanges speak against it. It is no setting
-itself: nothing waits for it.
+It does not apply if the evidence came from one lagging source and own evidence contradicts it. It
+is not a setting; the settings below must be chosen to keep it.
 """
 
 
@@ -39,7 +38,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Evidence:
-    """What one source last said, and when we heard it (seconds)."""
+    """The last state from one source, and when this node received it (seconds)."""
 
     state: ReplicaState
     at: float
@@ -47,20 +46,20 @@
 
 @dataclass(frozen=True, slots=True)
 class ReplicaEvidence:
-    """Everything that speaks of one replica.
+    """All evidence about one replica; ``None`` for sources without any.
 
     Parameters
     ----------
     own
-        Our newest own evidence.
+        The newest own evidence.
     own_leaving_at
-        When our own exchanges last showed that it is leaving.
+        When own evidence last showed that the replica is leaving (seconds).
     own_serving_since
-        Since when our own evidence has said, without a break, that it serves.
+        Since when own evidence has continuously shown that the replica serves (seconds).
     gossip
-        What another node spread.
+        The state that nodes spread.
     listed
-        What the machine list says.
+        The state in the machine list.
     """
 
     own: Evidence | None = None
@@ -70,7 +69,7 @@
     listed: Evidence | None = None
 
     def with_own(self, state: ReplicaState, now: float) -> "ReplicaEvidence":
-        """Return the evidence with what we saw ourselves ``now``."""
+        """Return the evidence with ``state`` as observed by this node ``now``."""
         is_serving = state is ReplicaState.SERVING
         was_serving = self.own is not None and self.own.state is ReplicaState.SERVING
         since = self.own_serving_since if was_serving else now
@@ -84,7 +83,7 @@
 
     @property
     def is_undisputed(self) -> bool:
-        """Whether every source that speaks says that it serves."""
+        """Whether no source contradicts that the replica serves."""
         sources = (self.own, self.gossip, self.listed)
         return not any(_is_not_serving(source) for source in sources)
 
@@ -92,7 +91,7 @@
 def effective_state(
     evidence: ReplicaEvidence, settings: ReplicaEvidenceSettings, now: float
 ) -> ReplicaState:
-    """Return what to believe of a replica ``now``."""
+    """Return the state of the replica ``now``, according to all evidence."""
     own = evidence.own
     if own is None or now - own.at > settings.own_fresh_seconds:
         return _state_without_own_evidence(evidence)
@@ -120,12 +119,12 @@
 def state_to_spread(
     evidence: ReplicaEvidence, settings: ReplicaEvidenceSettings, now: float
 ) -> ReplicaState | None:
-    """Return what other nodes should be told because what is spread is wrong, or ``None``.
+    """Return the state to spread to other nodes, or ``None`` if nothing needs to be corrected.
 
-    A warning of our own is spread at once. That a replica serves after all is spread only after
-    our own evidence has said so for a while since the warning, so that two nodes that see
-    different things do not contradict each other without end. The machine list is passed on only
-    where no node has spoken yet.
+    Own evidence that the replica does not serve is spread at once. That it serves after all is
+    spread only after own evidence has shown it for ``return_seconds``, so that two nodes with
+    different evidence do not override each other endlessly. A leaving state from the machine list
+    is spread only if no node has spread any state yet.
     """
     own, spread = evidence.own, evidence.gossip
     spread_state = ReplicaState.SERVING if spread is None else spread.state
--- a/wingquay/membership/replica_table.py
+++ b/wingquay/membership/replica_table.py
@@ -1,4 +1,4 @@
-"""Beliefs about replicas: collects the evidence, decides, and says what to spread."""
+"""The states of replicas: collects the evidence, evaluates it, and returns what to spread."""
 
 from collections.abc import Iterable
 from dataclasses import dataclass, field, replace
@@ -21,23 +21,24 @@
 
 
 _DEFAULT_STATE: tuple[ReplicaState, HeldVersions | None] = (ReplicaState.SERVING, None)
-"""What the other machines take for granted of a replica that they were told nothing of."""
+"""The state and held versions that other machines assume for a replica without a notification."""
 
 
 @dataclass(slots=True)
 class _Record:
-    """One replica.
+    """The stored state of one replica.
 
     Parameters
     ----------
     version
-        Of the newest update that is spread; 0 if there has been none.
+        Version of the newest update that is spread; 0 if there is none.
     held
-        The versions that the replica holds, as we last saw, or heard if we saw nothing lately.
+        The versions that the replica holds, as last observed by this node or, if it has not
+        observed any lately, as received by gossip.
     held_observed_at
-        When we last saw them ourselves (seconds).
-    told
-        What the node's other machines were last told.
+        When this node last observed them itself (seconds).
+    last_notified
+        The state and held versions last sent to the other machines of this node.
     """
 
     evidence: ReplicaEvidence = field(default_factory=ReplicaEvidence)
@@ -49,16 +50,16 @@
 
 @dataclass(frozen=True, slots=True)
 class ReplicaChanges:
-    """What follows from new evidence.
+    """The consequences of new evidence.
 
     Parameters
     ----------
-    beliefs
+    state_changes
         For the other machines of this node.
     urgent_updates
-        To be spread at once: a state has changed.
+        To be spread at once, since a state has changed.
     other_updates
-        To be spread where there is room: held versions have changed.
+        To be spread with messages that have space left, since only held versions have changed.
     """
 
     state_changes: list[ReplicaBelief] = field(default_factory=list)
@@ -67,7 +68,7 @@
 
 
 class ReplicaTable:
-    """Every replica that anything was heard of."""
+    """Every replica about which there is evidence."""
 
     def __init__(self, settings: ReplicaEvidenceSettings) -> None:
         self._settings = settings
@@ -76,14 +77,14 @@
         self._disputed: dict[ReplicaId, None] = {}
 
     def is_replica_address(self, host: str, port: int) -> bool:
-        """Whether the configuration has a replica there."""
+        """Whether the configuration has a replica at that address."""
         return (host, port) in self._by_address
 
     def configure(self, configuration: Configuration) -> ReplicaChanges:
-        """Learn the replicas' addresses; forget replicas that are not configured any more.
+        """Use the replicas and addresses of ``configuration``; drop replicas that are not in it.
 
-        What was heard of a replica before it was configured here meant nothing to the other
-        machines of this node, so they are told again whatever they would not take for granted.
+        The other machines of this node ignore notifications about unconfigured replicas. So they
+        are notified again of every replica whose state is not the default.
         """
         replicas = [
             replica
@@ -107,7 +108,7 @@
         )
 
     def observe(self, event: ReplicaObserved, now: float) -> ReplicaChanges:
-        """Take in our own evidence."""
+        """Record own evidence."""
         record = self._record(event.replica_id)
         if event.state is not None:
             record.evidence = record.evidence.with_own(event.state, now)
@@ -123,7 +124,7 @@
         return changes
 
     def apply_gossip(self, update: ReplicaUpdate, now: float) -> ReplicaChanges | None:
-        """Take in gossip; ``None`` if it is not new."""
+        """Record a gossip update; return ``None`` if it is not new."""
         record = self._record(update.replica_id)
         if not self._overrides(update, record):
             return None
@@ -139,7 +140,7 @@
         return changes
 
     def apply_machine_list(self, entries: Iterable[MachineEntry], now: float) -> ReplicaChanges:
-        """Take in the machine list; a replica that it does not name is not spoken of."""
+        """Record the machine list; a replica that is not in it keeps its evidence."""
         changes = ReplicaChanges()
         for entry in entries:
             replica_id = self._by_address.get((entry.host, entry.port))
@@ -156,14 +157,14 @@
         return changes
 
     def tick(self, now: float) -> ReplicaChanges:
-        """Decide anew where sources disagree, since evidence ages."""
+        """Evaluate the disputed replicas again, since evidence ages."""
         changes = ReplicaChanges()
         for replica_id in list(self._disputed):
             self._evaluate(replica_id, self._records[replica_id], now, changes)
         return changes
 
     def not_serving_updates(self) -> list[ReplicaUpdate]:
-        """Return what is spread of replicas that do not serve, for a whole node list."""
+        """Return the updates about replicas that do not serve, for a whole node list."""
         return [
             ReplicaUpdate(replica_id, self._spread_state(record), record.version, record.held)
             for replica_id, record in self._records.items()
--- a/wingquay/membership/revision_spreader.py
+++ b/wingquay/membership/revision_spreader.py
@@ -1,4 +1,4 @@
-"""Lets nodes hear soon that there is a newer configuration."""
+"""Spreads the configuration revision quickly to all nodes."""
 
 from ..model.identifiers import Revision
 from ..ports.internal import NewerRevisionHeard, Notify
@@ -9,7 +9,7 @@
 
 
 class RevisionSpreader:
-    """Pushes the revision in force here, and notices greater ones."""
+    """Pushes the revision in force at this node, and detects newer ones of others."""
 
     def __init__(
         self, settings: MembershipSettings, messages: MessageSender, outbox: Outbox
@@ -22,21 +22,21 @@
         self._next_notify_at = float("-inf")
 
     def set_revision(self, revision: Revision, push_rounds: int) -> None:
-        """Tell ``revision`` from now on, and push it for a number of ticks."""
+        """Include ``revision`` in all messages, and push it for ``push_rounds`` ticks."""
         if revision > self._messages.revision:
             self._messages.revision = revision
             self._rounds_left = push_rounds
             self._messages.push(self._settings.gossip_fanout)
 
     def take_push_round(self) -> bool:
-        """Return whether the revision is to be pushed in this tick."""
+        """Return whether to push the revision in this tick, and count the round."""
         if self._rounds_left == 0:
             return False
         self._rounds_left -= 1
         return True
 
     def handle_revision(self, sender: NodeIdentity, revision: Revision, now: float) -> None:
-        """Notify the node of a greater revision, once a tick while it is not in force."""
+        """Notify this node of a newer revision, at most once per tick until it is in force."""
         if revision <= self._messages.revision:
             return
         if revision <= self._last_notified and now < self._next_notify_at:
@@ -46,7 +46,10 @@
         self._outbox.add(Notify(NewerRevisionHeard(sender, revision)))
 
     def answer_outdated(self, sender: NodeIdentity, message: Ping) -> None:
-        """Tell a node that pushed an older revision; a probe's answer tells it anyway."""
+        """Send the revision to a node that pushed an older one.
+
+        The acknowledgement of a probe includes it anyway.
+        """
         is_outdated = message.gossip.configuration_revision < self._messages.revision
         if is_outdated and message.sequence == NO_ACK_SEQUENCE:
             self._messages.ping(sender, NO_ACK_SEQUENCE)
--- a/wingquay/membership/settings.py
+++ b/wingquay/membership/settings.py
@@ -5,7 +5,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SeedAddress:
-    """Where a node may listen for peers: an IP number and a port."""
+    """An address at which a node may listen for peers: an IP address and a port."""
 
     host: str
     port: int
--- a/wingquay/membership/suspicion.py
+++ b/wingquay/membership/suspicion.py
@@ -1,6 +1,6 @@
-"""How long a suspected node has to refute.
+"""How long a suspected node has to refute the suspicion.
 
-Source: Lifeguard (2018), section IV-B: the time shrinks as others confirm independently.
+Source: Lifeguard (2018), section IV-B: independent confirmations shorten the time.
 """
 
 import math
@@ -12,16 +12,18 @@
 
 @dataclass(slots=True)
 class Suspicion:
-    """A suspicion that runs towards death.
+    """A suspicion of one node, which is declared dead when the suspicion expires.
 
     Parameters
     ----------
+    started_at
+        When the suspicion began (seconds).
     minimum_seconds, maximum_seconds
-        Time granted with all confirmations and with none.
-    needed
-        Confirmations after which the minimum holds.
+        Time to refute with all confirmations and with none.
+    needed_confirmations
+        Number of confirmations from which on the minimum applies.
     reporters
-        Who suspects, the first included.
+        The nodes that reported the suspicion, including the first.
     """
 
     started_at: float
@@ -31,19 +33,19 @@
     reporters: list[NodeId] = field(default_factory=list)
 
     def confirm(self, reporter: NodeId) -> bool:
-        """Take in who else suspects; return whether that is news worth spreading."""
+        """Record a reporter; return whether the report should be spread."""
         if reporter in self.reporters or len(self.reporters) > self.needed_confirmations:
             return False
         self.reporters.append(reporter)
         return True
 
     def postpone(self, seconds: float) -> None:
-        """Do not count ``seconds`` in which this node itself was paused."""
+        """Extend the suspicion by ``seconds`` in which this node itself was paused."""
         self.started_at += seconds
 
     @property
     def expires_at(self) -> float:
-        """When the suspected node is to be taken for dead."""
+        """When the suspected node is declared dead (seconds)."""
         confirmations = max(0, len(self.reporters) - 1)
         if confirmations >= self.needed_confirmations:
             return self.started_at + self.minimum_seconds
@@ -53,7 +55,7 @@
 
 
 def new_suspicion(settings: MembershipSettings, node_count: int, now: float) -> Suspicion:
-    """Return a suspicion that starts ``now`` among ``node_count`` nodes."""
+    """Return a suspicion that starts ``now`` in a cluster of ``node_count`` nodes."""
     scaled = settings.suspicion_factor * math.log10(max(1, node_count))
     minimum = max(
         settings.suspicion_minimum_seconds,
