--- a/tests/claims/test_late_messages.py
+++ b/tests/claims/test_late_messages.py
@@ -71,8 +71,8 @@
         memory = PartitionMemory(quick_settings(), MemoryUsage())
         for request_id in (FIRST, SECOND, FIRST):
             memory.merge(ClaimRecord(KEY_DIGEST, request_id, "digest", 1, None, 1.0), now=5.0)
-        remembered = {entry.request_id for entry in memory.submissions(KEY_DIGEST, 5.0)}
-        self.assertEqual({FIRST, SECOND}, remembered)
+        stored = {entry.request_id for entry in memory.submissions(KEY_DIGEST, 5.0)}
+        self.assertEqual({FIRST, SECOND}, stored)
         self.assertEqual(2, len(memory.records(5.0)))
         memory.expire(1000.0)
         self.assertEqual(0, len(memory))
--- a/tests/claims/test_real_nodes.py
+++ b/tests/claims/test_real_nodes.py
@@ -64,7 +64,7 @@
         keys = (self.deployment.dataset.keys[3],)
         return Question("intake", "edit", keys, idempotency_key=key, body=body)
 
-    async def ask_until_run(self, node_index: int, question: Question) -> Reply:
+    async def retry_until_run(self, node_index: int, question: Question) -> Reply:
         """Repeat the question until the voters are ready after the start."""
         while True:
             reply = await self.caller.ask(node_index, question)
@@ -88,7 +88,7 @@
         async def scenario() -> None:
             async with SmallSystem() as system:
                 first = system.edit("edit-1", "move the corner")
-                answer = await system.ask_until_run(0, first)
+                answer = await system.retry_until_run(0, first)
                 replies = [await system.caller.ask(index, first) for index in range(4)]
                 for reply in replies:
                     self.assertEqual(answer.document["rows"], reply.document["rows"])
@@ -96,22 +96,22 @@
                 reused = await system.caller.ask(3, other)
                 self.assertEqual(Outcome.INVALID, reused.outcome)
 
-                raced = system.edit("edit-2", "join two plots")
-                while not system.times_run(raced):
-                    asked = [system.caller.ask(index, raced) for index in range(4)]
-                    outcomes = {reply.outcome for reply in await asyncio.gather(*asked)}
+                concurrent = system.edit("edit-2", "join two plots")
+                while not system.times_run(concurrent):
+                    calls = [system.caller.ask(index, concurrent) for index in range(4)]
+                    outcomes = {reply.outcome for reply in await asyncio.gather(*calls)}
                     # Until the voters of this key are ready after the start, the edit has not run
                     # and every reply is UNKNOWN.
-                    has_run = bool(system.times_run(raced))
+                    has_run = bool(system.times_run(concurrent))
                     self.assertTrue(has_run or outcomes == {Outcome.UNKNOWN}, outcomes)
-                self.assertEqual(1, system.times_run(raced))
+                self.assertEqual(1, system.times_run(concurrent))
 
                 for node in system.deployment.nodes[:2]:
                     node.request_stop()
                     await node.exited()
                     await node.close()
-                for question in (first, raced):
-                    repeat = await system.ask_until_run(2, question)
+                for question in (first, concurrent):
+                    repeat = await system.retry_until_run(2, question)
                     self.assertEqual(answer.document["covered"], repeat.document["covered"])
                     self.assertEqual(1, system.times_run(question))
                 self.assertEqual(0, system.times_run(other))
--- a/tests/membership/simulated_cluster.py
+++ b/tests/membership/simulated_cluster.py
@@ -129,8 +129,8 @@
 
     def is_settled(self) -> bool:
         """Whether the nodes in every node's view are exactly the running ones."""
-        everyone = frozenset(self.nodes)
-        return all(node.available | node.leaving == everyone for node in self.nodes.values())
+        running = frozenset(self.nodes)
+        return all(node.available | node.leaving == running for node in self.nodes.values())
 
     def total(self, name: str) -> int:
         return sum(node.counts[name] for node in self.nodes.values())
--- a/tests/membership/test_membership_machine.py
+++ b/tests/membership/test_membership_machine.py
@@ -2,7 +2,7 @@
 
 from tests.membership.simulated_cluster import SimulatedCluster
 from wingquay.adapters import peer_codec
-from wingquay.membership.replica_evidence import MAX_REPLICA_LEAVING_SECONDS
+from wingquay.membership.replica_evidence import MAX_LEAVING_DETECTION_SECONDS
 from wingquay.membership.settings import MembershipSettings
 from wingquay.model.configuration import Configuration
 from wingquay.ports.internal import (
@@ -187,7 +187,7 @@
         cluster = self.cluster()
         cluster.deliver(self.victim(cluster), ReplicaObserved("r1", ReplicaState.LEAVING))
         belief = ReplicaBelief("r1", ReplicaState.LEAVING)
-        bound = MAX_REPLICA_LEAVING_SECONDS
+        bound = MAX_LEAVING_DETECTION_SECONDS
         cluster.run_until(
             lambda: all(belief in node.notified for node in cluster.nodes.values()), bound
         )
--- a/tests/membership/test_replica_beliefs.py
+++ b/tests/membership/test_replica_beliefs.py
@@ -1,7 +1,7 @@
 import testtools
 
 from wingquay.membership.replica_evidence import (
-    MAX_REPLICA_LEAVING_SECONDS,
+    MAX_LEAVING_DETECTION_SECONDS,
     Evidence,
     ReplicaEvidence,
     ReplicaEvidenceSettings,
@@ -134,7 +134,7 @@
         self.table.observe(ReplicaObserved("r1", SERVING), NOW)
         changes = self.table.apply_gossip(ReplicaUpdate("r1", LEAVING, 1), NOW + 0.5)
         self.assertEqual([], changes.state_changes)
-        changes = self.table.tick(NOW + MAX_REPLICA_LEAVING_SECONDS)
+        changes = self.table.tick(NOW + MAX_LEAVING_DETECTION_SECONDS)
         self.assertEqual([ReplicaBelief("r1", LEAVING)], changes.state_changes)
 
     def test_stale_list_does_not_override_own_evidence(self):
--- a/wingquay/claims/voter.py
+++ b/wingquay/claims/voter.py
@@ -17,12 +17,12 @@
         assignment = self._assignments.assignments[partition_of(request.claim_key)]
         self._assignments.record_epochs(assignment, request.assignment_epochs, now)
         votes = self._assignments.can_vote(assignment, request.zones, now)
-        remembered = assignment.memory.submissions(request.claim_key, now)
-        for entry in sorted(remembered, key=_unknown_outcomes_last):
+        stored = assignment.memory.submissions(request.claim_key, now)
+        for entry in sorted(stored, key=_unknown_outcomes_last):
             is_other = entry.request_id != request.request_id
             if entry.outcome is not None or (votes and is_other):
                 return _already_claimed(request, assignment, entry)
-        if not votes or (not remembered and assignment.memory.is_full):
+        if not votes or (not stored and assignment.memory.is_full):
             return _vote(request, assignment, VoteKind.CANNOT_VOTE)
         grant = Submission(
             request_id=request.request_id,
--- a/wingquay/membership/gossip_queue.py
+++ b/wingquay/membership/gossip_queue.py
@@ -124,7 +124,7 @@
 
     @property
     def has_urgent(self) -> bool:
-        """Whether any urgent update is left; these also justify messages of their own."""
+        """Whether any urgent update is left, which justifies pings that only carry gossip."""
         return len(self._urgent) > 0
 
     def has_update_about(self, node_id: NodeId) -> bool:
--- a/wingquay/membership/membership_machine.py
+++ b/wingquay/membership/membership_machine.py
@@ -49,7 +49,7 @@
 """Maximum number of addresses that a node without any known peer contacts at once."""
 
 MAX_NOTIFICATIONS_PER_TICK = 8
-"""Maximum number of nodes that are notified per tick of the state attributed to them."""
+"""Maximum number of nodes per tick that are sent the update about themselves."""
 
 LEAVING_FANOUT = 6
 """Number of nodes that are notified at once that this node is leaving."""
--- a/wingquay/membership/node_lists.py
+++ b/wingquay/membership/node_lists.py
@@ -92,13 +92,12 @@
 
     def apply(self, gossip: Gossip, now: float) -> None:
         """Apply a received list."""
-        # The first list contains nothing new for the others; they fetch their own copies of later
-        # ones.
         if not self._has_joined or self._needs_early_list():
-            # The earlier announcement was limited for a smaller cluster.
+            # The previous announcement was sent only as often as a smaller cluster needs.
             self._tracker.announce()
         self._arrivals_at_list = self._tracker.arrivals
         self._is_early_list_scheduled = False
+        # The other nodes already have the entries of the first list.
         spread_mode = SpreadMode.ORDINARY if self._has_joined else SpreadMode.NONE
         self._has_joined = True
         self._schedule(now)
--- a/wingquay/membership/node_state_tracker.py
+++ b/wingquay/membership/node_state_tracker.py
@@ -45,8 +45,9 @@
     arrivals
         Number of nodes that were added or came back from the dead.
     last_returned
-        The node that last came back after it had been dead for ``MIN_PARTITION_SECONDS``, which may
-        mean that a network partition has healed; ``None`` if there is none.
+        The node that last came back after being dead for at least ``MIN_PARTITION_SECONDS``;
+        ``None`` if there is none since the last list request. Its return may mean that a network
+        partition has healed.
     """
 
     def __init__(
@@ -102,16 +103,16 @@
 
     def available(self) -> MembershipChanged:
         """Return the available nodes and the leaving ones, this node included."""
-        everyone = [(member.identity, member.state) for member in self._table.reachable()]
-        everyone.append((self._identity, self._own_state))
-        available = [identity for identity, state in everyone if state in _AVAILABLE]
-        leaving = [identity for identity, state in everyone if state is NodeState.LEAVING]
+        members = [(member.identity, member.state) for member in self._table.reachable()]
+        members.append((self._identity, self._own_state))
+        available = [identity for identity, state in members if state in _AVAILABLE]
+        leaving = [identity for identity, state in members if state is NodeState.LEAVING]
         return MembershipChanged(
             tuple(sorted(available, key=_node_id)), tuple(sorted(leaving, key=_node_id))
         )
 
     def record_contact(self, sender: NodeIdentity, now: float) -> None:
-        """Record that a message from ``sender`` was received."""
+        """Record a message from ``sender``: add an unknown sender, notify a dead one."""
         member = self._table.get(sender.node_id)
         if member is None:
             self._replace_predecessor(sender, now)
@@ -130,7 +131,7 @@
             member.answered_at = now
 
     def record_replaced_process(self, expected: NodeId, now: float) -> None:
-        """Record that another process uses the address of ``expected``, which is therefore dead."""
+        """Declare ``expected`` dead, since another process uses its address."""
         member = self._table.get(expected)
         if member is not None and member.state is not NodeState.DEAD:
             self._declare_dead(member, now, "a new process uses its address")
--- a/wingquay/membership/prober.py
+++ b/wingquay/membership/prober.py
@@ -37,7 +37,11 @@
 
 
 class Prober:
-    """Runs one probe of this node at a time, and the probes on behalf of others."""
+    """Runs one probe of this node at a time, and the probes on behalf of others.
+
+    A relay that gets no answer sends a nack to the node that requested the probe. Source:
+    Lifeguard.
+    """
 
     def __init__(
         self,
--- a/wingquay/membership/replica_evidence.py
+++ b/wingquay/membership/replica_evidence.py
@@ -11,7 +11,7 @@
 
 from ..ports.peer import ReplicaState
 
-MAX_REPLICA_LEAVING_SECONDS = 3.0
+MAX_LEAVING_DETECTION_SECONDS = 3.0
 """Maximum time from the first evidence that a replica is leaving until it gets no new requests.
 
 It does not apply if the evidence came from one lagging source and own evidence contradicts it. It
@@ -83,7 +83,7 @@
 
     @property
     def is_undisputed(self) -> bool:
-        """Whether no source contradicts that the replica serves."""
+        """Whether all evidence shows that the replica serves."""
         sources = (self.own, self.gossip, self.listed)
         return not any(_is_not_serving(source) for source in sources)
 
--- a/wingquay/membership/replica_table.py
+++ b/wingquay/membership/replica_table.py
@@ -135,8 +135,8 @@
         if update.held is not None and not self._observed_held_recently(record, now):
             record.held = update.held
         changes = self._evaluate(update.replica_id, record, now)
-        relayed = changes.urgent_updates if state_changed else changes.other_updates
-        relayed.insert(0, update)
+        updates = changes.urgent_updates if state_changed else changes.other_updates
+        updates.insert(0, update)
         return changes
 
     def apply_machine_list(self, entries: Iterable[MachineEntry], now: float) -> ReplicaChanges:
@@ -213,7 +213,7 @@
     def _notify(
         self, replica_id: ReplicaId, record: _Record, now: float, changes: ReplicaChanges
     ) -> None:
-        belief = (effective_state(record.evidence, self._settings, now), record.held)
-        if belief != record.last_notified:
-            record.last_notified = belief
-            changes.state_changes.append(ReplicaBelief(replica_id, *belief))
+        current = (effective_state(record.evidence, self._settings, now), record.held)
+        if current != record.last_notified:
+            record.last_notified = current
+            changes.state_changes.append(ReplicaBelief(replica_id, *current))
