--- a/wingquay/claims/claimant.py
+++ b/wingquay/claims/claimant.py
@@ -162,8 +162,8 @@
         if claim is None:
             return []
         zones, claim.resend_zones = claim.resend_zones, set()
-        present = self._holders(claim)
-        nodes = tuple(node for node in present.values() if node.zone in zones)
+        holders = self._holders(claim)
+        nodes = tuple(node for node in holders.values() if node.zone in zones)
         return self._send_outcome(claim, nodes, claim.outcome)
 
     def tick(self, now: float) -> None:
@@ -221,11 +221,7 @@
         return tuple(nodes.values())
 
     def _give_up(self, claim: PendingClaim, now: float) -> list[Action]:
-        kind = (
-            ClaimDecisionKind.IN_PROGRESS
-            if claim.saw_other_submission
-            else ClaimDecisionKind.CANNOT_TELL
-        )
+        kind = ClaimDecisionKind.IN_PROGRESS if claim.saw_rival else ClaimDecisionKind.CANNOT_TELL
         return self._decide(claim, kind, now)
 
     def _decide(
--- a/wingquay/claims/pending_claim.py
+++ b/wingquay/claims/pending_claim.py
@@ -29,6 +29,8 @@
 class PendingClaim:
     """The claim of one submission.
 
+    A rival is another submission of the same claim key.
+
     Parameters
     ----------
     zones
@@ -46,8 +48,8 @@
         one such timer.
     resend_delay_seconds
         The delay of the next resend timer; it doubles each time.
-    saw_other_submission
-        Whether any vote has named another submission.
+    saw_rival
+        Whether any vote has named a rival.
     timer_sequence
         Number of the newest request timer; earlier timers are stale.
     requests_sent
@@ -69,7 +71,7 @@
     last_recipients: tuple[NodeIdentity, ...] = ()
     resend_zones: set[ZoneName] = field(default_factory=set)
     resend_delay_seconds: float = INITIAL_RESEND_DELAY_SECONDS
-    saw_other_submission: bool = False
+    saw_rival: bool = False
     outcome: bytes | None = None
     timer_sequence: int = 0
     requests_sent: int = 0
@@ -81,7 +83,7 @@
         if present is None or vote.epoch >= present.epoch:
             self.votes[zone] = vote
         if vote.vote is VoteKind.ALREADY_CLAIMED:
-            self.saw_other_submission = True
+            self.saw_rival = True
 
     def known_epochs(self) -> dict[ZoneName, int]:
         """Return the newest epoch of each zone's assignment that any vote reports."""
@@ -126,16 +128,16 @@
         return None
 
     def rival_votes(self) -> list[ClaimVote]:
-        """Return the votes that name another submission."""
+        """Return the votes that name a rival."""
         return [vote for vote in self.votes.values() if vote.vote is VoteKind.ALREADY_CLAIMED]
 
     def stored_outcome(self) -> bytes | None:
-        """Return the outcome of another submission, or ``None`` if no vote includes one."""
+        """Return the outcome of a rival, or ``None`` if no vote includes one."""
         outcomes = (vote.outcome for vote in self.rival_votes() if vote.outcome is not None)
         return next(outcomes, None)
 
     def is_blocked(self) -> bool:
-        """Whether the zones that have not named another submission are too few for a majority."""
+        """Whether the zones that have not named a rival are too few for a majority."""
         return len(self.zones) - len(self.rival_votes()) < majority(len(self.zones))
 
     def must_yield(self) -> bool:
--- a/wingquay/claims/takeover_timing.py
+++ b/wingquay/claims/takeover_timing.py
@@ -139,8 +139,8 @@
     def _is_orphaned(self, assignment: Assignment) -> bool:
         """Whether no present peer can hold the assignment.
 
-        Offers that the peers sent earlier do not cover assignments that they received later, so
-        this is false once another node should have held the assignment since this node started.
+        False also if the document has not been read, or if another node should have held the
+        assignment since this node started: earlier offers do not cover what a peer received later.
         """
         if assignment.seen_other_holder or self._document is None:
             return False
--- a/wingquay/claims/transfers.py
+++ b/wingquay/claims/transfers.py
@@ -156,9 +156,9 @@
 
     def _retry_handovers(self, now: float) -> list[Action]:
         """Request accepted assignments again; their previous holder may have stopped voting."""
-        late = [fetch for fetch in self._fetches.values() if now >= fetch.retry_at]
+        due = [fetch for fetch in self._fetches.values() if now >= fetch.retry_at]
         actions: list[Action] = []
-        for fetch in late:
+        for fetch in due:
             fetch.retry_at = inf
             assignment = fetch.assignment
             is_open = (
@@ -278,10 +278,10 @@
             if not 0 <= partition < len(self._assignments.assignments):
                 continue
             assignment = self._assignments.assignments[partition]
-            is_known = (
+            is_accepted = (
                 assignment.accepted_offer_id == offer.offer_id and now < assignment.accepted_until
             )
-            if assignment.status is not AssignmentStatus.VOTING and not is_known:
+            if assignment.status is not AssignmentStatus.VOTING and not is_accepted:
                 assignment.accepted_offer_id = offer.offer_id
                 assignment.accepted_until = now + self._settings.handed_over_keep_seconds
                 assignment.takeover_at = max(assignment.takeover_at, assignment.accepted_until)
--- a/wingquay/membership/membership_machine.py
+++ b/wingquay/membership/membership_machine.py
@@ -241,8 +241,8 @@
                 self._apply_changes(changes)
 
     def _apply_changes(self, changes: ReplicaChanges) -> None:
-        for belief in changes.state_changes:
-            self._outbox.add(Notify(belief))
+        for state_change in changes.state_changes:
+            self._outbox.add(Notify(state_change))
         for update in changes.urgent_updates:
             self._queue.put(update)
         for update in changes.other_updates:
