--- a/tests/claims/world.py
+++ b/tests/claims/claims_cluster.py
@@ -47,7 +47,7 @@
 
 
 def quick_settings(disabled: frozenset[Mechanism] = frozenset()) -> ClaimsSettings:
-    """Return settings with short times, so that tests pass them often."""
+    """Return settings with short times, so that timers and retention expire often within a test."""
     return ClaimsSettings(
         retention_seconds=RETENTION_SECONDS,
         retention_margin_seconds=5.0,
@@ -71,8 +71,8 @@
 
 
 @dataclass
-class Submission:
-    """One submission and its decisions."""
+class SubmittedRequest:
+    """One submitted request and its decisions."""
 
     request: QueryRequest
     node_id: NodeId
@@ -93,8 +93,8 @@
     cut: set[frozenset[str]] = field(default_factory=set)
 
 
-class World:
-    """Simulated nodes, network, store and oracle."""
+class ClaimsCluster:
+    """Simulated nodes, network and store, and an oracle that records violations."""
 
     def __init__(
         self,
@@ -110,7 +110,7 @@
         self.zones = tuple(ZoneName(f"z{index}") for index in range(zone_count))
         self.settings = settings or quick_settings()
         self.nodes: dict[NodeId, SimulatedNode] = {}
-        self.submissions: dict[RequestId, Submission] = {}
+        self.submissions: dict[RequestId, SubmittedRequest] = {}
         self.runs: dict[str, list[tuple[float, RequestId]]] = {}
         self.violations: list[str] = []
         self.refuse_to_run = False
@@ -266,7 +266,7 @@
 
     # Submissions
 
-    def submit(self, node: SimulatedNode, key: str, body: str = "edit") -> Submission:
+    def submit(self, node: SimulatedNode, key: str, body: str = "edit") -> SubmittedRequest:
         number = len(self.submissions)
         # Random ids, so that the later submission often has the smaller one, which is preferred.
         request_id = RequestId(f"{self.random.randrange(10**6):06}-{number}")
@@ -280,7 +280,7 @@
             idempotency_key=key,
             body=body,
         )
-        submission = Submission(request, node.identity.node_id)
+        submission = SubmittedRequest(request, node.identity.node_id)
         self.submissions[request_id] = submission
         self.deliver(node, ClaimWanted(request, DECIDE_SECONDS))
         return submission
@@ -299,7 +299,7 @@
         finished = ClaimFinished(decided.request_id, outcome)
         self._at(self.now + RUN_SECONDS, lambda: self.deliver(node, finished))
 
-    def _record_run(self, submission: Submission) -> None:
+    def _record_run(self, submission: SubmittedRequest) -> None:
         key = submission.request.idempotency_key or ""
         request_id = submission.request.request_id
         runs = self.runs.setdefault(key, [])
--- a/tests/claims/faults.py
+++ b/tests/claims/faults.py
@@ -1,9 +1,9 @@
-"""Random steps of a fuzzer on a ``World``: submissions, faults of every kind, repairs, waiting."""
+"""Random steps of a fuzzer on a ``ClaimsCluster``: submissions, all kinds of faults, repairs."""
 
 import random
 from collections.abc import Callable
 
-from tests.claims.world import SimulatedNode, World
+from tests.claims.claims_cluster import ClaimsCluster, SimulatedNode
 from wingquay.model.identifiers import ZoneName
 
 KEYS = ("k0", "k1", "k2", "k3")
@@ -13,132 +13,132 @@
 PROBABILITIES = (0.0, 0.05, 0.3)
 
 
-def _node(world: World, source: random.Random) -> SimulatedNode | None:
-    running = world.running()
+def _node(cluster: ClaimsCluster, source: random.Random) -> SimulatedNode | None:
+    running = cluster.running()
     return source.choice(running) if running else None
 
 
-def submit(world: World, source: random.Random) -> None:
+def submit(cluster: ClaimsCluster, source: random.Random) -> None:
     """Submit a key, possibly through several nodes at once."""
     key = source.choice(KEYS)
     for _ in range(source.choice((1, 1, 2, 3))):
-        node = _node(world, source)
+        node = _node(cluster, source)
         if node is not None:
-            world.submit(node, key)
+            cluster.submit(node, key)
         if source.random() < 0.5:
-            world.advance(source.choice(SHORT_SECONDS))
+            cluster.advance(source.choice(SHORT_SECONDS))
 
 
-def wait_shortly(world: World, source: random.Random) -> None:
-    world.advance(source.choice(SHORT_SECONDS))
+def wait_shortly(cluster: ClaimsCluster, source: random.Random) -> None:
+    cluster.advance(source.choice(SHORT_SECONDS))
 
 
-def wait_long(world: World, source: random.Random) -> None:
-    world.advance(source.choice(LONG_SECONDS))
+def wait_long(cluster: ClaimsCluster, source: random.Random) -> None:
+    cluster.advance(source.choice(LONG_SECONDS))
 
 
-def crash(world: World, source: random.Random) -> None:
-    node = _node(world, source)
+def crash(cluster: ClaimsCluster, source: random.Random) -> None:
+    node = _node(cluster, source)
     if node is not None:
-        world.crash(node)
+        cluster.crash(node)
 
 
-def start(world: World, source: random.Random) -> None:
-    if len(world.nodes) < MAX_NODES:
-        world.start_node(source.choice(world.zones))
+def start(cluster: ClaimsCluster, source: random.Random) -> None:
+    if len(cluster.nodes) < MAX_NODES:
+        cluster.start_node(source.choice(cluster.zones))
 
 
-def leave(world: World, source: random.Random) -> None:
-    node = _node(world, source)
+def leave(cluster: ClaimsCluster, source: random.Random) -> None:
+    node = _node(cluster, source)
     if node is not None:
-        world.leave(node)
+        cluster.leave(node)
 
 
-def pause(world: World, source: random.Random) -> None:
-    node = _node(world, source)
+def pause(cluster: ClaimsCluster, source: random.Random) -> None:
+    node = _node(cluster, source)
     if node is not None:
         node.paused = True
 
 
-def resume(world: World, source: random.Random) -> None:
-    paused = [node for node in world.running() if node.paused]
+def resume(cluster: ClaimsCluster, source: random.Random) -> None:
+    paused = [node for node in cluster.running() if node.paused]
     if paused:
-        world.resume(source.choice(paused))
+        cluster.resume(source.choice(paused))
 
 
-def send_partial_view(world: World, source: random.Random) -> None:
+def send_partial_view(cluster: ClaimsCluster, source: random.Random) -> None:
     """Send a node a membership view that misses some nodes, or none."""
-    node = _node(world, source)
+    node = _node(cluster, source)
     if node is None:
         return
-    others = [other.identity.node_id for other in world.running() if other is not node]
+    others = [other.identity.node_id for other in cluster.running() if other is not node]
     count = source.randint(0, len(others))
-    world.send_view(node, set(source.sample(others, count)))
+    cluster.send_view(node, set(source.sample(others, count)))
 
 
-def send_full_views(world: World, source: random.Random) -> None:
-    world.send_membership()
+def send_full_views(cluster: ClaimsCluster, source: random.Random) -> None:
+    cluster.send_membership()
 
 
-def cut_zones(world: World, source: random.Random) -> None:
+def cut_zones(cluster: ClaimsCluster, source: random.Random) -> None:
     """Cut some zones off from the others; most nodes then see the other side as gone."""
-    zones = source.sample(world.zones, source.randint(1, len(world.zones)))
-    group = {node.identity.node_id for node in world.running() if node.identity.zone in zones}
-    _cut(world, source, group)
+    zones = source.sample(cluster.zones, source.randint(1, len(cluster.zones)))
+    group = {node.identity.node_id for node in cluster.running() if node.identity.zone in zones}
+    _cut(cluster, source, group)
 
 
-def cut_nodes(world: World, source: random.Random) -> None:
+def cut_nodes(cluster: ClaimsCluster, source: random.Random) -> None:
     """Cut random nodes off from the others, across zones."""
-    running = [node.identity.node_id for node in world.running()]
-    _cut(world, source, set(source.sample(running, source.randint(0, len(running)))))
+    running = [node.identity.node_id for node in cluster.running()]
+    _cut(cluster, source, set(source.sample(running, source.randint(0, len(running)))))
 
 
-def _cut(world: World, source: random.Random, group: set[str]) -> None:
-    world.cut_off({node_id for node_id in world.nodes if node_id in group})
+def _cut(cluster: ClaimsCluster, source: random.Random, group: set[str]) -> None:
+    cluster.cut_off({node_id for node_id in cluster.nodes if node_id in group})
     store_is_cut_off = source.random() < 0.7
-    for node in world.running():
+    for node in cluster.running():
         inside = node.identity.node_id in group
         if inside and store_is_cut_off:
-            world.store.cut_off.add(node.identity.node_id)
+            cluster.store.cut_off.add(node.identity.node_id)
         others = {
             other.identity.node_id
-            for other in world.running()
+            for other in cluster.running()
             if (other.identity.node_id in group) != inside
         }
         if source.random() < 0.8:
-            world.send_view(node, others)
+            cluster.send_view(node, others)
 
 
-def heal(world: World, source: random.Random) -> None:
-    world.heal()
+def heal(cluster: ClaimsCluster, source: random.Random) -> None:
+    cluster.heal()
 
 
-def disturb_network(world: World, source: random.Random) -> None:
-    world.network.loss = source.choice(PROBABILITIES)
-    world.network.duplicates = source.choice(PROBABILITIES)
-    world.network.long_delay = source.choice(PROBABILITIES)
+def disturb_network(cluster: ClaimsCluster, source: random.Random) -> None:
+    cluster.network.loss = source.choice(PROBABILITIES)
+    cluster.network.duplicates = source.choice(PROBABILITIES)
+    cluster.network.long_delay = source.choice(PROBABILITIES)
 
 
-def disturb_store(world: World, source: random.Random) -> None:
-    world.store.is_down = source.random() < 0.3
-    world.store.lost_replies = source.choice(PROBABILITIES)
+def disturb_store(cluster: ClaimsCluster, source: random.Random) -> None:
+    cluster.store.is_down = source.random() < 0.3
+    cluster.store.lost_replies = source.choice(PROBABILITIES)
 
 
-def change_zones(world: World, source: random.Random) -> None:
+def change_zones(cluster: ClaimsCluster, source: random.Random) -> None:
     """Change the deployment's zones; some nodes do not receive the new configuration."""
     names = [ZoneName(f"z{index}") for index in range(5)]
     zones = tuple(sorted(source.sample(names, source.randint(1, 4))))
     for zone in zones:
-        if not world.running(zone):
-            world.start_node(zone)
-    world.change_zones(zones, {node for node in world.nodes if source.random() < 0.2})
+        if not cluster.running(zone):
+            cluster.start_node(zone)
+    cluster.change_zones(zones, {node for node in cluster.nodes if source.random() < 0.2})
 
 
-def refuse_to_run(world: World, source: random.Random) -> None:
-    world.refuse_to_run = not world.refuse_to_run
+def refuse_to_run(cluster: ClaimsCluster, source: random.Random) -> None:
+    cluster.refuse_to_run = not cluster.refuse_to_run
 
 
-Step = Callable[[World, random.Random], None]
+Step = Callable[[ClaimsCluster, random.Random], None]
 
 STEPS: dict[str, Step] = {
     step.__name__: step
@@ -165,14 +165,14 @@
 WEIGHTS = {"submit": 8, "wait_shortly": 4, "wait_long": 4, "send_full_views": 2, "start": 2}
 
 
-def take_random_steps(world: World, source: random.Random, count: int) -> list[str]:
+def take_random_steps(cluster: ClaimsCluster, source: random.Random, count: int) -> list[str]:
     """Take up to ``count`` steps, stop at the first violation, and return the steps' names."""
     names = list(STEPS)
     weights = [WEIGHTS.get(name, 1) for name in names]
     taken: list[str] = []
     for name in source.choices(names, weights, k=count):
         taken.append(name)
-        STEPS[name](world, source)
-        if world.violations:
+        STEPS[name](cluster, source)
+        if cluster.violations:
             break
     return taken
--- a/tests/claims/test_late_messages.py
+++ b/tests/claims/test_late_messages.py
@@ -4,8 +4,8 @@
 
 from testtools import TestCase
 
-from tests.claims.world import DEPLOYMENT, World, quick_settings
-from wingquay.claims.assignment import AssignmentStatus, AssignmentTable
+from tests.claims.claims_cluster import DEPLOYMENT, ClaimsCluster, quick_settings
+from wingquay.claims.assignment import AssignmentStatus, LocalAssignments
 from wingquay.claims.directory import AssignmentDirectory
 from wingquay.claims.keys import claim_key, partition_of, request_digest
 from wingquay.claims.memory import MemoryUsage, PartitionMemory
@@ -43,9 +43,9 @@
 
 def voting_voter() -> Voter:
     identity = NodeIdentity(NodeId("n0"), DEPLOYMENT, ZONES[0], "127.0.0.1", 7000)
-    assignments = AssignmentTable(quick_settings(), identity)
-    assignment = assignments.assignments[partition_of(KEY_DIGEST)]
-    assignments.begin_epoch(assignment, 1, ZONES)
+    assignments = LocalAssignments(quick_settings(), identity)
+    assignment = assignments.by_partition[partition_of(KEY_DIGEST)]
+    assignments.enter_epoch(assignment, 1, ZONES)
     assignments.start_voting(assignment)
     assignment.confirmed_at = 0.0
     return Voter(assignments)
@@ -85,14 +85,14 @@
         here, there = (
             NodeIdentity(NodeId(zone), DEPLOYMENT, zone, "127.0.0.1", 7000) for zone in zones
         )
-        assignments = AssignmentTable(quick_settings(), here)
+        assignments = LocalAssignments(quick_settings(), here)
         directory = AssignmentDirectory()
         directory.update((here, there), ())
         transfers = TableTransfers(quick_settings(), assignments, directory)
-        assignment = assignments.assignments[0]
+        assignment = assignments.by_partition[0]
 
         def request_in(epoch: int) -> ClaimTableRequest:
-            assignments.begin_epoch(assignment, epoch, zones)
+            assignments.enter_epoch(assignment, epoch, zones)
             assignment.schedule_table_requests(0.0, 1.0)
             (sent,) = transfers.tick(0.0)
             assert isinstance(sent, SendToPeer)
@@ -113,27 +113,27 @@
 class Delays(TestCase):
     def test_a_vote_of_an_earlier_round_does_not_count(self) -> None:
         """Its grant was released, so a rival may have been granted by the time the vote arrives."""
-        world = World(2, 1)
-        world.settle()
-        submitter, other = world.running()
-        world.cut_off({other.identity.node_id})
-        submission = world.submit(submitter, "k0")
+        cluster = ClaimsCluster(2, 1)
+        cluster.settle()
+        submitter, other = cluster.running()
+        cluster.cut_off({other.identity.node_id})
+        submission = cluster.submit(submitter, "k0")
         request_id = submission.request.request_id
         key = claim_key(CallerName("surveyor"), ServiceName("survey-intake"), "k0")
         digest = request_digest(submission.request)
         smaller_id = RequestId("0")
         claimed = VoteKind.ALREADY_CLAIMED
-        world.receive(
+        cluster.receive(
             other, submitter, ClaimVote(key, request_id, 1, claimed, 1, smaller_id, digest)
         )
-        world.receive(other, submitter, ClaimVote(key, request_id, 1, VoteKind.GRANTED, 1))
-        world.advance(3.0)
+        cluster.receive(other, submitter, ClaimVote(key, request_id, 1, VoteKind.GRANTED, 1))
+        cluster.advance(3.0)
         self.assertEqual(ClaimDecisionKind.IN_PROGRESS, submission.decision)
 
     def test_a_late_copy_of_an_assignment_is_ignored(self) -> None:
         """The assignment moves from n0 to n1 to n2; then n0's first copy reaches n1."""
-        world = World(1, 1)
-        world.settle()
+        cluster = ClaimsCluster(1, 1)
+        cluster.settle()
         held: list[PeerMessage] = []
 
         def delay(message: PeerMessage) -> float | None:
@@ -143,31 +143,31 @@
             held.append(message)
             return 20.0
 
-        world.delay_rule = delay
-        middle = world.start_node(world.zones[0])
-        world.send_membership()
-        world.advance(4.0)
-        key = self._key_held_by(world, middle.identity.node_id)
-        world.submit(middle, key)
-        world.advance(2.0)
-        world.delay_rule = None
-        last = world.start_node(world.zones[0])
-        world.send_membership()
-        world.advance(20.0)
-        world.send_view(middle, {last.identity.node_id})
-        world.submit(middle, key)
-        world.advance(3.0)
-        self.assertEqual([], world.violations)
-
-    def _key_held_by(self, world: World, node_id: NodeId) -> str:
+        cluster.delay_rule = delay
+        middle = cluster.start_node(cluster.zones[0])
+        cluster.send_membership()
+        cluster.advance(4.0)
+        key = self._key_held_by(cluster, middle.identity.node_id)
+        cluster.submit(middle, key)
+        cluster.advance(2.0)
+        cluster.delay_rule = None
+        last = cluster.start_node(cluster.zones[0])
+        cluster.send_membership()
+        cluster.advance(20.0)
+        cluster.send_view(middle, {last.identity.node_id})
+        cluster.submit(middle, key)
+        cluster.advance(3.0)
+        self.assertEqual([], cluster.violations)
+
+    def _key_held_by(self, cluster: ClaimsCluster, node_id: NodeId) -> str:
         """Return a key whose assignment the node holds now and the next started node will hold."""
         source = random.Random(0)
-        spare = World(1, 3)
+        spare = ClaimsCluster(1, 3)
         while True:
             key = f"k{source.randrange(10**6)}"
             number = partition(key)
-            now = world.running()[0].machine.holder(world.zones[0], number)
-            later = spare.running()[0].machine.holder(world.zones[0], number)
+            now = cluster.running()[0].machine.designated_holder(cluster.zones[0], number)
+            later = spare.running()[0].machine.designated_holder(cluster.zones[0], number)
             if now is not None and later is not None:
                 if (now.node_id, later.node_id) == (node_id, "n2"):
                     return key
--- a/tests/claims/test_stateful.py
+++ b/tests/claims/test_stateful.py
@@ -8,8 +8,8 @@
 from hypothesis.stateful import RuleBasedStateMachine, initialize, invariant, rule
 from testtools import TestCase
 
+from tests.claims.claims_cluster import ClaimsCluster
 from tests.claims.faults import STEPS, WEIGHTS, take_random_steps
-from tests.claims.world import World
 from wingquay.ports.internal import ClaimDecisionKind
 
 SEEDS = st.integers(min_value=0, max_value=2**32)
@@ -21,7 +21,7 @@
 
     def __init__(self) -> None:
         super().__init__()
-        self.world = World(1, 1)
+        self.cluster = ClaimsCluster(1, 1)
 
     @initialize(
         zone_count=st.integers(min_value=1, max_value=4),
@@ -30,40 +30,40 @@
         settles=st.booleans(),
     )
     def begin(self, zone_count: int, nodes_per_zone: int, seed: int, settles: bool) -> None:
-        self.world = World(zone_count, nodes_per_zone, seed)
+        self.cluster = ClaimsCluster(zone_count, nodes_per_zone, seed)
         if settles:
-            self.world.settle()
+            self.cluster.settle()
 
     @rule(name=st.sampled_from(STEP_NAMES), seed=SEEDS)
     def step(self, name: str, seed: int) -> None:
-        STEPS[name](self.world, random.Random(seed))
+        STEPS[name](self.cluster, random.Random(seed))
 
     @invariant()
     def no_key_ran_twice(self) -> None:
-        assert self.world.violations == []
+        assert self.cluster.violations == []
 
     @invariant()
     def memory_is_accounted_for(self) -> None:
-        for node in self.world.running():
+        for node in self.cluster.running():
             report = node.machine.report()
             assert report.records >= 0
             assert report.outcome_bytes >= 0
 
     def teardown(self) -> None:
         """End all faults; once the rebuild wait is over, a new key must be granted."""
-        world = self.world
-        if world.violations:
+        cluster = self.cluster
+        if cluster.violations:
             return
-        world.heal()
-        for zone in world.zones:
-            if not any(not node.leaving for node in world.running(zone)):
-                world.start_node(zone)
-        world.send_membership()
-        world.advance(world.settings.rebuild_wait_seconds + 180.0)
-        submission = world.submit(world.running()[0], "new")
-        world.advance(3.0)
+        cluster.heal()
+        for zone in cluster.zones:
+            if not any(not node.leaving for node in cluster.running(zone)):
+                cluster.start_node(zone)
+        cluster.send_membership()
+        cluster.advance(cluster.settings.rebuild_wait_seconds + 180.0)
+        submission = cluster.submit(cluster.running()[0], "new")
+        cluster.advance(3.0)
         assert submission.decision is ClaimDecisionKind.GRANTED, submission
-        assert world.violations == []
+        assert cluster.violations == []
 
 
 FUZZ_SETTINGS = settings(
@@ -85,7 +85,7 @@
 
     def test_no_key_runs_twice(self) -> None:
         for seed in range(8):
-            world = World(1 + seed % 4, 1 + seed // 4 % 2, seed)
-            world.settle()
-            steps = take_random_steps(world, random.Random(seed), 60)
-            self.assertEqual([], world.violations, (seed, steps))
+            cluster = ClaimsCluster(1 + seed % 4, 1 + seed // 4 % 2, seed)
+            cluster.settle()
+            steps = take_random_steps(cluster, random.Random(seed), 60)
+            self.assertEqual([], cluster.violations, (seed, steps))
--- a/tests/membership/simulated_cluster.py
+++ b/tests/membership/simulated_cluster.py
@@ -87,7 +87,7 @@
     def start_nodes(self, count: int) -> list[SimulatedNode]:
         return [self.start_node(index) for index in range(count)]
 
-    def kill(self, node: SimulatedNode) -> None:
+    def crash(self, node: SimulatedNode) -> None:
         """Stop a process without notifying the other nodes."""
         node.is_running = False
         self.nodes.pop(node.identity.node_id, None)
--- a/tests/membership/test_membership_faults.py
+++ b/tests/membership/test_membership_faults.py
@@ -19,14 +19,14 @@
         self.cluster.run_until(self.cluster.is_settled, 60)
 
     @rule(index=INDEXES)
-    def kill(self, index):
+    def crash(self, index):
         node = self.running.pop(index, None)
         if node is not None:
-            self.cluster.kill(node)
+            self.cluster.crash(node)
 
     @rule(index=INDEXES)
     def restart(self, index):
-        self.kill(index)
+        self.crash(index)
         self.running[index] = self.cluster.start_node(index)
 
     @rule(index=INDEXES, seconds=st.floats(0.1, 30))
--- a/tests/membership/test_membership_machine.py
+++ b/tests/membership/test_membership_machine.py
@@ -38,7 +38,7 @@
     def test_only_the_killed_node_is_declared_dead_at_every_node(self):
         cluster = self.cluster()
         victim = self.victim(cluster)
-        cluster.kill(victim)
+        cluster.crash(victim)
         cluster.run_until(lambda: cluster.count_seeing(victim.identity.node_id) == 0, 20)
         cluster.run(60)
         self.assertTrue(cluster.is_settled())
@@ -47,7 +47,7 @@
     def test_restarted_node_replaces_its_predecessor_at_once(self):
         cluster = self.cluster()
         victim = self.victim(cluster)
-        cluster.kill(victim)
+        cluster.crash(victim)
         cluster.start_node(NODES - 1)
         cluster.run_until(cluster.is_settled, 5)
 
@@ -59,7 +59,7 @@
         cluster.run_until(lambda: cluster.count_seeing(node_id) == 0, 3)
         cluster.run(120)
         self.assertTrue(all(node_id in node.leaving for node in cluster.nodes.values()))
-        cluster.kill(victim)
+        cluster.crash(victim)
         cluster.run_until(cluster.is_settled, 20)
 
     def test_loss_of_datagrams_causes_no_deaths(self):
@@ -140,7 +140,7 @@
             host = f"10.0.0.{index + 1}"
             for node in list(cluster.nodes.values()):
                 if node.identity.host == host:
-                    cluster.kill(node)
+                    cluster.crash(node)
             cluster.run(cluster.random.uniform(0, 4))
             cluster.start_node(index)
         cluster.run_until(cluster.is_settled, 60)
--- a/tests/membership/test_replica_beliefs.py
+++ b/tests/membership/test_replica_beliefs.py
@@ -42,21 +42,21 @@
 
     def test_one_other_source_does_not_override_fresh_own_evidence(self):
         own = Evidence(SERVING, NOW - 1)
-        self.assertEqual(SERVING, effective(own=own, listed=Evidence(LEAVING, NOW)))
+        self.assertEqual(SERVING, effective(own=own, machine_list=Evidence(LEAVING, NOW)))
         self.assertEqual(SERVING, effective(own=own, gossip=Evidence(LEAVING, NOW)))
 
     def test_two_other_sources_override_own_evidence(self):
-        others = {"listed": Evidence(LEAVING, NOW), "gossip": Evidence(GONE, NOW)}
+        others = {"machine_list": Evidence(LEAVING, NOW), "gossip": Evidence(GONE, NOW)}
         self.assertEqual(GONE, effective(own=Evidence(SERVING, NOW - 1), **others))
 
     def test_one_source_is_enough_without_fresh_own_evidence(self):
         stale = Evidence(SERVING, NOW - SETTINGS.own_fresh_seconds - 0.1)
-        self.assertEqual(LEAVING, effective(listed=Evidence(LEAVING, NOW)))
-        self.assertEqual(LEAVING, effective(own=stale, listed=Evidence(LEAVING, NOW)))
+        self.assertEqual(LEAVING, effective(machine_list=Evidence(LEAVING, NOW)))
+        self.assertEqual(LEAVING, effective(own=stale, machine_list=Evidence(LEAVING, NOW)))
         self.assertEqual(LEAVING, effective(own=stale, gossip=Evidence(LEAVING, NOW)))
 
     def test_newer_serving_gossip_overrides_an_older_list(self):
-        others = {"listed": Evidence(LEAVING, NOW - 5), "gossip": Evidence(SERVING, NOW)}
+        others = {"machine_list": Evidence(LEAVING, NOW - 5), "gossip": Evidence(SERVING, NOW)}
         self.assertEqual(SERVING, effective(**others))
 
     def test_replica_serving_after_leaving_stays_leaving_for_return_seconds(self):
@@ -79,10 +79,10 @@
         self.assertEqual(SERVING, spread(gossip=older, **own))
 
     def test_list_is_spread_only_without_gossip_and_own_evidence(self):
-        listed = Evidence(LEAVING, NOW)
-        self.assertEqual(LEAVING, spread(listed=listed))
-        self.assertIsNone(spread(listed=listed, gossip=Evidence(SERVING, NOW - 500)))
-        self.assertIsNone(spread(listed=listed, own=Evidence(SERVING, NOW)))
+        machine_list = Evidence(LEAVING, NOW)
+        self.assertEqual(LEAVING, spread(machine_list=machine_list))
+        self.assertIsNone(spread(machine_list=machine_list, gossip=Evidence(SERVING, NOW - 500)))
+        self.assertIsNone(spread(machine_list=machine_list, own=Evidence(SERVING, NOW)))
 
 
 REPLICA = Replica(replica_id="r1", zone="dej", host="10.1.0.1", port=80)
@@ -106,7 +106,7 @@
         self.table = ReplicaTable(SETTINGS)
         self.table.configure(CONFIGURATION)
 
-    def listed(self, state, now):
+    def apply_list(self, state, now):
         return self.table.apply_machine_list([MachineEntry("10.1.0.1", 80, "dej", state)], now)
 
     def test_drain_flag_is_reported_and_spread_once(self):
@@ -141,7 +141,7 @@
         for second in range(20):
             changes = self.table.observe(ReplicaObserved("r1", SERVING), NOW + second)
             self.assertEqual([], changes.state_changes)
-            changes = self.listed(MachineState.LEAVING, NOW + second + 0.5)
+            changes = self.apply_list(MachineState.LEAVING, NOW + second + 0.5)
             self.assertEqual(([], []), (changes.state_changes, changes.urgent_updates))
 
     def test_wrong_leaving_gossip_is_corrected_once(self):
@@ -157,10 +157,10 @@
 
     def test_list_entry_that_returns_to_live_takes_effect(self):
         self.assertEqual(
-            [ReplicaBelief("r1", LEAVING)], self.listed(MachineState.LEAVING, 1).state_changes
+            [ReplicaBelief("r1", LEAVING)], self.apply_list(MachineState.LEAVING, 1).state_changes
         )
         self.table.apply_gossip(ReplicaUpdate("r1", SERVING, 9), 2.0)
-        changes = self.listed(MachineState.LIVE, 3.0)
+        changes = self.apply_list(MachineState.LIVE, 3.0)
         self.assertEqual([], self.table.not_serving_updates())
         self.assertEqual([], changes.state_changes)
 
--- a/wingquay/claims/assignment.py
+++ b/wingquay/claims/assignment.py
@@ -1,4 +1,4 @@
-"""The assignment of one partition at this node: its status, epoch and claims."""
+"""The assignments of this node, each with its status, epoch and claims."""
 
 from collections.abc import Iterable
 from dataclasses import dataclass, field
@@ -64,9 +64,10 @@
 
 @dataclass(slots=True)
 class Assignment:
-    """The assignment of one partition at this node.
+    """The state of one assignment at this node.
 
-    Times are in seconds on this node's clock; an infinite time means that nothing is scheduled.
+    An assignment makes one node of a zone the voter for the claims of one partition. Times are in
+    seconds on this node's clock; an infinite time means that nothing is scheduled.
 
     Parameters
     ----------
@@ -83,17 +84,17 @@
         having their tables.
     takeover_at
         When this node may take the assignment over; infinite while it should not hold it.
-    seen_other_holder
-        Whether, in this node's view, another node was ever the one that should hold the assignment.
+    seen_other_designated
+        Whether another node was the designated holder at any time since this node started.
     request_tables_at, request_tables_delay_seconds
         When tables are next requested, and the delay until the request after that.
     forget_at
-        When a handed-over memory is dropped.
+        When the claims of a handed-over assignment are dropped.
     offer
         The offer of this assignment to another node.
     accepted_offer_id, accepted_until
         The accepted offer of another node, and how long this node tries to fetch the assignment.
-    tables
+    table_sources
         The zones whose complete table was read since ``epoch`` began.
     previous, previous_tables
         The assignments under the previous list of zones, and the zones whose table of that time was
@@ -111,14 +112,14 @@
     confirmed_at: float = -inf
     vote_at: float = inf
     takeover_at: float = inf
-    seen_other_holder: bool = False
+    seen_other_designated: bool = False
     request_tables_at: float = -inf
     request_tables_delay_seconds: float = 0.0
     forget_at: float = inf
     offer: AssignmentOffer | None = None
     accepted_offer_id: str | None = None
     accepted_until: float = -inf
-    tables: dict[ZoneName, TableSource] = field(default_factory=dict)
+    table_sources: dict[ZoneName, TableSource] = field(default_factory=dict)
     previous: PreviousAssignments | None = None
     previous_tables: set[ZoneName] = field(default_factory=set)
     retired: RetiredMemory | None = None
@@ -144,7 +145,7 @@
         """Drop all claims of the partition and stop voting."""
         self.status = AssignmentStatus.EMPTY
         self.memory.clear()
-        self.tables.clear()
+        self.table_sources.clear()
         self.previous = None
         self.previous_tables.clear()
         self.offer = None
@@ -152,8 +153,8 @@
         self.forget_at = inf
 
 
-class AssignmentTable:
-    """All assignments of one node.
+class LocalAssignments:
+    """All assignments of one node, by partition.
 
     Parameters
     ----------
@@ -165,19 +166,23 @@
         self._settings = settings
         self.identity = identity
         self.usage = MemoryUsage()
-        self.assignments = [
+        self.by_partition = [
             Assignment(partition, PartitionMemory(settings, self.usage))
             for partition in range(PARTITIONS)
         ]
 
     def with_status(self, status: AssignmentStatus) -> list[Assignment]:
         """Return the assignments that are in ``status``."""
-        return [assignment for assignment in self.assignments if assignment.status is status]
+        return [assignment for assignment in self.by_partition if assignment.status is status]
 
     def record_epochs(
         self, assignment: Assignment, assignment_epochs: Iterable[AssignmentEpoch], now: float
     ) -> bool:
-        """Record epochs; return whether they show that another node took the assignment over."""
+        """Record epochs; if they show a newer epoch of this zone, end the assignment here.
+
+        Returns whether it was ended. Its claims are then retired if they were complete, else
+        dropped.
+        """
         assignment.record_epochs(assignment_epochs)
         newest = assignment.known_epochs.get(self.identity.zone, 0)
         held = assignment.status in (AssignmentStatus.REBUILDING, AssignmentStatus.VOTING)
@@ -205,15 +210,19 @@
             assignment.retired = None
 
     def can_vote(self, assignment: Assignment, zones: tuple[ZoneName, ...], now: float) -> bool:
-        """Whether this node has all claims it needs to vote under ``zones``."""
+        """Whether this node may vote under ``zones``.
+
+        Its claims must be complete, the list of zones the same as when the epoch began, and the
+        last confirmation by the store not older than ``assignment_validity_seconds``.
+        """
         if assignment.status is not AssignmentStatus.VOTING or assignment.zones != zones:
             return False
         if not self._settings.enabled(Mechanism.CLAIM_PAUSE_DETECTION):
             return True
         return now - assignment.confirmed_at <= self._settings.assignment_validity_seconds
 
-    def begin_epoch(self, assignment: Assignment, epoch: int, zones: tuple[ZoneName, ...]) -> None:
-        """Start ``epoch``, which the store has confirmed, without any claims."""
+    def enter_epoch(self, assignment: Assignment, epoch: int, zones: tuple[ZoneName, ...]) -> None:
+        """Set the assignment to ``epoch``, rebuilding and without any claims."""
         assignment.reset()
         assignment.status = AssignmentStatus.REBUILDING
         assignment.epoch = epoch
@@ -224,6 +233,6 @@
         """Start to vote for the partition."""
         assignment.status = AssignmentStatus.VOTING
         assignment.accepted_until = -inf
-        assignment.tables.clear()
+        assignment.table_sources.clear()
         assignment.offer = None
         assignment.vote_at = inf
--- a/wingquay/claims/assignment_document.py
+++ b/wingquay/claims/assignment_document.py
@@ -21,9 +21,9 @@
 class ZoneAssignments(BaseModel):
     """The assignments of one zone, indexed by partition.
 
-    ``epochs`` counts the takeovers (0: never held); ``takers`` names the nodes that made the last
-    ones, with ``NO_NODE`` where there was none. Handovers are not recorded, because they keep the
-    claims.
+    ``epochs`` grows by one with every takeover and every change of the zones (0: never held);
+    ``takers`` names the nodes that made the last takeovers, with ``NO_NODE`` where there was none.
+    Handovers are not recorded, because they keep the claims.
     """
 
     model_config = ConfigDict(frozen=True, extra="ignore")
--- a/wingquay/claims/takeover.py
+++ b/wingquay/claims/assignment_manager.py
@@ -1,4 +1,4 @@
-"""Takeovers of assignments: the only part of claims that uses the platform's store."""
+"""The assignment manager: the only part of claims that uses the platform's store."""
 
 import random
 from dataclasses import dataclass
@@ -20,7 +20,7 @@
 from .assignment import (
     Assignment,
     AssignmentStatus,
-    AssignmentTable,
+    LocalAssignments,
     PreviousAssignments,
 )
 from .assignment_document import AssignmentDocument, document_key, parse_document
@@ -49,7 +49,7 @@
     def __init__(
         self,
         settings: ClaimsSettings,
-        assignments: AssignmentTable,
+        assignments: LocalAssignments,
         timing: TakeoverTiming,
         random_source: random.Random,
     ) -> None:
@@ -179,9 +179,9 @@
         zone = self._assignments.identity.zone
         if zone in document.assignments or not document.zones_unchanged:
             return False
-        assignments = self._assignments.assignments
+        assignments = self._assignments.by_partition
         holds_any = any(self._timing.should_hold(partition) for partition in range(PARTITIONS))
-        # A known holder in this zone means that the document has lost its entry.
+        # If an epoch of this zone is known, the document has lost the zone's entry.
         return holds_any and all(
             assignment.known_epochs.get(zone, 0) == 0 for assignment in assignments
         )
@@ -202,7 +202,7 @@
         zone = self._assignments.identity.zone
         begun = 0
         lost = 0
-        for assignment in self._assignments.assignments:
+        for assignment in self._assignments.by_partition:
             newest = document.epoch(zone, assignment.partition)
             if newest > assignment.epoch:
                 begun += self._begin_epoch(document, assignment, sent_at, now)
@@ -235,7 +235,7 @@
         self._assignments.record_epochs(
             assignment, document.assignment_epochs(assignment.partition), now
         )
-        self._assignments.begin_epoch(assignment, epoch, self._zones)
+        self._assignments.enter_epoch(assignment, epoch, self._zones)
         assignment.vote_at = now + self._settings.rebuild_wait_seconds
         assignment.schedule_table_requests(now, self._settings.table_retry_seconds)
         if document.previous_zones:
--- a/wingquay/claims/claimant.py
+++ b/wingquay/claims/claimant.py
@@ -17,17 +17,17 @@
 from ..ports.peer_claims import ClaimOutcome, ClaimRequest, ClaimVote, VoteKind
 from .directory import AssignmentDirectory
 from .keys import claim_key, partition_of, request_digest
-from .pending_claim import ClaimStage, PendingClaim
 from .settings import ClaimsSettings
+from .submitted_claim import ClaimStage, SubmittedClaim
 
-SHORT_INTERVAL_REQUESTS = 4
+SHORT_INTERVAL_VOTE_REQUESTS = 4
 """Number of vote requests sent at the short interval before the interval doubles."""
 
 MAX_DOUBLINGS = 6
 
 
 @dataclass(frozen=True, slots=True)
-class ClaimRequestDue(Event):
+class VoteRequestDue(Event):
     """The timer for the next vote request of a submission has expired.
 
     Stale unless ``timer_sequence`` is the submission's current one.
@@ -61,7 +61,7 @@
         self._directory = directory
         self._random = random_source
         self._configuration = Configuration()
-        self._claims: dict[RequestId, PendingClaim] = {}
+        self._claims: dict[RequestId, SubmittedClaim] = {}
         self._deployments: dict[RequestId, DeploymentName] = {}
 
     def set_configuration(self, configuration: Configuration) -> None:
@@ -76,7 +76,7 @@
         if service is None or not zones or request.idempotency_key is None:
             return _notify(request.request_id, ClaimDecisionKind.CANNOT_TELL, None)
         key = claim_key(request.caller, request.service, request.idempotency_key)
-        claim = PendingClaim(
+        claim = SubmittedClaim(
             claim_key=key,
             request_digest=request_digest(request),
             request_id=request.request_id,
@@ -97,7 +97,7 @@
             claim.stage is ClaimStage.COLLECTING_VOTES and vote.round_number == claim.round_number
         )
         if not current:
-            return self._return_late_grant(claim, sender, vote)
+            return self._release_late_grant(claim, sender, vote)
         if sender.zone not in claim.zones:
             return []
         claim.record(sender.zone, vote)
@@ -110,7 +110,7 @@
             return self._yield_to_rival(claim, now)
         return []
 
-    def request_due(self, event: ClaimRequestDue, now: float) -> list[Action]:
+    def vote_request_due(self, event: VoteRequestDue, now: float) -> list[Action]:
         """Give up, yield to a rival submission, or request the missing votes again."""
         claim = self._claims.get(event.request_id)
         if claim is None or claim.stage is not ClaimStage.COLLECTING_VOTES:
@@ -123,12 +123,12 @@
             return self._request_votes(claim, now)
         return self._yield_to_rival(claim, now)
 
-    def _yield_to_rival(self, claim: PendingClaim, now: float) -> list[Action]:
+    def _yield_to_rival(self, claim: SubmittedClaim, now: float) -> list[Action]:
         """Release the grants, and start a new round after a delay that leaves the rival time."""
         actions = self._send_outcome(claim, self._outcome_recipients(claim), None)
         claim.begin_round()
         delay = self._settings.ask_retry_seconds * 2.0 ** min(claim.round_number, MAX_DOUBLINGS)
-        return actions + self._schedule_request(claim, now, delay)
+        return actions + self._schedule_vote_request(claim, now, delay)
 
     def finish(self, event: ClaimFinished, now: float) -> list[Action]:
         """Send the outcome of a granted request to the voters."""
@@ -140,7 +140,7 @@
         return self._send_outcome(claim, self._outcome_recipients(claim), event.outcome)
 
     def link_broken(self, node_id: NodeId, now: float) -> list[Action]:
-        """Schedule resending of the outcomes that may not have reached this node.
+        """Schedule resending of the outcomes that the peer ``node_id`` may not have received.
 
         Each resend timer of a claim doubles the delay of its next one.
         """
@@ -177,7 +177,7 @@
             del self._claims[request_id]
             del self._deployments[request_id]
 
-    def _request_votes(self, claim: PendingClaim, now: float) -> list[Action]:
+    def _request_votes(self, claim: SubmittedClaim, now: float) -> list[Action]:
         assignment_epochs = claim.assignment_epochs()
         granted = claim.granted_zones(self._settings)
         request = ClaimRequest(
@@ -194,39 +194,43 @@
             if zone not in granted:
                 claim.requested_nodes[zone] = holder
                 actions.append(SendToPeer(holder, request))
-        claim.requests_sent += 1
-        doublings = min(max(claim.requests_sent - SHORT_INTERVAL_REQUESTS, 0), MAX_DOUBLINGS)
+        claim.vote_requests_sent += 1
+        doublings = min(
+            max(claim.vote_requests_sent - SHORT_INTERVAL_VOTE_REQUESTS, 0), MAX_DOUBLINGS
+        )
         delay = self._settings.ask_retry_seconds * 2.0**doublings
-        return actions + self._schedule_request(claim, now, delay)
+        return actions + self._schedule_vote_request(claim, now, delay)
 
-    def _schedule_request(self, claim: PendingClaim, now: float, delay: float) -> list[Action]:
+    def _schedule_vote_request(
+        self, claim: SubmittedClaim, now: float, delay: float
+    ) -> list[Action]:
         claim.timer_sequence += 1
-        due = ClaimRequestDue(claim.request_id, claim.timer_sequence)
+        due = VoteRequestDue(claim.request_id, claim.timer_sequence)
         jittered = delay * self._random.uniform(0.5, 1.0)
         return [Schedule(min(now + jittered, claim.decide_by), due)]
 
-    def _holders(self, claim: PendingClaim) -> dict[ZoneName, NodeIdentity]:
+    def _holders(self, claim: SubmittedClaim) -> dict[ZoneName, NodeIdentity]:
         deployment = self._deployments[claim.request_id]
         holders: dict[ZoneName, NodeIdentity] = {}
         for zone in claim.zones:
-            holder = self._directory.holder(deployment, zone, claim.partition)
+            holder = self._directory.designated_holder(deployment, zone, claim.partition)
             if holder is not None:
                 holders[zone] = holder
         return holders
 
-    def _outcome_recipients(self, claim: PendingClaim) -> tuple[NodeIdentity, ...]:
+    def _outcome_recipients(self, claim: SubmittedClaim) -> tuple[NodeIdentity, ...]:
         """Return the nodes that may store the submission: the voters requested before and now."""
         nodes = {node.node_id: node for node in claim.requested_nodes.values()}
         nodes.update((node.node_id, node) for node in self._holders(claim).values())
         return tuple(nodes.values())
 
-    def _give_up(self, claim: PendingClaim, now: float) -> list[Action]:
+    def _give_up(self, claim: SubmittedClaim, now: float) -> list[Action]:
         kind = ClaimDecisionKind.IN_PROGRESS if claim.saw_rival else ClaimDecisionKind.CANNOT_TELL
         return self._decide(claim, kind, now)
 
     def _decide(
         self,
-        claim: PendingClaim,
+        claim: SubmittedClaim,
         decision: ClaimDecisionKind,
         now: float,
     ) -> list[Action]:
@@ -242,13 +246,13 @@
             outcome = claim.stored_outcome()
         return actions + _notify(claim.request_id, decision, outcome)
 
-    def _close(self, claim: PendingClaim, stage: ClaimStage, now: float) -> None:
+    def _close(self, claim: SubmittedClaim, stage: ClaimStage, now: float) -> None:
         claim.stage = stage
         claim.keep_until = now + self._settings.closed_keep_seconds
 
-    def _return_late_grant(
+    def _release_late_grant(
         self,
-        claim: PendingClaim,
+        claim: SubmittedClaim,
         sender: NodeIdentity,
         vote: ClaimVote,
     ) -> list[Action]:
@@ -262,7 +266,7 @@
 
     def _send_outcome(
         self,
-        claim: PendingClaim,
+        claim: SubmittedClaim,
         nodes: tuple[NodeIdentity, ...],
         outcome: bytes | None,
     ) -> list[Action]:
@@ -282,7 +286,7 @@
     return ()
 
 
-def _outcome(claim: PendingClaim, round_number: int, outcome: bytes | None) -> ClaimOutcome:
+def _outcome(claim: SubmittedClaim, round_number: int, outcome: bytes | None) -> ClaimOutcome:
     return ClaimOutcome(
         claim_key=claim.claim_key,
         request_digest=claim.request_digest,
--- a/wingquay/claims/directory.py
+++ b/wingquay/claims/directory.py
@@ -1,4 +1,7 @@
-"""Which node should hold which assignment, according to this node's view of the membership."""
+"""The designated holder of each assignment, according to this node's view of the membership.
+
+Nodes with the same view designate the same holder, but the actual holder may differ for a while.
+"""
 
 from collections.abc import Iterable
 
@@ -9,9 +12,10 @@
 
 
 def assignment_holder(nodes: Iterable[NodeIdentity], partition: int) -> NodeIdentity | None:
-    """Return the rendezvous-hash winner for ``partition``, or ``None`` if there are no nodes.
+    """Return the designated holder, or ``None`` if there are no nodes.
 
-    Source: Thaler and Ravishankar, "Using name-based mappings to increase hit rates", 1998.
+    It is the winner of a rendezvous hash. Source: Thaler and Ravishankar, "Using name-based
+    mappings to increase hit rates", 1998.
     """
     return max(nodes, key=lambda node: _weight(node.node_id, partition), default=None)
 
@@ -21,10 +25,9 @@
 
 
 class AssignmentDirectory:
-    """The available nodes by zone, and the assignment holders computed from them.
+    """The available nodes by zone, and the designated holders computed from them.
 
-    Leaving nodes hold no assignments in this view. Computed holders are cached until the next
-    membership update.
+    Leaving nodes are never designated. Computed holders are cached until the next update.
     """
 
     def __init__(self) -> None:
@@ -62,13 +65,13 @@
         """Whether the node is in its planned stop."""
         return node_id in self._leaving
 
-    def holder(
+    def designated_holder(
         self,
         deployment: DeploymentName,
         zone: ZoneName,
         partition: int,
     ) -> NodeIdentity | None:
-        """Return the node that should hold the assignment, or ``None`` if the zone has no node."""
+        """Return the designated holder, or ``None`` if the zone has no node."""
         key = (deployment, zone, partition)
         if key not in self._holders:
             nodes = self._nodes.get((deployment, zone), [])
@@ -76,7 +79,7 @@
         return self._holders[key]
 
     def successor(self, leaver: NodeIdentity, partition: int) -> NodeIdentity | None:
-        """Return the node that should hold the assignment after ``leaver`` has left its zone."""
+        """Return the designated holder once ``leaver`` has left its zone."""
         nodes = self._nodes.get((leaver.deployment, leaver.zone), [])
         others = (node for node in nodes if node.node_id != leaver.node_id)
         return assignment_holder(others, partition)
--- a/wingquay/claims/machine.py
+++ b/wingquay/claims/machine.py
@@ -24,11 +24,12 @@
     ClaimVote,
 )
 from ..ports.store import StoreResponse
-from .assignment import AssignmentStatus, AssignmentTable
+from .assignment import AssignmentStatus, LocalAssignments
+from .assignment_manager import AssignmentManager
 from .claimant import (
     Claimant,
-    ClaimRequestDue,
     OutcomeResendDue,
+    VoteRequestDue,
     deployment_zones,
 )
 from .directory import AssignmentDirectory
@@ -36,7 +37,6 @@
 from .offers import AssignmentOffers
 from .settings import ClaimsSettings
 from .table_sender import TableSender
-from .takeover import AssignmentManager
 from .takeover_timing import TakeoverTiming
 from .transfers import TableTransfers
 from .voter import Voter
@@ -73,7 +73,7 @@
         ClaimsTick,
         ClaimWanted,
         ClaimFinished,
-        ClaimRequestDue,
+        VoteRequestDue,
         OutcomeResendDue,
         PeerLinkBroken,
         StoreResponse,
@@ -99,7 +99,7 @@
         self._settings = settings
         self._identity = identity
         self._directory = AssignmentDirectory()
-        self._assignments = AssignmentTable(settings, identity)
+        self._assignments = LocalAssignments(settings, identity)
         self._voter = Voter(self._assignments)
         self._sender = TableSender(settings, self._assignments)
         self._offers = AssignmentOffers(settings, self._assignments, self._directory)
@@ -120,12 +120,12 @@
                 return self._claimant.begin(event, now)
             case ClaimFinished():
                 return self._claimant.finish(event, now)
-            case ClaimRequestDue():
-                return self._claimant.request_due(event, now)
+            case VoteRequestDue():
+                return self._claimant.vote_request_due(event, now)
             case OutcomeResendDue():
                 return self._claimant.resend_due(event)
             case _:
-                return self._handle_change(event, now)
+                return self._handle_infrequent(event, now)
 
     @property
     def assignments_to_hand_over(self) -> int:
@@ -135,9 +135,9 @@
         """
         return self._offers.assignments_to_hand_over()
 
-    def holder(self, zone: ZoneName, partition: int) -> NodeIdentity | None:
+    def designated_holder(self, zone: ZoneName, partition: int) -> NodeIdentity | None:
         """Return the node to which this node would send a vote request for ``zone``."""
-        return self._directory.holder(self._identity.deployment, zone, partition)
+        return self._directory.designated_holder(self._identity.deployment, zone, partition)
 
     def report(self) -> ClaimsReport:
         """Return the number of stored claims and of assignments by status."""
@@ -148,7 +148,7 @@
             assignments_rebuilding=len(self._assignments.with_status(AssignmentStatus.REBUILDING)),
         )
 
-    def _handle_change(self, event: Event, now: float) -> list[Action]:
+    def _handle_infrequent(self, event: Event, now: float) -> list[Action]:
         match event:
             case Start():
                 return [self._next_tick(now)]
@@ -168,8 +168,8 @@
                 self._apply_configuration(event.configuration, now)
                 return self._manager.tick(now)
             case LeavingStarted():
-                self._timing.stop()
-                self._transfers.stop_accepting()
+                self._timing.begin_leaving()
+                self._transfers.begin_leaving()
                 self._offers.begin_leaving()
                 return self._offers.tick(now)
         return []
@@ -203,7 +203,7 @@
                 return []
 
     def _tick(self, now: float) -> list[Action]:
-        self._assignments.assignments[self._next_expiry_partition].memory.expire(now)
+        self._assignments.by_partition[self._next_expiry_partition].memory.expire(now)
         self._next_expiry_partition = (self._next_expiry_partition + 1) % PARTITIONS
         self._claimant.tick(now)
         return [
--- a/wingquay/claims/memory.py
+++ b/wingquay/claims/memory.py
@@ -10,7 +10,7 @@
 
 @dataclass(slots=True)
 class Submission:
-    """One submission that a voter stores for a claim key.
+    """The stored claim of one submission.
 
     Parameters
     ----------
@@ -18,9 +18,9 @@
         Time of the grant, in seconds on this node's clock.
     outcome
         The stored answer; ``None`` if it is unknown or was too large to store.
-    rival
-        Another submission of the same key. Set only if merged tables named different submissions of
-        the key, each of which may have run.
+    next_submission
+        Another submission stored for the same key. Set only if merged tables name different
+        submissions, or if the outcome of another submission than the granted one was received.
     """
 
     request_id: RequestId
@@ -28,19 +28,19 @@
     round_number: int
     granted_at: float
     outcome: bytes | None = None
-    rival: "Submission | None" = None
+    next_submission: "Submission | None" = None
 
     def chain(self) -> "Iterator[Submission]":
-        """Yield this submission and its rivals."""
+        """Yield this submission and the others of the same key."""
         entry: Submission | None = self
         while entry is not None:
             yield entry
-            entry = entry.rival
+            entry = entry.next_submission
 
 
 @dataclass(slots=True)
 class MemoryUsage:
-    """Totals over all partitions of a node."""
+    """The number of stored claims and the size of their outcomes, over all partitions of a node."""
 
     records: int = 0
     outcome_bytes: int = 0
@@ -80,7 +80,7 @@
             )
         if known is None:
             submission.outcome = self._account_outcome(submission.outcome)
-            submission.rival = first
+            submission.next_submission = first
             self._claims[claim_key] = submission
             self._usage.records += 1
             return
@@ -93,8 +93,8 @@
         """Drop a submission that did not run, unless it was granted in a later round."""
 
         def is_released(entry: Submission) -> bool:
-            same_round = entry.request_id == request_id and entry.round_number <= round_number
-            return same_round and entry.outcome is None
+            is_covered = entry.request_id == request_id and entry.round_number <= round_number
+            return is_covered and entry.outcome is None
 
         self._drop(claim_key, is_released)
 
@@ -161,7 +161,7 @@
                 self._usage.records -= 1
                 self._usage.outcome_bytes -= len(entry.outcome or b"")
             else:
-                entry.rival = remaining
+                entry.next_submission = remaining
                 remaining = entry
         if remaining is not None:
             self._claims[claim_key] = remaining
--- a/wingquay/claims/offers.py
+++ b/wingquay/claims/offers.py
@@ -8,7 +8,7 @@
     Assignment,
     AssignmentOffer,
     AssignmentStatus,
-    AssignmentTable,
+    LocalAssignments,
 )
 from .directory import AssignmentDirectory
 from .settings import ClaimsSettings
@@ -24,7 +24,7 @@
     def __init__(
         self,
         settings: ClaimsSettings,
-        assignments: AssignmentTable,
+        assignments: LocalAssignments,
         directory: AssignmentDirectory,
     ) -> None:
         self._settings = settings
@@ -45,7 +45,7 @@
         self._notified &= {node.node_id for node in zone_peers}
 
     def link_broken(self, node_id: NodeId) -> None:
-        """Send this node an empty offer again, since the first may have been lost."""
+        """Send the peer an empty offer again, since the first may have been lost."""
         self._notified.discard(node_id)
 
     def begin_leaving(self) -> None:
@@ -99,6 +99,8 @@
         identity = self._assignments.identity
         if self._leaving:
             return self._directory.successor(identity, assignment.partition)
-        holder = self._directory.holder(identity.deployment, identity.zone, assignment.partition)
+        holder = self._directory.designated_holder(
+            identity.deployment, identity.zone, assignment.partition
+        )
         is_other = holder is not None and holder.node_id != identity.node_id
         return holder if is_other else None
--- a/wingquay/claims/pending_claim.py
+++ b/wingquay/claims/submitted_claim.py
@@ -26,7 +26,7 @@
 
 
 @dataclass(slots=True)
-class PendingClaim:
+class SubmittedClaim:
     """The claim of one submission.
 
     A rival is another submission of the same claim key.
@@ -52,7 +52,7 @@
         Whether any vote has named a rival.
     timer_sequence
         Number of the newest request timer; earlier timers are stale.
-    requests_sent
+    vote_requests_sent
         How many times votes were requested.
     keep_until
         Time (seconds) until which a closed claim is kept.
@@ -74,7 +74,7 @@
     saw_rival: bool = False
     outcome: bytes | None = None
     timer_sequence: int = 0
-    requests_sent: int = 0
+    vote_requests_sent: int = 0
     keep_until: float = 0.0
 
     def record(self, zone: ZoneName, vote: ClaimVote) -> None:
@@ -86,7 +86,7 @@
             self.saw_rival = True
 
     def known_epochs(self) -> dict[ZoneName, int]:
-        """Return the newest epoch of each zone's assignment that any vote reports."""
+        """Return the newest epoch of each zone's assignment that any stored vote reports."""
         known: dict[ZoneName, int] = {}
         for zone, vote in self.votes.items():
             known[zone] = max(known.get(zone, 0), vote.epoch)
@@ -103,7 +103,8 @@
     def granted_zones(self, settings: ClaimsSettings) -> list[ZoneName]:
         """Return the zones whose grant counts.
 
-        A grant counts unless some vote reports a newer epoch of the zone's assignment.
+        A grant counts unless a vote that is still stored reports a newer epoch of the zone's
+        assignment.
         """
         known = self.known_epochs()
         uses_epochs = settings.enabled(Mechanism.CLAIM_ASSIGNMENT_EPOCHS)
--- a/wingquay/claims/table_sender.py
+++ b/wingquay/claims/table_sender.py
@@ -9,18 +9,18 @@
     Assignment,
     AssignmentOffer,
     AssignmentStatus,
-    AssignmentTable,
+    LocalAssignments,
 )
 from .memory import PartitionMemory
 from .settings import ClaimsSettings
 
-MAX_CONFIRMED_AGE_SECONDS = 1e9  # finite, as sent for an infinite age
+MAX_CONFIRMED_AGE_SECONDS = 1e9  # sent if never confirmed: the age is infinite
 
 
 class TableSender:
     """Answers requests for tables with the claims on which this node's votes are based."""
 
-    def __init__(self, settings: ClaimsSettings, assignments: AssignmentTable) -> None:
+    def __init__(self, settings: ClaimsSettings, assignments: LocalAssignments) -> None:
         self._settings = settings
         self._assignments = assignments
         self._tables_sent = 0
@@ -31,10 +31,14 @@
         request: ClaimTableRequest,
         now: float,
     ) -> list[Action]:
-        """Answer a request for a table, or for the assignment itself if it was offered."""
-        if not 0 <= request.partition < len(self._assignments.assignments):
+        """Answer a request for a table, or for the assignment itself if it was offered.
+
+        If the assignment is requested, this node stops voting and hands it over; a request with an
+        unknown offer is not answered.
+        """
+        if not 0 <= request.partition < len(self._assignments.by_partition):
             return []
-        assignment = self._assignments.assignments[request.partition]
+        assignment = self._assignments.by_partition[request.partition]
         self._assignments.record_epochs(assignment, request.assignment_epochs, now)
         if request.ended_epoch:
             return self._send_retired(requester, request, assignment, now)
@@ -75,7 +79,7 @@
         now: float,
     ) -> list[Action]:
         """Return the table as messages; without ``memory``, one message marked as incomplete."""
-        assignment = self._assignments.assignments[request.partition]
+        assignment = self._assignments.by_partition[request.partition]
         self._tables_sent += 1
         table_id = f"{self._assignments.identity.node_id}/{self._tables_sent}"
         records = [] if memory is None else memory.records(now)
--- a/wingquay/claims/takeover_timing.py
+++ b/wingquay/claims/takeover_timing.py
@@ -3,7 +3,7 @@
 from math import inf
 
 from ..model.identifiers import NodeId, ZoneName
-from .assignment import Assignment, AssignmentStatus, AssignmentTable
+from .assignment import Assignment, AssignmentStatus, LocalAssignments
 from .assignment_document import AssignmentDocument
 from .directory import AssignmentDirectory
 from .settings import ClaimsSettings
@@ -12,14 +12,14 @@
 class TakeoverTiming:
     """Decides when assignments are taken over, based on the nodes of this node's zone.
 
-    The timing does not affect safety: a takeover from a live holder is detected by its epoch. It
-    only loses the holder's claims, which must then be rebuilt.
+    A takeover that is too early is safe, since the higher epoch reveals it; but the claims of the
+    previous holder are lost and must be rebuilt.
     """
 
     def __init__(
         self,
         settings: ClaimsSettings,
-        assignments: AssignmentTable,
+        assignments: LocalAssignments,
         directory: AssignmentDirectory,
     ) -> None:
         self._settings = settings
@@ -31,7 +31,7 @@
         self._nodes: frozenset[NodeId] = frozenset()
         self._alone_since = inf
         self._offered_by: set[NodeId] = set()
-        self._last_holders: dict[int, NodeId] = {}
+        self._last_designated: dict[int, NodeId] = {}
 
     @property
     def has_membership(self) -> bool:
@@ -42,8 +42,8 @@
         """Use the zones of the deployment from the configuration in force."""
         self._zones = zones
 
-    def stop(self) -> None:
-        """Take over no more assignments: the node is leaving."""
+    def begin_leaving(self) -> None:
+        """Take over no more assignments."""
         self._leaving = True
 
     def record_document(self, document: AssignmentDocument) -> None:
@@ -55,11 +55,11 @@
         self._offered_by.add(node_id)
 
     def should_hold(self, partition: int) -> bool:
-        """Whether this node should hold the assignment."""
+        """Whether this node is the designated holder of the assignment."""
         identity = self._assignments.identity
         if self._leaving or identity.zone not in self._zones:
             return False
-        holder = self._directory.holder(identity.deployment, identity.zone, partition)
+        holder = self._directory.designated_holder(identity.deployment, identity.zone, partition)
         return holder is not None and holder.node_id == identity.node_id
 
     def reevaluate(self, now: float) -> None:
@@ -74,24 +74,26 @@
             self._alone_since = inf
         elif self._alone_since == inf:
             self._alone_since = now
-        for assignment in self._assignments.assignments:
+        for assignment in self._assignments.by_partition:
             self._reevaluate_assignment(assignment, crashed, now)
 
     def _reevaluate_assignment(
         self, assignment: Assignment, crashed: set[NodeId], now: float
     ) -> None:
         identity = self._assignments.identity
-        holder = self._directory.holder(identity.deployment, identity.zone, assignment.partition)
-        last_holder = self._last_holders.get(assignment.partition)
+        holder = self._directory.designated_holder(
+            identity.deployment, identity.zone, assignment.partition
+        )
+        last_designated = self._last_designated.get(assignment.partition)
         if holder is not None:
-            self._last_holders[assignment.partition] = holder.node_id
-            assignment.seen_other_holder = (
-                assignment.seen_other_holder or holder.node_id != identity.node_id
+            self._last_designated[assignment.partition] = holder.node_id
+            assignment.seen_other_designated = (
+                assignment.seen_other_designated or holder.node_id != identity.node_id
             )
         if not self.should_hold(assignment.partition):
             assignment.takeover_at = inf
         elif assignment.takeover_at == inf:
-            assignment.takeover_at = now + self._delay(last_holder in crashed)
+            assignment.takeover_at = now + self._delay(last_designated in crashed)
 
     def _delay(self, holder_crashed: bool) -> float:
         # With a single zone no other voter has a copy, so wait longer in case the holder is still
@@ -105,7 +107,7 @@
         no_offers_expected = self._no_offers_expected(now)
         return [
             assignment
-            for assignment in self._assignments.assignments
+            for assignment in self._assignments.by_partition
             if self.should_hold(assignment.partition)
             and self._can_take_over(assignment)
             and now >= assignment.accepted_until
@@ -139,10 +141,11 @@
     def _is_orphaned(self, assignment: Assignment) -> bool:
         """Whether no present peer can hold the assignment.
 
-        False also if the document has not been read, or if another node should have held the
-        assignment since this node started: earlier offers do not cover what a peer received later.
+        False also if the document has not been read yet, or if another node was the designated
+        holder at any time since this node started: it may have received the assignment after it
+        sent its offers.
         """
-        if assignment.seen_other_holder or self._document is None:
+        if assignment.seen_other_designated or self._document is None:
             return False
         identity = self._assignments.identity
         taker = self._document.taker(identity.zone, assignment.partition)
--- a/wingquay/claims/transfers.py
+++ b/wingquay/claims/transfers.py
@@ -8,7 +8,7 @@
 from ..ports.machine import Action
 from ..ports.peer import NodeIdentity, SendToPeer
 from ..ports.peer_claims import ClaimAssignmentOffer, ClaimTable, ClaimTableRequest
-from .assignment import Assignment, AssignmentStatus, AssignmentTable, TableSource
+from .assignment import Assignment, AssignmentStatus, LocalAssignments, TableSource
 from .directory import AssignmentDirectory
 from .quorum import tables_needed
 from .settings import ClaimsSettings
@@ -20,11 +20,11 @@
 
     Parameters
     ----------
-    sender
-        The node from which the table is requested.
     assignment_epoch
         The assignment's epoch at the time of the request. The answering node may have voted since
         without having received any later epoch.
+    source
+        The node from which the table is requested.
     offer_id
         Set if the assignment itself is to be handed over.
     ended_epoch
@@ -37,7 +37,7 @@
 
     assignment: Assignment
     assignment_epoch: int
-    sender: NodeIdentity
+    source: NodeIdentity
     offer_id: str | None
     ended_epoch: int
     zones: tuple[ZoneName, ...]
@@ -52,7 +52,7 @@
     def __init__(
         self,
         settings: ClaimsSettings,
-        assignments: AssignmentTable,
+        assignments: LocalAssignments,
         directory: AssignmentDirectory,
     ) -> None:
         self._settings = settings
@@ -67,8 +67,8 @@
         """Use the zones of the deployment from the configuration in force."""
         self._zones = zones
 
-    def stop_accepting(self) -> None:
-        """Accept no more assignments: the node is leaving."""
+    def begin_leaving(self) -> None:
+        """Accept no more assignments."""
         self._leaving = True
 
     def membership_changed(self, now: float) -> None:
@@ -96,7 +96,7 @@
         return actions + self._retry_handovers(now)
 
     def _drop_expired(self, now: float) -> None:
-        for assignment in self._assignments.assignments:
+        for assignment in self._assignments.by_partition:
             if assignment.status is AssignmentStatus.HANDED_OVER and now >= assignment.forget_at:
                 assignment.reset()
             if assignment.retired is not None and now >= assignment.retired.forget_at:
@@ -107,9 +107,11 @@
         identity = self._assignments.identity
         actions: list[Action] = []
         for zone in assignment.zones:
-            if zone == identity.zone or zone in self._current_tables(assignment):
+            if zone == identity.zone or zone in self._zones_with_current_table(assignment):
                 continue
-            holder = self._directory.holder(identity.deployment, zone, assignment.partition)
+            holder = self._directory.designated_holder(
+                identity.deployment, zone, assignment.partition
+            )
             if holder is not None:
                 actions.append(self._request(assignment, holder, None, now))
         return actions + self._request_previous_tables(assignment, now)
@@ -123,7 +125,9 @@
         for zone, epoch in sorted(assignment.previous.epochs.items()):
             if zone in assignment.previous_tables or epoch == 0:
                 continue
-            holder = self._directory.holder(identity.deployment, zone, assignment.partition)
+            holder = self._directory.designated_holder(
+                identity.deployment, zone, assignment.partition
+            )
             if holder is not None:
                 actions.append(self._request(assignment, holder, None, now, epoch))
         return actions
@@ -131,7 +135,7 @@
     def _request(
         self,
         assignment: Assignment,
-        sender: NodeIdentity,
+        source: NodeIdentity,
         offer_id: str | None,
         now: float,
         ended_epoch: int = 0,
@@ -141,7 +145,7 @@
         zones = self._zones if offer_id is not None else assignment.zones
         retry_at = now + self._settings.table_retry_seconds if offer_id is not None else inf
         fetch = _Fetch(
-            assignment, assignment.epoch, sender, offer_id, ended_epoch, zones, now, retry_at
+            assignment, assignment.epoch, source, offer_id, ended_epoch, zones, now, retry_at
         )
         self._fetches[transfer_id] = fetch
         request = ClaimTableRequest(
@@ -152,10 +156,14 @@
             assignment_epochs=assignment.assignment_epochs(),
             ended_epoch=ended_epoch,
         )
-        return SendToPeer(sender, request)
+        return SendToPeer(source, request)
 
     def _retry_handovers(self, now: float) -> list[Action]:
-        """Request accepted assignments again; their previous holder may have stopped voting."""
+        """Request accepted assignments again if no answer has come.
+
+        The previous holder stops voting when it answers, so a lost answer would leave the partition
+        without a voter in this zone.
+        """
         due = [fetch for fetch in self._fetches.values() if now >= fetch.retry_at]
         actions: list[Action] = []
         for fetch in due:
@@ -165,7 +173,7 @@
                 assignment.accepted_offer_id == fetch.offer_id and now < assignment.accepted_until
             )
             if is_open and assignment.status is not AssignmentStatus.VOTING:
-                actions.append(self._request(assignment, fetch.sender, fetch.offer_id, now))
+                actions.append(self._request(assignment, fetch.source, fetch.offer_id, now))
         return actions
 
     def _drop_old_fetches(self, now: float) -> None:
@@ -179,7 +187,7 @@
     def handle_table(self, sender: NodeIdentity, table: ClaimTable, now: float) -> list[Action]:
         """Handle a piece of a table; pieces that were not requested are ignored."""
         fetch = self._fetches.get(table.transfer_id)
-        if fetch is None or fetch.sender.node_id != sender.node_id:
+        if fetch is None or fetch.source.node_id != sender.node_id:
             return []
         if table.partition != fetch.assignment.partition:
             return []
@@ -189,11 +197,11 @@
             return []
         del self._fetches[table.transfer_id]
         self._assignments.record_epochs(fetch.assignment, table.assignment_epochs, now)
-        complete_table = tuple(pieces.values())
+        all_pieces = tuple(pieces.values())
         if fetch.offer_id is None:
-            self._record_table(fetch, complete_table, now)
+            self._record_table(fetch, all_pieces, now)
         elif table.handed_over:
-            self._complete_handover(fetch, complete_table, now)
+            self._complete_handover(fetch, all_pieces, now)
         return []
 
     def _record_table(self, fetch: _Fetch, pieces: tuple[ClaimTable, ...], now: float) -> None:
@@ -207,9 +215,9 @@
         if not table.complete:
             return
         _merge(assignment, pieces, now)
-        zone = fetch.sender.zone
+        zone = fetch.source.zone
         if not fetch.ended_epoch:
-            assignment.tables[zone] = TableSource(table.epoch)
+            assignment.table_sources[zone] = TableSource(table.epoch)
         elif (
             assignment.previous is not None and assignment.previous.epochs.get(zone) == table.epoch
         ):
@@ -218,19 +226,19 @@
             self._assignments.start_voting(assignment)
 
     def _is_rebuilt(self, assignment: Assignment) -> bool:
-        if len(self._current_tables(assignment)) >= tables_needed(len(assignment.zones)):
+        if len(self._zones_with_current_table(assignment)) >= tables_needed(len(assignment.zones)):
             return True
         if assignment.previous is None:
             return False
         return len(assignment.previous_tables) >= tables_needed(len(assignment.previous.zones))
 
-    def _current_tables(self, assignment: Assignment) -> list[ZoneName]:
+    def _zones_with_current_table(self, assignment: Assignment) -> list[ZoneName]:
         """Return the zones whose table was read from their newest known epoch."""
         if not self._settings.enabled(Mechanism.CLAIM_ASSIGNMENT_EPOCHS):
-            return list(assignment.tables)
+            return list(assignment.table_sources)
         return [
             zone
-            for zone, source in assignment.tables.items()
+            for zone, source in assignment.table_sources.items()
             if source.epoch >= assignment.known_epochs.get(zone, 0)
         ]
 
@@ -244,7 +252,7 @@
         ):
             return
         self._drop_fetches_of(assignment)
-        self._assignments.begin_epoch(assignment, table.epoch, fetch.zones)
+        self._assignments.enter_epoch(assignment, table.epoch, fetch.zones)
         _merge(assignment, pieces, now)
         # Counted from the request time, so that time in transit does not make the confirmation look
         # newer.
@@ -275,9 +283,9 @@
             return []
         actions: list[Action] = []
         for partition in offer.partitions:
-            if not 0 <= partition < len(self._assignments.assignments):
+            if not 0 <= partition < len(self._assignments.by_partition):
                 continue
-            assignment = self._assignments.assignments[partition]
+            assignment = self._assignments.by_partition[partition]
             is_accepted = (
                 assignment.accepted_offer_id == offer.offer_id and now < assignment.accepted_until
             )
--- a/wingquay/claims/voter.py
+++ b/wingquay/claims/voter.py
@@ -1,7 +1,7 @@
 """The voter: grants claims and stores their outcomes."""
 
 from ..ports.peer_claims import ClaimOutcome, ClaimRequest, ClaimVote, VoteKind
-from .assignment import Assignment, AssignmentStatus, AssignmentTable
+from .assignment import Assignment, AssignmentStatus, LocalAssignments
 from .keys import partition_of
 from .memory import Submission
 
@@ -9,20 +9,20 @@
 class Voter:
     """Votes on claim requests with the assignments of this node."""
 
-    def __init__(self, assignments: AssignmentTable) -> None:
+    def __init__(self, assignments: LocalAssignments) -> None:
         self._assignments = assignments
 
     def vote(self, request: ClaimRequest, now: float) -> ClaimVote:
         """Return the vote on ``request``, and store the claim if it is granted."""
-        assignment = self._assignments.assignments[partition_of(request.claim_key)]
+        assignment = self._assignments.by_partition[partition_of(request.claim_key)]
         self._assignments.record_epochs(assignment, request.assignment_epochs, now)
-        votes = self._assignments.can_vote(assignment, request.zones, now)
+        may_vote = self._assignments.can_vote(assignment, request.zones, now)
         stored = assignment.memory.submissions(request.claim_key, now)
         for entry in sorted(stored, key=_unknown_outcomes_last):
             is_other = entry.request_id != request.request_id
-            if entry.outcome is not None or (votes and is_other):
+            if entry.outcome is not None or (may_vote and is_other):
                 return _already_claimed(request, assignment, entry)
-        if not votes or (not stored and assignment.memory.is_full):
+        if not may_vote or (not stored and assignment.memory.is_full):
             return _vote(request, assignment, VoteKind.CANNOT_VOTE)
         grant = Submission(
             request_id=request.request_id,
@@ -35,7 +35,7 @@
 
     def record_outcome(self, outcome: ClaimOutcome, now: float) -> None:
         """Store the outcome of a claim, or release the claim if there is none."""
-        assignment = self._assignments.assignments[partition_of(outcome.claim_key)]
+        assignment = self._assignments.by_partition[partition_of(outcome.claim_key)]
         if outcome.outcome is None:
             assignment.memory.release(outcome.claim_key, outcome.request_id, outcome.round_number)
             return
@@ -71,7 +71,7 @@
 
 
 def _already_claimed(
-    request: ClaimRequest, assignment: Assignment, holder: Submission
+    request: ClaimRequest, assignment: Assignment, claimed_by: Submission
 ) -> ClaimVote:
     return ClaimVote(
         claim_key=request.claim_key,
@@ -79,8 +79,8 @@
         round_number=request.round_number,
         vote=VoteKind.ALREADY_CLAIMED,
         epoch=assignment.epoch if assignment.status is AssignmentStatus.VOTING else 0,
-        holder_request_id=holder.request_id,
-        holder_request_digest=holder.request_digest,
-        outcome=holder.outcome,
+        holder_request_id=claimed_by.request_id,
+        holder_request_digest=claimed_by.request_digest,
+        outcome=claimed_by.outcome,
         assignment_epochs=assignment.assignment_epochs(),
     )
--- a/wingquay/membership/contacts.py
+++ b/wingquay/membership/contacts.py
@@ -29,13 +29,13 @@
     ) -> None:
         self._own = own
         self._seeds = tuple(dict.fromkeys(seeds))
-        self._listed_addresses: tuple[SeedAddress, ...] = ()
+        self._machine_list_addresses: tuple[SeedAddress, ...] = ()
         self._table = table
         self._random = random_source
 
-    def set_listed_addresses(self, addresses: Iterable[SeedAddress]) -> None:
+    def set_machine_list_addresses(self, addresses: Iterable[SeedAddress]) -> None:
         """Replace the addresses from the machine list that may be nodes."""
-        self._listed_addresses = tuple(addresses)
+        self._machine_list_addresses = tuple(addresses)
 
     def choose(self, count: int) -> list[NodeIdentity]:
         """Return up to ``count`` random addresses at which no live node is known."""
@@ -43,7 +43,7 @@
         return self._random.sample(candidates, min(count, len(candidates)))
 
     def _unknown_addresses(self) -> list[NodeIdentity]:
-        addresses = dict.fromkeys((*self._seeds, *self._listed_addresses))
+        addresses = dict.fromkeys((*self._seeds, *self._machine_list_addresses))
         return [_unidentified_node(address) for address in addresses if self._is_unknown(address)]
 
     def _is_unknown(self, address: SeedAddress) -> bool:
@@ -60,7 +60,7 @@
         ]
 
     def _is_latest_at_address(self, identity: NodeIdentity) -> bool:
-        """Whether no other node, this one included, has been seen at the address since."""
+        """Whether this is the last node known at its address, and the local node is not there."""
         if SeedAddress(identity.host, identity.port) == self._own:
             return False
         latest = self._table.at_address(identity.host, identity.port)
--- a/wingquay/membership/gossip_queue.py
+++ b/wingquay/membership/gossip_queue.py
@@ -1,4 +1,4 @@
-"""The gossip updates to spread, and how often each one still has to be sent.
+"""The gossip updates to spread, and how many times each has been sent.
 
 Each update is piggybacked on messages a number of times that grows with the logarithm of the number
 of nodes; the least sent updates go first. Source: SWIM (2002), section 4.1.
@@ -48,7 +48,7 @@
 
 
 class _SendQueue:
-    """Updates of one urgency, grouped by how often they have been sent.
+    """Updates of one urgency, grouped by the number of times they have been sent.
 
     Unsent updates go newest first, the others oldest first.
     """
@@ -110,8 +110,8 @@
     Parameters
     ----------
     retransmission_factor
-        Multiplied by the natural logarithm of the number of nodes, this gives how often an urgent
-        update is sent; others are sent half as often.
+        An urgent update is sent this factor times the natural logarithm of the number of nodes, in
+        number of times; other updates are sent half as many times.
     """
 
     def __init__(self, retransmission_factor: float) -> None:
@@ -124,7 +124,7 @@
 
     @property
     def has_urgent(self) -> bool:
-        """Whether any urgent update is left, which justifies pings that only carry gossip."""
+        """Whether an urgent update is queued; pings that carry only gossip are sent until none is."""
         return len(self._urgent) > 0
 
     def has_update_about(self, node_id: NodeId) -> bool:
@@ -154,7 +154,7 @@
         return urgent + ordinary
 
     def transmissions(self, node_count: int) -> int:
-        """Return how often an urgent update is sent in a cluster of ``node_count`` nodes."""
+        """Return how many times an urgent update is sent in a cluster of ``node_count`` nodes."""
         return max(1, math.ceil(self._factor * math.log(node_count + 1)))
 
 
--- a/wingquay/membership/member_table.py
+++ b/wingquay/membership/member_table.py
@@ -6,7 +6,7 @@
 from ..model.identifiers import NodeId
 from ..ports.peer import NodeIdentity, NodeState, NodeUpdate
 
-NO_NODE = NodeId("")
+NO_REPORTER = NodeId("")
 
 _PRECEDENCES = {
     NodeState.ALIVE: 0,
@@ -28,11 +28,11 @@
     Parameters
     ----------
     changed_at
-        When ``state`` was last changed (seconds).
+        When an update about the node was last stored (seconds).
     answered_at
         When the node last answered a probe of this node (seconds).
-    notified_at
-        When the node was last notified that it is considered dead (seconds).
+    refutation_requested_at
+        When a dead node that sent a message was last requested to refute (seconds).
     """
 
     identity: NodeIdentity
@@ -40,9 +40,9 @@
     incarnation: int
     changed_at: float
     answered_at: float = float("-inf")
-    notified_at: float = float("-inf")
+    refutation_requested_at: float = float("-inf")
 
-    def as_update(self, suspected_by: NodeId = NO_NODE) -> NodeUpdate:
+    def as_update(self, suspected_by: NodeId = NO_REPORTER) -> NodeUpdate:
         """Return the member's state as a gossip update."""
         return NodeUpdate(self.identity, self.state, self.incarnation, suspected_by)
 
@@ -60,7 +60,7 @@
     def __init__(self) -> None:
         self._members: dict[NodeId, Member] = {}
         self._by_address: dict[tuple[str, int], NodeId] = {}
-        self._reachable: list[Member] | None = None
+        self._not_dead: list[Member] | None = None
 
     def get(self, node_id: NodeId) -> Member | None:
         """Return the member with that id, or ``None``."""
@@ -73,7 +73,7 @@
 
     def put(self, update: NodeUpdate, now: float) -> Member:
         """Store ``update`` as the state from ``now`` on."""
-        self._reachable = None
+        self._not_dead = None
         identity = update.identity
         member = self._members.get(identity.node_id)
         if member is None:
@@ -87,12 +87,12 @@
             self._by_address[(identity.host, identity.port)] = identity.node_id
         return member
 
-    def reachable(self) -> list[Member]:
+    def not_dead(self) -> list[Member]:
         """Return the members that are not dead, in the order in which they were added."""
-        if self._reachable is None:
+        if self._not_dead is None:
             members = self._members.values()
-            self._reachable = [entry for entry in members if entry.state is not NodeState.DEAD]
-        return self._reachable
+            self._not_dead = [entry for entry in members if entry.state is not NodeState.DEAD]
+        return self._not_dead
 
     def all(self) -> Iterable[Member]:
         """Return every member."""
@@ -114,4 +114,4 @@
     @property
     def node_count(self) -> int:
         """Number of nodes that are not dead, including this one."""
-        return len(self.reachable()) + 1
+        return len(self.not_dead()) + 1
--- a/wingquay/membership/membership_machine.py
+++ b/wingquay/membership/membership_machine.py
@@ -48,7 +48,7 @@
 MAX_JOIN_CONTACTS = 3
 """Maximum number of addresses that a node without any known peer contacts at once."""
 
-MAX_NOTIFICATIONS_PER_TICK = 8
+MAX_REFUTATION_REQUESTS_PER_TICK = 8
 """Maximum number of nodes per tick that are sent the update about themselves."""
 
 LEAVING_FANOUT = 6
@@ -191,7 +191,7 @@
         self._prober.tick(now)
         self._tracker.expire_suspicions(now)
         self._apply_changes(self._replicas.tick(now))
-        self._notify_subjects()
+        self._send_refutation_requests()
         is_revision_due = self._revisions.take_push_round()
         if self._queue.has_urgent or is_revision_due:
             self._messages.push(self._settings.gossip_fanout)
@@ -205,7 +205,7 @@
         sender, message = event.sender, event.message
         if sender.node_id == self._own_id:
             return
-        self._tracker.record_contact(sender, now)
+        self._tracker.record_message_from(sender, now)
         match message:
             case Ping():
                 self._apply_gossip(message, message.gossip, sender, now)
@@ -252,16 +252,20 @@
         if isinstance(event.result, Failure):
             return
         self._apply_changes(self._replicas.apply_machine_list(event.result, now))
-        self._contacts.set_listed_addresses(
+        self._contacts.set_machine_list_addresses(
             SeedAddress(entry.host, entry.port)
             for entry in event.result
             if entry.state is MachineState.LIVE
             and not self._replicas.is_replica_address(entry.host, entry.port)
         )
 
-    def _notify_subjects(self) -> None:
-        for node_id in list(self._tracker.pending_notifications)[:MAX_NOTIFICATIONS_PER_TICK]:
-            self._messages.notify_subject(self._tracker.pending_notifications.pop(node_id))
+    def _send_refutation_requests(self) -> None:
+        for node_id in list(self._tracker.pending_refutation_requests)[
+            :MAX_REFUTATION_REQUESTS_PER_TICK
+        ]:
+            self._messages.request_refutation(
+                self._tracker.pending_refutation_requests.pop(node_id)
+            )
 
     def _try_contacts(self, now: float) -> None:
         if now < self._next_contact_at:
@@ -291,11 +295,11 @@
     def _notify_membership_changed(self) -> None:
         if self._tracker.is_changed:
             self._tracker.is_changed = False
-            self._outbox.add(Notify(self._tracker.available()))
+            self._outbox.add(Notify(self._tracker.current_membership()))
 
     def _push_rounds(self) -> int:
         transmissions = self._queue.transmissions(self._table.node_count)
-        return -(-transmissions // self._settings.gossip_fanout)
+        return -(-transmissions // self._settings.gossip_fanout)  # rounded up
 
     def _jitter(self) -> float:
         return self._random.uniform(0.75, 1.25)
--- a/wingquay/membership/message_sender.py
+++ b/wingquay/membership/message_sender.py
@@ -69,11 +69,11 @@
 
     def push(self, fanout: int) -> None:
         """Send queued gossip to ``fanout`` random nodes."""
-        reachable = self._table.reachable()
-        for member in self._random.sample(reachable, min(fanout, len(reachable))):
+        not_dead = self._table.not_dead()
+        for member in self._random.sample(not_dead, min(fanout, len(not_dead))):
             self.ping(member.identity, NO_ACK_SEQUENCE)
 
-    def notify_subject(self, update: NodeUpdate) -> None:
+    def request_refutation(self, update: NodeUpdate) -> None:
         """Send a node the update about itself, so that it can refute it."""
         self.ping(update.identity, NO_ACK_SEQUENCE, first=update)
 
--- a/wingquay/membership/node_lists.py
+++ b/wingquay/membership/node_lists.py
@@ -67,13 +67,14 @@
     def _choose_source(self) -> NodeIdentity | None:
         """Return a node to request the list from, or ``None`` if no node is reachable.
 
-        A node from the other side of a healed network partition is preferred.
+        A node from the other side of a healed network partition is preferred. The tracker's
+        ``last_returned`` is cleared, even if the request is not sent in the end.
         """
         returned, self._tracker.last_returned = self._tracker.last_returned, None
         if returned is not None:
             return returned
-        reachable = self._table.reachable()
-        return self._random.choice(reachable).identity if reachable else None
+        not_dead = self._table.not_dead()
+        return self._random.choice(not_dead).identity if not_dead else None
 
     def _needs_early_list(self) -> bool:
         if self._tracker.last_returned is not None:
@@ -93,7 +94,8 @@
     def apply(self, gossip: Gossip, now: float) -> None:
         """Apply a received list."""
         if not self._has_joined or self._needs_early_list():
-            # The previous announcement was sent only as often as a smaller cluster needs.
+            # Announce this node again: the retransmission limit of the last announcement was
+            # computed for a smaller number of nodes.
             self._tracker.announce()
         self._arrivals_at_list = self._tracker.arrivals
         self._is_early_list_scheduled = False
@@ -102,7 +104,7 @@
         self._has_joined = True
         self._schedule(now)
         for update in gossip.node_updates:
-            self._tracker.apply_listed(update, now, spread_mode)
+            self._tracker.apply_node_list_entry(update, now, spread_mode)
 
     def _request(self, node: NodeIdentity, now: float) -> bool:
         if now - self._requested_at < self._settings.list_request_pause_seconds:
--- a/wingquay/membership/node_state_tracker.py
+++ b/wingquay/membership/node_state_tracker.py
@@ -14,8 +14,8 @@
 from .settings import MembershipSettings
 from .suspicion import Suspicion, new_suspicion
 
-MIN_NOTIFY_INTERVAL_SECONDS = 1.0
-"""Minimum time between two notifications of a node that it is considered dead."""
+MIN_REFUTATION_REQUEST_INTERVAL_SECONDS = 1.0
+"""Minimum time between two refutation requests to a node that is dead here."""
 
 MIN_PARTITION_SECONDS = 10.0
 """A node that returns after it was dead for at least this time is assumed to have been cut off."""
@@ -40,14 +40,15 @@
         The health score of this node.
     is_changed
         Whether the available or leaving nodes have changed since this was last set to ``False``.
-    pending_notifications
+    pending_refutation_requests
         Updates to be sent to the nodes that they are about, so that these can refute them.
     arrivals
-        Number of nodes that were added or came back from the dead.
+        Number of times that a node was added, or returned after being dead, since this node
+        started.
     last_returned
-        The node that last came back after being dead for at least ``MIN_PARTITION_SECONDS``;
-        ``None`` if there is none since the last list request. Its return may mean that a network
-        partition has healed.
+        The node that last came back after being dead for at least ``MIN_PARTITION_SECONDS``, which
+        may mean that a network partition has healed. ``None`` once a source for a list has been
+        chosen.
     """
 
     def __init__(
@@ -72,7 +73,7 @@
         self._own_incarnation = 0
         self.health = LocalHealth(settings.health_maximum)
         self.is_changed = True
-        self.pending_notifications: dict[NodeId, NodeUpdate] = {}
+        self.pending_refutation_requests: dict[NodeId, NodeUpdate] = {}
         self.arrivals = 0
         self.last_returned: NodeIdentity | None = None
 
@@ -101,9 +102,9 @@
         """Override updates about this node that may exist but have not been received."""
         self.refute(self._own_incarnation)
 
-    def available(self) -> MembershipChanged:
-        """Return the available nodes and the leaving ones, this node included."""
-        members = [(member.identity, member.state) for member in self._table.reachable()]
+    def current_membership(self) -> MembershipChanged:
+        """Return the event with the available nodes and the leaving ones, this node included."""
+        members = [(member.identity, member.state) for member in self._table.not_dead()]
         members.append((self._identity, self._own_state))
         available = [identity for identity, state in members if state in _AVAILABLE]
         leaving = [identity for identity, state in members if state is NodeState.LEAVING]
@@ -111,18 +112,21 @@
             tuple(sorted(available, key=_node_id)), tuple(sorted(leaving, key=_node_id))
         )
 
-    def record_contact(self, sender: NodeIdentity, now: float) -> None:
-        """Record a message from ``sender``: add an unknown sender, notify a dead one."""
+    def record_message_from(self, sender: NodeIdentity, now: float) -> None:
+        """Record a message from ``sender``.
+
+        An unknown sender is added; a dead one is requested to refute.
+        """
         member = self._table.get(sender.node_id)
         if member is None:
             self._replace_predecessor(sender, now)
             self._add(NodeUpdate(sender, NodeState.ALIVE, 0), now)
         elif (
             member.state is NodeState.DEAD
-            and now - member.notified_at >= MIN_NOTIFY_INTERVAL_SECONDS
+            and now - member.refutation_requested_at >= MIN_REFUTATION_REQUEST_INTERVAL_SECONDS
         ):
-            member.notified_at = now
-            self.pending_notifications[sender.node_id] = member.as_update()
+            member.refutation_requested_at = now
+            self.pending_refutation_requests[sender.node_id] = member.as_update()
 
     def record_answer(self, node_id: NodeId, now: float) -> None:
         """Record that the node answered a probe of this node."""
@@ -155,11 +159,14 @@
             else:
                 self._change(member, update, now, spread_mode)
 
-    def apply_listed(self, update: NodeUpdate, now: float, spread_mode: SpreadMode) -> None:
+    def apply_node_list_entry(
+        self, update: NodeUpdate, now: float, spread_mode: SpreadMode
+    ) -> None:
         """Apply one entry of another node's whole list.
 
         The list may come from the other side of a network partition that has just healed. So nodes
-        that it lists as dead are not declared dead; they are notified and refute if they are alive.
+        that it lists as dead are not declared dead; they are requested to refute, and do so if they
+        are alive.
         """
         member = self._table.get(update.identity.node_id)
         if update.state is not NodeState.DEAD or update.identity == self._identity:
@@ -193,7 +200,8 @@
     def expire_suspicions(self, now: float) -> None:
         """Declare the nodes dead whose suspicion has expired.
 
-        A node that has answered this node since its suspicion began is notified and gets more time.
+        A node that has answered this node since its suspicion began is requested to refute, and
+        gets more time.
         """
         for node_id, suspicion in list(self._suspicions.items()):
             if suspicion.expires_at > now:
@@ -203,7 +211,7 @@
                 del self._suspicions[node_id]
             elif member.answered_at > suspicion.started_at:
                 suspicion.started_at = now
-                self.pending_notifications[node_id] = member.as_update()
+                self.pending_refutation_requests[node_id] = member.as_update()
             else:
                 self._declare_dead(member, now, "the suspicion was not refuted")
 
@@ -242,7 +250,10 @@
             self._queue.put(update, urgent=spread_mode is SpreadMode.URGENT)
 
     def _confirm(self, update: NodeUpdate) -> bool:
-        """Record an independent suspicion; return whether it is new."""
+        """Count another reporter of a suspicion; return whether it is new.
+
+        Updates without a reporter, as in node lists, count together as one.
+        """
         member = self._table.get(update.identity.node_id)
         suspicion = self._suspicions.get(update.identity.node_id)
         if member is None or suspicion is None or member.state is not NodeState.SUSPECT:
@@ -260,7 +271,7 @@
         return fresh and member.state is not NodeState.LEAVING
 
     def _request_refutation(self, update: NodeUpdate) -> None:
-        self.pending_notifications[update.identity.node_id] = update
+        self.pending_refutation_requests[update.identity.node_id] = update
         self._order.prefer(update.identity.node_id)
 
     def _change(
--- a/wingquay/membership/prober.py
+++ b/wingquay/membership/prober.py
@@ -105,7 +105,7 @@
         self._messages.ping(probe.target, probe.sequence)
         others = [
             member.identity
-            for member in self._table.reachable()
+            for member in self._table.not_dead()
             if member.state is NodeState.ALIVE and member.identity != probe.target
         ]
         relays = self._random.sample(others, min(self._settings.indirect_probes, len(others)))
@@ -129,7 +129,8 @@
     ) -> None:
         """Handle an answer to a probe of this node, or to one on behalf of another node.
 
-        An acknowledgement whose subject is not the probe's target is a nack from a relay.
+        If its subject is not the probe's target, it is a nack from a relay, or, if it comes from
+        the target's address, shows that a new process has replaced the target.
         """
         relayed = self._relayed.pop(message.sequence, None)
         if relayed is not None:
@@ -172,4 +173,5 @@
             if now >= relayed.nack_at:
                 del self._relayed[sequence]
                 requester, requester_sequence = relayed.requester, relayed.requester_sequence
+                # An acknowledgement with the relay itself as subject is a nack.
                 self._messages.acknowledge(requester, requester_sequence, self._own_id)
--- a/wingquay/membership/probing.py
+++ b/wingquay/membership/probing.py
@@ -84,7 +84,7 @@
         self._preferred: dict[NodeId, None] = {}
 
     def prefer(self, node_id: NodeId) -> None:
-        """Probe this node before all others."""
+        """Probe the node ``node_id`` before all others."""
         self._preferred[node_id] = None
 
     def next_target(self) -> Member | None:
@@ -98,7 +98,7 @@
                 member = self._probeable(self._remaining.pop())
                 if member is not None:
                     return member
-            self._remaining = [entry.identity.node_id for entry in self._table.reachable()]
+            self._remaining = [entry.identity.node_id for entry in self._table.not_dead()]
             self._random.shuffle(self._remaining)
         return None
 
--- a/wingquay/membership/replica_evidence.py
+++ b/wingquay/membership/replica_evidence.py
@@ -1,10 +1,10 @@
 """Decides the state of a replica from the evidence about it; pure functions without stored state.
 
 There are three sources of evidence. Own evidence comes from this node's requests to the replica:
-answers, drain flags, refused connections. Gossip is what another node observed seconds ago. The
-platform's machine list may lag without bound. Fresh own evidence overrides one other source, but
-not two that agree. Without fresh own evidence the newest source decides. See
-docs/design/membership.md.
+answers, drain flags, refused connections. Gossip is the state that was last spread, by another node
+or by this one. The platform's machine list may lag without bound. Fresh own evidence overrides one
+other source, but not both if neither says that the replica serves. Without fresh own evidence the
+newest source decides. See docs/design/membership.md.
 """
 
 from dataclasses import dataclass
@@ -57,16 +57,16 @@
     own_serving_since
         Since when own evidence has continuously shown that the replica serves (seconds).
     gossip
-        The state that nodes spread.
-    listed
-        The state in the machine list.
+        The state that was last spread, by other nodes or this one.
+    machine_list
+        The state in the platform's machine list.
     """
 
     own: Evidence | None = None
     own_leaving_at: float = float("-inf")
     own_serving_since: float = float("inf")
     gossip: Evidence | None = None
-    listed: Evidence | None = None
+    machine_list: Evidence | None = None
 
     def with_own(self, state: ReplicaState, now: float) -> "ReplicaEvidence":
         """Return the evidence with ``state`` as observed by this node ``now``."""
@@ -78,13 +78,13 @@
             own_leaving_at=now if state is ReplicaState.LEAVING else self.own_leaving_at,
             own_serving_since=since if is_serving else float("inf"),
             gossip=self.gossip,
-            listed=self.listed,
+            machine_list=self.machine_list,
         )
 
     @property
-    def is_undisputed(self) -> bool:
-        """Whether all evidence shows that the replica serves."""
-        sources = (self.own, self.gossip, self.listed)
+    def no_source_denies_serving(self) -> bool:
+        """Whether no source says that the replica is leaving or gone."""
+        sources = (self.own, self.gossip, self.machine_list)
         return not any(_is_not_serving(source) for source in sources)
 
 
@@ -94,25 +94,25 @@
     """Return the state of the replica ``now``, according to all evidence."""
     own = evidence.own
     if own is None or now - own.at > settings.own_fresh_seconds:
-        return _state_without_own_evidence(evidence)
+        return _state_without_fresh_own_evidence(evidence)
     if own.state is not ReplicaState.SERVING:
         return own.state
     if now - evidence.own_leaving_at < settings.return_seconds:
         return ReplicaState.LEAVING
-    gossip, listed = evidence.gossip, evidence.listed
-    if gossip is not None and _is_not_serving(gossip) and _is_not_serving(listed):
+    gossip, machine_list = evidence.gossip, evidence.machine_list
+    if gossip is not None and _is_not_serving(gossip) and _is_not_serving(machine_list):
         return gossip.state
     return ReplicaState.SERVING
 
 
-def _state_without_own_evidence(evidence: ReplicaEvidence) -> ReplicaState:
+def _state_without_fresh_own_evidence(evidence: ReplicaEvidence) -> ReplicaState:
     sources = [source for source in (evidence.own, evidence.gossip) if source is not None]
     newest = max(sources, key=lambda source: source.at, default=None)
     if newest is not None and _is_not_serving(newest):
         return newest.state
-    listed = evidence.listed
-    if listed is not None and (newest is None or listed.at > newest.at):
-        return listed.state
+    machine_list = evidence.machine_list
+    if machine_list is not None and (newest is None or machine_list.at > newest.at):
+        return machine_list.state
     return ReplicaState.SERVING
 
 
@@ -121,17 +121,17 @@
 ) -> ReplicaState | None:
     """Return the state to spread to other nodes, or ``None`` if nothing needs to be corrected.
 
-    Own evidence that the replica does not serve is spread at once. That it serves after all is
-    spread only after own evidence has shown it for ``return_seconds``, so that two nodes with
-    different evidence do not override each other endlessly. A leaving state from the machine list
-    is spread only if no node has spread any state yet.
+    Own evidence that the replica does not serve is spread at once. A correction to serving is
+    spread only after this node has observed serving for ``return_seconds`` without a break, so that
+    two nodes with different evidence do not override each other endlessly. A leaving state from the
+    machine list is spread only if no node has spread any state yet.
     """
     own, spread = evidence.own, evidence.gossip
     spread_state = ReplicaState.SERVING if spread is None else spread.state
     if own is None or now - own.at > settings.own_fresh_seconds:
-        listed = evidence.listed
-        if listed is not None and _is_not_serving(listed) and spread is None:
-            return listed.state
+        machine_list = evidence.machine_list
+        if machine_list is not None and _is_not_serving(machine_list) and spread is None:
+            return machine_list.state
         return None
     effective = effective_state(evidence, settings, now)
     if _is_not_serving(own):
--- a/wingquay/membership/replica_table.py
+++ b/wingquay/membership/replica_table.py
@@ -17,7 +17,7 @@
     state_to_spread,
 )
 
-_SEVERITIES = {ReplicaState.SERVING: 0, ReplicaState.LEAVING: 1, ReplicaState.GONE: 2}
+_PRECEDENCES = {ReplicaState.SERVING: 0, ReplicaState.LEAVING: 1, ReplicaState.GONE: 2}
 
 
 _DEFAULT_STATE: tuple[ReplicaState, HeldVersions | None] = (ReplicaState.SERVING, None)
@@ -74,7 +74,7 @@
         self._settings = settings
         self._records: dict[ReplicaId, _Record] = {}
         self._by_address: dict[tuple[str, int], ReplicaId] = {}
-        self._disputed: dict[ReplicaId, None] = {}
+        self._to_reevaluate: dict[ReplicaId, None] = {}
 
     def is_replica_address(self, host: str, port: int) -> bool:
         """Whether the configuration has a replica at that address."""
@@ -98,7 +98,7 @@
         configured = {replica.replica_id for replica in replicas}
         for replica_id in [key for key in self._records if key not in configured]:
             del self._records[replica_id]
-            self._disputed.pop(replica_id, None)
+            self._to_reevaluate.pop(replica_id, None)
         return ReplicaChanges(
             state_changes=[
                 ReplicaBelief(replica_id, *record.last_notified)
@@ -118,7 +118,7 @@
         record.held_observed_at = now
         if event.held != record.held:
             record.held = event.held
-            self._notify(event.replica_id, record, now, changes)
+            self._add_state_change(event.replica_id, record, now, changes)
             if not changes.urgent_updates:
                 changes.other_updates.append(self._next_update(event.replica_id, record))
         return changes
@@ -151,15 +151,15 @@
             if record is None and not is_leaving:
                 continue
             record = self._record(replica_id)
-            listed = Evidence(ReplicaState.LEAVING, now) if is_leaving else None
-            record.evidence = replace(record.evidence, listed=listed)
+            machine_list = Evidence(ReplicaState.LEAVING, now) if is_leaving else None
+            record.evidence = replace(record.evidence, machine_list=machine_list)
             self._evaluate(replica_id, record, now, changes)
         return changes
 
     def tick(self, now: float) -> ReplicaChanges:
-        """Evaluate the disputed replicas again, since evidence ages."""
+        """Evaluate again the replicas that any source denies to serve, since evidence ages."""
         changes = ReplicaChanges()
-        for replica_id in list(self._disputed):
+        for replica_id in list(self._to_reevaluate):
             self._evaluate(replica_id, self._records[replica_id], now, changes)
         return changes
 
@@ -177,7 +177,7 @@
     def _overrides(self, update: ReplicaUpdate, record: _Record) -> bool:
         if update.version != record.version:
             return update.version > record.version
-        return _SEVERITIES[update.state] > _SEVERITIES[self._spread_state(record)]
+        return _PRECEDENCES[update.state] > _PRECEDENCES[self._spread_state(record)]
 
     def _observed_held_recently(self, record: _Record, now: float) -> bool:
         return now - record.held_observed_at <= self._settings.own_fresh_seconds
@@ -198,11 +198,14 @@
         if spread is not None:
             record.evidence = replace(record.evidence, gossip=Evidence(spread, now))
             changes.urgent_updates.append(self._next_update(replica_id, record))
-        self._notify(replica_id, record, now, changes)
-        if record.evidence.is_undisputed and record.last_notified[0] is ReplicaState.SERVING:
-            self._disputed.pop(replica_id, None)
+        self._add_state_change(replica_id, record, now, changes)
+        if (
+            record.evidence.no_source_denies_serving
+            and record.last_notified[0] is ReplicaState.SERVING
+        ):
+            self._to_reevaluate.pop(replica_id, None)
         else:
-            self._disputed[replica_id] = None
+            self._to_reevaluate[replica_id] = None
         return changes
 
     def _next_update(self, replica_id: ReplicaId, record: _Record) -> ReplicaUpdate:
@@ -210,7 +213,7 @@
         state = self._spread_state(record)
         return ReplicaUpdate(replica_id, state, record.version, record.held)
 
-    def _notify(
+    def _add_state_change(
         self, replica_id: ReplicaId, record: _Record, now: float, changes: ReplicaChanges
     ) -> None:
         current = (effective_state(record.evidence, self._settings, now), record.held)
