--- a/wingquay/membership/gossip_queue.py
+++ b/wingquay/membership/gossip_queue.py
@@ -124,7 +124,7 @@
 
     @property
     def has_urgent(self) -> bool:
-        """Whether an urgent update is queued; pings that carry only gossip are sent until none is."""
+        """Whether an urgent update is queued, so that pings are sent only to carry gossip."""
         return len(self._urgent) > 0
 
     def has_update_about(self, node_id: NodeId) -> bool:
