--- a/tests/claims/claims_cluster.py
+++ b/tests/claims/claims_cluster.py
@@ -275,7 +275,7 @@
             caller=CallerName("surveyor"),
             service=SERVICE,
             kind=RequestKindName("survey-edit"),
-            key_ranges=(KeyRange.of_key("plot-1"),),
+            key_ranges=(KeyRange.from_key("plot-1"),),
             repeatable=False,
             idempotency_key=key,
             body=body,
--- a/tests/forwarding/test_awaiting_limits.py
+++ b/tests/forwarding/test_awaiting_limits.py
@@ -22,7 +22,7 @@
 from wingquay.forwarding.arrival.request_identity import compute_identity
 from wingquay.forwarding.settling.ending import HELD_REASON
 from wingquay.model.tenants import Tenant
-from wingquay.ports.crash_news import CrashNews
+from wingquay.ports.crash_messages import CrashReport
 from wingquay.ports.forwarding import (
     ForwardFailureKind,
     ForwardRequested,
@@ -35,7 +35,7 @@
 OBJECTIVE_SECONDS = 0.4
 OFFER_SECONDS = 0.08
 OVER_LIMIT = Rejected(ForwardFailureKind.OVER_LIMIT, "the tenant has had its requests", 1.25)
-NO_WORD = "no word on the limit of its tenant came in time"
+NO_WORD = "no answer on the tenant's limit arrived in time"
 
 
 class Waiting:
@@ -52,8 +52,8 @@
     def answer(self, answer: Admitted | Rejected) -> None:
         """Let the word come."""
         machine = self.node.machine._forwarding
-        for action in machine.limit_answered(self.number, answer, self.node.now):
-            self.node._take(action)
+        for action in machine.on_limit_answered(self.number, answer, self.node.now):
+            self.node._apply_action(action)
 
     @property
     def reply(self) -> ReplyFailure:
@@ -151,7 +151,7 @@
     def test_a_request_that_was_held_back_meanwhile_starts_nothing(self) -> None:
         waiting = Waiting()
         bare = OpaqueRequest(b"GET", b"/one/x", BARE_HEADERS)
-        news = CrashNews(compute_identity(bare, "kiosk"), held_seconds=60.0)
+        news = CrashReport(compute_identity(bare, "kiosk"), held_seconds=60.0)
         waiting.node.emit(PeerReceived(OTHERS[0], news))
         waiting.answer(ADMITTED)
         self.assertEqual(
--- a/tests/membership/test_membership_machine.py
+++ b/tests/membership/test_membership_machine.py
@@ -8,9 +8,9 @@
 from wingquay.ports.internal import (
     ConfigurationInForce,
     LeavingStarted,
-    NewerRevisionHeard,
-    ReplicaBelief,
+    NewerRevisionReported,
     ReplicaObserved,
+    ReplicaStateChanged,
 )
 from wingquay.ports.machine_directory import MachineEntry, MachineListRead, MachineState
 from wingquay.ports.peer import MembershipMessage, ReplicaState
@@ -173,7 +173,7 @@
         in_force = set()
 
         def fetch(node, event):
-            if isinstance(event, NewerRevisionHeard):
+            if isinstance(event, NewerRevisionReported):
                 in_force.add(node.identity.node_id)
                 cluster.deliver(node, ConfigurationInForce(Configuration(revision=event.revision)))
 
@@ -197,7 +197,7 @@
         cluster.deliver(self.victim(cluster), ReplicaObserved("r1", ReplicaState.LEAVING))
         cluster.run(60)
         newcomer = cluster.start_node(NODES)
-        belief = ReplicaBelief("r1", ReplicaState.LEAVING)
+        belief = ReplicaStateChanged("r1", ReplicaState.LEAVING)
         cluster.run_until(lambda: belief in newcomer.notified, 10)
 
     def test_datagram_size_is_bounded_with_many_pending_updates(self):
--- a/tests/membership/test_replica_beliefs.py
+++ b/tests/membership/test_replica_beliefs.py
@@ -18,7 +18,7 @@
     Service,
     Shard,
 )
-from wingquay.ports.internal import ReplicaBelief, ReplicaObserved
+from wingquay.ports.internal import ReplicaObserved, ReplicaStateChanged
 from wingquay.ports.machine_directory import MachineEntry, MachineState
 from wingquay.ports.peer import ReplicaState, ReplicaUpdate
 
--- a/tests/simulation/forwarding/test_forwarding_simulation.py
+++ b/tests/simulation/forwarding/test_forwarding_simulation.py
@@ -184,7 +184,7 @@
         self.assertIn("unrepeatable", self.violations(replica_refuses))
 
     def test_a_refusal_of_what_may_have_run_is_caught(self) -> None:
-        self.replace(ExchangeEnding, "failed", _refuse_instead)
+        self.replace(ExchangeEnding, "reply_failed", _refuse_instead)
         self.assertIn("refused as not run, but it ran", self.violations(replica_refuses))
 
     def test_a_merged_answer_that_leaves_records_out_is_caught(self) -> None:
@@ -197,7 +197,7 @@
         self.assertIn("extra arrivals", self.violations(replica_slow))
 
     def test_a_request_without_a_reply_is_caught(self) -> None:
-        self.replace(Settlement, "out_of_time", lambda *_: [])
+        self.replace(Settlement, "end_timed_out", lambda *_: [])
         self.replace(CallStarter, "send_or_queue", lambda *_: [])
         self.assertIn("no reply by its time limit", self.violations(replica_slow))
 
--- a/wingquay/claims/claimant.py
+++ b/wingquay/claims/claimant.py
@@ -74,7 +74,7 @@
         service = self._configuration.service(request.service)
         zones = () if service is None else deployment_zones(self._configuration, service.deployment)
         if service is None or not zones or request.idempotency_key is None:
-            return _notify(request.request_id, ClaimDecisionKind.CANNOT_TELL, None)
+            return _notify(request.request_id, ClaimDecisionKind.UNDECIDED, None)
         key = claim_key(request.caller, request.service, request.idempotency_key)
         claim = SubmittedClaim(
             claim_key=key,
--- a/wingquay/forwarding/settling/cutoff.py
+++ b/wingquay/forwarding/settling/cutoff.py
@@ -1,8 +1,8 @@
-"""When a merged answer leaves although shards are still missing.
+"""Computes when a merged answer is sent although shards are still missing.
 
-An answer is worth the square of the share of shards that are in, and after the route's objective
-only a small part of that. So what is in leaves just in time for the objective, if it is enough
-for a success; after that, an answer leaves as soon as it is enough.
+The value of an answer grows with the square of the share of shards that it covers and drops sharply
+after the route's objective. A partial answer that meets the minimum share is therefore sent at the
+cutoff, just before the objective; after the cutoff, as soon as it meets the minimum share.
 """
 
 from ...model.routing_table import Route
@@ -11,13 +11,15 @@
 SHARE_TOLERANCE = 1e-9
 
 
-def in_time_seconds(route: Route, transit_seconds: float, settings: ForwardingSettings) -> float:
-    """Return the time after arrival at which an answer still reaches its caller in time.
+def compute_cutoff_seconds(
+    route: Route, transit_seconds: float, settings: ForwardingSettings
+) -> float:
+    """Return the latest time for sending an answer that meets the objective, in s after arrival.
 
     Parameters
     ----------
     transit_seconds
-        Time that the caller spends on the network for the request, here and back.
+        Network round trip between the caller and this node.
     """
     objective = route.objective_seconds
     margin = settings.reply_margin_seconds + settings.reply_margin_ratio * objective
@@ -25,8 +27,8 @@
     return max(objective - margin - transit_seconds, objective / 2)
 
 
-def is_enough(route: Route, shards_in: int) -> bool:
-    """Whether an answer of ``shards_in`` shards is a success."""
-    if shards_in == 0:
+def meets_min_share(route: Route, answered_shards: int) -> bool:
+    """Return whether an answer from ``answered_shards`` shards is a success."""
+    if answered_shards == 0:
         return False
-    return shards_in / len(route.shards) >= route.least_share - SHARE_TOLERANCE
+    return answered_shards / len(route.shards) >= route.min_share - SHARE_TOLERANCE
--- a/wingquay/membership/replica_table.py
+++ b/wingquay/membership/replica_table.py
@@ -6,7 +6,7 @@
 from ..model.answer import HeldVersions
 from ..model.configuration import Configuration
 from ..model.identifiers import ReplicaId
-from ..ports.internal import ReplicaBelief, ReplicaObserved
+from ..ports.internal import ReplicaObserved, ReplicaStateChanged
 from ..ports.machine_directory import MachineEntry, MachineState
 from ..ports.peer import ReplicaState, ReplicaUpdate
 from .replica_evidence import (
--- a/wingquay/membership/revision_spreader.py
+++ b/wingquay/membership/revision_spreader.py
@@ -1,7 +1,7 @@
 """Spreads the configuration revision quickly to all nodes."""
 
 from ..model.identifiers import Revision
-from ..ports.internal import NewerRevisionHeard, Notify
+from ..ports.internal import NewerRevisionReported, Notify
 from ..ports.peer import NodeIdentity, Ping
 from .message_sender import NO_ACK_SEQUENCE, MessageSender
 from .outbox import Outbox
