--- a/tests/claims/test_scenarios.py
+++ b/tests/claims/test_scenarios.py
@@ -120,7 +120,7 @@
         node = cluster.running()[0]
         decisions = [submit_and_wait(cluster, node, f"k{number}") for number in range(8)]
         granted = [ClaimDecisionKind.GRANTED] * 5
-        self.assertEqual([*granted, *[ClaimDecisionKind.CANNOT_TELL] * 3], decisions)
+        self.assertEqual([*granted, *[ClaimDecisionKind.UNDECIDED] * 3], decisions)
         self.assertEqual(ClaimDecisionKind.ALREADY_DONE, submit_and_wait(cluster, node, "k0"))
 
 
@@ -133,7 +133,7 @@
         for node in cluster.running():
             outside = set(cluster.nodes) - ids
             cluster.send_view(node, outside if node in minority else ids)
-        self.assertEqual(ClaimDecisionKind.CANNOT_TELL, submit_and_wait(cluster, minority[0], "k1"))
+        self.assertEqual(ClaimDecisionKind.UNDECIDED, submit_and_wait(cluster, minority[0], "k1"))
         majority = cluster.running(cluster.zones[1])
         self.assertEqual(ClaimDecisionKind.GRANTED, submit_and_wait(cluster, majority[0], "k2"))
         self.assertEqual(ClaimDecisionKind.GRANTED, submit_and_wait(cluster, majority[0], "k1"))
@@ -211,7 +211,7 @@
             cluster.send_membership()
             cluster.advance(20.0)
             node = cluster.running()[0]
-            self.assertEqual(ClaimDecisionKind.CANNOT_TELL, submit_and_wait(cluster, node))
+            self.assertEqual(ClaimDecisionKind.UNDECIDED, submit_and_wait(cluster, node))
             cluster.advance(cluster.settings.rebuild_wait_seconds)
             self.assertEqual(ClaimDecisionKind.GRANTED, submit_and_wait(cluster, node))
             self.assertEqual([], cluster.violations)
@@ -272,7 +272,7 @@
         cluster.send_membership()
         cluster.advance(30.0)
         self.assertEqual(
-            ClaimDecisionKind.CANNOT_TELL, submit_and_wait(cluster, cluster.running()[0], "k1")
+            ClaimDecisionKind.UNDECIDED, submit_and_wait(cluster, cluster.running()[0], "k1")
         )
         cluster.advance(cluster.settings.rebuild_wait_seconds)
         self.assertEqual(
--- a/tests/membership/test_membership_machine.py
+++ b/tests/membership/test_membership_machine.py
@@ -186,10 +186,10 @@
     def test_replica_leaving_is_spread_to_all_nodes_within_the_bound(self):
         cluster = self.cluster()
         cluster.deliver(self.victim(cluster), ReplicaObserved("r1", ReplicaState.LEAVING))
-        belief = ReplicaBelief("r1", ReplicaState.LEAVING)
+        state_change = ReplicaStateChanged("r1", ReplicaState.LEAVING)
         bound = MAX_LEAVING_DETECTION_SECONDS
         cluster.run_until(
-            lambda: all(belief in node.notified for node in cluster.nodes.values()), bound
+            lambda: all(state_change in node.notified for node in cluster.nodes.values()), bound
         )
 
     def test_joining_node_receives_leaving_replicas(self):
@@ -197,8 +197,8 @@
         cluster.deliver(self.victim(cluster), ReplicaObserved("r1", ReplicaState.LEAVING))
         cluster.run(60)
         newcomer = cluster.start_node(NODES)
-        belief = ReplicaStateChanged("r1", ReplicaState.LEAVING)
-        cluster.run_until(lambda: belief in newcomer.notified, 10)
+        state_change = ReplicaStateChanged("r1", ReplicaState.LEAVING)
+        cluster.run_until(lambda: state_change in newcomer.notified, 10)
 
     def test_datagram_size_is_bounded_with_many_pending_updates(self):
         sizes = []
--- a/tests/membership/test_replica_beliefs.py
+++ b/tests/membership/test_replica_beliefs.py
@@ -111,7 +111,7 @@
 
     def test_drain_flag_is_reported_and_spread_once(self):
         changes = self.table.observe(ReplicaObserved("r1", LEAVING), NOW)
-        self.assertEqual([ReplicaBelief("r1", LEAVING)], changes.state_changes)
+        self.assertEqual([ReplicaStateChanged("r1", LEAVING)], changes.state_changes)
         self.assertEqual([ReplicaUpdate("r1", LEAVING, 1)], changes.urgent_updates)
         again = self.table.observe(ReplicaObserved("r1", LEAVING), NOW + 1)
         self.assertEqual(([], []), (again.state_changes, again.urgent_updates))
@@ -120,13 +120,13 @@
         table = ReplicaTable(SETTINGS)
         table.apply_gossip(ReplicaUpdate("r1", LEAVING, 1), NOW)
         changes = table.configure(CONFIGURATION)
-        self.assertEqual([ReplicaBelief("r1", LEAVING)], changes.state_changes)
+        self.assertEqual([ReplicaStateChanged("r1", LEAVING)], changes.state_changes)
 
     def test_greater_version_overrides_and_leaving_wins_a_tie(self):
         self.table.apply_gossip(ReplicaUpdate("r1", SERVING, 5), NOW)
         self.assertIsNone(self.table.apply_gossip(ReplicaUpdate("r1", LEAVING, 4), NOW))
         changes = self.table.apply_gossip(ReplicaUpdate("r1", LEAVING, 5), NOW)
-        self.assertEqual([ReplicaBelief("r1", LEAVING)], changes.state_changes)
+        self.assertEqual([ReplicaStateChanged("r1", LEAVING)], changes.state_changes)
         self.assertIsNone(self.table.apply_gossip(ReplicaUpdate("r1", SERVING, 5), NOW))
         self.assertEqual([ReplicaUpdate("r1", LEAVING, 5)], self.table.not_serving_updates())
 
@@ -135,7 +135,7 @@
         changes = self.table.apply_gossip(ReplicaUpdate("r1", LEAVING, 1), NOW + 0.5)
         self.assertEqual([], changes.state_changes)
         changes = self.table.tick(NOW + MAX_LEAVING_DETECTION_SECONDS)
-        self.assertEqual([ReplicaBelief("r1", LEAVING)], changes.state_changes)
+        self.assertEqual([ReplicaStateChanged("r1", LEAVING)], changes.state_changes)
 
     def test_stale_list_does_not_override_own_evidence(self):
         for second in range(20):
@@ -146,18 +146,19 @@
 
     def test_wrong_leaving_gossip_is_corrected_once(self):
         self.table.apply_gossip(ReplicaUpdate("r1", LEAVING, 1), NOW)
-        spread_updates, beliefs = [], []
+        spread_updates, state_changes = [], []
         for second in range(10):
             changes = self.table.observe(ReplicaObserved("r1", SERVING), NOW + second)
             spread_updates += changes.urgent_updates
-            beliefs += changes.state_changes
+            state_changes += changes.state_changes
         self.assertEqual([ReplicaUpdate("r1", SERVING, 2)], spread_updates)
-        self.assertEqual(SERVING, beliefs[-1].state)
+        self.assertEqual(SERVING, state_changes[-1].state)
         self.assertEqual([], self.table.not_serving_updates())
 
     def test_list_entry_that_returns_to_live_takes_effect(self):
         self.assertEqual(
-            [ReplicaBelief("r1", LEAVING)], self.apply_list(MachineState.LEAVING, 1).state_changes
+            [ReplicaStateChanged("r1", LEAVING)],
+            self.apply_list(MachineState.LEAVING, 1).state_changes,
         )
         self.table.apply_gossip(ReplicaUpdate("r1", SERVING, 9), 2.0)
         changes = self.apply_list(MachineState.LIVE, 3.0)
@@ -167,7 +168,7 @@
     def test_held_versions_are_reported_and_spread_without_urgency(self):
         held = HeldVersions("r1", 3, 7)
         changes = self.table.observe(ReplicaObserved("r1", SERVING, held), NOW)
-        self.assertEqual([ReplicaBelief("r1", SERVING, held)], changes.state_changes)
+        self.assertEqual([ReplicaStateChanged("r1", SERVING, held)], changes.state_changes)
         self.assertEqual([], changes.urgent_updates)
         self.assertEqual([ReplicaUpdate("r1", SERVING, 1, held)], changes.other_updates)
 
@@ -178,7 +179,7 @@
         self.assertEqual([], changes.state_changes)
         self.assertEqual([ReplicaUpdate("r1", SERVING, 5, gossiped)], changes.other_updates)
         changes = self.table.apply_gossip(ReplicaUpdate("r1", SERVING, 6, gossiped), NOW + 10)
-        self.assertEqual([ReplicaBelief("r1", SERVING, gossiped)], changes.state_changes)
+        self.assertEqual([ReplicaStateChanged("r1", SERVING, gossiped)], changes.state_changes)
 
     def test_replicas_removed_from_the_configuration_are_forgotten(self):
         self.table.apply_gossip(ReplicaUpdate("r1", LEAVING, 1), NOW)
--- a/wingquay/claims/claimant.py
+++ b/wingquay/claims/claimant.py
@@ -225,7 +225,7 @@
         return tuple(nodes.values())
 
     def _give_up(self, claim: SubmittedClaim, now: float) -> list[Action]:
-        kind = ClaimDecisionKind.IN_PROGRESS if claim.saw_rival else ClaimDecisionKind.CANNOT_TELL
+        kind = ClaimDecisionKind.IN_PROGRESS if claim.saw_rival else ClaimDecisionKind.UNDECIDED
         return self._decide(claim, kind, now)
 
     def _decide(
--- a/wingquay/membership/replica_table.py
+++ b/wingquay/membership/replica_table.py
@@ -62,7 +62,7 @@
         To be spread with messages that have space left, since only held versions have changed.
     """
 
-    state_changes: list[ReplicaBelief] = field(default_factory=list)
+    state_changes: list[ReplicaStateChanged] = field(default_factory=list)
     urgent_updates: list[ReplicaUpdate] = field(default_factory=list)
     other_updates: list[ReplicaUpdate] = field(default_factory=list)
 
@@ -101,7 +101,7 @@
             self._to_reevaluate.pop(replica_id, None)
         return ReplicaChanges(
             state_changes=[
-                ReplicaBelief(replica_id, *record.last_notified)
+                ReplicaStateChanged(replica_id, *record.last_notified)
                 for replica_id, record in self._records.items()
                 if record.last_notified != _DEFAULT_STATE
             ]
@@ -219,4 +219,4 @@
         current = (effective_state(record.evidence, self._settings, now), record.held)
         if current != record.last_notified:
             record.last_notified = current
-            changes.state_changes.append(ReplicaBelief(replica_id, *current))
+            changes.state_changes.append(ReplicaStateChanged(replica_id, *current))
--- a/wingquay/membership/revision_spreader.py
+++ b/wingquay/membership/revision_spreader.py
@@ -43,7 +43,7 @@
             return
         self._last_notified = revision
         self._next_notify_at = now + self._settings.tick_seconds
-        self._outbox.add(Notify(NewerRevisionHeard(sender, revision)))
+        self._outbox.add(Notify(NewerRevisionReported(sender, revision)))
 
     def answer_outdated(self, sender: NodeIdentity, message: Ping) -> None:
         """Send the revision to a node that pushed an older one.
