--- a/tests/membership/test_membership_faults.py
+++ b/tests/membership/test_membership_faults.py
@@ -1,3 +1,5 @@
+"""Random sequences of faults must not leave nodes with wrong membership views."""
+
 from hypothesis import settings
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, initialize, invariant, rule
--- a/tests/membership/test_membership_machine.py
+++ b/tests/membership/test_membership_machine.py
@@ -1,3 +1,5 @@
+"""Clusters detect joins, crashes, pauses and partitions, and declare no live node dead."""
+
 import testtools
 
 from tests.membership.simulated_cluster import SimulatedCluster
--- a/tests/membership/test_one_machine.py
+++ b/tests/membership/test_one_machine.py
@@ -1,3 +1,5 @@
+"""One machine probes, relays, refutes and suspects as SWIM and Lifeguard require."""
+
 import random
 
 import testtools
--- a/tests/membership/test_over_sockets.py
+++ b/tests/membership/test_over_sockets.py
@@ -1,3 +1,5 @@
+"""Membership works over real peer links on loopback."""
+
 import asyncio
 import random
 
--- a/tests/membership/test_parts.py
+++ b/tests/membership/test_parts.py
@@ -1,3 +1,5 @@
+"""Gossip queue, suspicion, local health, member table and probe order."""
+
 import random
 
 import testtools
--- a/tests/membership/test_replica_beliefs.py
+++ b/tests/membership/test_replica_beliefs.py
@@ -1,3 +1,5 @@
+"""Evidence about replicas: which source decides, and what is spread."""
+
 import testtools
 
 from wingquay.membership.replica_evidence import (
