--- a/wingquay/claims/assignment.py
+++ b/wingquay/claims/assignment.py
@@ -1,4 +1,4 @@
-"""A node's assignment for one partition: whether it votes, since when, and in which epoch."""
+"""The assignments of this node, each with its status, epoch and claims."""
 
 from collections.abc import Iterable
 from dataclasses import dataclass, field
@@ -15,21 +15,21 @@
 
 
 class AssignmentStatus(Enum):
-    """What a node can say about a partition."""
+    """What this node can do for a partition."""
 
     EMPTY = "empty"
-    """Nothing: it never held the assignment, or lost it."""
+    """The node never held the assignment or has lost it; it has no claims of the partition."""
     REBUILDING = "rebuilding"
-    """It took the assignment over and gathers what earlier holders had granted."""
+    """The node took the assignment over and collects the claims that earlier holders granted."""
     VOTING = "voting"
-    """Its memory holds every claim that this zone's votes helped to grant."""
+    """The node stores every claim that was granted with a vote of this zone, and votes."""
     HANDED_OVER = "handed_over"
-    """Its memory went to another node, which may fetch the same once more."""
+    """The node passed its claims to another node, which may still fetch them again."""
 
 
 @dataclass(frozen=True, slots=True)
 class AssignmentOffer:
-    """The offer of an assignment that is open to one node."""
+    """An open offer of an assignment to one node."""
 
     offer_id: str
     receiver: NodeId
@@ -37,16 +37,16 @@
 
 @dataclass(frozen=True, slots=True)
 class TableSource:
-    """From which epoch of a zone's assignment a complete table was read."""
+    """The epoch of a zone's assignment from which a complete table was read."""
 
     epoch: int
 
 
 @dataclass(frozen=True, slots=True)
 class PreviousAssignments:
-    """The assignments of a partition under the list of zones before.
+    """The assignments of a partition under the previous list of zones.
 
-    Nobody votes from them any more.
+    No node votes with them any more.
     """
 
     zones: tuple[ZoneName, ...]
@@ -55,7 +55,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RetiredMemory:
-    """A complete memory of an epoch that has ended, kept for those that rebuild from it."""
+    """The complete claims of an ended epoch, kept until ``forget_at`` for nodes that rebuild."""
 
     epoch: int
     memory: PartitionMemory
@@ -64,37 +64,43 @@
 
 @dataclass(slots=True)
 class Assignment:
-    """One partition's assignment at this node.
+    """The state of one assignment at this node.
+
+    An assignment makes one node of a zone the voter for the claims of one partition. Times are in
+    seconds on this node's clock; an infinite time means that nothing is scheduled.
 
     Parameters
     ----------
     epoch
-        The epoch of the memory that this node has, or had last.
+        The epoch of the claims that this node has or had last.
     zones
         The zones whose majority decided when the epoch began.
     known_epochs
-        The newest epoch of each zone's assignment that this node has heard of.
+        The newest known epoch of each zone's assignment.
     confirmed_at
-        When the store was last asked and said that ``epoch`` is the newest of this zone.
+        When the last store operation that confirmed ``epoch`` as the newest of this zone was sent.
     vote_at
-        When everything granted by earlier holders is forgotten anyway.
+        When every claim granted by earlier holders has expired, so that this node may vote without
+        having their tables.
     takeover_at
-        When the assignment may be taken over; infinite while this node does not want it.
-    was_anothers
-        Whether this node has seen another that should hold the assignment.
-    ask_tables_at, ask_tables_delay_seconds
-        When tables are next asked for, and how long after that again.
+        When this node may take the assignment over; infinite while it should not hold it.
+    seen_other_designated
+        Whether another node was the designated holder at any time since this node started.
+    request_tables_at, request_tables_delay_seconds
+        When tables are next requested, and the delay until the request after that.
+    forget_at
+        When the claims of a handed-over assignment are dropped.
     offer
         The offer of this assignment to another node.
     accepted_offer_id, accepted_until
-        Another node's offer of its assignment, and how long this node tries to fetch it.
-    tables
-        The complete tables that were read since ``epoch`` began.
+        The accepted offer of another node, and how long this node tries to fetch the assignment.
+    table_sources
+        The zones whose complete table was read since ``epoch`` began.
     previous, previous_tables
-        The assignments under the last list of zones, while this epoch is the first under the new
-        one, and the zones whose table of then was read.
+        The assignments under the previous list of zones, and the zones whose table of that time was
+        read. Set only during the first epoch under a new list of zones.
     retired
-        This node's own memory of an epoch that has ended.
+        The claims that this node stored in an ended epoch.
     """
 
     partition: int
@@ -106,14 +112,14 @@
     confirmed_at: float = -inf
     vote_at: float = inf
     takeover_at: float = inf
-    was_anothers: bool = False
-    ask_tables_at: float = -inf
-    ask_tables_delay_seconds: float = 0.0
+    seen_other_designated: bool = False
+    request_tables_at: float = -inf
+    request_tables_delay_seconds: float = 0.0
     forget_at: float = inf
     offer: AssignmentOffer | None = None
     accepted_offer_id: str | None = None
     accepted_until: float = -inf
-    tables: dict[ZoneName, TableSource] = field(default_factory=dict)
+    table_sources: dict[ZoneName, TableSource] = field(default_factory=dict)
     previous: PreviousAssignments | None = None
     previous_tables: set[ZoneName] = field(default_factory=set)
     retired: RetiredMemory | None = None
@@ -124,22 +130,22 @@
             AssignmentEpoch(zone, epoch) for zone, epoch in sorted(self.known_epochs.items())
         )
 
-    def learn(self, assignment_epochs: Iterable[AssignmentEpoch]) -> None:
-        """Take in epochs that another process has heard of."""
+    def record_epochs(self, assignment_epochs: Iterable[AssignmentEpoch]) -> None:
+        """Record epochs received from another process; older ones have no effect."""
         for entry in assignment_epochs:
             known = self.known_epochs.get(entry.zone, 0)
             self.known_epochs[entry.zone] = max(known, entry.epoch)
 
-    def ask_tables_soon(self, now: float, delay_seconds: float) -> None:
-        """Ask for tables at once, then after ``delay_seconds``, then ever less often."""
-        self.ask_tables_at = now
-        self.ask_tables_delay_seconds = delay_seconds
+    def schedule_table_requests(self, now: float, delay_seconds: float) -> None:
+        """Request tables at the next tick, then after ``delay_seconds``, doubled each time."""
+        self.request_tables_at = now
+        self.request_tables_delay_seconds = delay_seconds
 
-    def become_empty(self) -> None:
-        """Stop answering for the partition and forget its claims."""
+    def reset(self) -> None:
+        """Drop all claims of the partition and stop voting."""
         self.status = AssignmentStatus.EMPTY
         self.memory.clear()
-        self.tables.clear()
+        self.table_sources.clear()
         self.previous = None
         self.previous_tables.clear()
         self.offer = None
@@ -147,33 +153,37 @@
         self.forget_at = inf
 
 
-class AssignmentTable:
-    """All assignments of one node.
+class LocalAssignments:
+    """All assignments of one node, by partition.
 
     Parameters
     ----------
     identity
-        The node.
+        This node.
     """
 
     def __init__(self, settings: ClaimsSettings, identity: NodeIdentity) -> None:
         self._settings = settings
         self.identity = identity
-        self.use = MemoryUsage()
-        self.assignments = [
-            Assignment(partition, PartitionMemory(settings, self.use))
+        self.usage = MemoryUsage()
+        self.by_partition = [
+            Assignment(partition, PartitionMemory(settings, self.usage))
             for partition in range(PARTITIONS)
         ]
 
     def with_status(self, status: AssignmentStatus) -> list[Assignment]:
         """Return the assignments that are in ``status``."""
-        return [assignment for assignment in self.assignments if assignment.status is status]
+        return [assignment for assignment in self.by_partition if assignment.status is status]
 
-    def learn(
+    def record_epochs(
         self, assignment: Assignment, assignment_epochs: Iterable[AssignmentEpoch], now: float
     ) -> bool:
-        """Take in epochs; return whether the assignment turned out to be another node's."""
-        assignment.learn(assignment_epochs)
+        """Record epochs; if they show a newer epoch of this zone, end the assignment here.
+
+        Returns whether it was ended. Its claims are then retired if they were complete, else
+        dropped.
+        """
+        assignment.record_epochs(assignment_epochs)
         newest = assignment.known_epochs.get(self.identity.zone, 0)
         held = assignment.status in (AssignmentStatus.REBUILDING, AssignmentStatus.VOTING)
         if not held or newest <= assignment.epoch:
@@ -182,7 +192,7 @@
             return False
         if assignment.status is AssignmentStatus.VOTING:
             self._retire(assignment, now)
-        assignment.become_empty()
+        assignment.reset()
         if assignment.takeover_at < inf:
             assignment.takeover_at = now + self._settings.join_takeover_delay_seconds
         return True
@@ -191,34 +201,38 @@
         self.forget_retired(assignment)
         forget_at = now + self._settings.retired_keep_seconds
         assignment.retired = RetiredMemory(assignment.epoch, assignment.memory, forget_at)
-        assignment.memory = PartitionMemory(self._settings, self.use)
+        assignment.memory = PartitionMemory(self._settings, self.usage)
 
     def forget_retired(self, assignment: Assignment) -> None:
-        """Drop the memory of an epoch that has ended."""
+        """Drop the claims of an ended epoch."""
         if assignment.retired is not None:
             assignment.retired.memory.clear()
             assignment.retired = None
 
     def can_vote(self, assignment: Assignment, zones: tuple[ZoneName, ...], now: float) -> bool:
-        """Whether the assignment's memory is complete for a majority of ``zones``."""
+        """Whether this node may vote under ``zones``.
+
+        Its claims must be complete, the list of zones the same as when the epoch began, and the
+        last confirmation by the store not older than ``assignment_validity_seconds``.
+        """
         if assignment.status is not AssignmentStatus.VOTING or assignment.zones != zones:
             return False
         if not self._settings.enabled(Mechanism.CLAIM_PAUSE_DETECTION):
             return True
         return now - assignment.confirmed_at <= self._settings.assignment_validity_seconds
 
-    def begin_epoch(self, assignment: Assignment, epoch: int, zones: tuple[ZoneName, ...]) -> None:
-        """Start anew with an empty memory in an epoch that the store has confirmed."""
-        assignment.become_empty()
+    def enter_epoch(self, assignment: Assignment, epoch: int, zones: tuple[ZoneName, ...]) -> None:
+        """Set the assignment to ``epoch``, rebuilding and without any claims."""
+        assignment.reset()
         assignment.status = AssignmentStatus.REBUILDING
         assignment.epoch = epoch
         assignment.zones = zones
-        assignment.learn((AssignmentEpoch(self.identity.zone, epoch),))
+        assignment.record_epochs((AssignmentEpoch(self.identity.zone, epoch),))
 
-    def vote(self, assignment: Assignment) -> None:
-        """Begin to answer for the partition."""
+    def start_voting(self, assignment: Assignment) -> None:
+        """Start to vote for the partition."""
         assignment.status = AssignmentStatus.VOTING
         assignment.accepted_until = -inf
-        assignment.tables.clear()
+        assignment.table_sources.clear()
         assignment.offer = None
         assignment.vote_at = inf
--- a/wingquay/claims/directory.py
+++ b/wingquay/claims/directory.py
@@ -1,4 +1,7 @@
-"""Which node holds which assignment, as this node believes from its view of the membership."""
+"""The designated holder of each assignment, according to this node's view of the membership.
+
+Nodes with the same view designate the same holder, but the actual holder may differ for a while.
+"""
 
 from collections.abc import Iterable
 
@@ -9,9 +12,10 @@
 
 
 def assignment_holder(nodes: Iterable[NodeIdentity], partition: int) -> NodeIdentity | None:
-    """Return the rendezvous-hash winner for ``partition``, or ``None`` if there is no node.
+    """Return the designated holder, or ``None`` if there are no nodes.
 
-    Source: Thaler and Ravishankar, "Using name-based mappings to increase hit rates", 1998.
+    It is the winner of a rendezvous hash. Source: Thaler and Ravishankar, "Using name-based
+    mappings to increase hit rates", 1998.
     """
     return max(nodes, key=lambda node: _weight(node.node_id, partition), default=None)
 
@@ -21,7 +25,10 @@
 
 
 class AssignmentDirectory:
-    """The available nodes by zone, and the assignment holders that follow from them."""
+    """The available nodes by zone, and the designated holders computed from them.
+
+    Leaving nodes are never designated. Computed holders are cached until the next update.
+    """
 
     def __init__(self) -> None:
         self._nodes: dict[tuple[DeploymentName, ZoneName], list[NodeIdentity]] = {}
@@ -34,7 +41,7 @@
         available: Iterable[NodeIdentity],
         leaving: Iterable[NodeIdentity],
     ) -> None:
-        """Take in a new view of the membership."""
+        """Replace the view of the membership."""
         self._leaving_nodes = tuple(leaving)
         self._leaving = frozenset(node.node_id for node in self._leaving_nodes)
         self._nodes = {}
@@ -47,8 +54,8 @@
         """Return the available nodes of a zone."""
         return frozenset(node.node_id for node in self._nodes.get((deployment, zone), []))
 
-    def mates(self, identity: NodeIdentity) -> list[NodeIdentity]:
-        """Return the other nodes of the zone, leaving ones last."""
+    def zone_peers(self, identity: NodeIdentity) -> list[NodeIdentity]:
+        """Return the other nodes of the same zone, leaving ones last."""
         zone = (identity.deployment, identity.zone)
         leaving = [node for node in self._leaving_nodes if (node.deployment, node.zone) == zone]
         nodes = (*self._nodes.get(zone, []), *leaving)
@@ -58,13 +65,13 @@
         """Whether the node is in its planned stop."""
         return node_id in self._leaving
 
-    def holder(
+    def designated_holder(
         self,
         deployment: DeploymentName,
         zone: ZoneName,
         partition: int,
     ) -> NodeIdentity | None:
-        """Return the node that holds the zone's assignment for ``partition``."""
+        """Return the designated holder, or ``None`` if the zone has no node."""
         key = (deployment, zone, partition)
         if key not in self._holders:
             nodes = self._nodes.get((deployment, zone), [])
@@ -72,7 +79,7 @@
         return self._holders[key]
 
     def successor(self, leaver: NodeIdentity, partition: int) -> NodeIdentity | None:
-        """Return the holder of the assignment in the zone of ``leaver`` once it has left."""
+        """Return the designated holder once ``leaver`` has left its zone."""
         nodes = self._nodes.get((leaver.deployment, leaver.zone), [])
         others = (node for node in nodes if node.node_id != leaver.node_id)
         return assignment_holder(others, partition)
--- a/wingquay/claims/memory.py
+++ b/wingquay/claims/memory.py
@@ -1,4 +1,4 @@
-"""The claims that a voter remembers, bounded in number, size and time."""
+"""The claims that a voter stores, bounded in number, size and age."""
 
 from collections.abc import Callable, Iterator
 from dataclasses import dataclass
@@ -10,17 +10,17 @@
 
 @dataclass(slots=True)
 class Submission:
-    """One submission that a voter remembers for a claim key.
+    """The stored claim of one submission.
 
     Parameters
     ----------
     granted_at
-        Seconds on this node's clock.
+        Time of the grant, in seconds on this node's clock.
     outcome
-        The stored answer; ``None`` while it is not known or if it was too large to keep.
-    rival
-        Another submission of the same key. There is one only when tables that were merged
-        named different submissions: either may have run.
+        The stored answer; ``None`` if it is unknown or was too large to store.
+    next_submission
+        Another submission stored for the same key. Set only if merged tables name different
+        submissions, or if the outcome of another submission than the granted one was received.
     """
 
     request_id: RequestId
@@ -28,30 +28,30 @@
     round_number: int
     granted_at: float
     outcome: bytes | None = None
-    rival: "Submission | None" = None
+    next_submission: "Submission | None" = None
 
     def chain(self) -> "Iterator[Submission]":
-        """Yield this submission and its rivals."""
+        """Yield this submission and the others of the same key."""
         entry: Submission | None = self
         while entry is not None:
             yield entry
-            entry = entry.rival
+            entry = entry.next_submission
 
 
 @dataclass(slots=True)
 class MemoryUsage:
-    """What all partitions of a node hold together."""
+    """The number of stored claims and the size of their outcomes, over all partitions of a node."""
 
     records: int = 0
     outcome_bytes: int = 0
 
 
 class PartitionMemory:
-    """The claims of one partition."""
+    """The stored claims of one partition."""
 
-    def __init__(self, settings: ClaimsSettings, use: MemoryUsage) -> None:
+    def __init__(self, settings: ClaimsSettings, usage: MemoryUsage) -> None:
         self._settings = settings
-        self._use = use
+        self._usage = usage
         self._claims: dict[str, Submission] = {}
 
     def __len__(self) -> int:
@@ -59,18 +59,18 @@
 
     @property
     def is_full(self) -> bool:
-        """Whether the node holds as many claims as it may."""
-        return self._use.records >= self._settings.capacity_records
+        """Whether the node stores its maximum number of claims."""
+        return self._usage.records >= self._settings.capacity_records
 
     def submissions(self, claim_key: str, now: float) -> list[Submission]:
-        """Return what is remembered of a key, oldest knowledge first."""
+        """Return the unexpired submissions of a key, last added first."""
         first = self._claims.get(claim_key)
         if first is None:
             return []
         return [entry for entry in first.chain() if not self._expired(entry, now)]
 
     def add(self, claim_key: str, submission: Submission) -> None:
-        """Add a submission, or add what is new about one that is already remembered."""
+        """Store a submission, or update the stored one with the same request id."""
         first = self._claims.get(claim_key)
         known = None
         if first is not None:
@@ -80,9 +80,9 @@
             )
         if known is None:
             submission.outcome = self._account_outcome(submission.outcome)
-            submission.rival = first
+            submission.next_submission = first
             self._claims[claim_key] = submission
-            self._use.records += 1
+            self._usage.records += 1
             return
         known.round_number = max(known.round_number, submission.round_number)
         known.granted_at = max(known.granted_at, submission.granted_at)
@@ -90,16 +90,16 @@
             known.outcome = self._account_outcome(submission.outcome)
 
     def release(self, claim_key: str, request_id: RequestId, round_number: int) -> None:
-        """Forget a submission that did not run with the grants of this round or earlier ones."""
+        """Drop a submission that did not run, unless it was granted in a later round."""
 
-        def released(entry: Submission) -> bool:
-            same_round = entry.request_id == request_id and entry.round_number <= round_number
-            return same_round and entry.outcome is None
+        def is_released(entry: Submission) -> bool:
+            is_covered = entry.request_id == request_id and entry.round_number <= round_number
+            return is_covered and entry.outcome is None
 
-        self._drop(claim_key, released)
+        self._drop(claim_key, is_released)
 
     def merge(self, record: ClaimRecord, now: float) -> None:
-        """Take in a record of another voter's table."""
+        """Add a record from another voter's table."""
         submission = Submission(
             request_id=record.request_id,
             request_digest=record.request_digest,
@@ -110,7 +110,7 @@
         self.add(record.claim_key, submission)
 
     def records(self, now: float) -> list[ClaimRecord]:
-        """Return everything as it is to be sent to another voter."""
+        """Return all unexpired claims as records for another voter."""
         return [
             ClaimRecord(
                 claim_key=claim_key,
@@ -125,7 +125,7 @@
         ]
 
     def expire(self, now: float) -> None:
-        """Forget the claims whose time is over."""
+        """Drop the claims whose retention is over."""
         expired = [
             claim_key
             for claim_key, first in self._claims.items()
@@ -135,33 +135,33 @@
             self._drop(claim_key, lambda entry: self._expired(entry, now))
 
     def clear(self) -> None:
-        """Forget everything: this node no longer answers for the partition."""
+        """Drop all claims."""
         for claim_key in list(self._claims):
             self._drop(claim_key, lambda entry: True)
 
     def _expired(self, entry: Submission, now: float) -> bool:
-        return now - entry.granted_at > self._settings.kept_seconds
+        return now - entry.granted_at > self._settings.total_retention_seconds
 
     def _account_outcome(self, outcome: bytes | None) -> bytes | None:
         if outcome is None or len(outcome) > self._settings.outcome_limit_bytes:
             return None
-        total = self._use.outcome_bytes + len(outcome)
+        total = self._usage.outcome_bytes + len(outcome)
         if total > self._settings.outcomes_capacity_bytes:
             return None
-        self._use.outcome_bytes = total
+        self._usage.outcome_bytes = total
         return outcome
 
-    def _drop(self, claim_key: str, dropped: Callable[[Submission], bool]) -> None:
+    def _drop(self, claim_key: str, should_drop: Callable[[Submission], bool]) -> None:
         first = self._claims.pop(claim_key, None)
         if first is None:
             return
-        kept: Submission | None = None
+        remaining: Submission | None = None
         for entry in list(first.chain()):
-            if dropped(entry):
-                self._use.records -= 1
-                self._use.outcome_bytes -= len(entry.outcome or b"")
+            if should_drop(entry):
+                self._usage.records -= 1
+                self._usage.outcome_bytes -= len(entry.outcome or b"")
             else:
-                entry.rival = kept
-                kept = entry
-        if kept is not None:
-            self._claims[claim_key] = kept
+                entry.next_submission = remaining
+                remaining = entry
+        if remaining is not None:
+            self._claims[claim_key] = remaining
--- a/wingquay/claims/takeover_timing.py
+++ b/wingquay/claims/takeover_timing.py
@@ -1,25 +1,25 @@
-"""When a node should take over an assignment: at once, or after waiting for an offer of it."""
+"""When a node should take an assignment over: at once, or after waiting for an offer of it."""
 
 from math import inf
 
 from ..model.identifiers import NodeId, ZoneName
-from .assignment import Assignment, AssignmentStatus, AssignmentTable
+from .assignment import Assignment, AssignmentStatus, LocalAssignments
 from .assignment_document import AssignmentDocument
 from .directory import AssignmentDirectory
 from .settings import ClaimsSettings
 
 
 class TakeoverTiming:
-    """Watches the nodes of this node's zone.
+    """Decides when assignments are taken over, based on the nodes of this node's zone.
 
-    Nothing here matters for safety: a takeover in spite of a living holder is noticed by its
-    epoch. It only costs that holder's memory, which must then be rebuilt.
+    A takeover that is too early is safe, since the higher epoch reveals it; but the claims of the
+    previous holder are lost and must be rebuilt.
     """
 
     def __init__(
         self,
         settings: ClaimsSettings,
-        assignments: AssignmentTable,
+        assignments: LocalAssignments,
         directory: AssignmentDirectory,
     ) -> None:
         self._settings = settings
@@ -30,107 +30,123 @@
         self._document: AssignmentDocument | None = None
         self._nodes: frozenset[NodeId] = frozenset()
         self._alone_since = inf
-        self._heard_from: set[NodeId] = set()
-        self._last_holders: dict[int, NodeId] = {}
+        self._offered_by: set[NodeId] = set()
+        self._last_designated: dict[int, NodeId] = {}
 
     @property
-    def knows_nodes(self) -> bool:
-        """Whether any view of the membership has come."""
+    def has_membership(self) -> bool:
+        """Whether any membership view with nodes of this zone has been received."""
         return bool(self._nodes)
 
     def set_zones(self, zones: tuple[ZoneName, ...]) -> None:
-        """Take in the deployment's zones from the configuration in force."""
+        """Use the zones of the deployment from the configuration in force."""
         self._zones = zones
 
-    def stop(self) -> None:
-        """Want no more assignments: the node leaves."""
+    def begin_leaving(self) -> None:
+        """Take over no more assignments."""
         self._leaving = True
 
-    def note_document(self, document: AssignmentDocument) -> None:
-        """Take in the assignment document as last read."""
+    def record_document(self, document: AssignmentDocument) -> None:
+        """Store the assignment document that was last read."""
         self._document = document
 
-    def hear_from(self, node_id: NodeId) -> None:
-        """Note that a node has offered all that it has for this one, if anything."""
-        self._heard_from.add(node_id)
+    def record_offer_from(self, node_id: NodeId) -> None:
+        """Record that a node has sent its offers to this node, possibly none."""
+        self._offered_by.add(node_id)
 
-    def is_ours(self, partition: int) -> bool:
-        """Whether this node should hold the assignment."""
+    def should_hold(self, partition: int) -> bool:
+        """Whether this node is the designated holder of the assignment."""
         identity = self._assignments.identity
         if self._leaving or identity.zone not in self._zones:
             return False
-        holder = self._directory.holder(identity.deployment, identity.zone, partition)
+        holder = self._directory.designated_holder(identity.deployment, identity.zone, partition)
         return holder is not None and holder.node_id == identity.node_id
 
-    def review(self, now: float) -> None:
-        """Look anew at which assignments this node should hold, after the membership changed."""
+    def reevaluate(self, now: float) -> None:
+        """Update the takeover times after a change of the membership or of the zones."""
         identity = self._assignments.identity
         nodes = self._directory.node_ids(identity.deployment, identity.zone)
         crashed = {
             node_id for node_id in self._nodes - nodes if not self._directory.is_leaving(node_id)
         }
         self._nodes = nodes
-        if self._directory.mates(identity):
+        if self._directory.zone_peers(identity):
             self._alone_since = inf
         elif self._alone_since == inf:
             self._alone_since = now
-        for assignment in self._assignments.assignments:
-            self._review_assignment(assignment, crashed, now)
+        for assignment in self._assignments.by_partition:
+            self._reevaluate_assignment(assignment, crashed, now)
 
-    def _review_assignment(self, assignment: Assignment, crashed: set[NodeId], now: float) -> None:
+    def _reevaluate_assignment(
+        self, assignment: Assignment, crashed: set[NodeId], now: float
+    ) -> None:
         identity = self._assignments.identity
-        holder = self._directory.holder(identity.deployment, identity.zone, assignment.partition)
-        last_holder = self._last_holders.get(assignment.partition)
+        holder = self._directory.designated_holder(
+            identity.deployment, identity.zone, assignment.partition
+        )
+        last_designated = self._last_designated.get(assignment.partition)
         if holder is not None:
-            self._last_holders[assignment.partition] = holder.node_id
-            assignment.was_anothers = assignment.was_anothers or holder.node_id != identity.node_id
-        if not self.is_ours(assignment.partition):
+            self._last_designated[assignment.partition] = holder.node_id
+            assignment.seen_other_designated = (
+                assignment.seen_other_designated or holder.node_id != identity.node_id
+            )
+        if not self.should_hold(assignment.partition):
             assignment.takeover_at = inf
         elif assignment.takeover_at == inf:
-            assignment.takeover_at = now + self._delay(last_holder in crashed)
+            assignment.takeover_at = now + self._delay(last_designated in crashed)
 
     def _delay(self, holder_crashed: bool) -> float:
-        # In a single zone no other voter has a copy: a holder may be wrongly believed lost.
+        # With a single zone no other voter has a copy, so wait longer in case the holder is still
+        # alive.
         if holder_crashed and len(self._zones) > 1:
             return self._settings.crash_takeover_delay_seconds
         return self._settings.join_takeover_delay_seconds
 
-    def wanted(self, now: float) -> list[Assignment]:
-        """Return the assignments that are to be taken over now."""
-        nobody_offers = self._nobody_offers(now)
+    def due_takeovers(self, now: float) -> list[Assignment]:
+        """Return the assignments to take over now."""
+        no_offers_expected = self._no_offers_expected(now)
         return [
             assignment
-            for assignment in self._assignments.assignments
-            if self.is_ours(assignment.partition)
-            and self._is_free(assignment)
+            for assignment in self._assignments.by_partition
+            if self.should_hold(assignment.partition)
+            and self._can_take_over(assignment)
             and now >= assignment.accepted_until
-            and (now >= assignment.takeover_at or (nobody_offers and self._is_orphan(assignment)))
+            and (
+                now >= assignment.takeover_at
+                or (no_offers_expected and self._is_orphaned(assignment))
+            )
         ]
 
-    def _is_free(self, assignment: Assignment) -> bool:
-        """Whether this node neither holds the assignment nor gives it to a node that is there."""
+    def _can_take_over(self, assignment: Assignment) -> bool:
+        """Whether this node neither holds the assignment nor is handing it to a present peer."""
         if assignment.status is not AssignmentStatus.HANDED_OVER:
             return assignment.status is AssignmentStatus.EMPTY
         receiver = None if assignment.offer is None else assignment.offer.receiver
-        mates = self._directory.mates(self._assignments.identity)
-        return all(node.node_id != receiver for node in mates)
+        zone_peers = self._directory.zone_peers(self._assignments.identity)
+        return all(node.node_id != receiver for node in zone_peers)
+
+    def _no_offers_expected(self, now: float) -> bool:
+        """Whether no peer of the zone has offers left to send.
 
-    def _nobody_offers(self, now: float) -> bool:
-        """Whether every other node of the zone that is seen has had its say."""
+        True once every peer has sent its offers, or after some time without any peer. Always false
+        if the deployment has a single zone.
+        """
         if len(self._zones) == 1:
             return False
-        mates = self._directory.mates(self._assignments.identity)
-        if not mates:
+        zone_peers = self._directory.zone_peers(self._assignments.identity)
+        if not zone_peers:
             return now - self._alone_since >= self._settings.alone_takeover_delay_seconds
-        return all(node.node_id in self._heard_from for node in mates)
+        return all(node.node_id in self._offered_by for node in zone_peers)
 
-    def _is_orphan(self, assignment: Assignment) -> bool:
-        """Whether nobody seen since this node started can have held the assignment.
+    def _is_orphaned(self, assignment: Assignment) -> bool:
+        """Whether no present peer can hold the assignment.
 
-        What the others said at the beginning tells nothing of assignments that they got later.
+        False also if the document has not been read yet, or if another node was the designated
+        holder at any time since this node started: it may have received the assignment after it
+        sent its offers.
         """
-        if assignment.was_anothers or self._document is None:
+        if assignment.seen_other_designated or self._document is None:
             return False
         identity = self._assignments.identity
         taker = self._document.taker(identity.zone, assignment.partition)
-        return all(node.node_id != taker for node in self._directory.mates(identity))
+        return all(node.node_id != taker for node in self._directory.zone_peers(identity))
--- a/wingquay/membership/contacts.py
+++ b/wingquay/membership/contacts.py
@@ -1,4 +1,4 @@
-"""Addresses worth trying: to join at the start, and to find each other again after a cut."""
+"""Addresses to contact: to join the cluster, and to rejoin it after a network partition."""
 
 import random
 from collections.abc import Iterable
@@ -9,13 +9,15 @@
 from .settings import SeedAddress
 
 
-class Contacts:
-    """Seeds, addresses from the machine list, and nodes that are believed dead.
+class ContactCandidates:
+    """Seeds, addresses from the machine list, and nodes that are considered dead.
 
     Parameters
     ----------
     own
-        This node's own address, which is never tried.
+        This node's own address, which is never returned.
+    seeds
+        Configured addresses of nodes.
     """
 
     def __init__(
@@ -27,22 +29,22 @@
     ) -> None:
         self._own = own
         self._seeds = tuple(dict.fromkeys(seeds))
-        self._listed: tuple[SeedAddress, ...] = ()
+        self._machine_list_addresses: tuple[SeedAddress, ...] = ()
         self._table = table
         self._random = random_source
 
-    def set_listed(self, addresses: Iterable[SeedAddress]) -> None:
-        """Take in the addresses of the machine list that may be nodes."""
-        self._listed = tuple(addresses)
+    def set_machine_list_addresses(self, addresses: Iterable[SeedAddress]) -> None:
+        """Replace the addresses from the machine list that may be nodes."""
+        self._machine_list_addresses = tuple(addresses)
 
     def choose(self, count: int) -> list[NodeIdentity]:
-        """Return up to ``count`` addresses at which no living node is known."""
+        """Return up to ``count`` random addresses at which no live node is known."""
         candidates = [*self._unknown_addresses(), *self._dead()]
         return self._random.sample(candidates, min(count, len(candidates)))
 
     def _unknown_addresses(self) -> list[NodeIdentity]:
-        addresses = dict.fromkeys((*self._seeds, *self._listed))
-        return [_anyone_at(address) for address in addresses if self._is_unknown(address)]
+        addresses = dict.fromkeys((*self._seeds, *self._machine_list_addresses))
+        return [_unidentified_node(address) for address in addresses if self._is_unknown(address)]
 
     def _is_unknown(self, address: SeedAddress) -> bool:
         if address == self._own:
@@ -52,16 +54,18 @@
 
     def _dead(self) -> list[NodeIdentity]:
         return [
-            member.identity for member in self._table.dead() if self._is_last_there(member.identity)
+            member.identity
+            for member in self._table.dead()
+            if self._is_latest_at_address(member.identity)
         ]
 
-    def _is_last_there(self, identity: NodeIdentity) -> bool:
-        """Whether no other node, this one included, is known to have taken the address over."""
+    def _is_latest_at_address(self, identity: NodeIdentity) -> bool:
+        """Whether this is the last node known at its address, and the local node is not there."""
         if SeedAddress(identity.host, identity.port) == self._own:
             return False
         latest = self._table.at_address(identity.host, identity.port)
         return latest is None or latest.identity == identity
 
 
-def _anyone_at(address: SeedAddress) -> NodeIdentity:
+def _unidentified_node(address: SeedAddress) -> NodeIdentity:
     return NodeIdentity(NodeId(""), DeploymentName(""), ZoneName(""), address.host, address.port)
--- a/wingquay/membership/gossip_queue.py
+++ b/wingquay/membership/gossip_queue.py
@@ -1,7 +1,7 @@
-"""What is to be spread, and how often each piece still has to be sent.
+"""The gossip updates to spread, and how many times each has been sent.
 
-Every piece rides on messages a number of times that grows with the logarithm of the number of
-nodes; the least sent go first. Source: SWIM (2002), section 4.1.
+Each update is piggybacked on messages a number of times that grows with the logarithm of the number
+of nodes; the least sent updates go first. Source: SWIM (2002), section 4.1.
 """
 
 import math
@@ -17,17 +17,17 @@
 """Tags, lengths, state, version and held versions of an encoded replica update."""
 
 
-SMALLEST_UPDATE_BYTES = REPLICA_UPDATE_OVERHEAD_BYTES
-"""With less room than this, no further piece is looked for."""
+MIN_UPDATE_BYTES = REPLICA_UPDATE_OVERHEAD_BYTES
+"""Smallest estimated size of an update; with less space left, the search for updates stops."""
 
-MAXIMUM_ORDINARY_PIECES = 300
-"""Pieces that are not urgent; when there are more, the most often sent are dropped."""
+MAX_ORDINARY_UPDATES = 300
+"""Maximum number of updates that are not urgent; above it, the most often sent ones are dropped."""
 
 _Key = tuple[str, NodeId | ReplicaId]
 
 
 def estimated_bytes(update: NodeUpdate | ReplicaUpdate) -> int:
-    """Return about how many bytes ``update`` takes on the wire."""
+    """Return the approximate encoded size of ``update`` in bytes."""
     if isinstance(update, ReplicaUpdate):
         return REPLICA_UPDATE_OVERHEAD_BYTES + len(update.replica_id)
     reporter_bytes = len(update.suspected_by)
@@ -47,10 +47,10 @@
     times_sent: int = 0
 
 
-class _Lane:
-    """Pieces of one urgency, by how often they have been sent.
+class _SendQueue:
+    """Updates of one urgency, grouped by the number of times they have been sent.
 
-    What has not been sent yet goes newest first, the rest in turn.
+    Unsent updates go newest first, the others oldest first.
     """
 
     def __init__(self) -> None:
@@ -76,82 +76,85 @@
             del self._levels[level][key]
 
     def drop_most_sent(self) -> None:
-        """Drop the oldest of the pieces that have been sent most often."""
+        """Drop the oldest of the updates that have been sent most often."""
         most_sent = next(level for level in reversed(self._levels) if level)
         self.remove(next(iter(most_sent)))
 
-    def take(self, maximum_bytes: int, limit: int) -> tuple[list[NodeUpdate | ReplicaUpdate], int]:
-        """Return pieces of at most ``maximum_bytes``, least sent first, and the bytes left."""
+    def take(self, max_bytes: int, limit: int) -> tuple[list[NodeUpdate | ReplicaUpdate], int]:
+        """Return updates of at most ``max_bytes``, least sent first, and the bytes left.
+
+        Updates that have then been sent ``limit`` times are removed.
+        """
         chosen: list[tuple[_Key, _Entry]] = []
         for times_sent, level in enumerate(self._levels):
             for key in level if times_sent else reversed(level):
                 entry = level[key]
-                if entry.size_bytes <= maximum_bytes:
-                    maximum_bytes -= entry.size_bytes
+                if entry.size_bytes <= max_bytes:
+                    max_bytes -= entry.size_bytes
                     chosen.append((key, entry))
-                if maximum_bytes < SMALLEST_UPDATE_BYTES:
+                if max_bytes < MIN_UPDATE_BYTES:
                     break
-            if maximum_bytes < SMALLEST_UPDATE_BYTES:
+            if max_bytes < MIN_UPDATE_BYTES:
                 break
         for key, entry in chosen:
             self.remove(key)
             entry.times_sent += 1
             if entry.times_sent < limit:
                 self.put(key, entry)
-        return [entry.update for _, entry in chosen], maximum_bytes
+        return [entry.update for _, entry in chosen], max_bytes
 
 
 class GossipQueue:
-    """Pieces of gossip, at most one for each node and each replica: the newest.
+    """The newest gossip update about each node and each replica.
 
     Parameters
     ----------
     retransmission_factor
-        Times the natural logarithm of the number of nodes: how often an urgent piece is sent;
-        others are sent half as often.
+        An urgent update is sent this factor times the natural logarithm of the number of nodes, in
+        number of times; other updates are sent half as many times.
     """
 
     def __init__(self, retransmission_factor: float) -> None:
         self._factor = retransmission_factor
-        self._urgent = _Lane()
-        self._ordinary = _Lane()
+        self._urgent = _SendQueue()
+        self._ordinary = _SendQueue()
 
     def __len__(self) -> int:
         return len(self._urgent) + len(self._ordinary)
 
     @property
     def has_urgent(self) -> bool:
-        """Whether something waits that is worth messages of its own."""
+        """Whether an urgent update is queued, so that pings are sent only to carry gossip."""
         return len(self._urgent) > 0
 
-    def holds_node(self, node_id: NodeId) -> bool:
-        """Whether something about that node still has to be spread."""
+    def has_update_about(self, node_id: NodeId) -> bool:
+        """Whether an update about that node still has to be sent."""
         key = ("node", node_id)
         return key in self._urgent or key in self._ordinary
 
     def put(self, update: NodeUpdate | ReplicaUpdate, urgent: bool = True) -> None:
-        """Spread ``update`` instead of what was to be spread about the same subject."""
+        """Queue ``update`` in place of any earlier update about the same node or replica."""
         key = _key_of(update)
         self._urgent.remove(key)
         self._ordinary.remove(key)
-        lane = self._urgent if urgent else self._ordinary
-        lane.put(key, _Entry(update, estimated_bytes(update)))
-        if len(self._ordinary) > MAXIMUM_ORDINARY_PIECES:
+        queue = self._urgent if urgent else self._ordinary
+        queue.put(key, _Entry(update, estimated_bytes(update)))
+        if len(self._ordinary) > MAX_ORDINARY_UPDATES:
             self._ordinary.drop_most_sent()
 
     def take(
         self,
-        maximum_bytes: int,
+        max_bytes: int,
         node_count: int,
     ) -> list[NodeUpdate | ReplicaUpdate]:
-        """Return what to send now, of at most ``maximum_bytes``, and count it as sent."""
+        """Return the updates to send now, of at most ``max_bytes``, and count them as sent."""
         limit = self.transmissions(node_count)
-        urgent, left_bytes = self._urgent.take(maximum_bytes, limit)
-        ordinary, _ = self._ordinary.take(left_bytes, max(1, limit // 2))
+        urgent, remaining_bytes = self._urgent.take(max_bytes, limit)
+        ordinary, _ = self._ordinary.take(remaining_bytes, max(1, limit // 2))
         return urgent + ordinary
 
     def transmissions(self, node_count: int) -> int:
-        """Return how often an urgent piece is sent among ``node_count`` nodes."""
+        """Return how many times an urgent update is sent in a cluster of ``node_count`` nodes."""
         return max(1, math.ceil(self._factor * math.log(node_count + 1)))
 
 
--- a/wingquay/membership/member_table.py
+++ b/wingquay/membership/member_table.py
@@ -1,4 +1,4 @@
-"""What this node believes of every other node, and which belief overrides which."""
+"""The state of every other node as stored at this node, and which update overrides which."""
 
 from collections.abc import Iterable
 from dataclasses import dataclass
@@ -6,30 +6,33 @@
 from ..model.identifiers import NodeId
 from ..ports.peer import NodeIdentity, NodeState, NodeUpdate
 
-NOBODY = NodeId("")
+NO_REPORTER = NodeId("")
 
-_RANKS = {
+_PRECEDENCES = {
     NodeState.ALIVE: 0,
     NodeState.SUSPECT: 1,
     NodeState.LEAVING: 2,
     NodeState.DEAD: 3,
 }
-"""At equal incarnation the higher rank overrides. Only the node itself says that it is leaving,
-and under a new incarnation; a mere suspicion must not undo that."""
+"""At equal incarnation the higher precedence overrides.
+
+Only the node itself announces that it is leaving, and it does so under a new incarnation; a
+suspicion must not override that.
+"""
 
 
 @dataclass(slots=True)
 class Member:
-    """A node as this one sees it.
+    """Another node in this node's view.
 
     Parameters
     ----------
     changed_at
-        When ``state`` was last changed (seconds).
+        When an update about the node was last stored (seconds).
     answered_at
-        When the node last answered a probe of ours: proof of a way there and back.
-    told_at
-        When the node was last told that it is not believed alive.
+        When the node last answered a probe of this node (seconds).
+    refutation_requested_at
+        When a dead node that sent a message was last requested to refute (seconds).
     """
 
     identity: NodeIdentity
@@ -37,40 +40,40 @@
     incarnation: int
     changed_at: float
     answered_at: float = float("-inf")
-    told_at: float = float("-inf")
+    refutation_requested_at: float = float("-inf")
 
-    def as_update(self, suspected_by: NodeId = NOBODY) -> NodeUpdate:
-        """Return the belief as gossip."""
+    def as_update(self, suspected_by: NodeId = NO_REPORTER) -> NodeUpdate:
+        """Return the member's state as a gossip update."""
         return NodeUpdate(self.identity, self.state, self.incarnation, suspected_by)
 
 
 def overrides(update: NodeUpdate, member: Member) -> bool:
-    """Whether ``update`` replaces what is believed of ``member``."""
+    """Whether ``update`` replaces the stored state of ``member``."""
     if update.incarnation != member.incarnation:
         return update.incarnation > member.incarnation
-    return _RANKS[update.state] > _RANKS[member.state]
+    return _PRECEDENCES[update.state] > _PRECEDENCES[member.state]
 
 
 class MemberTable:
-    """Every other node that is known, the dead included until they are forgotten."""
+    """Every other known node; dead ones stay until they are forgotten."""
 
     def __init__(self) -> None:
         self._members: dict[NodeId, Member] = {}
         self._by_address: dict[tuple[str, int], NodeId] = {}
-        self._reachable: list[Member] | None = None
+        self._not_dead: list[Member] | None = None
 
     def get(self, node_id: NodeId) -> Member | None:
-        """Return the member with that id."""
+        """Return the member with that id, or ``None``."""
         return self._members.get(node_id)
 
     def at_address(self, host: str, port: int) -> Member | None:
-        """Return the member last known to listen there."""
+        """Return the member last known at that address, or ``None``."""
         node_id = self._by_address.get((host, port))
         return None if node_id is None else self._members.get(node_id)
 
     def put(self, update: NodeUpdate, now: float) -> Member:
-        """Believe ``update`` from ``now`` on."""
-        self._reachable = None
+        """Store ``update`` as the state from ``now`` on."""
+        self._not_dead = None
         identity = update.identity
         member = self._members.get(identity.node_id)
         if member is None:
@@ -84,12 +87,12 @@
             self._by_address[(identity.host, identity.port)] = identity.node_id
         return member
 
-    def reachable(self) -> list[Member]:
-        """Return the members that are not dead, in the order in which they became known."""
-        if self._reachable is None:
+    def not_dead(self) -> list[Member]:
+        """Return the members that are not dead, in the order in which they were added."""
+        if self._not_dead is None:
             members = self._members.values()
-            self._reachable = [entry for entry in members if entry.state is not NodeState.DEAD]
-        return self._reachable
+            self._not_dead = [entry for entry in members if entry.state is not NodeState.DEAD]
+        return self._not_dead
 
     def all(self) -> Iterable[Member]:
         """Return every member."""
@@ -100,7 +103,7 @@
         return [entry for entry in self._members.values() if entry.state is NodeState.DEAD]
 
     def forget_dead_before(self, moment: float) -> None:
-        """Forget the nodes that have been dead since before ``moment``."""
+        """Remove the nodes that have been dead since before ``moment`` (seconds)."""
         for member in self.dead():
             if member.changed_at < moment:
                 identity = member.identity
@@ -110,5 +113,5 @@
 
     @property
     def node_count(self) -> int:
-        """How many nodes there are, this one included."""
-        return len(self.reachable()) + 1
+        """Number of nodes that are not dead, including this one."""
+        return len(self.not_dead()) + 1
--- a/wingquay/membership/message_sender.py
+++ b/wingquay/membership/message_sender.py
@@ -1,4 +1,4 @@
-"""Puts membership messages together, with the gossip that rides on them."""
+"""Builds membership messages and adds gossip to them."""
 
 import random
 
@@ -20,8 +20,8 @@
 from .outbox import Outbox
 from .settings import MembershipSettings
 
-NO_ANSWER_WANTED = 0
-"""Sequence number of a ping that only carries gossip."""
+NO_ACK_SEQUENCE = 0
+"""Sequence number of a ping that only carries gossip and must not be acknowledged."""
 
 
 class MessageSender:
@@ -30,7 +30,7 @@
     Attributes
     ----------
     revision
-        Of the configuration in force here; told with every message.
+        Revision of the configuration in force at this node; included in every message.
     """
 
     def __init__(
@@ -53,32 +53,35 @@
         self._outbox.add(SendToPeer(to, message))
 
     def ping(self, to: NodeIdentity, sequence: int, first: NodeUpdate | None = None) -> None:
-        """Probe a node, or with ``NO_ANSWER_WANTED`` bring it gossip, ``first`` before all."""
+        """Probe a node, or only send it gossip if ``sequence`` is ``NO_ACK_SEQUENCE``.
+
+        ``first`` is an update that precedes all others.
+        """
         self.send(to, Ping(sequence, self._gossip_for(to.node_id, first)))
 
     def acknowledge(self, to: NodeIdentity, sequence: int, subject: NodeId) -> None:
-        """Answer a probe of ``subject``."""
+        """Acknowledge a probe of ``subject``."""
         self.send(to, Acknowledgement(sequence, subject, self._gossip_for(to.node_id)))
 
     def request_probe(self, relay: NodeIdentity, sequence: int, subject: NodeIdentity) -> None:
-        """Ask ``relay`` to probe ``subject``."""
+        """Request ``relay`` to probe ``subject``."""
         self.send(relay, PingRequest(sequence, subject, self._gossip_for(relay.node_id)))
 
     def push(self, fanout: int) -> None:
-        """Bring what is to be spread to ``fanout`` random nodes."""
-        reachable = self._table.reachable()
-        for member in self._random.sample(reachable, min(fanout, len(reachable))):
-            self.ping(member.identity, NO_ANSWER_WANTED)
+        """Send queued gossip to ``fanout`` random nodes."""
+        not_dead = self._table.not_dead()
+        for member in self._random.sample(not_dead, min(fanout, len(not_dead))):
+            self.ping(member.identity, NO_ACK_SEQUENCE)
 
-    def tell(self, update: NodeUpdate) -> None:
-        """Tell a node what is said of it, so that it can refute."""
-        self.ping(update.identity, NO_ANSWER_WANTED, first=update)
+    def request_refutation(self, update: NodeUpdate) -> None:
+        """Send a node the update about itself, so that it can refute it."""
+        self.ping(update.identity, NO_ACK_SEQUENCE, first=update)
 
     def _gossip_for(self, receiver: NodeId, first: NodeUpdate | None = None) -> Gossip:
         budget = self._settings.gossip_maximum_bytes
         node_updates: list[NodeUpdate] = []
         replica_updates: list[ReplicaUpdate] = []
-        about_receiver = first or self._doubt_about(receiver)
+        about_receiver = first or self._suspicion_of(receiver)
         if about_receiver is not None:
             node_updates.append(about_receiver)
             budget -= estimated_bytes(about_receiver)
@@ -89,8 +92,11 @@
                 node_updates.append(update)
         return Gossip(self.revision, tuple(node_updates), tuple(replica_updates))
 
-    def _doubt_about(self, receiver: NodeId) -> NodeUpdate | None:
-        """Return our suspicion of the receiver, so that it can refute at once (Lifeguard)."""
+    def _suspicion_of(self, receiver: NodeId) -> NodeUpdate | None:
+        """Return an update if the receiver is suspect or dead here, so that it can refute at once.
+
+        Source: Lifeguard.
+        """
         member = self._table.get(receiver)
         if member is None or member.state in (NodeState.ALIVE, NodeState.LEAVING):
             return None
--- a/wingquay/membership/node_beliefs.py
+++ b/wingquay/membership/node_state_tracker.py
@@ -1,4 +1,4 @@
-"""Takes in what is said of nodes, this one included, and decides what to believe and spread."""
+"""Applies updates about nodes, this one included, and decides what to store and spread."""
 
 import random
 from enum import Enum
@@ -14,36 +14,41 @@
 from .settings import MembershipSettings
 from .suspicion import Suspicion, new_suspicion
 
-TELL_PAUSE_SECONDS = 1.0
-"""Shortest time between two times that a node is told that it is believed dead."""
+MIN_REFUTATION_REQUEST_INTERVAL_SECONDS = 1.0
+"""Minimum time between two refutation requests to a node that is dead here."""
 
-LONG_DEAD_SECONDS = 10.0
-"""A node that returns after this time was cut off rather than suspected in error."""
+MIN_PARTITION_SECONDS = 10.0
+"""A node that returns after it was dead for at least this time is assumed to have been cut off."""
 
 _AVAILABLE = (NodeState.ALIVE, NodeState.SUSPECT)
 
 
-class Haste(Enum):
-    """How something that was heard is passed on."""
+class SpreadMode(Enum):
+    """How an update is spread further."""
 
-    AT_ONCE = "at_once"
-    WHERE_THERE_IS_ROOM = "where_there_is_room"
-    NOT = "not"
+    URGENT = "urgent"
+    ORDINARY = "ordinary"
+    NONE = "none"
 
 
-class NodeBeliefs:
-    """What this node believes of the others and says of itself.
+class NodeStateTracker:
+    """The states of all nodes: stores those of the others and announces that of this node.
 
     Attributes
     ----------
+    health
+        The health score of this node.
     is_changed
-        Whether the nodes that may be asked have changed since this was last set to ``False``.
-    to_tell
-        Nodes that should hear what is said of them, so that they can refute it.
+        Whether the available or leaving nodes have changed since this was last set to ``False``.
+    pending_refutation_requests
+        Updates to be sent to the nodes that they are about, so that these can refute them.
     arrivals
-        How many nodes were first heard of or came back from the dead.
+        Number of times that a node was added, or returned after being dead, since this node
+        started.
     last_returned
-        The node that last came back after it had been dead for a while: perhaps a cut has healed.
+        The node that last came back after being dead for at least ``MIN_PARTITION_SECONDS``, which
+        may mean that a network partition has healed. ``None`` once a source for a list has been
+        chosen.
     """
 
     def __init__(
@@ -68,103 +73,114 @@
         self._own_incarnation = 0
         self.health = LocalHealth(settings.health_maximum)
         self.is_changed = True
-        self.to_tell: dict[NodeId, NodeUpdate] = {}
+        self.pending_refutation_requests: dict[NodeId, NodeUpdate] = {}
         self.arrivals = 0
         self.last_returned: NodeIdentity | None = None
 
     def own_update(self) -> NodeUpdate:
-        """Return what this node says of itself."""
+        """Return the update about this node."""
         return NodeUpdate(self._identity, self._own_state, self._own_incarnation)
 
     def announce(self) -> None:
-        """Spread what this node says of itself."""
+        """Spread the state of this node."""
         self._queue.put(self.own_update())
 
     def leave(self) -> None:
-        """Say from now on that this node is leaving."""
+        """Announce from now on that this node is leaving."""
         self._own_state = NodeState.LEAVING
         self._own_incarnation += 1
         self.is_changed = True
         self.announce()
 
     def refute(self, incarnation: int) -> None:
-        """Contradict whatever is said of this node at ``incarnation``."""
+        """Override any update about this node up to ``incarnation``."""
         self._own_incarnation = max(self._own_incarnation, incarnation) + 1
         self._outbox.count("membership_refutations_total")
         self.announce()
 
-    def refute_unheard(self) -> None:
-        """Contradict what may be said of this node and has not reached it."""
+    def refute_preemptively(self) -> None:
+        """Override updates about this node that may exist but have not been received."""
         self.refute(self._own_incarnation)
 
-    def available(self) -> MembershipChanged:
-        """Return the nodes that may be asked and those that are leaving."""
-        everyone = [(member.identity, member.state) for member in self._table.reachable()]
-        everyone.append((self._identity, self._own_state))
-        available = [identity for identity, state in everyone if state in _AVAILABLE]
-        leaving = [identity for identity, state in everyone if state is NodeState.LEAVING]
+    def current_membership(self) -> MembershipChanged:
+        """Return the event with the available nodes and the leaving ones, this node included."""
+        members = [(member.identity, member.state) for member in self._table.not_dead()]
+        members.append((self._identity, self._own_state))
+        available = [identity for identity, state in members if state in _AVAILABLE]
+        leaving = [identity for identity, state in members if state is NodeState.LEAVING]
         return MembershipChanged(
             tuple(sorted(available, key=_node_id)), tuple(sorted(leaving, key=_node_id))
         )
 
-    def hear_from(self, sender: NodeIdentity, now: float) -> None:
-        """Take note of a message that came from ``sender`` itself."""
+    def record_message_from(self, sender: NodeIdentity, now: float) -> None:
+        """Record a message from ``sender``.
+
+        An unknown sender is added; a dead one is requested to refute.
+        """
         member = self._table.get(sender.node_id)
         if member is None:
             self._replace_predecessor(sender, now)
             self._add(NodeUpdate(sender, NodeState.ALIVE, 0), now)
-        elif member.state is NodeState.DEAD and now - member.told_at >= TELL_PAUSE_SECONDS:
-            member.told_at = now
-            self.to_tell[sender.node_id] = member.as_update()
+        elif (
+            member.state is NodeState.DEAD
+            and now - member.refutation_requested_at >= MIN_REFUTATION_REQUEST_INTERVAL_SECONDS
+        ):
+            member.refutation_requested_at = now
+            self.pending_refutation_requests[sender.node_id] = member.as_update()
 
-    def answered(self, node_id: NodeId, now: float) -> None:
-        """Take note of an answer to a probe of ours."""
+    def record_answer(self, node_id: NodeId, now: float) -> None:
+        """Record that the node answered a probe of this node."""
         member = self._table.get(node_id)
         if member is not None:
             member.answered_at = now
 
-    def found_other_process(self, expected: NodeId, now: float) -> None:
-        """Take note that another process has the address of ``expected``: it is gone."""
+    def record_replaced_process(self, expected: NodeId, now: float) -> None:
+        """Declare ``expected`` dead, since another process uses its address."""
         member = self._table.get(expected)
         if member is not None and member.state is not NodeState.DEAD:
-            self._declare_dead(member, now, "its address has a new process")
+            self._declare_dead(member, now, "a new process uses its address")
 
-    def hear_gossip(self, update: NodeUpdate, now: float, haste: Haste = Haste.AT_ONCE) -> None:
-        """Take in one piece of gossip, and spread it if it is new."""
+    def apply_gossip(
+        self, update: NodeUpdate, now: float, spread_mode: SpreadMode = SpreadMode.URGENT
+    ) -> None:
+        """Apply a gossip update, and spread it if it is new."""
         if update.identity.node_id == self._identity.node_id:
-            self._hear_of_self(update)
+            self._handle_own_update(update)
             return
         member = self._table.get(update.identity.node_id)
         if member is None:
             if update.state is not NodeState.DEAD:
-                self._add(update, now, haste)
+                self._add(update, now, spread_mode)
         elif update.state is NodeState.SUSPECT and self._confirm(update):
             self._queue.put(update)
         elif overrides(update, member):
-            if update.state is NodeState.DEAD and self._speaks_against(member, now):
-                self._ask_subject(update)
+            if update.state is NodeState.DEAD and self._answered_recently(member, now):
+                self._request_refutation(update)
             else:
-                self._change(member, update, now, haste)
+                self._change(member, update, now, spread_mode)
 
-    def hear_listed(self, update: NodeUpdate, now: float, haste: Haste) -> None:
-        """Take in one entry of another node's whole list.
+    def apply_node_list_entry(
+        self, update: NodeUpdate, now: float, spread_mode: SpreadMode
+    ) -> None:
+        """Apply one entry of another node's whole list.
 
-        A list may be from behind a cut that has just healed. So the dead on it are not taken for
-        dead here; they are told, and refute if they live.
+        The list may come from the other side of a network partition that has just healed. So nodes
+        that it lists as dead are not declared dead; they are requested to refute, and do so if they
+        are alive.
         """
         member = self._table.get(update.identity.node_id)
         if update.state is not NodeState.DEAD or update.identity == self._identity:
-            self.hear_gossip(update, now, haste)
+            self.apply_gossip(update, now, spread_mode)
         elif member is not None and overrides(update, member):
-            self._ask_subject(update)
+            self._request_refutation(update)
 
     def suspect(self, node_id: NodeId, now: float) -> None:
-        """Take note that a probe of ours was not answered, directly or through others."""
+        """Record that a node answered neither a probe of this node nor the indirect probes."""
         member = self._table.get(node_id)
         if member is None or member.state is NodeState.DEAD:
             return
         if member.state is NodeState.LEAVING:
-            # It says itself that it goes; a suspicion would only hide that.
+            # A leaving node stays leaving; a suspect state would hide that.
             self._suspicions.setdefault(node_id, self._new_suspicion(now))
             return
         own_id = self._identity.node_id
@@ -177,12 +193,16 @@
             self._queue.put(update)
 
     def postpone_suspicions(self, seconds: float) -> None:
-        """Do not count time in which this node itself was paused."""
+        """Extend all suspicions by the time in which this node itself was paused."""
         for suspicion in self._suspicions.values():
             suspicion.postpone(seconds)
 
     def expire_suspicions(self, now: float) -> None:
-        """Declare those dead that have not refuted in time."""
+        """Declare the nodes dead whose suspicion has expired.
+
+        A node that has answered this node since its suspicion began is requested to refute, and
+        gets more time.
+        """
         for node_id, suspicion in list(self._suspicions.items()):
             if suspicion.expires_at > now:
                 continue
@@ -191,43 +211,49 @@
                 del self._suspicions[node_id]
             elif member.answered_at > suspicion.started_at:
                 suspicion.started_at = now
-                self.to_tell[node_id] = member.as_update()
+                self.pending_refutation_requests[node_id] = member.as_update()
             else:
-                self._declare_dead(member, now, "it did not refute")
+                self._declare_dead(member, now, "the suspicion was not refuted")
 
-    def _hear_of_self(self, update: NodeUpdate) -> None:
-        is_doubt = update.state in (NodeState.SUSPECT, NodeState.DEAD)
+    def _handle_own_update(self, update: NodeUpdate) -> None:
+        is_suspicion = update.state in (NodeState.SUSPECT, NodeState.DEAD)
         if update.incarnation > self._own_incarnation or (
-            is_doubt and update.incarnation == self._own_incarnation
+            is_suspicion and update.incarnation == self._own_incarnation
         ):
             self.health.worsen()
             self.refute(update.incarnation)
-        elif is_doubt and not self._queue.holds_node(self._identity.node_id):
-            # Refuted before, but not everybody has heard it: we may have been mute.
+        elif is_suspicion and not self._queue.has_update_about(self._identity.node_id):
+            # Already refuted, but some node has not received it: this node's messages may have been
+            # lost.
             self.announce()
 
     def _replace_predecessor(self, newcomer: NodeIdentity, now: float) -> None:
         predecessor = self._table.at_address(newcomer.host, newcomer.port)
         if predecessor is not None:
-            self.found_other_process(predecessor.identity.node_id, now)
+            self.record_replaced_process(predecessor.identity.node_id, now)
 
-    def _add(self, update: NodeUpdate, now: float, haste: Haste = Haste.AT_ONCE) -> None:
+    def _add(
+        self, update: NodeUpdate, now: float, spread_mode: SpreadMode = SpreadMode.URGENT
+    ) -> None:
         member = self._table.put(update, now)
         node_id = update.identity.node_id
         self._order.insert(node_id)
         self.arrivals += 1
-        self._spread(update, haste)
+        self._spread(update, spread_mode)
         self.is_changed = True
         self._outbox.log("node_joined", ("node", node_id), ("zone", update.identity.zone))
         if member.state is NodeState.SUSPECT:
             self._begin_suspicion(update, now)
 
-    def _spread(self, update: NodeUpdate, haste: Haste) -> None:
-        if haste is not Haste.NOT:
-            self._queue.put(update, urgent=haste is Haste.AT_ONCE)
+    def _spread(self, update: NodeUpdate, spread_mode: SpreadMode) -> None:
+        if spread_mode is not SpreadMode.NONE:
+            self._queue.put(update, urgent=spread_mode is SpreadMode.URGENT)
 
     def _confirm(self, update: NodeUpdate) -> bool:
-        """Count an independent suspicion; return whether it is news."""
+        """Count another reporter of a suspicion; return whether it is new.
+
+        Updates without a reporter, as in node lists, count together as one.
+        """
         member = self._table.get(update.identity.node_id)
         suspicion = self._suspicions.get(update.identity.node_id)
         if member is None or suspicion is None or member.state is not NodeState.SUSPECT:
@@ -236,17 +262,24 @@
             return False
         return suspicion.confirm(update.suspected_by)
 
-    def _speaks_against(self, member: Member, now: float) -> bool:
-        """Whether what we saw ourselves contradicts that ``member`` is dead."""
+    def _answered_recently(self, member: Member, now: float) -> bool:
+        """Whether a recent answer of ``member`` is evidence that it is not dead.
+
+        Never true for a leaving node.
+        """
         fresh = now - member.answered_at < self._settings.round_trip_fresh_seconds
         return fresh and member.state is not NodeState.LEAVING
 
-    def _ask_subject(self, update: NodeUpdate) -> None:
-        self.to_tell[update.identity.node_id] = update
+    def _request_refutation(self, update: NodeUpdate) -> None:
+        self.pending_refutation_requests[update.identity.node_id] = update
         self._order.prefer(update.identity.node_id)
 
     def _change(
-        self, member: Member, update: NodeUpdate, now: float, haste: Haste = Haste.AT_ONCE
+        self,
+        member: Member,
+        update: NodeUpdate,
+        now: float,
+        spread_mode: SpreadMode = SpreadMode.URGENT,
     ) -> None:
         before, dead_seconds = member.state, now - member.changed_at
         self._table.put(update, now)
@@ -255,11 +288,11 @@
             self._begin_suspicion(update, now)
         if before is NodeState.DEAD:
             self.arrivals += 1
-            if dead_seconds >= LONG_DEAD_SECONDS:
+            if dead_seconds >= MIN_PARTITION_SECONDS:
                 self.last_returned = update.identity
             self._outbox.log("node_returned", ("node", update.identity.node_id))
-        self.is_changed |= _kind(before) != _kind(update.state)
-        self._spread(update, haste)
+        self.is_changed |= _reported_state(before) != _reported_state(update.state)
+        self._spread(update, spread_mode)
 
     def _begin_suspicion(self, update: NodeUpdate, now: float) -> None:
         suspicion = self._new_suspicion(now)
@@ -279,8 +312,8 @@
         self._change(member, NodeUpdate(member.identity, NodeState.DEAD, member.incarnation), now)
 
 
-def _kind(state: NodeState) -> NodeState:
-    """Return the state as the other machines of the node tell them apart."""
+def _reported_state(state: NodeState) -> NodeState:
+    """Return the state as reported to the other machines, which treat suspect nodes as alive."""
     return NodeState.ALIVE if state is NodeState.SUSPECT else state
 
 
--- a/wingquay/membership/replica_evidence.py
+++ b/wingquay/membership/replica_evidence.py
@@ -1,22 +1,21 @@
-"""Which evidence about a replica is believed; pure policy, no state.
+"""Decides the state of a replica from the evidence about it; pure functions without stored state.
 
-Three sources speak of a replica. Our own exchanges are first-hand: answers, drain flags, refused
-connections. Gossip is what another node saw first-hand, seconds ago. The platform's machine list
-lags without a bound. The rule: what we saw ourselves within the last moments wins over one other
-source; two others together win over it; without fresh evidence of our own the newest word wins.
-See docs/design/membership.md.
+There are three sources of evidence. Own evidence comes from this node's requests to the replica:
+answers, drain flags, refused connections. Gossip is the state that was last spread, by another node
+or by this one. The platform's machine list may lag without bound. Fresh own evidence overrides one
+other source, but not both if neither says that the replica serves. Without fresh own evidence the
+newest source decides. See docs/design/membership.md.
 """
 
 from dataclasses import dataclass
 
 from ..ports.peer import ReplicaState
 
-REPLICA_LEAVING_BOUND_SECONDS = 3.0
-"""What the settings below must add up to.
+MAX_LEAVING_DETECTION_SECONDS = 3.0
+"""Maximum time from the first evidence that a replica is leaving until it gets no new requests.
 
-After this time from the first hint that a replica is leaving, no node sends it new work, unless
-the hint came from one lagging source and our own exchanges speak against it. It is no setting
-itself: nothing waits for it.
+It does not apply if the evidence came from one lagging source and own evidence contradicts it. It
+is not a setting; the settings below must be chosen to keep it.
 """
 
 
@@ -39,7 +38,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Evidence:
-    """What one source last said, and when we heard it (seconds)."""
+    """The last state from one source, and when this node received it (seconds)."""
 
     state: ReplicaState
     at: float
@@ -47,30 +46,30 @@
 
 @dataclass(frozen=True, slots=True)
 class ReplicaEvidence:
-    """Everything that speaks of one replica.
+    """All evidence about one replica; ``None`` for sources without any.
 
     Parameters
     ----------
     own
-        Our newest own evidence.
+        The newest own evidence.
     own_leaving_at
-        When our own exchanges last showed that it is leaving.
+        When own evidence last showed that the replica is leaving (seconds).
     own_serving_since
-        Since when our own evidence has said, without a break, that it serves.
+        Since when own evidence has continuously shown that the replica serves (seconds).
     gossip
-        What another node spread.
-    listed
-        What the machine list says.
+        The state that was last spread, by other nodes or this one.
+    machine_list
+        The state in the platform's machine list.
     """
 
     own: Evidence | None = None
     own_leaving_at: float = float("-inf")
     own_serving_since: float = float("inf")
     gossip: Evidence | None = None
-    listed: Evidence | None = None
+    machine_list: Evidence | None = None
 
     def with_own(self, state: ReplicaState, now: float) -> "ReplicaEvidence":
-        """Return the evidence with what we saw ourselves ``now``."""
+        """Return the evidence with ``state`` as observed by this node ``now``."""
         is_serving = state is ReplicaState.SERVING
         was_serving = self.own is not None and self.own.state is ReplicaState.SERVING
         since = self.own_serving_since if was_serving else now
@@ -79,69 +78,69 @@
             own_leaving_at=now if state is ReplicaState.LEAVING else self.own_leaving_at,
             own_serving_since=since if is_serving else float("inf"),
             gossip=self.gossip,
-            listed=self.listed,
+            machine_list=self.machine_list,
         )
 
     @property
-    def is_undisputed(self) -> bool:
-        """Whether every source that speaks says that it serves."""
-        sources = (self.own, self.gossip, self.listed)
-        return not any(_is_warning(source) for source in sources)
+    def no_source_denies_serving(self) -> bool:
+        """Whether no source says that the replica is leaving or gone."""
+        sources = (self.own, self.gossip, self.machine_list)
+        return not any(_is_not_serving(source) for source in sources)
 
 
-def believed_state(
+def effective_state(
     evidence: ReplicaEvidence, settings: ReplicaEvidenceSettings, now: float
 ) -> ReplicaState:
-    """Return what to believe of a replica ``now``."""
+    """Return the state of the replica ``now``, according to all evidence."""
     own = evidence.own
     if own is None or now - own.at > settings.own_fresh_seconds:
-        return _state_without_own_evidence(evidence)
+        return _state_without_fresh_own_evidence(evidence)
     if own.state is not ReplicaState.SERVING:
         return own.state
     if now - evidence.own_leaving_at < settings.return_seconds:
         return ReplicaState.LEAVING
-    gossip, listed = evidence.gossip, evidence.listed
-    if gossip is not None and _is_warning(gossip) and _is_warning(listed):
+    gossip, machine_list = evidence.gossip, evidence.machine_list
+    if gossip is not None and _is_not_serving(gossip) and _is_not_serving(machine_list):
         return gossip.state
     return ReplicaState.SERVING
 
 
-def _state_without_own_evidence(evidence: ReplicaEvidence) -> ReplicaState:
-    witnesses = [source for source in (evidence.own, evidence.gossip) if source is not None]
-    newest = max(witnesses, key=lambda source: source.at, default=None)
-    if newest is not None and _is_warning(newest):
+def _state_without_fresh_own_evidence(evidence: ReplicaEvidence) -> ReplicaState:
+    sources = [source for source in (evidence.own, evidence.gossip) if source is not None]
+    newest = max(sources, key=lambda source: source.at, default=None)
+    if newest is not None and _is_not_serving(newest):
         return newest.state
-    listed = evidence.listed
-    if listed is not None and (newest is None or listed.at > newest.at):
-        return listed.state
+    machine_list = evidence.machine_list
+    if machine_list is not None and (newest is None or machine_list.at > newest.at):
+        return machine_list.state
     return ReplicaState.SERVING
 
 
 def state_to_spread(
     evidence: ReplicaEvidence, settings: ReplicaEvidenceSettings, now: float
 ) -> ReplicaState | None:
-    """Return what other nodes should be told because what is spread is wrong, or ``None``.
+    """Return the state to spread to other nodes, or ``None`` if nothing needs to be corrected.
 
-    A warning of our own is spread at once. That a replica serves after all is spread only after
-    our own evidence has said so for a while since the warning, so that two nodes that see
-    different things do not contradict each other without end. The machine list is passed on only
-    where no node has spoken yet.
+    Own evidence that the replica does not serve is spread at once. A correction to serving is
+    spread only after this node has observed serving for ``return_seconds`` without a break, so that
+    two nodes with different evidence do not override each other endlessly. A leaving state from the
+    machine list is spread only if no node has spread any state yet.
     """
     own, spread = evidence.own, evidence.gossip
     spread_state = ReplicaState.SERVING if spread is None else spread.state
     if own is None or now - own.at > settings.own_fresh_seconds:
-        listed = evidence.listed
-        if listed is not None and _is_warning(listed) and spread is None:
-            return listed.state
+        machine_list = evidence.machine_list
+        if machine_list is not None and _is_not_serving(machine_list) and spread is None:
+            return machine_list.state
         return None
-    believed = believed_state(evidence, settings, now)
-    if _is_warning(own):
-        return None if believed is spread_state else believed
-    if spread is None or not _is_warning(spread):
+    effective = effective_state(evidence, settings, now)
+    if _is_not_serving(own):
+        return None if effective is spread_state else effective
+    if spread is None or not _is_not_serving(spread):
         return None
     disputed_since = max(spread.at, evidence.own_serving_since)
     return ReplicaState.SERVING if now - disputed_since >= settings.return_seconds else None
 
 
-def _is_warning(source: Evidence | None) -> bool:
+def _is_not_serving(source: Evidence | None) -> bool:
     return source is not None and source.state is not ReplicaState.SERVING
--- a/wingquay/membership/replica_table.py
+++ b/wingquay/membership/replica_table.py
@@ -1,4 +1,4 @@
-"""Beliefs about replicas: collects the evidence, decides, and says what to spread."""
+"""The states of replicas: collects the evidence, evaluates it, and returns what to spread."""
 
 from collections.abc import Iterable
 from dataclasses import dataclass, field, replace
@@ -13,77 +13,78 @@
     Evidence,
     ReplicaEvidence,
     ReplicaEvidenceSettings,
-    believed_state,
+    effective_state,
     state_to_spread,
 )
 
-_SEVERITIES = {ReplicaState.SERVING: 0, ReplicaState.LEAVING: 1, ReplicaState.GONE: 2}
+_PRECEDENCES = {ReplicaState.SERVING: 0, ReplicaState.LEAVING: 1, ReplicaState.GONE: 2}
 
 
-_UNTOLD: tuple[ReplicaState, HeldVersions | None] = (ReplicaState.SERVING, None)
-"""What the other machines take for granted of a replica that they were told nothing of."""
+_DEFAULT_STATE: tuple[ReplicaState, HeldVersions | None] = (ReplicaState.SERVING, None)
+"""The state and held versions that other machines assume for a replica without a notification."""
 
 
 @dataclass(slots=True)
 class _Record:
-    """One replica.
+    """The stored state of one replica.
 
     Parameters
     ----------
     version
-        Of the newest update that is spread; 0 if there has been none.
+        Version of the newest update that is spread; 0 if there is none.
     held
-        The versions that the replica holds, as we last saw, or heard if we saw nothing lately.
-    held_seen_at
-        When we last saw them ourselves (seconds).
-    told
-        What the node's other machines were last told.
+        The versions that the replica holds, as last observed by this node or, if it has not
+        observed any lately, as received by gossip.
+    held_observed_at
+        When this node last observed them itself (seconds).
+    last_notified
+        The state and held versions last sent to the other machines of this node.
     """
 
     evidence: ReplicaEvidence = field(default_factory=ReplicaEvidence)
     version: int = 0
     held: HeldVersions | None = None
-    held_seen_at: float = float("-inf")
-    told: tuple[ReplicaState, HeldVersions | None] = _UNTOLD
+    held_observed_at: float = float("-inf")
+    last_notified: tuple[ReplicaState, HeldVersions | None] = _DEFAULT_STATE
 
 
 @dataclass(frozen=True, slots=True)
-class ReplicaNews:
-    """What follows from new evidence.
+class ReplicaChanges:
+    """The consequences of new evidence.
 
     Parameters
     ----------
-    beliefs
+    state_changes
         For the other machines of this node.
     urgent_updates
-        To be spread at once: a state has changed.
+        To be spread at once, since a state has changed.
     other_updates
-        To be spread where there is room: held versions have changed.
+        To be spread with messages that have space left, since only held versions have changed.
     """
 
-    beliefs: list[ReplicaStateChanged] = field(default_factory=list)
+    state_changes: list[ReplicaStateChanged] = field(default_factory=list)
     urgent_updates: list[ReplicaUpdate] = field(default_factory=list)
     other_updates: list[ReplicaUpdate] = field(default_factory=list)
 
 
 class ReplicaTable:
-    """Every replica that anything was heard of."""
+    """Every replica about which there is evidence."""
 
     def __init__(self, settings: ReplicaEvidenceSettings) -> None:
         self._settings = settings
         self._records: dict[ReplicaId, _Record] = {}
         self._by_address: dict[tuple[str, int], ReplicaId] = {}
-        self._disputed: dict[ReplicaId, None] = {}
+        self._to_reevaluate: dict[ReplicaId, None] = {}
 
     def is_replica_address(self, host: str, port: int) -> bool:
-        """Whether the configuration has a replica there."""
+        """Whether the configuration has a replica at that address."""
         return (host, port) in self._by_address
 
-    def configure(self, configuration: Configuration) -> ReplicaNews:
-        """Learn the replicas' addresses; forget replicas that are not configured any more.
+    def configure(self, configuration: Configuration) -> ReplicaChanges:
+        """Use the replicas and addresses of ``configuration``; drop replicas that are not in it.
 
-        What was heard of a replica before it was configured here meant nothing to the other
-        machines of this node, so they are told again whatever they would not take for granted.
+        The other machines of this node ignore notifications about unconfigured replicas. So they
+        are notified again of every replica whose state is not the default.
         """
         replicas = [
             replica
@@ -97,33 +98,33 @@
         configured = {replica.replica_id for replica in replicas}
         for replica_id in [key for key in self._records if key not in configured]:
             del self._records[replica_id]
-            self._disputed.pop(replica_id, None)
-        return ReplicaNews(
-            beliefs=[
-                ReplicaStateChanged(replica_id, *record.told)
+            self._to_reevaluate.pop(replica_id, None)
+        return ReplicaChanges(
+            state_changes=[
+                ReplicaStateChanged(replica_id, *record.last_notified)
                 for replica_id, record in self._records.items()
-                if record.told != _UNTOLD
+                if record.last_notified != _DEFAULT_STATE
             ]
         )
 
-    def observe(self, event: ReplicaObserved, now: float) -> ReplicaNews:
-        """Take in our own evidence."""
+    def observe(self, event: ReplicaObserved, now: float) -> ReplicaChanges:
+        """Record own evidence."""
         record = self._record(event.replica_id)
         if event.state is not None:
             record.evidence = record.evidence.with_own(event.state, now)
-        news = self._conclude(event.replica_id, record, now)
+        changes = self._evaluate(event.replica_id, record, now)
         if event.held is None:
-            return news
-        record.held_seen_at = now
+            return changes
+        record.held_observed_at = now
         if event.held != record.held:
             record.held = event.held
-            self._tell(event.replica_id, record, now, news)
-            if not news.urgent_updates:
-                news.other_updates.append(self._next_update(event.replica_id, record))
-        return news
+            self._add_state_change(event.replica_id, record, now, changes)
+            if not changes.urgent_updates:
+                changes.other_updates.append(self._next_update(event.replica_id, record))
+        return changes
 
-    def hear(self, update: ReplicaUpdate, now: float) -> ReplicaNews | None:
-        """Take in gossip; ``None`` if it is not new."""
+    def apply_gossip(self, update: ReplicaUpdate, now: float) -> ReplicaChanges | None:
+        """Record a gossip update; return ``None`` if it is not new."""
         record = self._record(update.replica_id)
         if not self._overrides(update, record):
             return None
@@ -131,16 +132,16 @@
         record.version = update.version
         if state_changed or record.evidence.gossip is None:
             record.evidence = replace(record.evidence, gossip=Evidence(update.state, now))
-        if update.held is not None and not self._saw_held_lately(record, now):
+        if update.held is not None and not self._observed_held_recently(record, now):
             record.held = update.held
-        news = self._conclude(update.replica_id, record, now)
-        relayed = news.urgent_updates if state_changed else news.other_updates
-        relayed.insert(0, update)
-        return news
-
-    def read_list(self, entries: Iterable[MachineEntry], now: float) -> ReplicaNews:
-        """Take in the machine list; a replica that it does not name is not spoken of."""
-        news = ReplicaNews()
+        changes = self._evaluate(update.replica_id, record, now)
+        updates = changes.urgent_updates if state_changed else changes.other_updates
+        updates.insert(0, update)
+        return changes
+
+    def apply_machine_list(self, entries: Iterable[MachineEntry], now: float) -> ReplicaChanges:
+        """Record the machine list; a replica that is not in it keeps its evidence."""
+        changes = ReplicaChanges()
         for entry in entries:
             replica_id = self._by_address.get((entry.host, entry.port))
             if replica_id is None:
@@ -150,20 +151,20 @@
             if record is None and not is_leaving:
                 continue
             record = self._record(replica_id)
-            listed = Evidence(ReplicaState.LEAVING, now) if is_leaving else None
-            record.evidence = replace(record.evidence, listed=listed)
-            self._conclude(replica_id, record, now, news)
-        return news
-
-    def tick(self, now: float) -> ReplicaNews:
-        """Decide anew where sources disagree, since evidence ages."""
-        news = ReplicaNews()
-        for replica_id in list(self._disputed):
-            self._conclude(replica_id, self._records[replica_id], now, news)
-        return news
-
-    def warnings(self) -> list[ReplicaUpdate]:
-        """Return what is spread of replicas that do not serve, for a whole node list."""
+            machine_list = Evidence(ReplicaState.LEAVING, now) if is_leaving else None
+            record.evidence = replace(record.evidence, machine_list=machine_list)
+            self._evaluate(replica_id, record, now, changes)
+        return changes
+
+    def tick(self, now: float) -> ReplicaChanges:
+        """Evaluate again the replicas that any source denies to serve, since evidence ages."""
+        changes = ReplicaChanges()
+        for replica_id in list(self._to_reevaluate):
+            self._evaluate(replica_id, self._records[replica_id], now, changes)
+        return changes
+
+    def not_serving_updates(self) -> list[ReplicaUpdate]:
+        """Return the updates about replicas that do not serve, for a whole node list."""
         return [
             ReplicaUpdate(replica_id, self._spread_state(record), record.version, record.held)
             for replica_id, record in self._records.items()
@@ -176,41 +177,46 @@
     def _overrides(self, update: ReplicaUpdate, record: _Record) -> bool:
         if update.version != record.version:
             return update.version > record.version
-        return _SEVERITIES[update.state] > _SEVERITIES[self._spread_state(record)]
+        return _PRECEDENCES[update.state] > _PRECEDENCES[self._spread_state(record)]
 
-    def _saw_held_lately(self, record: _Record, now: float) -> bool:
-        return now - record.held_seen_at <= self._settings.own_fresh_seconds
+    def _observed_held_recently(self, record: _Record, now: float) -> bool:
+        return now - record.held_observed_at <= self._settings.own_fresh_seconds
 
     def _spread_state(self, record: _Record) -> ReplicaState:
         gossip = record.evidence.gossip
         return ReplicaState.SERVING if gossip is None else gossip.state
 
-    def _conclude(
+    def _evaluate(
         self,
         replica_id: ReplicaId,
         record: _Record,
         now: float,
-        news: ReplicaNews | None = None,
-    ) -> ReplicaNews:
-        news = ReplicaNews() if news is None else news
+        changes: ReplicaChanges | None = None,
+    ) -> ReplicaChanges:
+        changes = ReplicaChanges() if changes is None else changes
         spread = state_to_spread(record.evidence, self._settings, now)
         if spread is not None:
             record.evidence = replace(record.evidence, gossip=Evidence(spread, now))
-            news.urgent_updates.append(self._next_update(replica_id, record))
-        self._tell(replica_id, record, now, news)
-        if record.evidence.is_undisputed and record.told[0] is ReplicaState.SERVING:
-            self._disputed.pop(replica_id, None)
+            changes.urgent_updates.append(self._next_update(replica_id, record))
+        self._add_state_change(replica_id, record, now, changes)
+        if (
+            record.evidence.no_source_denies_serving
+            and record.last_notified[0] is ReplicaState.SERVING
+        ):
+            self._to_reevaluate.pop(replica_id, None)
         else:
-            self._disputed[replica_id] = None
-        return news
+            self._to_reevaluate[replica_id] = None
+        return changes
 
     def _next_update(self, replica_id: ReplicaId, record: _Record) -> ReplicaUpdate:
         record.version += 1
         state = self._spread_state(record)
         return ReplicaUpdate(replica_id, state, record.version, record.held)
 
-    def _tell(self, replica_id: ReplicaId, record: _Record, now: float, news: ReplicaNews) -> None:
-        belief = (believed_state(record.evidence, self._settings, now), record.held)
-        if belief != record.told:
-            record.told = belief
-            news.beliefs.append(ReplicaStateChanged(replica_id, *belief))
+    def _add_state_change(
+        self, replica_id: ReplicaId, record: _Record, now: float, changes: ReplicaChanges
+    ) -> None:
+        current = (effective_state(record.evidence, self._settings, now), record.held)
+        if current != record.last_notified:
+            record.last_notified = current
+            changes.state_changes.append(ReplicaStateChanged(replica_id, *current))
