--- a/benchmarks/waiting_ways.py
+++ b/benchmarks/waiting_ways.py
@@ -11,7 +11,7 @@
 from dataclasses import dataclass, field
 
 from tests.forwarding.one_node import OneNode, replica, single_route, table
-from wingquay.forwarding.sending.waiting_settings import LinePlace, WaitingRule, WaitingSettings
+from wingquay.forwarding.sending.waiting_settings import QueueLocation, WaitingRule, WaitingSettings
 from wingquay.ports.forwarding import (
     ForwardFailureKind,
     ReplyFailure,
@@ -170,7 +170,7 @@
     print("|---|---|---|---|---|---|---|")
     for load in LOADS:
         for rule in WaitingRule:
-            for place in LinePlace:
+            for place in QueueLocation:
                 plays = [Play(load, WaitingSettings(rule, place), seed) for seed in range(seeds)]
                 for play in plays:
                     play.run()
--- a/tests/forwarding/choice/test_completion.py
+++ b/tests/forwarding/choice/test_completion.py
@@ -3,16 +3,20 @@
 from testtools import TestCase
 
 from tests.forwarding.one_node import replica
-from wingquay.forwarding.choice.completion import Prospect, Task, expected_seconds
+from wingquay.forwarding.choice.completion import (
+    LatencyTarget,
+    ReplicaEstimate,
+    completion_cost_seconds,
+)
 from wingquay.forwarding.choice.replica_state import ReplicaState
 from wingquay.ports.forwarding import ReportedLoad
 
-TASK = Task(objective_seconds=0.133, usual_seconds=0.012)
+TASK = LatencyTarget(objective_seconds=0.133, typical_seconds=0.012)
 NOW = 100.0
 
 
 def seconds(
-    task: Task = TASK,
+    target: LatencyTarget = TASK,
     pace: float = 1.0,
     ahead: float = 0.0,
     slots: int = 2,
@@ -21,8 +25,8 @@
     is_far: bool = False,
     is_unproven: bool = False,
 ) -> float:
-    prospect = Prospect(pace, ahead, slots, trouble, is_overdue, is_far, is_unproven)
-    return expected_seconds(task, prospect, is_owned=True)
+    estimate = ReplicaEstimate(pace, ahead, slots, trouble, is_overdue, is_far, is_unproven)
+    return completion_cost_seconds(target, estimate, is_owned=True)
 
 
 class ExpectedTest(TestCase):
@@ -35,7 +39,7 @@
         self.assertGreater(seconds(ahead=12.0), seconds(is_far=True))
 
     def test_the_same_pace_matters_more_where_the_objective_is_short(self) -> None:
-        short = Task(objective_seconds=0.03, usual_seconds=0.012)
+        short = LatencyTarget(objective_seconds=0.03, typical_seconds=0.012)
         self.assertGreater(seconds(short, pace=2.5), seconds(short, is_far=True))
 
     def test_one_that_loses_answers_goes_behind_a_far_one_that_does_not(self) -> None:
@@ -54,7 +58,7 @@
         self.assertGreater(seconds(is_unproven=True), seconds(pace=1.4))
 
     def test_before_anything_is_known_of_the_route_all_of_it_still_orders(self) -> None:
-        unknown = Task(objective_seconds=0.133)
+        unknown = LatencyTarget(objective_seconds=0.133)
         self.assertLess(seconds(unknown), seconds(unknown, is_far=True))
         self.assertLess(seconds(unknown, is_far=True), seconds(unknown, is_overdue=True))
 
@@ -70,15 +74,15 @@
         return state
 
     def test_one_slow_answer_of_a_replica_that_works_as_usual_counts_as_a_pause(self) -> None:
-        self.assertLess(self.answered(1.0).slowness(NOW), 2.0)
-        self.assertGreater(self.answered(2.5).slowness(NOW), 4.0)
-        self.assertGreater(self.answered(None).slowness(NOW), 4.0)
+        self.assertLess(self.answered(1.0).slowdown(NOW), 2.0)
+        self.assertGreater(self.answered(2.5).slowdown(NOW), 4.0)
+        self.assertGreater(self.answered(None).slowdown(NOW), 4.0)
 
     def test_a_second_one_in_a_row_counts_whatever_it_says(self) -> None:
-        self.assertGreater(self.answered(1.0, times=2).slowness(NOW + 1.0), 4.0)
+        self.assertGreater(self.answered(1.0, times=2).slowdown(NOW + 1.0), 4.0)
 
     def test_what_it_said_earlier_explains_no_attempt_that_was_ended(self) -> None:
         state = ReplicaState(replica("r", "s"), 0.0)
         state.on_answer(ReportedLoad(0, 0, 2, 1.0), NOW)
         state.on_latency(9.0, NOW, NOW + 0.25)
-        self.assertGreater(state.slowness(NOW + 0.25), 4.0)
+        self.assertGreater(state.slowdown(NOW + 0.25), 4.0)
--- a/tests/forwarding/choice/test_lost_answers.py
+++ b/tests/forwarding/choice/test_lost_answers.py
@@ -7,7 +7,7 @@
 from tests.forwarding.choice.replayed_nodes import ReplayedLoad, replayed_route
 from tests.forwarding.choice.replayed_replicas import ReplayedReplica, VirtualClock, Work
 from tests.forwarding.one_node import replica, table
-from wingquay.forwarding.choice.replica_state import BREAKS, ReplicaState
+from wingquay.forwarding.choice.replica_state import MIN_BROKEN_CONNECTIONS, ReplicaState
 from wingquay.forwarding.settings import ForwardingSettings
 from wingquay.ports.forwarding import ReplyFailure
 
@@ -113,19 +113,22 @@
     def test_a_replica_whose_connections_break_now_and_then_is_not_left_out(self) -> None:
         state = ReplicaState(replica("r", "s"), 0.0)
         settings = ForwardingSettings(zone="a")
-        for _ in range(BREAKS - 1):
-            self.assertEqual(0.0, state.on_failure(settings, False, 1.0))
+        for _ in range(MIN_BROKEN_CONNECTIONS - 1):
+            self.assertEqual(0.0, state.on_connection_failure(settings, False, 1.0))
         self.assertFalse(state.is_blocked(settings, 1.0))
 
     def test_one_that_answers_nothing_is_left_out_longer_each_time(self) -> None:
         state = ReplicaState(replica("r", "s"), 0.0)
         settings = ForwardingSettings(zone="a")
-        times = [state.on_failure(settings, False, 1.0) for _ in range(BREAKS + 2)]
-        self.assertEqual([0.3, 0.6, 1.2], times[BREAKS - 1 :])
+        times = [
+            state.on_connection_failure(settings, False, 1.0)
+            for _ in range(MIN_BROKEN_CONNECTIONS + 2)
+        ]
+        self.assertEqual([0.3, 0.6, 1.2], times[MIN_BROKEN_CONNECTIONS - 1 :])
 
     def test_one_that_is_out_of_reach_is_left_out_at_once(self) -> None:
         state = ReplicaState(replica("r", "s"), 0.0)
-        self.assertEqual(0.3, state.on_failure(ForwardingSettings(zone="a"), True, 1.0))
+        self.assertEqual(0.3, state.on_connection_failure(ForwardingSettings(zone="a"), True, 1.0))
 
 
 class ReplayTest(TestCase):
--- a/tests/forwarding/test_arrival_budget.py
+++ b/tests/forwarding/test_arrival_budget.py
@@ -4,7 +4,7 @@
 
 from wingquay.forwarding.sending.extra_request_budget import (
     OWNERS_RESERVE,
-    STEP_IN_PACE,
+    TAKEOVER_REFILL_SHARE,
     ExtraRequestBudget,
 )
 
@@ -25,7 +25,7 @@
 def most_of_all(slack: float, nodes: int, owners: int) -> int:
     """Return what all nodes get at once if every one of them takes all it can."""
     owned = most_in_a_window(slack, owners * OWNERS_RESERVE, 1.0)
-    stepped_in = most_in_a_window(slack, nodes, STEP_IN_PACE)
+    stepped_in = most_in_a_window(slack, nodes, TAKEOVER_REFILL_SHARE)
     return owners * owned + (nodes - owners) * stepped_in
 
 
@@ -40,6 +40,6 @@
 
     def test_one_that_steps_in_now_and_then_finds_an_arrival(self) -> None:
         budget = ExtraRequestBudget(0.18, 180.0, WINDOW_SECONDS)
-        self.assertTrue(budget.spend(70, 0.0, STEP_IN_PACE))
-        self.assertFalse(budget.spend(70, 1.0, STEP_IN_PACE))
-        self.assertTrue(budget.spend(70, 60.0, STEP_IN_PACE))
+        self.assertTrue(budget.spend(70, 0.0, TAKEOVER_REFILL_SHARE))
+        self.assertFalse(budget.spend(70, 1.0, TAKEOVER_REFILL_SHARE))
+        self.assertTrue(budget.spend(70, 60.0, TAKEOVER_REFILL_SHARE))
--- a/tests/forwarding/test_cold_share.py
+++ b/tests/forwarding/test_cold_share.py
@@ -7,7 +7,7 @@
 from tests.forwarding.one_node import OneNode, replica, single_route, table
 from wingquay.forwarding.choice.replica_state import ReplicaState
 from wingquay.forwarding.knowledge.presence import NodeCount
-from wingquay.forwarding.sending.cold_share import ColdShare
+from wingquay.forwarding.sending.cold_quota import ColdQuota
 from wingquay.forwarding.settings import ForwardingSettings
 from wingquay.model.routing_table import RoutingTable
 from wingquay.ports.forwarding import SendToReplica
@@ -24,13 +24,13 @@
         self.nodes = NodeCount(SETTINGS)
         for other in known:
             self.nodes.put(other)
-        self.share = ColdShare(OVERAGE, SLACK, self.nodes, name)
+        self.share = ColdQuota(OVERAGE, SLACK, self.nodes, name)
         self.replica = ReplicaState(replica("r", "s", cold_seconds=60.0), 0.0)
 
     def send(self, per_second: float, now: float) -> int:
         sent = 0
         while self.share.may_send(self.replica, per_second, self.nodes.get(now), now):
-            self.replica.on_sent_cold(now)
+            self.replica.on_cold_send(now)
             sent += 1
         return sent
 
--- a/tests/forwarding/test_extra_turns.py
+++ b/tests/forwarding/test_extra_turns.py
@@ -8,7 +8,10 @@
 from wingquay.forwarding.choice.replica_directory import ReplicaDirectory
 from wingquay.forwarding.exchange import Exchange, ServiceCall
 from wingquay.forwarding.knowledge.presence import NodeCount
-from wingquay.forwarding.sending.extra_turns import WANT_SECONDS, ExtraTurns
+from wingquay.forwarding.sending.extra_request_fairness import (
+    REFUSAL_MEMORY_SECONDS,
+    ExtraRequestFairness,
+)
 from wingquay.forwarding.sending.sending_quotas import SendingQuotas
 from wingquay.forwarding.sending.waiting_settings import DEFAULT_WAITING
 from wingquay.forwarding.settings import ForwardingSettings
@@ -18,19 +21,19 @@
 
 class TurnsTest(TestCase):
     def test_the_next_one_is_kept_for_who_had_the_fewest_and_wants_one(self) -> None:
-        turns = ExtraTurns()
-        found = {"nobody wants one": turns.is_turn_of("hot", 0.0)}
+        turns = ExtraRequestFairness()
+        found = {"nobody wants one": turns.may_take("hot", 0.0)}
         for _ in range(3):
-            turns.took("hot", 0.0)
-        found["hot had three, calm wants none"] = turns.is_turn_of("hot", 0.1)
-        turns.wanted("hot", 0.1)
-        turns.wanted("calm", 0.1)
-        found["hot, calm wants one"] = turns.is_turn_of("hot", 0.2)
-        found["calm"] = turns.is_turn_of("calm", 0.2)
-        found["calm's request is over"] = turns.is_turn_of("hot", 0.1 + WANT_SECONDS)
-        turns.wanted("calm", 1.0)
-        turns.took("calm", 1.1)
-        found["calm has had it"] = turns.is_turn_of("hot", 1.2)
+            turns.on_taken("hot", 0.0)
+        found["hot had three, calm wants none"] = turns.may_take("hot", 0.1)
+        turns.on_refused("hot", 0.1)
+        turns.on_refused("calm", 0.1)
+        found["hot, calm wants one"] = turns.may_take("hot", 0.2)
+        found["calm"] = turns.may_take("calm", 0.2)
+        found["calm's request is over"] = turns.may_take("hot", 0.1 + REFUSAL_MEMORY_SECONDS)
+        turns.on_refused("calm", 1.0)
+        turns.on_taken("calm", 1.1)
+        found["calm has had it"] = turns.may_take("hot", 1.2)
         expected = {
             "nobody wants one": True,
             "hot had three, calm wants none": True,
@@ -42,10 +45,10 @@
         self.assertEqual(expected, found)
 
     def test_many_tenants_are_not_remembered_for_ever(self) -> None:
-        turns = ExtraTurns()
+        turns = ExtraRequestFairness()
         for number in range(1000):
-            turns.took(f"tenant{number}", 0.0)
-            turns.wanted(f"other{number}", 0.0)
+            turns.on_taken(f"tenant{number}", 0.0)
+            turns.on_refused(f"other{number}", 0.0)
         self.assertLess(len(turns._had) + len(turns._wanted_at), 200)
 
 
@@ -75,10 +78,10 @@
     def test_the_second_one_goes_to_the_tenant_that_had_none(self) -> None:
         hot, calm = self.call(Tenant("hot", ("1",))), self.call(Tenant("calm", ("2",)))
         moments = ((hot, 0.0), (calm, 0.8), (hot, 1.0), (calm, 1.05), (hot, 2.1))
-        granted = [self.shares.may_arrive_again(call, now) for call, now in moments]
+        granted = [self.shares.take_extra_request(call, now) for call, now in moments]
         self.assertEqual([True, False, False, True, True], granted)
 
     def test_callers_that_are_not_told_apart_take_what_there_is(self) -> None:
         call = self.call(None)
-        granted = [self.shares.may_arrive_again(call, now) for now in (0.0, 0.8, 1.0)]
+        granted = [self.shares.take_extra_request(call, now) for now in (0.0, 0.8, 1.0)]
         self.assertEqual([True, False, True], granted)
--- a/tests/forwarding/test_line_order.py
+++ b/tests/forwarding/test_line_order.py
@@ -5,14 +5,14 @@
 from tests.forwarding.known_callers import with_tenants
 from tests.forwarding.one_node import OneNode, replica, single_route, table
 from tests.forwarding.played_service import PlayedService
-from wingquay.forwarding.sending.waiting_settings import LinePlace, WaitingRule, WaitingSettings
+from wingquay.forwarding.sending.waiting_settings import QueueLocation, WaitingRule, WaitingSettings
 from wingquay.model.tenants import Tenant
 from wingquay.ports.forwarding import ReportedLoad
 from wingquay.ports.machine import Count, Observe
 
 OBJECTIVE_SECONDS = 1.05
 HOT, CALM = Tenant("hot", ("hot-key",)), Tenant("calm", ("calm-key",))
-WAYS = {place.value: WaitingSettings(WaitingRule.ESTIMATE, place) for place in LinePlace}
+WAYS = {place.value: WaitingSettings(WaitingRule.ESTIMATE, place) for place in QueueLocation}
 
 
 def service(
--- a/tests/forwarding/test_line_properties.py
+++ b/tests/forwarding/test_line_properties.py
@@ -7,7 +7,7 @@
 from testtools import TestCase
 
 from tests.forwarding.one_node import OneNode, replica, single_route, table
-from wingquay.forwarding.sending.waiting_settings import LinePlace, WaitingRule, WaitingSettings
+from wingquay.forwarding.sending.waiting_settings import QueueLocation, WaitingRule, WaitingSettings
 from wingquay.ports.forwarding import (
     ForwardFailureKind,
     ReplyFailure,
@@ -32,7 +32,7 @@
     """One node, two replicas of one slot, and what they and its callers saw."""
 
     def __init__(self) -> None:
-        in_force = WaitingSettings(WaitingRule.ESTIMATE, LinePlace.NODE)
+        in_force = WaitingSettings(WaitingRule.ESTIMATE, QueueLocation.NODE)
         self.node = OneNode(waiting=in_force, min_nodes=1)
         objective = {"objective_seconds": 0.5, "timeout_seconds": DEADLINE_SECONDS}
         routes = (
--- a/tests/forwarding/test_replica_lives.py
+++ b/tests/forwarding/test_replica_lives.py
@@ -238,17 +238,17 @@
             node.advance(0.3)
             node.answer(node.sends[0], 500)
         old = node.machine._directory.get("r0")
-        self.assertTrue(old.trouble(node.now) > 0.0)
-        self.assertEqual(4, old.sent_since(node.now - 2.0))
+        self.assertTrue(old.failure_rate(node.now) > 0.0)
+        self.assertEqual(4, old.cold_sends_since(node.now - 2.0))
         node.change(replica("r0", "s", born=BORN + 1, cold_seconds=60.0))
         new = node.machine._directory.get("r0")
         self.assertTrue(new.is_unused)
         self.assertEqual(
             (0.0, 1.0, 0, 0, True),
             (
-                new.trouble(node.now),
-                new.slowness(node.now),
-                new.sent_since(0.0),
+                new.failure_rate(node.now),
+                new.slowdown(node.now),
+                new.cold_sends_since(0.0),
                 new.failures_in_row,
                 new.is_cold(node.now),
             ),
@@ -258,7 +258,7 @@
         node = started()
         node.request()
         node.fail(node.sends[0], SendFailureKind.NOT_SENT)
-        self.assertTrue(node.machine._directory.get("r0").is_out_of_reach)
+        self.assertTrue(node.machine._directory.get("r0").is_unreachable)
         node.change(NEW)
         node.request()
         self.assertEqual([NEW], [send.replica for send in node.sends[-1:]])
@@ -269,9 +269,9 @@
         node.fail(node.sends[0], SendFailureKind.NOT_SENT)
         node.change(NEW)
         node.emit(ConnectionTried(OLD.life, "refused", is_refused=True))
-        self.assertFalse(node.machine._directory.get("r0").is_out_of_reach)
+        self.assertFalse(node.machine._directory.get("r0").is_unreachable)
         node.emit(ConnectionTried(NEW.life, "refused", is_refused=True))
-        self.assertTrue(node.machine._directory.get("r0").is_out_of_reach)
+        self.assertTrue(node.machine._directory.get("r0").is_unreachable)
 
     def test_the_trial_that_was_due_for_the_life_before_is_not_made(self) -> None:
         node = started()
--- a/tests/forwarding/test_replica_trials.py
+++ b/tests/forwarding/test_replica_trials.py
@@ -12,8 +12,8 @@
 SLOW_SECONDS = 0.09
 
 
-def state(slow_in_row: int) -> ReplicaState:
-    return ReplicaState(replica("r", "s"), 0.0, slow_in_row=slow_in_row)
+def state(slow_streak: int) -> ReplicaState:
+    return ReplicaState(replica("r", "s"), 0.0, slow_streak=slow_streak)
 
 
 class SlowInRowTest(TestCase):
@@ -21,37 +21,37 @@
         replica_state = state(0)
         for _ in range(3):
             replica_state.on_latency(6.0, sent_at=10.0, now=10.2)
-        self.assertEqual(1, replica_state.slow_in_row)
+        self.assertEqual(1, replica_state.slow_streak)
 
     def test_a_slow_trial_counts_and_a_usual_one_ends_the_row(self) -> None:
         replica_state = state(0)
         replica_state.on_latency(6.0, sent_at=10.0, now=10.2)
         replica_state.on_latency(6.0, sent_at=13.0, now=13.2)
-        self.assertEqual(2, replica_state.slow_in_row)
+        self.assertEqual(2, replica_state.slow_streak)
         replica_state.on_latency(1.1, sent_at=15.0, now=15.1)
-        self.assertEqual(0, replica_state.slow_in_row)
+        self.assertEqual(0, replica_state.slow_streak)
 
 
 class SpacingTest(TestCase):
     def test_trials_are_spaced(self) -> None:
         trials = ReplicaTrials(ForwardingSettings(zone="a"))
-        for slow_in_row, spacing_seconds in ((1, 0.1), (2, 1.0), (7, 1.0)):
-            start = 100.0 * slow_in_row
-            first, second = state(slow_in_row), state(slow_in_row)
+        for slow_streak, spacing_seconds in ((1, 0.1), (2, 1.0), (7, 1.0)):
+            start = 100.0 * slow_streak
+            first, second = state(slow_streak), state(slow_streak)
             self.assertTrue(trials.is_allowed(first, start))
-            trials.chosen(first, start)
+            trials.on_chosen(first, start)
             self.assertFalse(trials.is_allowed(second, start + spacing_seconds - 0.01))
             self.assertTrue(trials.is_allowed(second, start + spacing_seconds + 0.01))
 
     def test_usual_replicas_are_not_spaced(self) -> None:
         trials = ReplicaTrials(ForwardingSettings(zone="a"))
-        trials.chosen(state(2), 1.0)
+        trials.on_chosen(state(2), 1.0)
         self.assertTrue(trials.is_allowed(state(0), 1.0))
 
     def test_a_slow_replica_that_is_asked_for_want_of_another_is_no_trial(self) -> None:
         trials = ReplicaTrials(ForwardingSettings(zone="a"))
-        trials.chosen(state(2), 1.0)
-        trials.chosen(state(2), 1.5)
+        trials.on_chosen(state(2), 1.0)
+        trials.on_chosen(state(2), 1.5)
         self.assertTrue(trials.is_allowed(state(2), 2.01))
 
 
--- a/tests/forwarding/test_waiting_loads.py
+++ b/tests/forwarding/test_waiting_loads.py
@@ -3,7 +3,7 @@
 from testtools import TestCase
 
 from tests.forwarding.one_node import OneNode, replica, single_route, table
-from wingquay.forwarding.sending.waiting_settings import LinePlace, WaitingRule, WaitingSettings
+from wingquay.forwarding.sending.waiting_settings import QueueLocation, WaitingRule, WaitingSettings
 from wingquay.model.routing_table import Route
 from wingquay.ports.forwarding import (
     ForwardFailureKind,
@@ -16,7 +16,7 @@
 DEADLINE_SECONDS = 8.0
 AT_ONCE_SECONDS = 0.02
 NODES = 70
-IN_FORCE = WaitingSettings(WaitingRule.ESTIMATE, LinePlace.NODE)
+IN_FORCE = WaitingSettings(WaitingRule.ESTIMATE, QueueLocation.NODE)
 
 
 def check_route(prefix: str = "/one/", **fields: object) -> Route:
--- a/tests/routing/test_fair_line.py
+++ b/tests/routing/test_fair_line.py
@@ -133,7 +133,7 @@
             line.push(item)
         first = line.pop(lambda _: True, 0.0)
         left = [item for item in items if item is not first]
-        ahead = [line.ahead_of(item, 0.0) for item in left]
+        ahead = [line.queued_before(item, 0.0) for item in left]
         served_before = [
             sum(
                 other.rank < item.rank
@@ -159,5 +159,5 @@
             line.push(item)
         for item in (*items, newcomer):
             self.assertEqual(
-                line.ahead_of(item, 0.0, lambda _: True), line.ahead_of(item, 0.0), item
+                line.queued_before(item, 0.0, lambda _: True), line.queued_before(item, 0.0), item
             )
--- a/wingquay/forwarding/choice/completion.py
+++ b/wingquay/forwarding/choice/completion.py
@@ -8,28 +8,28 @@
 
 from ...model.value import value
 
-UNKNOWN_WORK_SHARE = 0.1
+DEFAULT_TYPICAL_SHARE = 0.1
 """Usual time as a part of the objective while nothing is known of the route: objectives are some
 three to twelve usual times."""
-FAR_SHARE = 0.2
+OTHER_ZONE_SHARE = 0.2
 """Part of the objective that a replica of another zone must be faster by. Two such delays in a row
 leave a caller time for a second attempt."""
-OWNED_FAR_SHARE = 0.35
+OWNED_OTHER_ZONE_SHARE = 0.35
 """The same for an owner of the shard."""
-TROUBLE_SHARE = 3.0
+FAILURE_SHARE = 3.0
 """Part of the objective that an attempt costs that brings nothing: its shard is lost to the answer
 whenever the second attempt fails, too."""
 OVERDUE_SHARE = 0.5
 """Part of the objective that is lost, at least, at a replica that has not answered in time."""
 UNPROVEN_SHARE = 0.05
 """Part of the objective that a proven replica may be slower by, where a request runs once only."""
-SPREAD_SHARE = 0.5
+IN_FLIGHT_SLOWDOWN_SHARE = 0.5
 """Part of its work by which a replica counts as slower for each slot in use, of all slots: what
 other nodes have sent meanwhile is not known yet."""
 
 
 @value
-class Task:
+class LatencyTarget:
     """What of a request matters to the choice of its replica.
 
     Parameters
@@ -41,11 +41,11 @@
     """
 
     objective_seconds: float
-    usual_seconds: float | None = None
+    typical_seconds: float | None = None
 
 
 @value
-class Prospect:
+class ReplicaEstimate:
     """What is known of one replica at a moment.
 
     Parameters
@@ -58,16 +58,18 @@
         Share of attempts that fail there.
     """
 
-    pace: float
-    ahead: float
+    slowdown: float
+    outstanding: float
     slots: int
-    trouble: float
+    failure_rate: float
     is_overdue: bool
-    is_far: bool
+    is_in_other_zone: bool
     is_unproven: bool
 
 
-def expected_seconds(task: Task, prospect: Prospect, is_owned: bool) -> float:
+def completion_cost_seconds(
+    target: LatencyTarget, estimate: ReplicaEstimate, is_owned: bool
+) -> float:
     """Return the time after which an answer is expected, and what else the choice costs.
 
     Parameters
@@ -75,17 +77,17 @@
     is_owned
         Whether the nodes of a group leave the replica's service to this node.
     """
-    objective = task.objective_seconds
-    usual = task.usual_seconds or objective * UNKNOWN_WORK_SHARE
-    work = usual * prospect.pace
-    waits = max(0.0, prospect.ahead + 1.0 - prospect.slots)
-    spread = min(prospect.ahead, prospect.slots) * SPREAD_SHARE
-    seconds = work * (1.0 + (waits + spread) / prospect.slots)
-    lost_share = prospect.trouble * TROUBLE_SHARE
-    if prospect.is_overdue:
+    objective = target.objective_seconds
+    typical = target.typical_seconds or objective * DEFAULT_TYPICAL_SHARE
+    work = typical * estimate.slowdown
+    queued = max(0.0, estimate.outstanding + 1.0 - estimate.slots)
+    slowed_by = min(estimate.outstanding, estimate.slots) * IN_FLIGHT_SLOWDOWN_SHARE
+    seconds = work * (1.0 + (queued + slowed_by) / estimate.slots)
+    lost_share = estimate.failure_rate * FAILURE_SHARE
+    if estimate.is_overdue:
         lost_share += OVERDUE_SHARE
-    if prospect.is_far:
-        lost_share += OWNED_FAR_SHARE if is_owned else FAR_SHARE
-    if prospect.is_unproven:
+    if estimate.is_in_other_zone:
+        lost_share += OWNED_OTHER_ZONE_SHARE if is_owned else OTHER_ZONE_SHARE
+    if estimate.is_unproven:
         lost_share += UNPROVEN_SHARE
     return seconds + objective * lost_share
--- a/wingquay/forwarding/choice/replica_directory.py
+++ b/wingquay/forwarding/choice/replica_directory.py
@@ -5,9 +5,9 @@
 
 from ...model.replica_record import ReplicaRecord
 from ..settings import ForwardingSettings
-from .best_replica import BestReplica
-from .completion import Task
-from .known_lives import KnownLives
+from .completion import LatencyTarget
+from .replica_incarnations import ReplicaIncarnations
+from .replica_selector import ReplicaSelector
 from .replica_state import ReplicaState
 
 
@@ -24,11 +24,11 @@
 
     def __init__(self, settings: ForwardingSettings, random_source: random.Random) -> None:
         self._settings = settings
-        self._known = KnownLives()
-        self._best = BestReplica(settings, random_source)
+        self._incarnations = ReplicaIncarnations()
+        self._selector = ReplicaSelector(settings, random_source)
         self._outage_ended_at = float("-inf")
         self._listed_at: float | None = None
-        self._contradicted_at = float("-inf")
+        self._stale_found_at = float("-inf")
         self._evacuated: frozenset[str] = frozenset()
 
     @property
@@ -38,19 +38,19 @@
 
     def __len__(self) -> int:
         """Return the number of replicas known."""
-        return len(self._known)
+        return len(self._incarnations)
 
     def get(self, replica_id: str) -> ReplicaState | None:
         """Return the state of a replica."""
-        return self._known.get(replica_id)
+        return self._incarnations.get(replica_id)
 
     def get_incarnation(self, life: str) -> ReplicaState | None:
         """Return the state of a life of a replica; ``None``: it is not known, or over."""
-        return self._known.get_incarnation(life)
+        return self._incarnations.get_incarnation(life)
 
     def is_current(self, record: ReplicaRecord) -> bool:
         """Whether just this is known of a replica, and its record is there."""
-        state = self._known.get(record.replica_id)
+        state = self._incarnations.get(record.replica_id)
         return state is not None and state.vanished_at is None and state.record == record
 
     def put(self, record: ReplicaRecord, now: float, revision: int = 0) -> ReplicaState | None:
@@ -65,7 +65,7 @@
         revision
             The store's revision of the record.
         """
-        return self._known.put(record, now, revision)
+        return self._incarnations.put(record, now, revision)
 
     def mark_vanished(self, replica_id: str, now: float, revision: int | None = None) -> None:
         """Take in that a record is gone.
@@ -75,7 +75,7 @@
         revision
             The store's revision by which it was; ``None``: it is gone now.
         """
-        self._known.mark_vanished(replica_id, now, revision)
+        self._incarnations.mark_vanished(replica_id, now, revision)
 
     def keep_only(
         self, replica_ids: Container[str], now: float, revision: int | None = None
@@ -83,15 +83,15 @@
         """Take in a whole listing: what is not in it has vanished."""
         if self._listed_at is None:
             self._listed_at = now
-        for state in self._known:
+        for state in self._incarnations:
             if state.record.replica_id not in replica_ids:
                 self.mark_vanished(state.record.replica_id, now, revision)
 
     def remove(self, replica_id: str) -> None:
         """Forget a replica that certainly is gone."""
-        state = self._known.get(replica_id)
+        state = self._incarnations.get(replica_id)
         if state is not None:
-            self._known.remove(state)
+            self._incarnations.remove(state)
 
     def set_evacuated_zones(self, zones: frozenset[str]) -> None:
         """Take in the zones whose replicas must get nothing, until they are taken back."""
@@ -99,12 +99,12 @@
 
     def mark_stale(self, state: ReplicaState, now: float) -> None:
         """Take in that another replica answers at a replica's address: its record is old."""
-        self._contradicted_at = now
-        self._known.remove(state)
+        self._stale_found_at = now
+        self._incarnations.remove(state)
 
     def found_stale_recently(self, now: float) -> bool:
         """Whether a replica has just shown that records are old."""
-        return now - self._contradicted_at < self._settings.stale_record_seconds
+        return now - self._stale_found_at < self._settings.stale_record_seconds
 
     def on_outage(self, now: float) -> None:
         """Take in that the directory is out of reach now."""
@@ -112,10 +112,10 @@
 
     def is_settling(self, now: float) -> bool:
         """Whether records may be missing that come back by themselves."""
-        begun_at = self._outage_ended_at
+        started_at = self._outage_ended_at
         if self._listed_at is not None:
-            begun_at = max(begun_at, self._listed_at)
-        return now - begun_at < self._settings.settle_seconds
+            started_at = max(started_at, self._listed_at)
+        return now - started_at < self._settings.settle_seconds
 
     def has_candidates(self, service: str, now: float) -> bool:
         """Whether the service has a replica that may get work."""
@@ -128,7 +128,7 @@
 
     def has_record(self, service: str) -> bool:
         """Whether a record of a replica of the service is there."""
-        states = self._known.of_service(service)
+        states = self._incarnations.of_service(service)
         return any(state.vanished_at is None for state in states)
 
     def zones_of(self, service: str, now: float) -> set[str]:
@@ -138,7 +138,7 @@
     def by_zone(self, now: float) -> dict[str, list[ReplicaState]]:
         """Return the replicas that may get work by zone, in the order of their ids."""
         found: dict[str, list[ReplicaState]] = {}
-        for service in self._known.services():
+        for service in self._incarnations.services():
             for state in self._candidates(service, now):
                 found.setdefault(state.record.zone, []).append(state)
         for states in found.values():
@@ -147,7 +147,7 @@
 
     def services(self) -> set[str]:
         """Return the services of which a replica is known."""
-        return set(self._known.services())
+        return set(self._incarnations.services())
 
     def candidates(self, service: str, now: float) -> list[ReplicaState]:
         """Return the replicas of a service that may get work."""
@@ -155,17 +155,17 @@
 
     def replica_count(self, service: str) -> int:
         """Return how many replicas of the service are known, whether they may get work or not."""
-        return len(self._known.of_service(service))
+        return len(self._incarnations.of_service(service))
 
     def has_restarted_since(self, service: str, moment: float) -> bool:
         """Whether a replica of the service has started again since a moment."""
-        return self._known.has_restarted_since(service, moment)
+        return self._incarnations.has_restarted_since(service, moment)
 
     def remove_expired(self, now: float) -> None:
         """Forget the replicas whose time of grace is over."""
-        for state in self._known:
+        for state in self._incarnations:
             if state.vanished_at is not None and not self._has_grace(state, now):
-                self._known.remove(state)
+                self._incarnations.remove(state)
 
     def has_unblocked(self, service: str, now: float) -> bool:
         """Whether a replica of the service may be asked and was not just out of reach."""
@@ -189,7 +189,7 @@
         with_blocked: bool = True,
         prefers_proven: bool = False,
         is_owned: bool = False,
-        task: Task | None = None,
+        target: LatencyTarget | None = None,
     ) -> ReplicaState | None:
         """Return the replica with the least expected wait.
 
@@ -215,16 +215,16 @@
         ]
         unblocked = [state for state in free if not state.is_blocked(self._settings, now)]
         if unblocked:
-            return self._best.of(unblocked, now, prefers_proven, is_owned, task)
+            return self._selector.choose(unblocked, now, prefers_proven, is_owned, target)
         if free and with_blocked:
-            return self._best.of(free, now, prefers_proven, is_owned, task)
+            return self._selector.choose(free, now, prefers_proven, is_owned, target)
         return None
 
     def _candidates(self, service: str, now: float) -> list[ReplicaState]:
         """Return the replicas that may get work; vanished ones only if no other is left."""
         present: list[ReplicaState] = []
         vanished: list[ReplicaState] = []
-        for state in self._known.of_service(service):
+        for state in self._incarnations.of_service(service):
             if state.record.is_draining or state.record.zone in self._evacuated:
                 continue
             if state.vanished_at is None:
--- a/wingquay/forwarding/choice/prospects.py
+++ b/wingquay/forwarding/choice/replica_estimate.py
@@ -1,12 +1,12 @@
 """What is known of a replica at a moment, for the estimate of its completion."""
 
-from .completion import Prospect
+from .completion import ReplicaEstimate
 from .replica_state import ReplicaState
 
 
-def prospect_of(
+def estimate_replica(
     state: ReplicaState, now: float, zone: str, prefers_proven: bool, may_try: bool
-) -> Prospect:
+) -> ReplicaEstimate:
     """Return what is known of a replica now.
 
     Parameters
@@ -18,12 +18,12 @@
     may_try
         Whether a replica that was slow may be taken for faster by now.
     """
-    return Prospect(
-        pace=state.pace(now, may_try),
-        ahead=len(state.in_flight) + state.reported_elsewhere(now),
+    return ReplicaEstimate(
+        slowdown=state.expected_slowdown(now, may_try),
+        outstanding=len(state.in_flight) + state.reported_requests(now),
         slots=state.known_slots,
-        trouble=state.trouble(now),
+        failure_rate=state.failure_rate(now),
         is_overdue=state.is_overdue(now),
-        is_far=state.record.zone != zone,
+        is_in_other_zone=state.record.zone != zone,
         is_unproven=prefers_proven and not state.is_proven(now),
     )
--- a/wingquay/forwarding/choice/known_lives.py
+++ b/wingquay/forwarding/choice/replica_incarnations.py
@@ -7,13 +7,13 @@
 from .replica_state import ReplicaState
 
 
-class KnownLives:
+class ReplicaIncarnations:
     """Takes in records; the store's revision orders those of one replica."""
 
     def __init__(self) -> None:
         self._states: dict[str, ReplicaState] = {}
         self._by_service: dict[str, dict[str, ReplicaState]] = {}
-        self._renewed_at: dict[str, float] = {}
+        self._restarted_at: dict[str, float] = {}
         """When a replica of a service last started again under its id."""
 
     def __len__(self) -> int:
@@ -44,7 +44,7 @@
 
     def has_restarted_since(self, service: str, moment: float) -> bool:
         """Whether a replica of the service has started again since a moment."""
-        return self._renewed_at.get(service, float("-inf")) >= moment
+        return self._restarted_at.get(service, float("-inf")) >= moment
 
     def put(self, record: ReplicaRecord, now: float, revision: int) -> ReplicaState | None:
         """Take in a record, new or changed; return the life that is over by it.
@@ -54,7 +54,7 @@
         """
         state = self._states.get(record.replica_id)
         if state is None:
-            self._begin(record, now, revision)
+            self._add(record, now, revision)
             return None
         if revision < state.revision:
             return None
@@ -64,10 +64,10 @@
         if state.incarnation != record.life:
             self.remove(state)
             state.is_superseded = True
-            self._renewed_at[state.record.service] = now
-            self._begin(record, now, revision)
+            self._restarted_at[state.record.service] = now
+            self._add(record, now, revision)
             return state
-        self._change(state, record, now)
+        self._update(state, record, now)
         state.revision = revision
         return None
 
@@ -85,25 +85,25 @@
         replica_id = state.record.replica_id
         if self._states.get(replica_id) is state:
             del self._states[replica_id]
-            self._take_out(state)
+            self._remove_from_service(state)
 
-    def _begin(self, record: ReplicaRecord, now: float, revision: int) -> None:
+    def _add(self, record: ReplicaRecord, now: float, revision: int) -> None:
         state = ReplicaState(record, now, revision)
         self._states[record.replica_id] = state
         self._by_service.setdefault(record.service, {})[record.replica_id] = state
 
-    def _change(self, state: ReplicaState, record: ReplicaRecord, now: float) -> None:
+    def _update(self, state: ReplicaState, record: ReplicaRecord, now: float) -> None:
         if state.record.service != record.service:
-            self._take_out(state)
+            self._remove_from_service(state)
             self._by_service.setdefault(record.service, {})[record.replica_id] = state
         if state.record.cold_seconds != record.cold_seconds:
             state.recorded_at = now
         state.record = record
         state.vanished_at = None
 
-    def _take_out(self, state: ReplicaState) -> None:
+    def _remove_from_service(self, state: ReplicaState) -> None:
         service = state.record.service
         del self._by_service[service][state.record.replica_id]
         if not self._by_service[service]:
             del self._by_service[service]
-            self._renewed_at.pop(service, None)
+            self._restarted_at.pop(service, None)
--- a/wingquay/forwarding/choice/best_replica.py
+++ b/wingquay/forwarding/choice/replica_selector.py
@@ -4,13 +4,13 @@
 from collections.abc import Iterable
 
 from ..settings import ChoiceStrategy, ForwardingSettings
-from .completion import Task, expected_seconds
-from .prospects import prospect_of
+from .completion import LatencyTarget, completion_cost_seconds
+from .replica_estimate import estimate_replica
 from .replica_state import ReplicaState
 from .replica_trials import ReplicaTrials
 
 
-class BestReplica:
+class ReplicaSelector:
     """Compares replicas.
 
     Parameters
@@ -26,13 +26,13 @@
         self._random = random_source
         self._trials = ReplicaTrials(settings)
 
-    def of(
+    def choose(
         self,
         states: Iterable[ReplicaState],
         now: float,
         prefers_proven: bool,
         is_owned: bool,
-        task: Task | None,
+        target: LatencyTarget | None,
     ) -> ReplicaState:
         """Return the best of some replicas, which is asked then.
 
@@ -50,12 +50,12 @@
 
         def rank(state: ReplicaState) -> tuple[float, float]:
             may_try = self._trials.is_allowed(state, now)
-            if task is not None and by_completion:
-                prospect = prospect_of(state, now, zone, prefers_proven, may_try)
-                return expected_seconds(task, prospect, is_owned), self._random.random()
+            if target is not None and by_completion:
+                estimate = estimate_replica(state, now, zone, prefers_proven, may_try)
+                return completion_cost_seconds(target, estimate, is_owned), self._random.random()
             cost = state.cost(now, zone, prefers_proven, is_owned, may_try)
             return cost, self._random.random()
 
         best = min(states, key=rank)
-        self._trials.chosen(best, now)
+        self._trials.on_chosen(best, now)
         return best
--- a/wingquay/forwarding/choice/replica_state.py
+++ b/wingquay/forwarding/choice/replica_state.py
@@ -7,28 +7,28 @@
 from ...ports.forwarding import ReportedLoad
 from ..settings import ForwardingSettings
 
-SLOWNESS_WEIGHT = 0.4
+SLOWDOWN_WEIGHT = 0.4
 PAUSE_WEIGHT = 0.1
 """The same for the first slow answer of a replica that says that its work takes as long as usual:
 most often it was a pause, which is over once it answers, and the way to a far replica is dear."""
-SLOWNESS_MEMORY_SECONDS = 2.0
+SLOWDOWN_MEMORY_SECONDS = 2.0
 """Time constant with which a replica's slowness is forgotten, so that it is tried again."""
-SLOWNESS_TOLERANCE = 1.25
+SLOWDOWN_TOLERANCE = 1.25
 """Slowness that counts as none: otherwise a replica once slow would never be asked again."""
-GREATEST_SLOWNESS = 20.0
+MAX_SLOWDOWN = 20.0
 SLOW_RATIO = 2.5
 """Latency of an attempt, in usual latencies, from which on it counts as slow."""
-TROUBLE_WEIGHT = 0.5
+FAILURE_WEIGHT = 0.5
 """How far one attempt that failed moves the share of failing attempts."""
-RELIEF_WEIGHT = 0.2
+SUCCESS_WEIGHT = 0.2
 """How far one attempt that succeeded moves it."""
-TROUBLE_TOLERANCE = 0.05
-TROUBLE_MEMORY_SECONDS = 4.0
-TROUBLE_FACTOR = 10.0
+FAILURE_RATE_TOLERANCE = 0.05
+FAILURE_MEMORY_SECONDS = 4.0
+FAILURE_FACTOR = 10.0
 """Cost factor, less one, of a replica at which every attempt fails."""
 LOAD_MEMORY_SECONDS = 0.1
 """Time constant with which a reported load is forgotten."""
-WORK_MEMORY_SECONDS = 0.4
+REPORTED_SLOWDOWN_MEMORY_SECONDS = 0.4
 """Time constant with which the reported pace of work is forgotten: replicas that share a machine
 are slow for some half a second."""
 OVERDUE_FACTOR = 6.0
@@ -44,12 +44,12 @@
 """Time for which a good answer proves a replica."""
 UNPROVEN_FACTOR = 1.3
 """Cost factor of a replica that has not proved itself, where a slow one cannot be made up for."""
-BREAKS = 5
+MIN_BROKEN_CONNECTIONS = 5
 """Connections that break off in a row, with no answer between them, from which a replica is left
 out. One that ends two of five runs by a reset still brings three answers of five, and its shard may
 have no better one; five in a row happen to it once in a hundred. One that has ended refuses the
 next connection, and is left out for that."""
-MOST_DOUBLINGS = 8
+MAX_DOUBLINGS = 8
 
 
 @dataclass(slots=True)
@@ -76,25 +76,25 @@
     answered_at: float = float("-inf")
     blocked_until: float = 0.0
     failures_in_row: int = 0
-    is_out_of_reach: bool = False
+    is_unreachable: bool = False
     """Whether no connection to it came up the last time: it gets work once one does."""
-    is_reach_due: bool = False
+    is_reconnect_scheduled: bool = False
     """Whether a connection to it will be tried by itself."""
     is_superseded: bool = False
     """Whether its replica is known to have started again."""
     incarnation: str = field(init=False)
     """The name of this life."""
-    _sent_cold: list[float] = field(default_factory=list)
+    _cold_sends: list[float] = field(default_factory=list)
     """When requests were sent lately while it was cold."""
     _proved_at: float = float("-inf")
-    slow_in_row: int = 0
+    slow_streak: int = 0
     """Slow attempts since the last usual one, each sent after the one before had ended: attempts
     that met one pause count once."""
     _slow_at: float = float("-inf")
-    _slowness: float = 1.0
-    _slowness_at: float = 0.0
-    _trouble: float = 0.0
-    _trouble_at: float = 0.0
+    _slowdown: float = 1.0
+    _slowdown_at: float = 0.0
+    _failure_rate: float = 0.0
+    _failure_rate_at: float = 0.0
     _load: ReportedLoad | None = None
     _load_at: float = 0.0
 
@@ -116,7 +116,7 @@
         """
         if now < self.blocked_until or (self.blocked_until and self.in_flight):
             return True
-        if self.is_out_of_reach:
+        if self.is_unreachable:
             return True
         return any(
             self.is_silent_since(sent_at) and now - sent_at >= settings.unreachable_after_seconds
@@ -132,14 +132,14 @@
         """Whether it is slow from its start, or again."""
         return now - self.recorded_at < self.record.cold_seconds
 
-    def on_sent_cold(self, now: float) -> None:
+    def on_cold_send(self, now: float) -> None:
         """Take in that a request was sent while it is cold."""
-        self._sent_cold = [at for at in self._sent_cold if at > now - COLD_MEMORY_SECONDS]
-        self._sent_cold.append(now)
+        self._cold_sends = [at for at in self._cold_sends if at > now - COLD_MEMORY_SECONDS]
+        self._cold_sends.append(now)
 
-    def sent_since(self, begun_at: float) -> int:
+    def cold_sends_since(self, since: float) -> int:
         """Return how many requests were sent to it since a moment, while it was cold."""
-        return sum(at > begun_at for at in self._sent_cold)
+        return sum(at > since for at in self._cold_sends)
 
     def is_silent_since(self, sent_at: float) -> bool:
         """Whether it has not answered anything since an attempt was sent."""
@@ -149,20 +149,20 @@
         """Whether an attempt at the replica takes longer than attempts should."""
         return any(overdue_at <= now for _, overdue_at in self.in_flight.values())
 
-    def slowness(self, now: float) -> float:
+    def slowdown(self, now: float) -> float:
         """Return its latency in usual latencies, drawn towards 1 as time passes."""
-        kept = math.exp(-(now - self._slowness_at) / SLOWNESS_MEMORY_SECONDS)
-        return 1.0 + (self._slowness - 1.0) * kept
+        decay = math.exp(-(now - self._slowdown_at) / SLOWDOWN_MEMORY_SECONDS)
+        return 1.0 + (self._slowdown - 1.0) * decay
 
-    def trouble(self, now: float) -> float:
+    def failure_rate(self, now: float) -> float:
         """Return the share of attempts that fail there, forgotten as time passes."""
-        kept = math.exp(-(now - self._trouble_at) / TROUBLE_MEMORY_SECONDS)
-        share = self._trouble * kept
-        return share if share >= TROUBLE_TOLERANCE else 0.0
+        decay = math.exp(-(now - self._failure_rate_at) / FAILURE_MEMORY_SECONDS)
+        share = self._failure_rate * decay
+        return share if share >= FAILURE_RATE_TOLERANCE else 0.0
 
     def is_proven(self, now: float) -> bool:
         """Whether it answered lately, and well."""
-        return now - self._proved_at < PROVEN_SECONDS and self._slowness < SLOWNESS_TOLERANCE
+        return now - self._proved_at < PROVEN_SECONDS and self._slowdown < SLOWDOWN_TOLERANCE
 
     def cost(
         self,
@@ -185,12 +185,12 @@
             Whether the nodes of a group leave the replica's service to this node.
         """
         slots = max(1, self.record.slots)
-        slowness = self.slowness(now) if may_try else self._slowness
-        if slowness < SLOWNESS_TOLERANCE:
-            slowness = 1.0
-        waiting = len(self.in_flight) + self.reported_elsewhere(now)
-        cost = max(slowness, self._reported_work(now)) * (1.0 + waiting / slots)
-        cost *= 1.0 + TROUBLE_FACTOR * self.trouble(now)
+        slowdown = self.slowdown(now) if may_try else self._slowdown
+        if slowdown < SLOWDOWN_TOLERANCE:
+            slowdown = 1.0
+        waiting = len(self.in_flight) + self.reported_requests(now)
+        cost = max(slowdown, self._reported_slowdown(now)) * (1.0 + waiting / slots)
+        cost *= 1.0 + FAILURE_FACTOR * self.failure_rate(now)
         if self.is_overdue(now):
             cost *= OVERDUE_FACTOR
         if self.is_cold(now):
@@ -201,49 +201,53 @@
             cost *= UNPROVEN_FACTOR
         return cost
 
-    def pace(self, now: float, may_try: bool = True) -> float:
+    def expected_slowdown(self, now: float, may_try: bool = True) -> float:
         """Return how long work takes there, in usual times; ``may_try`` as for ``cost``."""
-        slowness = self.slowness(now) if may_try else self._slowness
-        return max(slowness, self._reported_work(now)) * (COLD_FACTOR if self.is_cold(now) else 1.0)
+        slowdown = self.slowdown(now) if may_try else self._slowdown
+        return max(slowdown, self._reported_slowdown(now)) * (
+            COLD_FACTOR if self.is_cold(now) else 1.0
+        )
 
     def on_latency(self, ratio: float, sent_at: float, now: float) -> None:
         """Take in the latency of an attempt, in usual latencies."""
-        ratio = min(ratio, GREATEST_SLOWNESS)
-        weight = SLOWNESS_WEIGHT
+        ratio = min(ratio, MAX_SLOWDOWN)
+        weight = SLOWDOWN_WEIGHT
         if ratio < SLOW_RATIO:
-            self.slow_in_row = 0
+            self.slow_streak = 0
         elif sent_at >= self._slow_at:
-            self.slow_in_row += 1
+            self.slow_streak += 1
             self._slow_at = now
-        if self.slow_in_row == 1 and self._says_usual(now):
+        if self.slow_streak == 1 and self._reports_typical_latency(now):
             weight = PAUSE_WEIGHT
-        present = self.slowness(now)
-        self._slowness = present + weight * (ratio - present)
-        self._slowness_at = now
+        current = self.slowdown(now)
+        self._slowdown = current + weight * (ratio - current)
+        self._slowdown_at = now
 
-    def _says_usual(self, now: float) -> bool:
+    def _reports_typical_latency(self, now: float) -> bool:
         """Whether it has said just now that work takes as long as usual."""
         is_fresh = self._load is not None and self._load_at == now
-        return is_fresh and self._reported_work(now) < SLOWNESS_TOLERANCE
+        return is_fresh and self._reported_slowdown(now) < SLOWDOWN_TOLERANCE
 
     def on_answer(self, load: ReportedLoad | None, now: float) -> bool:
         """Take in that it answered; return whether it was left out before."""
         was_left_out = self.blocked_until > 0.0
         self.answered_at = now
-        self._move_trouble(0.0, RELIEF_WEIGHT, now)
+        self._update_failure_rate(0.0, SUCCESS_WEIGHT, now)
         self.failures_in_row = 0
         self.blocked_until = 0.0
-        self.is_out_of_reach = False
+        self.is_unreachable = False
         if load is not None:
             self._load = load
             self._load_at = now
         return was_left_out
 
-    def on_good_answer(self, now: float) -> None:
+    def on_answer_in_time(self, now: float) -> None:
         """Take in that it answered within the objective of a route."""
         self._proved_at = now
 
-    def on_failure(self, settings: ForwardingSettings, is_certain: bool, now: float) -> float:
+    def on_connection_failure(
+        self, settings: ForwardingSettings, is_certain: bool, now: float
+    ) -> float:
         """Take in that it failed: leave it out, longer each time; return for how long (seconds).
 
         Parameters
@@ -252,22 +256,22 @@
             Whether it was out of reach; connections that broke off count from some in a row on.
         """
         self.failures_in_row += 1
-        if not self.is_out_of_reach:
+        if not self.is_unreachable:
             # That it is out of reach is found out by connections, and forgotten when one comes up.
             self.on_failed_attempt(now)
-        first = 1 if is_certain else BREAKS
+        first = 1 if is_certain else MIN_BROKEN_CONNECTIONS
         if self.failures_in_row < first:
             return 0.0
-        doublings = min(self.failures_in_row - first, MOST_DOUBLINGS)
+        doublings = min(self.failures_in_row - first, MAX_DOUBLINGS)
         seconds = settings.connect_backoff_seconds * 2.0**doublings
         seconds = min(seconds, settings.connect_backoff_max_seconds)
         self.blocked_until = now + seconds
         return seconds
 
-    def on_reached(self) -> None:
+    def on_connected(self) -> None:
         """Take in that a connection to it came up."""
-        if self.is_out_of_reach:
-            self.is_out_of_reach = False
+        if self.is_unreachable:
+            self.is_unreachable = False
             self.blocked_until = 0.0
 
     def on_shed(self, settings: ForwardingSettings, now: float) -> None:
@@ -278,24 +282,24 @@
 
     def on_failed_attempt(self, now: float) -> None:
         """Take in that an attempt failed there."""
-        self._move_trouble(1.0, TROUBLE_WEIGHT, now)
+        self._update_failure_rate(1.0, FAILURE_WEIGHT, now)
 
-    def _move_trouble(self, towards: float, weight: float, now: float) -> None:
-        present = self.trouble(now)
-        self._trouble = present + weight * (towards - present)
-        self._trouble_at = now
+    def _update_failure_rate(self, sample: float, weight: float, now: float) -> None:
+        current = self.failure_rate(now)
+        self._failure_rate = current + weight * (sample - current)
+        self._failure_rate_at = now
 
-    def reported_elsewhere(self, now: float) -> float:
+    def reported_requests(self, now: float) -> float:
         """Return the requests of other nodes that it last reported, as far as that still holds."""
         if self._load is None:
             return 0.0
         reported = self._load.running + self._load.waiting
-        kept = math.exp(-(now - self._load_at) / LOAD_MEMORY_SECONDS)
-        return reported * kept
+        decay = math.exp(-(now - self._load_at) / LOAD_MEMORY_SECONDS)
+        return reported * decay
 
-    def _reported_work(self, now: float) -> float:
+    def _reported_slowdown(self, now: float) -> float:
         """Return how long work takes there, in usual times, as far as its last word still holds."""
         if self._load is None:
             return 1.0
-        kept = math.exp(-(now - self._load_at) / WORK_MEMORY_SECONDS)
-        return 1.0 + (self._load.work_factor - 1.0) * kept
+        decay = math.exp(-(now - self._load_at) / REPORTED_SLOWDOWN_MEMORY_SECONDS)
+        return 1.0 + (self._load.work_factor - 1.0) * decay
--- a/wingquay/forwarding/choice/replica_trials.py
+++ b/wingquay/forwarding/choice/replica_trials.py
@@ -10,7 +10,7 @@
 from ..settings import ForwardingSettings
 from .replica_state import ReplicaState
 
-CONFIRMED_SLOW = 2
+MIN_SLOW_STREAK = 2
 """Slow attempts in a row from which on a replica counts as slow rather than paused."""
 
 
@@ -19,21 +19,21 @@
 
     def __init__(self, settings: ForwardingSettings) -> None:
         self._settings = settings
-        self._paused_at = float("-inf")
-        self._slow_at = float("-inf")
+        self._next_trial_at = float("-inf")
+        self._next_slow_trial_at = float("-inf")
 
     def is_allowed(self, replica: ReplicaState, now: float) -> bool:
         """Whether the replica may be asked as if it had become faster."""
-        if replica.slow_in_row == 0:
+        if replica.slow_streak == 0:
             return True
-        if replica.slow_in_row < CONFIRMED_SLOW:
-            return now >= self._paused_at
-        return now >= self._slow_at
+        if replica.slow_streak < MIN_SLOW_STREAK:
+            return now >= self._next_trial_at
+        return now >= self._next_slow_trial_at
 
-    def chosen(self, replica: ReplicaState, now: float) -> None:
+    def on_chosen(self, replica: ReplicaState, now: float) -> None:
         """Take in that a replica is asked."""
-        if replica.slow_in_row == 0 or not self.is_allowed(replica, now):
+        if replica.slow_streak == 0 or not self.is_allowed(replica, now):
             return
-        self._paused_at = now + self._settings.paused_trial_seconds
-        if replica.slow_in_row >= CONFIRMED_SLOW:
-            self._slow_at = now + self._settings.slow_trial_seconds
+        self._next_trial_at = now + self._settings.paused_trial_seconds
+        if replica.slow_streak >= MIN_SLOW_STREAK:
+            self._next_slow_trial_at = now + self._settings.slow_trial_seconds
--- a/wingquay/forwarding/sending/attempts.py
+++ b/wingquay/forwarding/sending/attempts.py
@@ -10,7 +10,7 @@
     SendToReplica,
 )
 from ...ports.machine import Action, Count, Log, LogLevel, Schedule
-from ..choice.completion import Task
+from ..choice.completion import LatencyTarget
 from ..choice.replica_directory import ReplicaDirectory
 from ..choice.replica_state import ReplicaState
 from ..exchange import Attempt, ServiceCall
@@ -20,7 +20,7 @@
 from .latencies import RouteLatencies
 from .sending_quotas import SendingQuotas
 
-SLOW_PACE = 2.0
+SLOW_THRESHOLD = 2.0
 """Usual times that work takes at a replica from which on its choice is counted as one of a slow
 one: it may cost a caller with a short objective its answer."""
 
@@ -76,18 +76,18 @@
             call.tried_incarnations | call.refused_incarnations | self._limits.too_cold(call, now)
         )
         if not route.shards:
-            excluded |= self._limits.full(call, now)
+            excluded |= self._limits.saturated(call, now)
         limit = self._limits.connections(call, now)
         prefers_proven = not route.is_repeatable
-        task = Task(route.objective_seconds, self._latencies.median_seconds(route))
+        target = LatencyTarget(route.objective_seconds, self._latencies.median_seconds(route))
         replica = self._directory.choose(
-            call.service, excluded, limit, now, with_blocked, prefers_proven, call.is_owned, task
+            call.service, excluded, limit, now, with_blocked, prefers_proven, call.is_owned, target
         )
         if replica is None:
             return []
-        if call.arrivals and not self._limits.may_arrive_again(call, now):
+        if call.arrivals and not self._limits.take_extra_request(call, now):
             return []
-        counted = self._count(call, replica, is_hedge, now)
+        choice_count = self._choice_count(call, replica, is_hedge, now)
         attempt_id = next(self._ids)
         attempt = Attempt(attempt_id, call, replica, now, is_hedge, len(replica.in_flight))
         call.attempts[attempt_id] = attempt
@@ -95,19 +95,21 @@
         call.arrivals += 1
         call.is_waiting = False
         if replica.is_cold(now):
-            replica.on_sent_cold(now)
+            replica.on_cold_send(now)
         replica.in_flight[attempt_id] = (now, now + self._latencies.hedge_seconds(route))
         self._open[attempt_id] = attempt
-        return [self._send_action(attempt, now), counted]
+        return [self._send_action(attempt, now), choice_count]
 
-    def _count(self, call: ServiceCall, replica: ReplicaState, is_hedge: bool, now: float) -> Count:
+    def _choice_count(
+        self, call: ServiceCall, replica: ReplicaState, is_hedge: bool, now: float
+    ) -> Count:
         """Return the count of a choice: where, how fast by what is known, and which attempt."""
         attempt = "first"
         if call.arrivals:
             attempt = "hedge" if is_hedge else "again"
         labels = (
             ("place", "near" if replica.record.zone == self._settings.zone else "far"),
-            ("pace", "slow" if replica.pace(now) >= SLOW_PACE else "usual"),
+            ("pace", "slow" if replica.expected_slowdown(now) >= SLOW_THRESHOLD else "usual"),
             ("attempt", attempt),
         )
         return Count("replica_choices_total", labels=labels)
@@ -116,13 +118,13 @@
         """Take back that a replica may have got the request: no byte of it left."""
         call = attempt.call
         call.arrivals -= 1
-        self._not_run(attempt)
+        self._mark_refused(attempt)
         if call.arrivals:
-            self._limits.give_back(call.service)
+            self._limits.refund(call.service)
 
     def on_not_run(self, attempt: Attempt) -> None:
         """Take in that a replica did not run the request."""
-        self._not_run(attempt)
+        self._mark_refused(attempt)
 
     def on_suspended(self, seconds: float) -> None:
         """Take in that this node was suspended: its attempts are no older by that.
@@ -171,26 +173,26 @@
         was_left_out = attempt.replica.on_answer(load, now)
         self.evidence.record_answer(attempt.replica.record.zone)
         if now - attempt.sent_at <= attempt.call.exchange.route.objective_seconds:
-            attempt.replica.on_good_answer(now)
+            attempt.replica.on_answer_in_time(now)
         self.record_latency(attempt, now)
-        return [replica_line("replica_back", attempt.replica)] if was_left_out else []
+        return [replica_log("replica_back", attempt.replica)] if was_left_out else []
 
     def on_failed(
         self, attempt: Attempt, reason: str, is_certain: bool, now: float
     ) -> list[Action]:
         """Take in that a replica failed an attempt without an answer."""
-        return self._left_out(attempt.replica, reason, is_certain, now)
+        return self._block(attempt.replica, reason, is_certain, now)
 
     def on_unreachable(self, replica: ReplicaState, reason: str, now: float) -> list[Action]:
         """Take in that no connection to a replica came up; try again by itself later.
 
         Trying by a request costs that request its part for as long as the connection may take.
         """
-        replica.is_out_of_reach = True
-        actions = self._left_out(replica, reason, True, now)
-        if replica.is_reach_due:
+        replica.is_unreachable = True
+        actions = self._block(replica, reason, True, now)
+        if replica.is_reconnect_scheduled:
             return actions
-        replica.is_reach_due = True
+        replica.is_reconnect_scheduled = True
         return [*actions, Schedule(replica.blocked_until, ReconnectDue(replica.incarnation))]
 
     def on_reconnect_due(self, event: ReconnectDue, now: float) -> list[Action]:
@@ -199,11 +201,11 @@
         if replica is None:
             return []
         is_usable = replica in self._directory.candidates(replica.record.service, now)
-        if replica.is_out_of_reach and not is_usable:
+        if replica.is_unreachable and not is_usable:
             due_at = now + self._settings.connect_backoff_max_seconds
             return [Schedule(due_at, event)]
-        replica.is_reach_due = False
-        return [OpenConnection(replica.record)] if replica.is_out_of_reach else []
+        replica.is_reconnect_scheduled = False
+        return [OpenConnection(replica.record)] if replica.is_unreachable else []
 
     def on_connection_tried(self, event: ConnectionTried, now: float) -> list[Action]:
         """Take in whether a connection that no request needed came up."""
@@ -212,19 +214,19 @@
             return []
         if not event.is_open:
             return self.on_unreachable(replica, event.reason, now)
-        was_out = replica.is_out_of_reach
-        replica.on_reached()
-        return [replica_line("replica_in_reach", replica)] if was_out else []
+        was_out = replica.is_unreachable
+        replica.on_connected()
+        return [replica_log("replica_in_reach", replica)] if was_out else []
 
-    def _left_out(
+    def _block(
         self, replica: ReplicaState, reason: str, is_certain: bool, now: float
     ) -> list[Action]:
         self.evidence.record_failure(replica.record.zone, replica.record.replica_id, now)
-        seconds = replica.on_failure(self._settings, is_certain, now)
+        seconds = replica.on_connection_failure(self._settings, is_certain, now)
         if not seconds:
             return []
         fields = (("reason", reason), ("seconds", round(seconds, 2)))
-        return [replica_line("replica_left_out", replica, fields)]
+        return [replica_log("replica_left_out", replica, fields)]
 
     def record_latency(self, attempt: Attempt, now: float) -> None:
         """Take in how long an attempt took."""
@@ -240,7 +242,7 @@
         if median is not None:
             attempt.replica.on_latency(seconds / median, attempt.sent_at, now)
 
-    def _not_run(self, attempt: Attempt) -> None:
+    def _mark_refused(self, attempt: Attempt) -> None:
         call = attempt.call
         call.tried_incarnations.discard(attempt.replica.incarnation)
         call.refused_incarnations.add(attempt.replica.incarnation)
@@ -257,7 +259,7 @@
         )
 
 
-def replica_line(
+def replica_log(
     message: str,
     replica: ReplicaState,
     fields: tuple[tuple[str, str | int | float], ...] = (),
--- a/wingquay/forwarding/sending/room.py
+++ b/wingquay/forwarding/sending/capacity.py
@@ -15,14 +15,14 @@
 
 
 @value
-class ReplicaRoom:
+class ReplicaCapacity:
     """What is known of the room at one replica that the request may be sent to.
 
     Parameters
     ----------
     replica_id
         The replica's id.
-    askable_at
+    available_at
         When it may be asked, as far as it is known to be in reach.
     slots
         Requests that it works on at a time.
@@ -37,27 +37,32 @@
     """
 
     replica_id: str
-    askable_at: float
+    available_at: float
     slots: int
-    most: int
-    under_way: int
-    elsewhere: float
+    max_in_flight: int
+    in_flight: int
+    reported_requests: float
     work_seconds: float
 
     @property
     def free(self) -> int:
         """How many more requests this node may send there."""
-        return max(0, self.most - self.under_way)
+        return max(0, self.max_in_flight - self.in_flight)
 
     @property
-    def ends_per_second(self) -> float:
+    def completions_per_second(self) -> float:
         """How many requests of this node it is expected to end a second."""
-        own = max(1.0, self.under_way)
-        return min(self.slots, self.most) / self.work_seconds * own / (own + self.elsewhere)
+        own = max(1.0, self.in_flight)
+        return (
+            min(self.slots, self.max_in_flight)
+            / self.work_seconds
+            * own
+            / (own + self.reported_requests)
+        )
 
 
 @value
-class Room:
+class ExpectedCapacity:
     """When a request can be sent, and whereto if that is now.
 
     Parameters
@@ -72,10 +77,12 @@
     replica_id: str = ""
 
 
-NO_ROOM = Room(NEVER)
+NO_CAPACITY = ExpectedCapacity(NEVER)
 
 
-def expected_room(rooms: Iterable[ReplicaRoom], ahead: int, now: float) -> Room:
+def expected_capacity(
+    capacities: Iterable[ReplicaCapacity], queued_before: int, now: float
+) -> ExpectedCapacity:
     """Return when a request that ``ahead`` others go before will find room.
 
     Parameters
@@ -83,21 +90,23 @@
     rooms
         The replicas that may take it.
     """
-    known = list(rooms)
-    askable = [room for room in known if room.askable_at <= now]
-    if not askable:
-        return Room(min((room.askable_at for room in known), default=NEVER))
-    free = sum(room.free for room in askable)
-    if free > ahead:
-        best = min(askable, key=lambda room: (not room.free, room.under_way / room.slots))
-        return Room(now, best.replica_id)
-    per_second = sum(room.ends_per_second for room in askable)
+    known = list(capacities)
+    available = [capacity for capacity in known if capacity.available_at <= now]
+    if not available:
+        return ExpectedCapacity(min((capacity.available_at for capacity in known), default=NEVER))
+    free = sum(capacity.free for capacity in available)
+    if free > queued_before:
+        best = min(
+            available, key=lambda capacity: (not capacity.free, capacity.in_flight / capacity.slots)
+        )
+        return ExpectedCapacity(now, best.replica_id)
+    per_second = sum(capacity.completions_per_second for capacity in available)
     if not per_second:
-        return NO_ROOM
-    return Room(now + (ahead + 1 - free) / per_second)
+        return NO_CAPACITY
+    return ExpectedCapacity(now + (queued_before + 1 - free) / per_second)
 
 
-def room_for_share(moments: Iterable[float], least_share: float) -> Room:
+def capacity_for_share(moments: Iterable[float], least_share: float) -> ExpectedCapacity:
     """Return when so large a share of several services has room.
 
     Parameters
@@ -107,4 +116,4 @@
     """
     ordered = sorted(moments)
     least = math.ceil(least_share * len(ordered) - SHARE_TOLERANCE)
-    return Room(ordered[max(1, least) - 1])
+    return ExpectedCapacity(ordered[max(1, least) - 1])
--- a/wingquay/forwarding/sending/cold_share.py
+++ b/wingquay/forwarding/sending/cold_quota.py
@@ -16,7 +16,7 @@
 its part until the nodes that were there have seen the others."""
 
 
-class ColdShare:
+class ColdQuota:
     """Divides the bounds of cold replicas.
 
     Parameters
@@ -50,8 +50,8 @@
         if not per_second or not replica.is_cold(now):
             return True
         bound = (per_second * self._overage + self._slack) * USED_SHARE
-        share = int(bound / max(1, sharing_nodes))
-        if share < 1:
+        quota = int(bound / max(1, sharing_nodes))
+        if quota < 1:
             rank = self._nodes.rank(self._key, replica.record.replica_id)
-            share = int(rank is not None and rank < int(bound))
-        return replica.sent_since(now - WINDOW_SECONDS) < share
+            quota = int(rank is not None and rank < int(bound))
+        return replica.cold_sends_since(now - WINDOW_SECONDS) < quota
--- a/wingquay/forwarding/sending/decision.py
+++ b/wingquay/forwarding/sending/decision.py
@@ -7,11 +7,11 @@
 """
 
 from ...model.value import value
-from .room import NEVER, Room
+from .capacity import NEVER, ExpectedCapacity
 from .waiting_settings import WaitingRule, WaitingSettings
 
 NO_REPLICA_REASON = "no replica can be asked"
-NO_ROOM_REASON = "its replicas have no room soon enough"
+NO_CAPACITY_REASON = "its replicas have no room soon enough"
 NO_REPEAT_REASON = "it may not be sent again soon enough"
 RAN_REASON = "no other replica may run it"
 
@@ -26,9 +26,9 @@
         When it came, until when an answer is in time for the caller, and when it is given up on.
     objective_seconds
         Time within which an answer is worth its full price.
-    has_usable
+    has_unblocked
         Whether a replica of its services may be asked and was not just out of reach.
-    may_records_come_back
+    may_records_reappear
         Whether records of replicas may be missing that come back by themselves.
     may_have_run
         Whether a replica may have run it.
@@ -44,8 +44,8 @@
     cutoff_at: float
     ends_at: float
     objective_seconds: float
-    has_usable: bool
-    may_records_come_back: bool = False
+    has_unblocked: bool
+    may_records_reappear: bool = False
     may_have_run: bool = False
     may_run_again: bool = True
     is_merged: bool = False
@@ -83,7 +83,9 @@
 Decision = SendNow | WaitUntil | Reject
 
 
-def decide(request: WaitingRequest, room: Room, settings: WaitingSettings, now: float) -> Decision:
+def decide(
+    request: WaitingRequest, capacity: ExpectedCapacity, settings: WaitingSettings, now: float
+) -> Decision:
     """Return what is best for the caller of a request that is not under way.
 
     Parameters
@@ -93,50 +95,52 @@
     """
     if request.may_have_run and not request.may_run_again:
         return Reject(NEVER, RAN_REASON)
-    begins_at = max(room.at, request.repeat_at)
-    if begins_at <= now:
-        return SendNow(room.replica_id)
-    latest = _latest(request, room, settings, now)
-    if request.may_records_come_back and not request.has_usable:
+    starts_at = max(capacity.at, request.repeat_at)
+    if starts_at <= now:
+        return SendNow(capacity.replica_id)
+    latest = _latest(request, capacity, settings, now)
+    if request.may_records_reappear and not request.has_unblocked:
         # Nothing tells when a record comes back; it is looked for as long as it may.
-        begins_at = min(begins_at, now + settings.look_seconds)
-    if begins_at == NEVER:
-        return Reject(NEVER, _reason(request, room))
-    is_worth_it = begins_at <= latest
+        starts_at = min(starts_at, now + settings.recheck_seconds)
+    if starts_at == NEVER:
+        return Reject(NEVER, _reason(request, capacity))
+    is_worth_it = starts_at <= latest
     if settings.rule is WaitingRule.FIXED_SHARES:
-        is_worth_it = now + settings.look_seconds < latest
+        is_worth_it = now + settings.recheck_seconds < latest
     if not is_worth_it:
-        return Reject(begins_at - now, _reason(request, room))
-    return WaitUntil(_next_look(begins_at, latest, settings, now))
+        return Reject(starts_at - now, _reason(request, capacity))
+    return WaitUntil(_next_recheck(starts_at, latest, settings, now))
 
 
-def _latest(request: WaitingRequest, room: Room, settings: WaitingSettings, now: float) -> float:
+def _latest(
+    request: WaitingRequest, capacity: ExpectedCapacity, settings: WaitingSettings, now: float
+) -> float:
     """Return until when waiting is better for the caller than coming back."""
     whole_seconds = request.ends_at - request.arrived_at
-    held_until = request.arrived_at + whole_seconds * settings.hold_ratio
+    hold_ends_at = request.arrived_at + whole_seconds * settings.hold_ratio
     if request.may_have_run:
-        if request.may_records_come_back:
+        if request.may_records_reappear:
             return request.ends_at
-        if room.at <= now:
+        if capacity.at <= now:
             return now + request.objective_seconds * settings.repeat_ratio
-    if request.has_usable or request.may_have_run:
+    if request.has_unblocked or request.may_have_run:
         ratio = settings.hold_ratio
         if settings.rule is WaitingRule.ESTIMATE and not request.is_merged:
-            ratio = settings.line_ratio
+            ratio = settings.queue_ratio
         return max(request.cutoff_at, request.arrived_at + whole_seconds * ratio)
-    if request.may_records_come_back:
-        return held_until
+    if request.may_records_reappear:
+        return hold_ends_at
     return request.arrived_at + request.objective_seconds * settings.offer_ratio
 
 
-def _next_look(begins_at: float, latest: float, settings: WaitingSettings, now: float) -> float:
+def _next_recheck(starts_at: float, latest: float, settings: WaitingSettings, now: float) -> float:
     if settings.rule is WaitingRule.FIXED_SHARES:
-        return now + settings.look_seconds
-    at = min(begins_at, latest, now + settings.longest_look_seconds)
-    return max(at, now + min(settings.look_seconds, latest - now))
+        return now + settings.recheck_seconds
+    at = min(starts_at, latest, now + settings.max_recheck_seconds)
+    return max(at, now + min(settings.recheck_seconds, latest - now))
 
 
-def _reason(request: WaitingRequest, room: Room) -> str:
-    if room.at < request.repeat_at:
+def _reason(request: WaitingRequest, capacity: ExpectedCapacity) -> str:
+    if capacity.at < request.repeat_at:
         return NO_REPEAT_REASON
-    return NO_ROOM_REASON if request.has_usable else NO_REPLICA_REASON
+    return NO_CAPACITY_REASON if request.has_unblocked else NO_REPLICA_REASON
--- a/wingquay/forwarding/sending/extra_request_budget.py
+++ b/wingquay/forwarding/sending/extra_request_budget.py
@@ -9,7 +9,7 @@
 
 from ...routing.decaying_rate import DecayingRate
 
-MOST_SAVED = 1.0
+MAX_SAVED = 1.0
 """Extra arrivals earned by requests that can be saved up."""
 SLACK_SHARE = 0.4
 """Part of the slack that is divided among the nodes: a window may hold a node's whole share twice,
@@ -21,7 +21,7 @@
 OWNERS_RESERVE = 1.4
 """Owners of a shard divide the slack by this many times their number. They make nearly all second
 attempts, and with half of all answers lost they need more than an even part brings."""
-STEP_IN_PACE = 0.25
+TAKEOVER_REFILL_SHARE = 0.25
 """Part of its share that a node gets anew where others own the shard: it steps in for one that is
 lost, which happens now and then, so it may save up but needs no lasting part."""
 EARNING_SECONDS = 2.0
@@ -54,9 +54,9 @@
     def earn(self, now: float) -> None:
         """Take in a request for the service."""
         self._earning.add(self.ratio, now)
-        self._earned = min(MOST_SAVED, self._earned + self.ratio)
+        self._earned = min(MAX_SAVED, self._earned + self.ratio)
 
-    def spend(self, nodes: float, now: float, pace: float = 1.0) -> bool:
+    def spend(self, nodes: float, now: float, refill_share: float = 1.0) -> bool:
         """Take one extra arrival; ``False`` if the budget does not allow it.
 
         Parameters
@@ -66,7 +66,7 @@
         pace
             Part of its share that this node gets in a window, besides what it has saved up.
         """
-        self._grant(self._share(nodes), self._most(nodes), pace, now)
+        self._refill(self._share(nodes), self._max_granted(nodes), refill_share, now)
         granted = self._granted or 0.0
         if self._earned + granted < 1.0:
             return False
@@ -75,37 +75,37 @@
         self._granted = granted - (1.0 - from_earned)
         return True
 
-    def next_at(self, nodes: float, now: float, pace: float = 1.0) -> float:
+    def next_at(self, nodes: float, now: float, refill_share: float = 1.0) -> float:
         """Return when one extra arrival may be taken, if as many requests come as lately.
 
         Infinity: none came, and without them it may never.
         """
         share = self._share(nodes)
-        self._grant(share, self._most(nodes), pace, now)
+        self._refill(share, self._max_granted(nodes), refill_share, now)
         missing = 1.0 - self._earned - (self._granted or 0.0)
         if missing <= 0.0:
             return now
         earning = self._earning.per_second(now)
-        if not earning and (self._earned + self._most(nodes) < 1.0 or not share):
+        if not earning and (self._earned + self._max_granted(nodes) < 1.0 or not share):
             return float("inf")
-        return now + missing / (earning + share * pace / self.window_seconds)
+        return now + missing / (earning + share * refill_share / self.window_seconds)
 
-    def give_back(self) -> None:
+    def refund(self) -> None:
         """Return an extra arrival that did not arrive."""
-        self._earned = min(MOST_SAVED, self._earned + 1.0)
+        self._earned = min(MAX_SAVED, self._earned + 1.0)
 
     def _share(self, nodes: float) -> float:
         return self.slack * SLACK_SHARE / max(1, nodes)
 
-    def _most(self, nodes: float) -> float:
+    def _max_granted(self, nodes: float) -> float:
         # One whole arrival may be saved up, unless so many nodes could spend one each at once.
         is_few = nodes <= self.slack * SAVING_NODES_SHARE
         return max(self._share(nodes), 1.0) if is_few else self._share(nodes)
 
-    def _grant(self, share: float, most: float, pace: float, now: float) -> None:
+    def _refill(self, share: float, max_granted: float, refill_share: float, now: float) -> None:
         if self._granted is None:
             self._granted = share
         else:
-            fresh = share * pace * (now - self._granted_at) / self.window_seconds
-            self._granted = min(most, self._granted + fresh)
+            refilled = share * refill_share * (now - self._granted_at) / self.window_seconds
+            self._granted = min(max_granted, self._granted + refilled)
         self._granted_at = now
--- a/wingquay/forwarding/sending/latencies.py
+++ b/wingquay/forwarding/sending/latencies.py
@@ -5,14 +5,14 @@
 from ..settings import ForwardingSettings
 
 PERIOD_SECONDS = 10.0
-FEWEST_SAMPLES = 40
+MIN_SAMPLES = 40
 MEDIAN = 0.5
 WORK_WEIGHT = 0.1
 """How far one attempt moves the work that is expected: replicas of one service differ by half, and
 a caller is to be told its time by the usual one."""
-LEAST_WORK_SECONDS = 0.0005
+MIN_WORK_SECONDS = 0.0005
 """Work in seconds that is expected at least: below it callers feel the network, not the work."""
-UNSEEN_WORK_RATIO = 0.1
+DEFAULT_WORK_RATIO = 0.1
 """Work that is expected before an attempt was seen, as a share of the objective: rather too little,
 since a caller that is rejected for a line that moves faster than thought has lost its answer."""
 
@@ -36,11 +36,11 @@
     def median_seconds(self, route: Route) -> float | None:
         """Return the usual latency, or ``None`` while too few were seen."""
         tracker = self._trackers.get(route.name)
-        return None if tracker is None else tracker.quantile_seconds(MEDIAN, FEWEST_SAMPLES)
+        return None if tracker is None else tracker.quantile_seconds(MEDIAN, MIN_SAMPLES)
 
     def record_work(self, route: Route, seconds: float) -> None:
         """Take in how long a replica worked on an attempt, as far as it did not wait there."""
-        seconds = max(seconds, LEAST_WORK_SECONDS)
+        seconds = max(seconds, MIN_WORK_SECONDS)
         known = self._work_seconds.get(route.name, seconds)
         self._work_seconds[route.name] = known + WORK_WEIGHT * (seconds - known)
 
@@ -49,7 +49,7 @@
         seen = self._work_seconds.get(route.name)
         if seen is None:
             seen = self.median_seconds(route)
-        return route.objective_seconds * UNSEEN_WORK_RATIO if seen is None else seen
+        return route.objective_seconds * DEFAULT_WORK_RATIO if seen is None else seen
 
     def hedge_seconds(self, route: Route) -> float:
         """Return the time after which an attempt takes too long."""
@@ -58,7 +58,7 @@
         if median is None:
             return route.objective_seconds * settings.hedge_initial_ratio
         tracker = self._trackers[route.name]
-        slow = tracker.quantile_seconds(settings.hedge_quantile, FEWEST_SAMPLES) or median
+        slow = tracker.quantile_seconds(settings.hedge_quantile, MIN_SAMPLES) or median
         delay = max(slow, median * settings.hedge_min_factor)
         return min(delay, route.objective_seconds * settings.hedge_max_ratio)
 
--- a/wingquay/forwarding/sending/sending_quotas.py
+++ b/wingquay/forwarding/sending/sending_quotas.py
@@ -7,19 +7,19 @@
 from ..exchange import ServiceCall
 from ..knowledge.presence import NodeCount
 from ..settings import ForwardingSettings
-from .cold_share import ColdShare
-from .extra_request_budget import OWNERS_RESERVE, STEP_IN_PACE, ExtraRequestBudget
-from .extra_turns import ExtraTurns
-from .waiting_settings import LinePlace, WaitingSettings
+from .cold_quota import ColdQuota
+from .extra_request_budget import OWNERS_RESERVE, TAKEOVER_REFILL_SHARE, ExtraRequestBudget
+from .extra_request_fairness import ExtraRequestFairness
+from .waiting_settings import QueueLocation, WaitingSettings
 
 DEFAULT_CONNECTION_LIMIT = 24
-OWNERS_LIMIT_RESERVE = 2
+OWNERS_CONNECTION_RESERVE = 2
 """Owners of a shard take this part of the connections: others may have to step in."""
-LIVES = 2
+INCARNATIONS = 2
 """Lives of this process whose connections a replica may still count after a start."""
 
 
-class SharesShards(Protocol):
+class ShardSharing(Protocol):
     """Knows among how many nodes the requests for a shard are divided."""
 
     def sharing_nodes(self, shard: str, now: float) -> int:
@@ -46,42 +46,44 @@
         key: str,
         waiting: WaitingSettings,
     ) -> None:
-        self._cold_share = ColdShare(settings.cold_overage, settings.cold_slack, nodes, key)
+        self._cold_quota = ColdQuota(settings.cold_overage, settings.cold_slack, nodes, key)
         self._settings = settings
         self._waiting = waiting
         self._directory = directory
         self._nodes = nodes
         self._budgets: dict[str, ExtraRequestBudget] = {}
-        self._turns: dict[str, ExtraTurns] = {}
+        self._fairness: dict[str, ExtraRequestFairness] = {}
         self._first_sent_at: float | None = None
-        self.placement: SharesShards | None = None
+        self.placement: ShardSharing | None = None
         """Who asks which shard, once shards are divided among nodes."""
 
     def earn(self, service: str, now: float) -> None:
         """Take in a request for a service: it earns extra arrivals there."""
         self._budget(service).earn(now)
 
-    def may_arrive_again(self, call: ServiceCall, now: float) -> bool:
+    def take_extra_request(self, call: ServiceCall, now: float) -> bool:
         """Take one extra arrival; ``False`` if the budget or another tenant's turn forbids it."""
         tenant = call.exchange.tenant_name
-        nodes, pace = self._budget_part(call, now)
+        nodes, refill_share = self._budget_share(call, now)
         if not tenant:
-            return self._budget(call.service).spend(nodes, now, pace)
-        turns = self._turns.setdefault(call.service, ExtraTurns())
-        if turns.is_turn_of(tenant, now) and self._budget(call.service).spend(nodes, now, pace):
-            turns.took(tenant, now)
+            return self._budget(call.service).spend(nodes, now, refill_share)
+        fairness = self._fairness.setdefault(call.service, ExtraRequestFairness())
+        if fairness.may_take(tenant, now) and self._budget(call.service).spend(
+            nodes, now, refill_share
+        ):
+            fairness.on_taken(tenant, now)
             return True
-        turns.wanted(tenant, now)
+        fairness.on_refused(tenant, now)
         return False
 
     def repeat_at(self, call: ServiceCall, now: float) -> float:
         """Return when the budget will allow one extra arrival, if no request earns one before."""
-        nodes, pace = self._budget_part(call, now)
-        return self._budget(call.service).next_at(nodes, now, pace)
+        nodes, refill_share = self._budget_share(call, now)
+        return self._budget(call.service).next_at(nodes, now, refill_share)
 
-    def give_back(self, service: str) -> None:
+    def refund(self, service: str) -> None:
         """Return an extra arrival that did not arrive."""
-        self._budget(service).give_back()
+        self._budget(service).refund()
 
     def too_cold(self, call: ServiceCall, now: float) -> set[str]:
         """Return the lives of the cold replicas to which this node may send nothing more now."""
@@ -93,33 +95,33 @@
         return {
             state.incarnation
             for state in self._directory.candidates(call.service, now)
-            if not self._cold_share.may_send(state, per_second, sharing, now)
+            if not self._cold_quota.may_send(state, per_second, sharing, now)
         }
 
-    def most(self, call: ServiceCall, replica: ReplicaState, now: float) -> int:
+    def max_in_flight(self, call: ServiceCall, replica: ReplicaState, now: float) -> int:
         """Return how many requests this node may have under way at a replica."""
         connections = self.connections(call, now)
-        if not self._waits_here(call):
+        if not self._queues_at_node(call):
             return connections
-        return min(connections, self._filled(replica))
+        return min(connections, self._max_with_surplus(replica))
 
-    def full(self, call: ServiceCall, now: float) -> set[str]:
+    def saturated(self, call: ServiceCall, now: float) -> set[str]:
         """Return the lives of the replicas for which a call is to wait here, in line."""
-        if not self._waits_here(call):
+        if not self._queues_at_node(call):
             return set()
         return {
             state.incarnation
             for state in self._directory.candidates(call.service, now)
-            if len(state.in_flight) >= self._filled(state)
+            if len(state.in_flight) >= self._max_with_surplus(state)
         }
 
-    def _filled(self, replica: ReplicaState) -> int:
+    def _max_with_surplus(self, replica: ReplicaState) -> int:
         slots = replica.known_slots
         return slots + max(1, int(slots * self._waiting.surplus_ratio))
 
-    def _waits_here(self, call: ServiceCall) -> bool:
+    def _queues_at_node(self, call: ServiceCall) -> bool:
         # A part of a merged answer has no time to wait: its replica may be free by when it arrives.
-        return self._waiting.line is LinePlace.NODE and not call.exchange.route.shards
+        return self._waiting.queue_location is QueueLocation.NODE and not call.exchange.route.shards
 
     def connections(self, call: ServiceCall, now: float) -> int:
         """Return how many connections this node may use at a replica."""
@@ -130,7 +132,7 @@
         if now - self._first_sent_at < self._settings.first_connections_seconds:
             if not call.is_owned:
                 return 1
-            limit //= LIVES
+            limit //= INCARNATIONS
         return max(1, limit // self._sharing_nodes(call, now))
 
     def _sharing_nodes(self, call: ServiceCall, now: float) -> int:
@@ -138,9 +140,11 @@
         nodes = self._nodes.get(now)
         if self.placement is None or not call.is_owned:
             return nodes
-        return min(nodes, OWNERS_LIMIT_RESERVE * self.placement.sharing_nodes(call.service, now))
+        return min(
+            nodes, OWNERS_CONNECTION_RESERVE * self.placement.sharing_nodes(call.service, now)
+        )
 
-    def _budget_part(self, call: ServiceCall, now: float) -> tuple[float, float]:
+    def _budget_share(self, call: ServiceCall, now: float) -> tuple[float, float]:
         """Return among how many nodes the slack is divided, and how fast this one's part grows."""
         nodes = self._nodes.get(now)
         if self.placement is None:
@@ -149,7 +153,7 @@
             owners = self.placement.sharing_nodes(call.service, now)
             return min(nodes, owners * OWNERS_RESERVE), 1.0
         is_wide = len(call.exchange.route.shards) >= self._settings.delegate_min_shards
-        return nodes, STEP_IN_PACE if is_wide else 1.0
+        return nodes, TAKEOVER_REFILL_SHARE if is_wide else 1.0
 
     def _budget(self, service: str) -> ExtraRequestBudget:
         budget = self._budgets.get(service)
--- a/wingquay/forwarding/sending/waiting_settings.py
+++ b/wingquay/forwarding/sending/waiting_settings.py
@@ -14,7 +14,7 @@
     """It waits only if room is expected within these shares; otherwise it is rejected at once."""
 
 
-class LinePlace(Enum):
+class QueueLocation(Enum):
     """Where requests that one replica answers wait while its slots are taken."""
 
     REPLICA = "replica"
@@ -33,10 +33,10 @@
         How it is decided whether a request waits on.
     line
         Where it waits.
-    look_seconds
+    recheck_seconds
         Seconds between two looks for a replica while nothing tells when there will be room: short
         against the shortest objectives of callers (50 ms), so that a look late costs little.
-    longest_look_seconds
+    max_recheck_seconds
         Most seconds between two looks while room is expected later: a replica may appear, or be
         freed by other nodes, without this node being told, and a tenth of a second is what callers
         of single replicas (objectives from 350 ms on) do not feel.
@@ -48,7 +48,7 @@
         Share of the caller's whole time for which a request waits for missing records, or by fixed
         shares for a replica that is taken: the rest is enough for one more try elsewhere, which
         waits for a third of the time left at most.
-    line_ratio
+    queue_ratio
         Share of the caller's whole time within which room must be expected for a request to wait in
         line, by estimate: elsewhere it would wait for the same slots, and those that can still be
         in time go before it, so it takes from nobody; the rest of its time is for the work and for
@@ -65,12 +65,12 @@
     """
 
     rule: WaitingRule = WaitingRule.ESTIMATE
-    line: LinePlace = LinePlace.NODE
-    look_seconds: float = 0.03
-    longest_look_seconds: float = 0.1
+    queue_location: QueueLocation = QueueLocation.NODE
+    recheck_seconds: float = 0.03
+    max_recheck_seconds: float = 0.1
     offer_ratio: float = 0.2
     hold_ratio: float = 0.3
-    line_ratio: float = 0.5
+    queue_ratio: float = 0.5
     repeat_ratio: float = 0.25
     surplus_ratio: float = 0.5
 
--- a/wingquay/routing/fair_queue.py
+++ b/wingquay/routing/fair_queue.py
@@ -13,19 +13,19 @@
 from typing import Generic, TypeVar
 
 from .decaying_rate import DecayingRate
-from .queue_placement import QueuePlacement, Waiter
+from .queue_placement import QueueItem, QueuePlacement
 
 SERVED_SECONDS = 0.25
 """Time constant of the rate at which a flow was served: what callers of it see of the service just
 now, over several of its shortest promises."""
 SCANNED_ENTRIES = 8
 """Entries of a flow that are looked at for one that can be served now."""
-MOST_IDLE_FLOWS = 256
+MAX_IDLE_FLOWS = 256
 """Flows without an entry that are remembered for each rank: more than callers of one service that
 matter to each other at a time."""
 
 
-Item = TypeVar("Item", bound=Waiter)
+Item = TypeVar("Item", bound=QueueItem)
 
 
 # Plain classes: a node loads them before it serves, and defining a dataclass takes a millisecond.
@@ -65,7 +65,7 @@
 
     Parameters
     ----------
-    place_of
+    placement_of
         Tells where an item belongs.
     memory_seconds
         Time constant with which it is forgotten what a flow has had beyond the others; ``None``: it
@@ -73,9 +73,9 @@
     """
 
     def __init__(
-        self, place_of: Callable[[Item], QueuePlacement], memory_seconds: float | None = None
+        self, placement_of: Callable[[Item], QueuePlacement], memory_seconds: float | None = None
     ) -> None:
-        self._place_of = place_of
+        self._placement_of = placement_of
         self._memory_seconds = memory_seconds
         self._ranks: dict[int, _Rank[Item]] = {}
         self._length = 0
@@ -86,27 +86,27 @@
 
     def push(self, item: Item, now: float = 0.0) -> None:
         """Let ``item`` wait."""
-        place = self._place_of(item)
-        flow = self._flow_of(place)
-        start_tag = self._start_tag(place, now)
-        flow.finish_tag = start_tag + place.cost / place.weight
+        placement = self._placement_of(item)
+        flow = self._flow_of(placement)
+        start_tag = self._start_tag(placement, now)
+        flow.finish_tag = start_tag + placement.cost / placement.weight
         flow.finish_at = now
-        flow.entries.append(_Entry(item, place.cost, start_tag))
-        self._count_in(flow, item, place)
+        flow.entries.append(_Entry(item, placement.cost, start_tag))
+        self._on_added(flow, item, placement)
 
     def push_front(self, item: Item) -> None:
         """Let ``item`` wait again, before the others of its flow (it has waited before)."""
-        place = self._place_of(item)
-        flow = self._flow_of(place)
-        tag = self._ranks[place.rank].virtual_time
-        flow.entries.appendleft(_Entry(item, place.cost, tag))
-        self._count_in(flow, item, place)
+        placement = self._placement_of(item)
+        flow = self._flow_of(placement)
+        tag = self._ranks[placement.rank].virtual_time
+        flow.entries.appendleft(_Entry(item, placement.cost, tag))
+        self._on_added(flow, item, placement)
 
     def charge(self, item: Item, now: float) -> None:
         """Take in that ``item`` was served without waiting: its flow has had that."""
-        place = self._place_of(item)
-        flow = self._flow_of(place)
-        flow.finish_tag = self._start_tag(place, now) + place.cost / place.weight
+        placement = self._placement_of(item)
+        flow = self._flow_of(placement)
+        flow.finish_tag = self._start_tag(placement, now) + placement.cost / placement.weight
         flow.finish_at = now
 
     def pop(
@@ -124,7 +124,7 @@
         """
         for number in sorted(self._ranks):
             rank = self._ranks[number]
-            flows = [flow for flow in rank.flows.values() if self._drop_finished(flow)]
+            flows = [flow for flow in rank.flows.values() if self._remove_finished(flow)]
             flows.sort(key=lambda flow: flow.entries[0].start_tag)
             for agrees in _passes(accepts, prefers):
                 for flow in flows:
@@ -134,7 +134,7 @@
                         return entry.item
         return None
 
-    def ahead_of(
+    def queued_before(
         self, item: Item, now: float, prefers: Callable[[Item], bool] | None = None
     ) -> int:
         """Return how many items go before ``item``, whether it waits already or would from now.
@@ -145,13 +145,15 @@
             As in ``pop``; it is asked of each. Without it, finished ones are counted too and the
             count is quick.
         """
-        place = self._place_of(item)
-        tag = self._tag_of(item, place, now)
+        placement = self._placement_of(item)
+        tag = self._tag_of(item, placement, now)
         is_preferred = prefers is None or prefers(item)
         return sum(
-            self._ahead_in(flow, item, rank < place.rank, (not is_preferred, tag), prefers)
+            self._queued_before_in(
+                flow, item, rank < placement.rank, (not is_preferred, tag), prefers
+            )
             for rank, known in self._ranks.items()
-            if rank <= place.rank
+            if rank <= placement.rank
             for flow in known.flows.values()
             if flow.entries
         )
@@ -163,7 +165,7 @@
                 if not entry.item.is_finished:
                     yield entry.item
 
-    def delay_seconds(self, place: QueuePlacement, parallelism: int, now: float) -> float:
+    def delay_seconds(self, placement: QueuePlacement, parallelism: int, now: float) -> float:
         """Return how long a newcomer would wait for one of ``parallelism`` slots.
 
         Its flow is served at the rate that its weight guarantees it, or at the one seen lately if
@@ -171,24 +173,24 @@
         """
         if self._length == 0:
             return 0.0
-        rank = self._ranks.get(place.rank)
+        rank = self._ranks.get(placement.rank)
         flows = {} if rank is None else rank.flows
-        own = flows.get(place.flow)
+        own = flows.get(placement.flow)
         weights = sum(
-            flow.weight for name, flow in flows.items() if flow.entries and name != place.flow
+            flow.weight for name, flow in flows.items() if flow.entries and name != placement.flow
         )
-        guaranteed = max(1, parallelism) * place.weight / (place.weight + weights)
+        guaranteed = max(1, parallelism) * placement.weight / (placement.weight + weights)
         seen = own.served.per_second(now) if own is not None else 0.0
         return (own.backlog if own is not None else 0.0) / max(guaranteed, seen)
 
-    def _tag_of(self, item: Item, place: QueuePlacement, now: float) -> float:
-        tag = self._start_tag(place, now)
+    def _tag_of(self, item: Item, placement: QueuePlacement, now: float) -> float:
+        tag = self._start_tag(placement, now)
         if not item.is_queued:
             return tag
-        entries = self._flow_of(place).entries
+        entries = self._flow_of(placement).entries
         return next((entry.start_tag for entry in entries if entry.item is item), tag)
 
-    def _ahead_in(
+    def _queued_before_in(
         self,
         flow: _Flow[Item],
         item: Item,
@@ -214,22 +216,22 @@
         for flow in self._ranks[rank].flows.values() if rank in self._ranks else ():
             yield from flow.entries
 
-    def _flow_of(self, place: QueuePlacement) -> _Flow[Item]:
-        rank = self._ranks.setdefault(place.rank, _Rank())
-        flow = rank.flows.get(place.flow)
+    def _flow_of(self, placement: QueuePlacement) -> _Flow[Item]:
+        rank = self._ranks.setdefault(placement.rank, _Rank())
+        flow = rank.flows.get(placement.flow)
         if flow is None:
-            if len(rank.flows) > MOST_IDLE_FLOWS:
+            if len(rank.flows) > MAX_IDLE_FLOWS:
                 rank.flows = {name: flow for name, flow in rank.flows.items() if flow.entries}
             flow = _Flow()
-            rank.flows[place.flow] = flow
-        flow.weight = place.weight
+            rank.flows[placement.flow] = flow
+        flow.weight = placement.weight
         return flow
 
-    def _start_tag(self, place: QueuePlacement, now: float) -> float:
-        rank = self._ranks.get(place.rank)
+    def _start_tag(self, placement: QueuePlacement, now: float) -> float:
+        rank = self._ranks.get(placement.rank)
         if rank is None:
             return 0.0
-        flow = rank.flows.get(place.flow)
+        flow = rank.flows.get(placement.flow)
         if flow is None:
             return rank.virtual_time
         beyond = max(0.0, flow.finish_tag - rank.virtual_time)
@@ -237,14 +239,14 @@
             beyond *= math.exp(-(now - flow.finish_at) / self._memory_seconds)
         return rank.virtual_time + beyond
 
-    def _count_in(self, flow: _Flow[Item], item: Item, place: QueuePlacement) -> None:
-        flow.backlog += place.cost
+    def _on_added(self, flow: _Flow[Item], item: Item, placement: QueuePlacement) -> None:
+        flow.backlog += placement.cost
         item.is_queued = True
         self._length += 1
 
-    def _drop_finished(self, flow: _Flow[Item]) -> bool:
+    def _remove_finished(self, flow: _Flow[Item]) -> bool:
         while flow.entries and flow.entries[0].item.is_finished:
-            self._forget(flow, flow.entries.popleft())
+            self._on_removed(flow, flow.entries.popleft())
         return bool(flow.entries)
 
     def _pop_from(
@@ -255,12 +257,12 @@
             if entry.item.is_finished or not agrees(entry.item):
                 continue
             del flow.entries[position]
-            self._forget(flow, entry)
+            self._on_removed(flow, entry)
             rank.virtual_time = max(rank.virtual_time, entry.start_tag)
             return entry
         return None
 
-    def _forget(self, flow: _Flow[Item], entry: _Entry[Item]) -> None:
+    def _on_removed(self, flow: _Flow[Item], entry: _Entry[Item]) -> None:
         flow.backlog = max(0.0, flow.backlog - entry.cost)
         entry.item.is_queued = False
         self._length -= 1
--- a/wingquay/routing/latency_tracker.py
+++ b/wingquay/routing/latency_tracker.py
@@ -40,7 +40,7 @@
         self._current.record_value(self._to_microseconds(latency_seconds))
         self._since_refresh += 1
         if self._since_refresh >= REFRESH_SAMPLES:
-            self._forget_cached()
+            self._clear_cache()
 
     def quantile_seconds(self, quantile: float, min_samples: int) -> float | None:
         """Return the latency at ``quantile`` (0 to 1), or ``None`` with too few samples."""
@@ -68,9 +68,9 @@
         self._period_started_at = now
         self._previous, self._current = self._current, self._previous
         self._current.reset()
-        self._forget_cached()
+        self._clear_cache()
 
-    def _forget_cached(self) -> None:
+    def _clear_cache(self) -> None:
         self._since_refresh = 0
         self._cached.clear()
 
--- a/wingquay/routing/ownership.py
+++ b/wingquay/routing/ownership.py
@@ -13,7 +13,7 @@
 KEPT_CANDIDATES = 12
 """Best nodes remembered for each shard."""
 
-FEWEST_CANDIDATES = 4
+MIN_CANDIDATES = 4
 """A list that has shrunk below this is ranked anew."""
 
 HANDOFF_OWNERS = 2
@@ -41,7 +41,7 @@
     def _update(self, shard_id: str, removed: list[str], added: list[NodeIdentity]) -> None:
         candidates = self._candidates[shard_id]
         kept = [node for node in candidates if node.node_id not in removed]
-        if len(kept) < min(FEWEST_CANDIDATES, len(self._nodes)):
+        if len(kept) < min(MIN_CANDIDATES, len(self._nodes)):
             del self._candidates[shard_id]
             self._chosen.pop(shard_id, None)
             return
--- a/wingquay/routing/queue_placement.py
+++ b/wingquay/routing/queue_placement.py
@@ -5,7 +5,7 @@
 from ..model.value import value
 
 
-class Waiter(Protocol):
+class QueueItem(Protocol):
     """What can wait in line."""
 
     is_queued: bool
--- a/wingquay/routing/replica_choice.py
+++ b/wingquay/routing/replica_choice.py
@@ -70,18 +70,18 @@
 
         Replicas in ``tried`` and those known not to hold ``snapshot`` are never returned.
         """
-        fitting = [
+        eligible = [
             tracker
             for tracker in free
-            if tracker.replica.replica_id not in tried and not tracker.knows_not_held(snapshot)
+            if tracker.replica.replica_id not in tried and not tracker.lacks_snapshot(snapshot)
         ]
-        if not fitting:
+        if not eligible:
             return None
-        if len(fitting) == 1:
-            return fitting[0]
+        if len(eligible) == 1:
+            return eligible[0]
         if not self._load_aware:
-            return self._random.choice(fitting)
-        return min(fitting, key=self._cost)
+            return self._random.choice(eligible)
+        return min(eligible, key=self._cost)
 
     def _cost(self, tracker: ReplicaTracker) -> tuple[float, float]:
         expected = tracker.latency_seconds * (tracker.in_flight + 1) / tracker.full_limit
--- a/wingquay/routing/replica_tracker.py
+++ b/wingquay/routing/replica_tracker.py
@@ -78,7 +78,7 @@
         """Whether the replica is left out for its failures."""
         return now < self.ejected_until
 
-    def knows_not_held(self, snapshot: SnapshotVersion | None) -> bool:
+    def lacks_snapshot(self, snapshot: SnapshotVersion | None) -> bool:
         """Whether the replica said that it does not hold ``snapshot``."""
         if snapshot is None or self.held is None:
             return False
