--- a/benchmarks/waiting_ways.py
+++ b/benchmarks/waiting_ways.py
@@ -1,8 +1,8 @@
-"""What callers of a small service get in a burst, by each way of deciding who waits and where.
+"""Compares waiting rules and queue locations for a small service under a burst.
 
-Many nodes, each by what it sees itself, send to a few replicas that work on few requests at a time,
-queue a few more and turn the rest away. Callers come back once, when they were told. All on the
-virtual clock: figures are the same in every run.
+Many nodes send to a few replicas that process a few requests concurrently, queue a few more and
+shed the rest. Rejected callers retry once, after the time that they were given. The benchmark runs
+on a virtual clock, so that its results are reproducible.
 """
 
 import argparse
@@ -21,14 +21,14 @@
 )
 
 STEP_SECONDS = 0.002
-REPLICA_LINE = 4
-"""Requests that a replica lets wait; it turns more away."""
+REPLICA_QUEUE_LIMIT = 4
+"""Number of requests that a replica queues before it sheds."""
 CONNECTIONS = 200
 
 
 @dataclass(frozen=True)
 class Load:
-    """A service, its callers, and the nodes between them."""
+    """A service, its request rate and the number of nodes."""
 
     name: str
     nodes: int
@@ -54,11 +54,11 @@
 class _Replica:
     work_seconds: float
     running: list[tuple[float, OneNode, SendToReplica]] = field(default_factory=list)
-    line: list[tuple[OneNode, SendToReplica]] = field(default_factory=list)
+    queue: list[tuple[OneNode, SendToReplica]] = field(default_factory=list)
 
 
 class Play:
-    """One load played to its end."""
+    """Simulation of one load."""
 
     def __init__(self, load: Load, waiting: WaitingSettings, seed: int) -> None:
         self._load = load
@@ -83,11 +83,11 @@
         self._due: list[tuple[float, int, int, float]] = []
         self._open: dict[tuple[int, int], tuple[int, int, float]] = {}
         self.worth: list[float] = []
-        self.turned_away = 0
+        self.shed = 0
         self.rejected = 0
 
     def run(self) -> None:
-        """Let callers come, and wait until each has heard."""
+        """Run until every request has ended."""
         load = self._load
         at = self._random.expovariate(load.per_second)
         while at < load.seconds:
@@ -99,9 +99,9 @@
             for node in self._nodes:
                 node.advance(STEP_SECONDS)
             self._work()
-            self._take_sends()
-            self._call()
-            self._hear()
+            self._deliver_sends()
+            self._send_requests()
+            self._collect_replies()
 
     def _work(self) -> None:
         for known in self._replicas.values():
@@ -109,17 +109,17 @@
             known.running = [item for item in known.running if item[0] > self._now]
             for _, node, send in ended:
                 if send in node.sends:
-                    report = ReportedLoad(len(known.running), len(known.line), self._load.slots)
+                    report = ReportedLoad(len(known.running), len(known.queue), self._load.slots)
                     node.answer(send, load=report)
-            known.line = [(node, send) for node, send in known.line if send in node.sends]
-            while known.line and len(known.running) < self._load.slots:
-                self._begin(known, *known.line.pop(0))
+            known.queue = [(node, send) for node, send in known.queue if send in node.sends]
+            while known.queue and len(known.running) < self._load.slots:
+                self._begin(known, *known.queue.pop(0))
 
     def _begin(self, known: _Replica, node: OneNode, send: SendToReplica) -> None:
         seconds = known.work_seconds * self._random.uniform(0.7, 1.3)
         known.running.append((self._now + seconds, node, send))
 
-    def _take_sends(self) -> None:
+    def _deliver_sends(self) -> None:
         for number, node in enumerate(self._nodes):
             for send in list(node.sends):
                 if (number, send.attempt_id) in self._seen:
@@ -128,13 +128,13 @@
                 known = self._replicas[send.replica.replica_id]
                 if len(known.running) < self._load.slots:
                     self._begin(known, node, send)
-                elif len(known.line) < REPLICA_LINE:
-                    known.line.append((node, send))
+                elif len(known.queue) < REPLICA_QUEUE_LIMIT:
+                    known.queue.append((node, send))
                 else:
-                    self.turned_away += 1
+                    self.shed += 1
                     node.answer(send, 503, b"", None, not_run=True)
 
-    def _call(self) -> None:
+    def _send_requests(self) -> None:
         while self._due and self._due[0][0] <= self._now:
             _, caller, tries, begun_at = heapq.heappop(self._due)
             number = self._random.randrange(len(self._nodes))
@@ -142,7 +142,7 @@
             exchange_id = self._nodes[number].request("/one/x", left)
             self._open[number, exchange_id] = (caller, tries, begun_at)
 
-    def _hear(self) -> None:
+    def _collect_replies(self) -> None:
         load = self._load
         for number, exchange_id in list(self._open):
             reply = self._nodes[number].replies.get(exchange_id)
@@ -162,7 +162,7 @@
 
 
 def main() -> None:
-    """Print the table."""
+    """Print the results as a table."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--seeds", type=int, default=3)
     seeds = parser.parse_args().seeds
@@ -176,7 +176,7 @@
                     play.run()
                 worth = ", ".join(f"{sum(play.worth) / len(play.worth):.3f}" for play in plays)
                 lost = sum(play.worth.count(0.0) for play in plays)
-                away = sum(play.turned_away for play in plays)
+                away = sum(play.shed for play in plays)
                 rejected = sum(play.rejected for play in plays)
                 row = (load.name, rule.value, place.value, worth, lost, away, rejected)
                 print("| " + " | ".join(str(cell) for cell in row) + " |", flush=True)
--- a/tests/forwarding/choice/__init__.py
+++ b/tests/forwarding/choice/__init__.py
@@ -1,1 +1,1 @@
-"""Replays of loads against the choice among replicas."""
+"""Load simulations that test the selection of replicas."""
--- a/tests/forwarding/choice/replayed_nodes.py
+++ b/tests/forwarding/choice/replayed_nodes.py
@@ -1,4 +1,4 @@
-"""Nodes that pass requests on to replayed replicas, each by what it sees itself."""
+"""Simulated nodes that forward requests to simulated replicas."""
 
 import random
 from collections import Counter
@@ -43,16 +43,16 @@
     (b"User-Agent", b"load"),
 )
 REQUEST_BYTES = 230
-"""A request on its way to a replica, with its headers."""
+"""Size of a request to a replica, with its headers."""
 ANSWER_BYTES = 190
-"""An answer's head."""
+"""Size of an answer without its body."""
 COME_BACK_SECONDS = 0.01
-"""Time from a failure to the caller's next try, at any node."""
+"""Time from a failure to the caller's retry at a random node."""
 
 
 @dataclass
 class Ended:
-    """What became of one request."""
+    """Outcome of one request."""
 
     seconds: float
     path: str
@@ -69,7 +69,9 @@
     Parameters
     ----------
     work_seconds
-        Mean time of work for each path.
+        Mean work time by path.
+    spread
+        Standard deviation of the logarithm of work times.
     """
 
     replicas: list[ReplayedReplica]
@@ -78,19 +80,19 @@
     random_source: random.Random
     spread: float = 0.35
     retries: int = 0
-    """How often a caller comes again at once after a failure."""
+    """Number of times that a caller retries after a failure."""
     nodes: list["ReplayedNode"] = field(default_factory=list)
     ended: list[Ended] = field(default_factory=list)
     sent: int = 0
     far_sent: int = 0
     body_bytes: dict[str, int] = field(default_factory=dict)
-    """Bytes of records in an answer for each path."""
+    """Size of an answer's body by path."""
     far_bytes: Counter[str] = field(default_factory=Counter)
-    """Bytes that passed between zones, by purpose."""
+    """Bytes sent between zones, by purpose."""
     numbers: "count[int]" = field(default_factory=lambda: count(1))
 
     def add_nodes(self, number: int, zones: str, table: RoutingTable, **settings: object) -> None:
-        """Add nodes, zone by zone in turn, that know all replicas."""
+        """Add nodes with the records of all replicas, alternating between the zones."""
         names = {f"node-{index}" for index in range(number)}
         for index in range(number):
             zone = zones[index % len(zones)]
@@ -99,7 +101,7 @@
             self.nodes.append(ReplayedNode(self, f"node-{index}", known, names, table, seed))
 
     def join_nodes(self, shards: int) -> None:
-        """Let all nodes ask each other for shards from now on."""
+        """Let the nodes delegate shards to each other from now on."""
         records = {
             node.name: NodeRecord(node.identity, processor=0.5 + self.random_source.random())
             for node in self.nodes
@@ -108,7 +110,7 @@
             node.join(records, shards)
 
     def requests(self, path: str, per_second: float, begun: float, seconds: float) -> None:
-        """Let requests arrive at nodes drawn at random, independently of each other."""
+        """Schedule requests at random nodes, as a Poisson process."""
         at = self.clock.now + begun
         end = at + seconds
         while True:
@@ -119,12 +121,12 @@
             self.clock.at(at, lambda node=node: node.request(path))  # type: ignore[misc]
 
     def draw_work(self, path: str) -> float:
-        """Return how long a request works at a usual replica."""
+        """Return a random work time at a replica of typical speed."""
         mean = self.work_seconds[path]
         return self.random_source.lognormvariate(0.0, self.spread) * mean
 
     def quantile(self, path: str, share: float) -> float:
-        """Return the time within which a share of requests ended, failed ones last."""
+        """Return a quantile of the response times; failed requests count as infinite."""
         times = sorted(
             float("inf") if item.kind is ReplyFailure else item.seconds
             for item in self.ended
@@ -133,13 +135,13 @@
         return times[min(len(times) - 1, int(share * len(times)))]
 
     def busiest(self) -> float:
-        """Return the runs of the busiest replica over the mean of all."""
+        """Return the number of runs of the busiest replica relative to the mean of all."""
         runs = [item.runs for item in self.replicas]
         return max(runs) / (sum(runs) / len(runs))
 
 
 class ReplayedNode:
-    """One node's decisions, and its way to the replicas."""
+    """A forwarding machine with simulated connections to replicas and other nodes."""
 
     def __init__(
         self,
@@ -170,7 +172,7 @@
         self._asked: dict[int, tuple[float, str, int]] = {}
 
     def join(self, records: dict[str, NodeRecord], shards: int) -> None:
-        """Know the other nodes, and ask them for shards."""
+        """Form groups with the other nodes and delegate shards to them."""
         groups = NodeGroups(self._settings, self.name)
         for name, record in records.items():
             groups.put(name, record)
@@ -178,7 +180,7 @@
         self._machine.enable_peers(groups)
 
     def request(self, path: str, asked_at: float | None = None, tries: int = 0) -> None:
-        """Take in a request of a caller, or its next try."""
+        """Handle a request of a caller, or its retry."""
         number = next(self._load.numbers)
         self._asked[number] = (self._clock.now if asked_at is None else asked_at, path, tries)
         target = f"{path}{number}"
@@ -270,7 +272,7 @@
 
 
 def replayed_route(path: str, **fields: object) -> Route:
-    """Return a route of the replayed loads."""
+    """Return a route of the simulated loads."""
     defaults: dict[str, object] = {
         "name": path,
         "is_repeatable": True,
--- a/tests/forwarding/choice/replayed_replicas.py
+++ b/tests/forwarding/choice/replayed_replicas.py
@@ -1,4 +1,4 @@
-"""Replicas that work, wait, slow down and lose answers on a virtual clock."""
+"""Simulated replicas on a virtual clock, which queue, slow down, pause and lose answers."""
 
 import heapq
 import math
@@ -17,7 +17,7 @@
 
 
 class VirtualClock:
-    """Calls functions at their times."""
+    """Runs scheduled functions in virtual time."""
 
     def __init__(self) -> None:
         self.now = 100.0
@@ -25,15 +25,15 @@
         self._numbers = count()
 
     def at(self, seconds: float, function: Callable[[], None]) -> None:
-        """Call a function at a moment, or now if that is over."""
+        """Schedule a function at a time, or now if that time has passed."""
         heapq.heappush(self._due, (max(seconds, self.now), next(self._numbers), function))
 
     def after(self, seconds: float, function: Callable[[], None]) -> None:
-        """Call a function some time from now."""
+        """Schedule a function after a delay in seconds."""
         self.at(self.now + seconds, function)
 
     def run(self, seconds: float) -> None:
-        """Let time pass."""
+        """Advance the clock and run the functions that become due."""
         end = self.now + seconds
         while self._due and self._due[0][0] <= end:
             self.now, _, function = heapq.heappop(self._due)
@@ -43,7 +43,7 @@
 
 @dataclass(eq=False)
 class Work:
-    """One request at a replica; ``done`` is told the load, or ``None`` if the answer is lost."""
+    """One request at a replica; ``done`` receives the load, or ``None`` if the answer is lost."""
 
     seconds: float
     done: Callable[[ReportedLoad | None], None]
@@ -53,16 +53,20 @@
 
 @dataclass(eq=False)
 class ReplayedReplica:
-    """Runs requests in its slots, one after the other beyond these.
+    """Processes requests in its slots, and queues further ones.
 
     Parameters
     ----------
     speed
-        Time that work takes there, in usual times, always.
+        Constant factor of its work times.
+    is_uneven
+        Whether it is slower by ``SLOW_FACTOR`` in some periods.
+    queue_limit
+        Number of queued requests above which it sheds.
     lost_share
-        Share of its runs whose answer never leaves: the connection is reset at their end.
+        Fraction of requests that run but whose connection is reset instead of answered.
     pause_seconds, pause_every_seconds
-        How long nothing goes on there, each so many seconds, at times of its own.
+        Duration and period of its pauses, in which no work completes.
     """
 
     record: ReplicaRecord
@@ -81,13 +85,13 @@
     _pause_phase: float = 0.0
 
     def __post_init__(self) -> None:
-        """Draw where its slow times lie."""
+        """Draw the phases of its slow periods and pauses."""
         self._phase = self.random_source.random() * SLOW_SECONDS
         self._pause_phase = self.random_source.random() * self.pause_every_seconds
 
     @property
     def work_factor(self) -> float:
-        """How long work takes just now, in the replica's own usual times."""
+        """Current factor of its work times from slow periods."""
         if not self.is_uneven:
             return 1.0
         number = math.floor((self.clock.now + self._phase) / SLOW_SECONDS)
@@ -95,7 +99,7 @@
         return SLOW_FACTOR if drawn < SLOW_SHARE else 1.0
 
     def arrive(self, work: Work) -> None:
-        """Take in a request, or shed it."""
+        """Run, queue or shed a request."""
         if len(self._running) < self.record.slots:
             self._run(work)
         elif len(self._waiting) < self.queue_limit:
@@ -104,7 +108,7 @@
             work.shed()
 
     def cancel(self, work: Work) -> None:
-        """Drop a request whose connection has ended."""
+        """Drop a request whose connection was closed."""
         work.is_cancelled = True
         if work in self._waiting:
             self._waiting.remove(work)
@@ -120,7 +124,7 @@
         self.clock.at(ends_at, lambda: self._ended(work))
 
     def _paused_seconds(self, ends_at: float) -> float:
-        """Return how long work waits for the end of a pause that begins before its own end."""
+        """Return the delay of work by a pause that starts before the work ends."""
         every = self.pause_every_seconds
         begins_at = math.floor((ends_at + self._pause_phase) / every) * every - self._pause_phase
         pause_ends_at = begins_at + self.pause_seconds
--- a/tests/forwarding/choice/test_bytes_between_zones.py
+++ b/tests/forwarding/choice/test_bytes_between_zones.py
@@ -1,4 +1,4 @@
-"""What wide requests send between zones, by purpose, by each way of choosing replicas."""
+"""Wide requests must not send more bytes between zones than needed to answer in time."""
 
 import random
 from dataclasses import dataclass
@@ -15,27 +15,27 @@
 NODES = 16
 PER_SECOND = 16.0
 SETTLING_SECONDS = 4.0
-"""Time in which nodes learn the usual latencies."""
+"""Warm-up time in which nodes measure the typical latencies."""
 SECONDS = 6.0
 OBJECTIVE_SECONDS = 0.133
 
 
 @dataclass
 class Played:
-    """What a replay came to, after it had settled."""
+    """Result of a simulation after its warm-up time."""
 
     bytes_by_purpose: dict[str, float]
-    """In a second."""
+    """Bytes between zones a second, by purpose."""
     served_in_time: float
 
     @property
     def bytes_per_second(self) -> float:
-        """All of them."""
+        """Bytes between zones a second."""
         return sum(self.bytes_by_purpose.values())
 
 
-def played(way: ChoiceStrategy, seed: int = 1) -> Played:
-    """Let requests over 90 shards of 1,000 bytes each pass through nodes of four zones."""
+def played(strategy: ChoiceStrategy, seed: int = 1) -> Played:
+    """Simulate requests over 90 shards of 1,000 bytes each at nodes of four zones."""
     source = random.Random(seed)
     clock = VirtualClock()
     replicas = [
@@ -59,7 +59,7 @@
         merged_records=50,
     )
     load = ReplayedLoad(replicas, clock, {"/wide/": 0.0112}, source, body_bytes={"/wide/": 1000})
-    load.add_nodes(NODES, "abcd", table(1, route), retry_slack=180.0, choice_strategy=way)
+    load.add_nodes(NODES, "abcd", table(1, route), retry_slack=180.0, choice_strategy=strategy)
     load.join_nodes(SHARDS)
     load.requests("/wide/", PER_SECOND, 0.0, SETTLING_SECONDS + SECONDS)
     load.clock.run(SETTLING_SECONDS)
@@ -78,13 +78,13 @@
 
 
 class BytesBetweenZonesTest(TestCase):
-    def test_near_replicas_that_are_early_enough_keep_bytes_within_the_zone(self) -> None:
+    def test_same_zone_replicas_that_answer_in_time_are_preferred(self) -> None:
         product = played(ChoiceStrategy.PRODUCT)
         completion = played(ChoiceStrategy.COMPLETION)
         self.assertLess(completion.bytes_per_second, 0.5 * product.bytes_per_second)
         self.assertGreaterEqual(completion.served_in_time, product.served_in_time - 0.01)
 
-    def test_direct_answers_of_far_replicas_are_the_greatest_purpose(self) -> None:
+    def test_most_bytes_between_zones_are_answers_of_replicas(self) -> None:
         found = played(ChoiceStrategy.COMPLETION, seed=2).bytes_by_purpose
         self.assertEqual("replicas", max(found, key=lambda purpose: found[purpose]))
         self.assertLess(found["DelegatedRequest"], 0.5 * found["DelegatedAnswer"])
--- a/tests/forwarding/choice/test_completion.py
+++ b/tests/forwarding/choice/test_completion.py
@@ -1,4 +1,4 @@
-"""The expected time to completion orders replicas as their callers would."""
+"""The completion cost ranks replicas by the expected benefit for callers."""
 
 from testtools import TestCase
 
@@ -29,35 +29,37 @@
     return completion_cost_seconds(target, estimate, is_owned=True)
 
 
-class ExpectedTest(TestCase):
-    def test_a_near_replica_that_is_slower_but_early_enough_goes_before_a_far_one(self) -> None:
+class CompletionCostTest(TestCase):
+    def test_a_slower_replica_of_the_same_zone_is_preferred_if_it_answers_in_time(self) -> None:
         self.assertLess(seconds(pace=2.5), seconds(is_far=True))
         self.assertLess(seconds(ahead=1.0), seconds(is_far=True))
 
-    def test_one_that_would_take_most_of_the_objective_goes_behind_a_far_one(self) -> None:
+    def test_another_zone_is_preferred_if_the_same_zone_would_use_most_of_the_objective(
+        self,
+    ) -> None:
         self.assertGreater(seconds(pace=8.0), seconds(is_far=True))
         self.assertGreater(seconds(ahead=12.0), seconds(is_far=True))
 
-    def test_the_same_pace_matters_more_where_the_objective_is_short(self) -> None:
+    def test_the_same_slowdown_matters_more_with_a_short_objective(self) -> None:
         short = LatencyTarget(objective_seconds=0.03, typical_seconds=0.012)
         self.assertGreater(seconds(short, pace=2.5), seconds(short, is_far=True))
 
-    def test_one_that_loses_answers_goes_behind_a_far_one_that_does_not(self) -> None:
+    def test_another_zone_is_preferred_over_a_replica_that_loses_answers(self) -> None:
         self.assertGreater(seconds(trouble=0.2), seconds(is_far=True))
 
-    def test_a_slot_that_is_free_makes_no_one_wait(self) -> None:
+    def test_queueing_costs_more_than_sharing_a_replica_with_a_free_slot(self) -> None:
         waits = seconds(ahead=2.0) - seconds(ahead=1.0)
         shares = seconds(ahead=1.0) - seconds(ahead=0.0)
         self.assertGreater(waits, 2 * shares)
         self.assertGreater(shares, 0.0)
 
-    def test_one_that_is_overdue_goes_behind_a_far_one(self) -> None:
+    def test_another_zone_is_preferred_over_an_overdue_replica(self) -> None:
         self.assertGreater(seconds(is_overdue=True), seconds(is_far=True))
 
-    def test_a_proven_one_goes_before_an_unproven_one(self) -> None:
+    def test_a_proven_replica_is_preferred_over_an_unproven_one(self) -> None:
         self.assertGreater(seconds(is_unproven=True), seconds(pace=1.4))
 
-    def test_before_anything_is_known_of_the_route_all_of_it_still_orders(self) -> None:
+    def test_penalties_apply_to_a_route_without_measurements(self) -> None:
         unknown = LatencyTarget(objective_seconds=0.133)
         self.assertLess(seconds(unknown), seconds(unknown, is_far=True))
         self.assertLess(seconds(unknown, is_far=True), seconds(unknown, is_overdue=True))
@@ -73,15 +75,15 @@
             state.on_latency(9.0, now - 0.1, now)
         return state
 
-    def test_one_slow_answer_of_a_replica_that_works_as_usual_counts_as_a_pause(self) -> None:
+    def test_one_slow_answer_with_typical_reported_work_counts_as_a_pause(self) -> None:
         self.assertLess(self.answered(1.0).slowdown(NOW), 2.0)
         self.assertGreater(self.answered(2.5).slowdown(NOW), 4.0)
         self.assertGreater(self.answered(None).slowdown(NOW), 4.0)
 
-    def test_a_second_one_in_a_row_counts_whatever_it_says(self) -> None:
+    def test_a_second_slow_answer_in_a_row_counts_fully(self) -> None:
         self.assertGreater(self.answered(1.0, times=2).slowdown(NOW + 1.0), 4.0)
 
-    def test_what_it_said_earlier_explains_no_attempt_that_was_ended(self) -> None:
+    def test_an_earlier_report_does_not_make_a_cancelled_attempt_a_pause(self) -> None:
         state = ReplicaState(replica("r", "s"), 0.0)
         state.on_answer(ReportedLoad(0, 0, 2, 1.0), NOW)
         state.on_latency(9.0, NOW, NOW + 0.25)
--- a/tests/forwarding/choice/test_lost_answers.py
+++ b/tests/forwarding/choice/test_lost_answers.py
@@ -1,4 +1,4 @@
-"""Replicas run wide requests and their answers are lost: what is left is used all the same."""
+"""Wide requests are answered from the remaining shards when replicas lose answers."""
 
 import random
 
@@ -20,7 +20,7 @@
 NODES = 16
 ALL_PER_SECOND = 20.0
 PER_SECOND = 6.7
-"""Requests that one of three owners of a shard sees."""
+"""Requests a second at one of three owners of a shard."""
 
 
 WIDE = replayed_route(
@@ -33,7 +33,7 @@
 
 
 def shard_replicas(source: random.Random, clock: VirtualClock) -> list[ReplayedReplica]:
-    """Return the replicas of 90 shards, each in three zones of four."""
+    """Return the replicas of 90 shards, each in three of four zones."""
     return [
         ReplayedReplica(
             replica(f"r{shard}{zone}", f"s{shard}", zone),
@@ -48,7 +48,7 @@
 
 
 def owners_load(seed: int) -> ReplayedLoad:
-    """Return one owner that asks 90 shards."""
+    """Return a load with one node that owns all 90 shards."""
     source = random.Random(seed)
     clock = VirtualClock()
     replicas = shard_replicas(source, clock)
@@ -57,8 +57,8 @@
     return load
 
 
-def worth_while_answers_are_lost(seed: int) -> float:
-    """Return the mean worth of the requests of those seconds."""
+def mean_worth_with_lost_answers(seed: int) -> float:
+    """Return the mean worth of requests that arrive while answers are lost."""
     load = owners_load(seed)
     load.requests("/wide/", PER_SECOND, 0.0, 4.0 + LOST_SECONDS)
     load.clock.run(4.0)
@@ -79,7 +79,7 @@
 
 
 def owners_of_many_nodes(seed: int) -> ReplayedLoad:
-    """Return nodes in four zones that ask each other for the shards."""
+    """Return a load with nodes in four zones that delegate shards to each other."""
     source = random.Random(seed)
     clock = VirtualClock()
     replicas = shard_replicas(source, clock)
@@ -97,7 +97,7 @@
 
 
 class LostAnswersTest(TestCase):
-    def test_a_caller_does_not_wait_for_shards_of_which_nothing_comes(self) -> None:
+    def test_callers_do_not_wait_for_shards_without_answers(self) -> None:
         load = owners_of_many_nodes(2)
         load.requests("/wide/", ALL_PER_SECOND, 0.0, 4.0)
         load.clock.run(2.0)
@@ -105,19 +105,19 @@
         load.clock.run(5.0)
         self.assertLess(max(item.seconds for item in load.ended), 2 * OBJECTIVE_SECONDS)
 
-    def test_nearly_all_is_served_while_half_of_the_replicas_lose_answers(self) -> None:
-        worths = [worth_while_answers_are_lost(seed) for seed in range(1, 7)]
+    def test_most_requests_are_served_while_half_of_the_replicas_lose_answers(self) -> None:
+        worths = [mean_worth_with_lost_answers(seed) for seed in range(1, 7)]
         self.assertGreater(sum(worths) / len(worths), 0.87, worths)
         self.assertGreater(min(worths), 0.8, worths)
 
-    def test_a_replica_whose_connections_break_now_and_then_is_not_left_out(self) -> None:
+    def test_a_few_broken_connections_do_not_block_a_replica(self) -> None:
         state = ReplicaState(replica("r", "s"), 0.0)
         settings = ForwardingSettings(zone="a")
         for _ in range(MIN_BROKEN_CONNECTIONS - 1):
             self.assertEqual(0.0, state.on_connection_failure(settings, False, 1.0))
         self.assertFalse(state.is_blocked(settings, 1.0))
 
-    def test_one_that_answers_nothing_is_left_out_longer_each_time(self) -> None:
+    def test_the_backoff_doubles_while_connections_break(self) -> None:
         state = ReplicaState(replica("r", "s"), 0.0)
         settings = ForwardingSettings(zone="a")
         times = [
@@ -126,13 +126,13 @@
         ]
         self.assertEqual([0.3, 0.6, 1.2], times[MIN_BROKEN_CONNECTIONS - 1 :])
 
-    def test_one_that_is_out_of_reach_is_left_out_at_once(self) -> None:
+    def test_an_unreachable_replica_is_blocked_at_once(self) -> None:
         state = ReplicaState(replica("r", "s"), 0.0)
         self.assertEqual(0.3, state.on_connection_failure(ForwardingSettings(zone="a"), True, 1.0))
 
 
 class ReplayTest(TestCase):
-    def test_a_replayed_replica_drops_what_was_cancelled(self) -> None:
+    def test_a_simulated_replica_drops_cancelled_requests(self) -> None:
         clock = VirtualClock()
         one = ReplayedReplica(replica("r", "s"), clock, random.Random(1))
         ended: list[str] = []
--- a/tests/forwarding/choice/test_single_replica_loads.py
+++ b/tests/forwarding/choice/test_single_replica_loads.py
@@ -1,4 +1,4 @@
-"""Many nodes send to few replicas of few slots, each by what it sees itself."""
+"""Many nodes share a few replicas without overloading any of them."""
 
 import random
 from dataclasses import dataclass, replace
@@ -18,7 +18,7 @@
 
 @dataclass(frozen=True)
 class Load:
-    """A service of few replicas and those who ask it."""
+    """A service with few replicas, and the request rate of its callers."""
 
     nodes: int
     replicas: int
@@ -33,9 +33,13 @@
 
 
 def played(
-    load: Load, way: ChoiceStrategy, seed: int, lost_share: float = 0.0, is_repeatable: bool = True
+    load: Load,
+    strategy: ChoiceStrategy,
+    seed: int,
+    lost_share: float = 0.0,
+    is_repeatable: bool = True,
 ) -> ReplayedLoad:
-    """Return what became of ten usual seconds, fifteen of a burst and five usual ones."""
+    """Simulate ten seconds of normal load, fifteen of a burst and five of normal load."""
     source = random.Random(seed)
     clock = VirtualClock()
     replicas = [
@@ -59,7 +63,9 @@
     work = {"/one/": load.work_seconds}
     retries = 1 if is_repeatable else 0
     result = ReplayedLoad(replicas, clock, work, source, spread=0.5, retries=retries)
-    result.add_nodes(load.nodes, "abcd", table(1, route), retry_slack=180.0, choice_strategy=way)
+    result.add_nodes(
+        load.nodes, "abcd", table(1, route), retry_slack=180.0, choice_strategy=strategy
+    )
     result.requests("/one/", load.per_second, 0.0, 10.0)
     result.requests("/one/", load.per_second * BURST, 10.0, 15.0)
     result.requests("/one/", load.per_second, 25.0, 5.0)
@@ -68,20 +74,20 @@
 
 
 def mean_quantile(loads: list[ReplayedLoad], share: float) -> float:
-    """Return the mean of a quantile over several replays."""
+    """Return the mean of a quantile over several simulations."""
     return sum(load.quantile("/one/", share) for load in loads) / len(loads)
 
 
 class EvenLoadTest(TestCase):
-    def test_a_burst_is_served_within_the_objective_and_evenly(self) -> None:
+    def test_a_burst_is_served_in_time_and_spread_evenly(self) -> None:
         for load in (MANY_NODES, FEWER_NODES):
-            for way in ChoiceStrategy:
-                loads = [played(load, way, seed) for seed in SEEDS]
+            for strategy in ChoiceStrategy:
+                loads = [played(load, strategy, seed) for seed in SEEDS]
                 self.assertLess(mean_quantile(loads, 0.99), load.objective_seconds, load)
                 busiest = sum(item.busiest() for item in loads) / len(loads)
                 self.assertLess(busiest, 1.45, load)
 
-    def test_answers_that_are_lost_leave_the_rest_within_the_objective(self) -> None:
+    def test_lost_answers_do_not_delay_other_requests(self) -> None:
         for load in (MANY_NODES, FEWER_NODES):
             loads = [played(load, ChoiceStrategy.COMPLETION, seed, 0.08) for seed in SEEDS]
             self.assertLess(mean_quantile(loads, 0.95), load.objective_seconds, load)
@@ -89,7 +95,7 @@
 
 
 class OnceOnlyTest(TestCase):
-    def test_what_may_have_run_is_not_sent_again(self) -> None:
+    def test_a_non_repeatable_request_that_may_have_run_is_not_sent_again(self) -> None:
         load = played(MANY_NODES, ChoiceStrategy.COMPLETION, 1, 0.4, is_repeatable=False)
         self.assertEqual(len(load.ended), load.sent)
         lost = [item for item in load.ended if item.kind is ReplyFailure]
--- a/tests/forwarding/played_service.py
+++ b/tests/forwarding/played_service.py
@@ -1,4 +1,4 @@
-"""Replicas of one small service on a node's virtual clock: slots, a line, a pace."""
+"""Simulated replicas of one service on a node's virtual clock, with slots and a FIFO queue."""
 
 from collections import Counter
 
@@ -8,31 +8,31 @@
 
 STEP_SECONDS = 0.002
 FIRST_WITH_KEY = 1000
-"""Numbers of requests with a key; those without count from 1."""
+"""First number of requests with a key; those without a key count from 1."""
 
 
 class PlayedService:
-    """Answers what a node sends: each replica works on some at a time, first come first served.
+    """Answers the requests of a node; each replica processes them in FIFO order.
 
     Parameters
     ----------
     slots
-        Requests that a replica works on at a time.
+        Requests that a replica processes concurrently.
     work_seconds
-        How long it works on one.
+        Work time of a request.
     """
 
     def __init__(self, node: OneNode, slots: int = 2, work_seconds: float = 0.13) -> None:
         self.node = node
         self.started: list[str] = []
-        """The request ids in the order in which replicas began to work on them."""
+        """Ids of the requests in the order in which replicas started them."""
         self._slots = slots
         self._work_seconds = work_seconds
         self._ends_at: dict[int, float] = {}
         self._arrived: dict[str, float] = {}
 
     def ask(self, path: str, deadline_seconds: float = 8.0, key: str = "") -> int:
-        """Let a caller ask."""
+        """Send a request as a caller and return its number."""
         if key:
             number = FIRST_WITH_KEY + len(self._arrived)
             known_callers.ask(self.node, number, key, path, deadline_seconds=deadline_seconds)
@@ -42,18 +42,18 @@
         return number
 
     def run(self, seconds: float) -> None:
-        """Let time pass and replicas work."""
+        """Advance the time and let the replicas work."""
         ends_at = self.node.now + seconds
         while self.node.now < ends_at:
             self._work()
             self.node.advance(STEP_SECONDS)
 
     def seconds(self, number: int) -> float:
-        """Return after which time a caller heard something."""
+        """Return the response time of a request."""
         return self.node.replied_at[number] - self._arrived[f"id-{number}"]
 
     def outcomes(self, numbers: list[int], in_time_seconds: float) -> dict[str, int]:
-        """Return how many were served in time or late, or rejected."""
+        """Return the number of requests by outcome: in time, late, or the kind of failure."""
         return dict(Counter(self._outcome(number, in_time_seconds) for number in numbers))
 
     def _outcome(self, number: int, in_time_seconds: float) -> str:
--- a/tests/forwarding/test_arrival_budget.py
+++ b/tests/forwarding/test_arrival_budget.py
@@ -1,4 +1,4 @@
-"""Owners of a shard get most of the extra arrivals, and the sum over all nodes stays bounded."""
+"""Owners of a shard get most of its extra requests, and the sum over all nodes is bounded."""
 
 from testtools import TestCase
 
@@ -12,8 +12,8 @@
 STEPS = 1000
 
 
-def most_in_a_window(slack: float, nodes: float, pace: float) -> int:
-    """Return what one node gets that has saved up all it may and takes all it can."""
+def max_in_window(slack: float, nodes: float, pace: float) -> int:
+    """Return the extra requests in one window of a node that has saved up all it may."""
     budget = ExtraRequestBudget(0.18, slack, WINDOW_SECONDS)
     budget.spend(nodes, 0.0, pace)
     begun_at = 1000.0
@@ -22,23 +22,23 @@
     )
 
 
-def most_of_all(slack: float, nodes: int, owners: int) -> int:
-    """Return what all nodes get at once if every one of them takes all it can."""
-    owned = most_in_a_window(slack, owners * OWNERS_RESERVE, 1.0)
-    stepped_in = most_in_a_window(slack, nodes, TAKEOVER_REFILL_SHARE)
-    return owners * owned + (nodes - owners) * stepped_in
+def max_of_all_nodes(slack: float, nodes: int, owners: int) -> int:
+    """Return the extra requests in one window if every node takes all it may."""
+    owned = max_in_window(slack, owners * OWNERS_RESERVE, 1.0)
+    taken_over = max_in_window(slack, nodes, TAKEOVER_REFILL_SHARE)
+    return owners * owned + (nodes - owners) * taken_over
 
 
 class OwnersTest(TestCase):
     def test_all_nodes_together_stay_within_the_slack(self) -> None:
         for slack, nodes in ((180.0, 70), (164.0, 25), (180.0, 40)):
-            self.assertLessEqual(most_of_all(slack, nodes, 3), slack, nodes)
+            self.assertLessEqual(max_of_all_nodes(slack, nodes, 3), slack, nodes)
 
-    def test_three_owners_get_a_third_more_than_by_a_reserve_of_two(self) -> None:
-        owned = most_in_a_window(180.0, 3 * OWNERS_RESERVE, 1.0)
-        self.assertGreaterEqual(owned, 4 / 3 * most_in_a_window(180.0, 3 * 2, 1.0))
+    def test_owners_get_a_third_more_than_with_a_reserve_of_two(self) -> None:
+        owned = max_in_window(180.0, 3 * OWNERS_RESERVE, 1.0)
+        self.assertGreaterEqual(owned, 4 / 3 * max_in_window(180.0, 3 * 2, 1.0))
 
-    def test_one_that_steps_in_now_and_then_finds_an_arrival(self) -> None:
+    def test_a_node_that_rarely_takes_over_has_an_extra_request(self) -> None:
         budget = ExtraRequestBudget(0.18, 180.0, WINDOW_SECONDS)
         self.assertTrue(budget.spend(70, 0.0, TAKEOVER_REFILL_SHARE))
         self.assertFalse(budget.spend(70, 1.0, TAKEOVER_REFILL_SHARE))
--- a/tests/forwarding/test_cold_share.py
+++ b/tests/forwarding/test_cold_share.py
@@ -1,4 +1,4 @@
-"""Cold replicas get no more requests a second than they handle, from all nodes together."""
+"""All nodes together send no more requests to a cold replica than it handles."""
 
 from dataclasses import replace
 
@@ -18,18 +18,18 @@
 
 
 class _Node:
-    """One node that sends to a cold replica whatever it may."""
+    """A node that sends as many requests to a cold replica as its quota allows."""
 
     def __init__(self, name: str, known: list[str]) -> None:
         self.nodes = NodeCount(SETTINGS)
         for other in known:
             self.nodes.put(other)
-        self.share = ColdQuota(OVERAGE, SLACK, self.nodes, name)
+        self.quota = ColdQuota(OVERAGE, SLACK, self.nodes, name)
         self.replica = ReplicaState(replica("r", "s", cold_seconds=60.0), 0.0)
 
     def send(self, per_second: float, now: float) -> int:
         sent = 0
-        while self.share.may_send(self.replica, per_second, self.nodes.get(now), now):
+        while self.quota.may_send(self.replica, per_second, self.nodes.get(now), now):
             self.replica.on_cold_send(now)
             sent += 1
         return sent
@@ -39,8 +39,8 @@
     return [f"nodes/{number:03}" for number in range(count)]
 
 
-def most_in_a_second(nodes: list[_Node], per_second: float) -> int:
-    """Return the most requests of all nodes in any second; each sends at moments of its own."""
+def max_in_a_second(nodes: list[_Node], per_second: float) -> int:
+    """Return the maximum number of requests of all nodes in any second."""
     sent: list[float] = []
     for tenth in range(40):
         for number, node in enumerate(nodes):
@@ -50,25 +50,25 @@
 
 
 class SumTest(TestCase):
-    def test_nodes_that_start_together_keep_within_the_bound_and_use_it(self) -> None:
+    def test_nodes_that_start_together_use_but_do_not_exceed_the_limit(self) -> None:
         for count in (6, 12, 76, 300):
             for per_second in (2.0, 10.0, 100.0):
                 nodes = [_Node(name, names(count)) for name in names(count)]
-                most = most_in_a_second(nodes, per_second)
+                most = max_in_a_second(nodes, per_second)
                 bound = per_second * OVERAGE + SLACK
                 self.assertLessEqual(most, bound, (count, per_second))
                 self.assertGreaterEqual(most, min(bound * 0.25, count), (count, per_second))
 
-    def test_a_fleet_that_has_grown_by_half_keeps_within_the_bound(self) -> None:
+    def test_a_fleet_that_grew_by_half_does_not_exceed_the_limit(self) -> None:
         for count in (12, 76, 200):
             for per_second in (2.0, 10.0, 100.0):
                 known, all_names = names(count), names(count * 3 // 2)
                 nodes = [_Node(name, known) for name in known]
                 nodes += [_Node(name, all_names) for name in all_names[count:]]
-                most = most_in_a_second(nodes, per_second)
+                most = max_in_a_second(nodes, per_second)
                 self.assertLessEqual(most, per_second * OVERAGE + SLACK, (count, per_second))
 
-    def test_a_node_that_is_not_counted_yet_takes_no_small_share(self) -> None:
+    def test_a_node_that_is_not_counted_yet_takes_no_request_of_a_small_quota(self) -> None:
         stranger = _Node("nodes/new", names(300))
         self.assertEqual(0, stranger.send(2.0, 1.0))
 
@@ -90,7 +90,7 @@
         return node
 
     def sent_to(self, node: OneNode, replica_id: str, requests: int = 40) -> int:
-        """Return how many of the requests of one second go to a replica."""
+        """Return how many of the requests of one second are sent to a replica."""
         before = len(node.all_sends)
         for _ in range(requests):
             node.request()
@@ -100,23 +100,23 @@
         sends: list[SendToReplica] = node.all_sends[before:]
         return sum(send.replica.replica_id == replica_id for send in sends)
 
-    def test_what_does_not_fit_goes_elsewhere(self) -> None:
+    def test_requests_beyond_the_quota_go_to_another_replica(self) -> None:
         node = self.node(10.0, "r1")
         node.machine._directory.get("r0").on_shed(SETTINGS, node.now)  # type: ignore[union-attr]
         self.assertLessEqual(self.sent_to(node, "r1"), 6)
         self.assertGreaterEqual(self.sent_to(node, "r0"), 34)
 
-    def test_a_service_all_of_whose_replicas_are_cold_keeps_within_it(self) -> None:
+    def test_the_quota_holds_if_all_replicas_are_cold(self) -> None:
         node = self.node(10.0, "r0", "r1")
         for replica_id in ("r0", "r1"):
             self.assertLessEqual(self.sent_to(node, replica_id), 7)
 
-    def test_services_that_state_no_bound_have_none(self) -> None:
+    def test_a_service_without_a_cold_limit_is_not_limited(self) -> None:
         node = self.node(0.0, "r0", "r1")
         total = sum(self.sent_to(node, replica_id) for replica_id in ("r0", "r1"))
         self.assertGreaterEqual(total, 20)
 
-    def test_one_that_is_cold_again_is_spared_again(self) -> None:
+    def test_the_quota_applies_to_a_replica_that_is_cold_again(self) -> None:
         node = self.node(10.0)
         node.change(replica("r1", "s", cold_seconds=20.0))
         self.assertLessEqual(self.sent_to(node, "r1"), 6)
--- a/tests/forwarding/test_evacuation.py
+++ b/tests/forwarding/test_evacuation.py
@@ -1,4 +1,4 @@
-"""The replicas of a zone that is evacuated get nothing, whoever asks, until it is taken back."""
+"""Replicas of an evacuated zone receive no requests until the evacuation ends."""
 
 from testtools import TestCase
 
@@ -34,8 +34,8 @@
     return node
 
 
-def zones_asked(node: OneNode, requests: int = 40) -> set[str]:
-    """Return the zones of the replicas that requests go to, the near ones being busy."""
+def zones_of_requests(node: OneNode, requests: int = 40) -> set[str]:
+    """Return the zones to which requests are sent while the local replicas are busy."""
     before = len(node.all_sends)
     for _ in range(requests):
         node.request()
@@ -46,29 +46,29 @@
 
 
 class EvacuationTest(TestCase):
-    def test_nothing_is_sent_there_from_the_word_of_the_store_on(self) -> None:
+    def test_no_request_is_sent_to_an_evacuated_zone(self) -> None:
         node = two_zones()
-        self.assertEqual({"a", "b"}, zones_asked(node))
+        self.assertEqual({"a", "b"}, zones_of_requests(node))
         node.change(values=(EVACUATED,))
-        self.assertEqual({"a"}, zones_asked(node))
+        self.assertEqual({"a"}, zones_of_requests(node))
         self.assertEqual([{"zone": "b", "zones": 1}], node.logs("zone_evacuated"))
 
-    def test_it_is_taken_back(self) -> None:
+    def test_requests_resume_when_the_key_is_deleted(self) -> None:
         node = two_zones()
         node.change(values=(EVACUATED,))
         node.change(gone_keys=(KEY,))
-        self.assertEqual({"a", "b"}, zones_asked(node))
+        self.assertEqual({"a", "b"}, zones_of_requests(node))
         self.assertEqual(1, len(node.logs("zone_taken_back")))
 
-    def test_a_node_that_starts_knows_of_it(self) -> None:
-        self.assertEqual({"a"}, zones_asked(two_zones((EVACUATED,))))
+    def test_an_evacuation_applies_to_a_node_that_starts(self) -> None:
+        self.assertEqual({"a"}, zones_of_requests(two_zones((EVACUATED,))))
 
-    def test_another_listing_takes_it_back(self) -> None:
+    def test_requests_resume_when_a_listing_lacks_the_key(self) -> None:
         node = two_zones((EVACUATED,))
         node.machine._contents.listed((), node.now)
         self.assertEqual(frozenset(), node.machine._directory.evacuated_zones)
 
-    def test_hedges_and_retries_stay_away(self) -> None:
+    def test_hedges_and_retries_avoid_an_evacuated_zone(self) -> None:
         node = OneNode()
         records = [replica("a0", "s"), replica("b0", "s", "b")]
         node.start(table(1, single_route()), *records)
@@ -81,7 +81,7 @@
         node.advance(0.3)
         self.assertEqual({"a"}, {send.replica.zone for send in node.all_sends})
 
-    def test_a_service_with_no_other_replica_is_refused_at_once(self) -> None:
+    def test_a_request_is_refused_if_all_replicas_are_evacuated(self) -> None:
         node = OneNode()
         node.start(table(1, single_route()), replica("b0", "s", "b"))
         node.advance(10.0)
@@ -92,7 +92,7 @@
         self.assertIs(ForwardFailureKind.NOT_RUN, reply.kind)
         self.assertEqual([], node.all_sends)
 
-    def test_parts_asked_for_by_other_nodes_stay_away(self) -> None:
+    def test_delegated_sub_requests_avoid_an_evacuated_zone(self) -> None:
         node = OneNode(delegate_min_shards=10)
         shards = tuple(f"s{number}" for number in range(12))
         records = [replica(f"{zone}{name}", name, zone) for name in shards for zone in "ab"]
@@ -108,8 +108,8 @@
         taken = [item for item in answers if isinstance(item, DelegatedAnswer)]
         self.assertEqual([()], [item.declined for item in taken])
 
-    def test_news_of_another_node_are_enough(self) -> None:
+    def test_an_evacuation_reported_by_another_node_applies(self) -> None:
         node = two_zones()
         revision = node.store_revision
         node.emit(PeerReceived(OTHER, StoreNews(revision, revision + 1, (EVACUATED,))))
-        self.assertEqual({"a"}, zones_asked(node))
+        self.assertEqual({"a"}, zones_of_requests(node))
--- a/tests/forwarding/test_extra_turns.py
+++ b/tests/forwarding/test_extra_turns.py
@@ -1,4 +1,4 @@
-"""Extra arrivals where callers are told apart: nobody's burst spends what the others earned."""
+"""A burst of one tenant must not use up the extra requests of the others."""
 
 import random
 
@@ -19,32 +19,34 @@
 from wingquay.ports.forwarding import ForwardRequested, OpaqueRequest
 
 
-class TurnsTest(TestCase):
-    def test_the_next_one_is_kept_for_who_had_the_fewest_and_wants_one(self) -> None:
+class FairnessTest(TestCase):
+    def test_the_next_request_is_reserved_for_the_refused_tenant_with_the_fewest(self) -> None:
         turns = ExtraRequestFairness()
-        found = {"nobody wants one": turns.may_take("hot", 0.0)}
+        found = {"no tenant was refused": turns.may_take("hot", 0.0)}
         for _ in range(3):
             turns.on_taken("hot", 0.0)
-        found["hot had three, calm wants none"] = turns.may_take("hot", 0.1)
+        found["hot took three, calm was not refused"] = turns.may_take("hot", 0.1)
         turns.on_refused("hot", 0.1)
         turns.on_refused("calm", 0.1)
-        found["hot, calm wants one"] = turns.may_take("hot", 0.2)
+        found["hot, calm was refused"] = turns.may_take("hot", 0.2)
         found["calm"] = turns.may_take("calm", 0.2)
-        found["calm's request is over"] = turns.may_take("hot", 0.1 + REFUSAL_MEMORY_SECONDS)
+        found["calm's reservation has expired"] = turns.may_take(
+            "hot", 0.1 + REFUSAL_MEMORY_SECONDS
+        )
         turns.on_refused("calm", 1.0)
         turns.on_taken("calm", 1.1)
-        found["calm has had it"] = turns.may_take("hot", 1.2)
+        found["calm has taken it"] = turns.may_take("hot", 1.2)
         expected = {
-            "nobody wants one": True,
-            "hot had three, calm wants none": True,
-            "hot, calm wants one": False,
+            "no tenant was refused": True,
+            "hot took three, calm was not refused": True,
+            "hot, calm was refused": False,
             "calm": True,
-            "calm's request is over": True,
-            "calm has had it": True,
+            "calm's reservation has expired": True,
+            "calm has taken it": True,
         }
         self.assertEqual(expected, found)
 
-    def test_many_tenants_are_not_remembered_for_ever(self) -> None:
+    def test_the_number_of_remembered_tenants_is_bounded(self) -> None:
         turns = ExtraRequestFairness()
         for number in range(1000):
             turns.on_taken(f"tenant{number}", 0.0)
@@ -52,8 +54,8 @@
         self.assertLess(len(turns._had) + len(turns._wanted_at), 200)
 
 
-class SharesTest(TestCase):
-    """A service whose budget allows one extra arrival each second."""
+class SendingQuotasTest(TestCase):
+    """A service whose budget allows one extra request a second."""
 
     def setUp(self) -> None:
         super().setUp()
@@ -66,7 +68,7 @@
             max_nodes=1,
         )
         directory = ReplicaDirectory(settings, random.Random(1))
-        self.shares = SendingQuotas(settings, directory, NodeCount(settings), "", DEFAULT_WAITING)
+        self.quotas = SendingQuotas(settings, directory, NodeCount(settings), "", DEFAULT_WAITING)
 
     def call(self, tenant: Tenant | None) -> ServiceCall:
         request = OpaqueRequest(b"GET", b"/one/x", ())
@@ -75,13 +77,13 @@
         exchange = Exchange(event, table(1, route), route, 0.0, 1.0, 2.0, tenant=tenant)
         return ServiceCall(exchange, "s")
 
-    def test_the_second_one_goes_to_the_tenant_that_had_none(self) -> None:
+    def test_the_second_request_goes_to_the_tenant_without_one(self) -> None:
         hot, calm = self.call(Tenant("hot", ("1",))), self.call(Tenant("calm", ("2",)))
         moments = ((hot, 0.0), (calm, 0.8), (hot, 1.0), (calm, 1.05), (hot, 2.1))
-        granted = [self.shares.take_extra_request(call, now) for call, now in moments]
+        granted = [self.quotas.take_extra_request(call, now) for call, now in moments]
         self.assertEqual([True, False, False, True, True], granted)
 
-    def test_callers_that_are_not_told_apart_take_what_there_is(self) -> None:
+    def test_anonymous_callers_share_the_budget_without_order(self) -> None:
         call = self.call(None)
-        granted = [self.shares.take_extra_request(call, now) for now in (0.0, 0.8, 1.0)]
+        granted = [self.quotas.take_extra_request(call, now) for now in (0.0, 0.8, 1.0)]
         self.assertEqual([True, False, True], granted)
--- a/tests/forwarding/test_line_order.py
+++ b/tests/forwarding/test_line_order.py
@@ -1,4 +1,4 @@
-"""Loads on a small service: bursts, hot callers, the last slot, a start; by where work waits."""
+"""Requests that wait at the node are ordered by priority and fairness, unlike at replicas."""
 
 from testtools import TestCase
 
@@ -12,13 +12,13 @@
 
 OBJECTIVE_SECONDS = 1.05
 HOT, CALM = Tenant("hot", ("hot-key",)), Tenant("calm", ("calm-key",))
-WAYS = {place.value: WaitingSettings(WaitingRule.ESTIMATE, place) for place in QueueLocation}
+SETTINGS = {place.value: WaitingSettings(WaitingRule.ESTIMATE, place) for place in QueueLocation}
 
 
 def service(
     waiting: WaitingSettings, replicas: int, settled_seconds: float, *tenants: Tenant
 ) -> PlayedService:
-    """Return a service that takes urgent and usual requests at a node that is one of few."""
+    """Return a service with an urgent and a normal route, forwarded by a single node."""
     node = OneNode(waiting=waiting)
     shared = {"objective_seconds": OBJECTIVE_SECONDS, "timeout_seconds": 8.0, "max_attempts": 1}
     urgent = single_route("/urgent/", priority=0, **shared)
@@ -37,12 +37,14 @@
 
 
 class LoadTest(TestCase):
-    """Each load: what callers get where work waits at the replicas, and where it waits here."""
+    """Compares queueing at the replicas with queueing at the node."""
 
     def both(self, replicas: int = 1, settled_seconds: float = 10.0) -> dict[str, PlayedService]:
-        return {name: service(waiting, replicas, settled_seconds) for name, waiting in WAYS.items()}
+        return {
+            name: service(waiting, replicas, settled_seconds) for name, waiting in SETTINGS.items()
+        }
 
-    def test_an_urgent_call_overtakes_a_burst(self) -> None:
+    def test_an_urgent_request_overtakes_a_burst(self) -> None:
         seconds = {}
         for name, played in self.both().items():
             for _ in range(15):
@@ -53,18 +55,18 @@
             seconds[name] = round(played.seconds(number), 1)
         self.assertEqual({"replica": 1.0, "node": 0.3}, seconds)
 
-    def test_a_replica_that_says_that_it_has_more_slots_gets_more(self) -> None:
-        under_way = {}
+    def test_a_replica_that_reports_more_slots_receives_more_requests(self) -> None:
+        in_flight = {}
         for slots in (2, 8):
-            played = service(WAYS["node"], 1, 10.0)
+            played = service(SETTINGS["node"], 1, 10.0)
             played.ask("/usual/x")
             played.node.answer(played.node.sends[0], load=ReportedLoad(1, 0, slots))
             for _ in range(20):
                 played.ask("/usual/x")
-            under_way[slots] = len(played.node.sends)
-        self.assertEqual({2: 3, 8: 12}, under_way)
+            in_flight[slots] = len(played.node.sends)
+        self.assertEqual({2: 3, 8: 12}, in_flight)
 
-    def test_the_last_slot_goes_to_the_urgent_call(self) -> None:
+    def test_the_last_slot_goes_to_the_urgent_request(self) -> None:
         started = {}
         for name, played in self.both().items():
             numbers = [played.ask("/usual/x") for _ in range(5)]
@@ -74,7 +76,7 @@
             started[name] = [waited.index(name) for name in played.started if name in waited]
         self.assertEqual({"replica": [0, 1, 2], "node": [2, 0, 1]}, started)
 
-    def test_a_burst_beyond_what_can_be_served_is_rejected_at_once(self) -> None:
+    def test_requests_that_cannot_be_served_are_rejected_at_once(self) -> None:
         found = {}
         for name, played in self.both(replicas=2).items():
             numbers = [played.ask("/usual/x") for _ in range(160)]
@@ -87,17 +89,17 @@
         }
         self.assertEqual(expected, found)
 
-    def test_what_arrives_right_after_a_start_is_served(self) -> None:
+    def test_requests_right_after_a_start_are_served(self) -> None:
         found = {}
         for name, played in self.both(replicas=2, settled_seconds=0.0).items():
             numbers = [played.ask("/usual/x") for _ in range(12)]
             played.run(3.0)
             found[name] = played.outcomes(numbers, OBJECTIVE_SECONDS)
-        self.assertEqual({name: {"in time": 12} for name in WAYS}, found)
+        self.assertEqual({name: {"in time": 12} for name in SETTINGS}, found)
 
 
 class HotCallerTest(TestCase):
-    """One tenant sends twenty times as much as another one."""
+    """One tenant sends twenty times as many requests as another."""
 
     def calm_seconds(self, waiting: WaitingSettings) -> float:
         played = service(waiting, 1, 10.0, HOT, CALM)
@@ -108,23 +110,23 @@
         played.run(4.0)
         return round(played.seconds(number), 1)
 
-    def test_only_tenants_that_were_served_are_remembered_and_by_name(self) -> None:
+    def test_only_named_tenants_that_were_served_are_remembered(self) -> None:
         names = {}
         for tenants in ((), (HOT, CALM)):
-            played = service(WAYS["node"], 1, 10.0, *tenants)
+            played = service(SETTINGS["node"], 1, 10.0, *tenants)
             lines = played.node.machine._forwarding._line._lines.values()
             ranks = [rank for line in lines for rank in line._ranks.values()]
             names[len(tenants)] = [name for rank in ranks for name in rank.flows]
         self.assertEqual({0: [], 2: ["hot"]}, names)
 
-    def test_the_calm_one_does_not_wait_for_the_burst(self) -> None:
-        seconds = {name: self.calm_seconds(waiting) for name, waiting in WAYS.items()}
+    def test_the_calm_tenant_does_not_wait_for_the_burst(self) -> None:
+        seconds = {name: self.calm_seconds(waiting) for name, waiting in SETTINGS.items()}
         self.assertEqual({"replica": 1.4, "node": 0.3}, seconds)
 
 
 class OperatorTest(TestCase):
-    def test_what_waits_and_who_is_rejected_is_told_and_bounded(self) -> None:
-        played = service(WAYS["node"], 2, 10.0)
+    def test_waiting_and_rejected_requests_are_logged_and_counted(self) -> None:
+        played = service(SETTINGS["node"], 2, 10.0)
         for _ in range(160):
             played.ask("/usual/x")
         played.run(2.5)
--- a/tests/forwarding/test_line_properties.py
+++ b/tests/forwarding/test_line_properties.py
@@ -1,4 +1,4 @@
-"""What must hold for every load on a small service, whoever calls and whichever replicas answer."""
+"""Invariants of waiting requests for arbitrary loads and replica failures."""
 
 from dataclasses import replace
 
@@ -29,11 +29,11 @@
 
 
 class History:
-    """One node, two replicas of one slot, and what they and its callers saw."""
+    """Events of one node, its callers, and two replicas with one slot each."""
 
     def __init__(self) -> None:
-        in_force = WaitingSettings(WaitingRule.ESTIMATE, QueueLocation.NODE)
-        self.node = OneNode(waiting=in_force, min_nodes=1)
+        waiting_settings = WaitingSettings(WaitingRule.ESTIMATE, QueueLocation.NODE)
+        self.node = OneNode(waiting=waiting_settings, min_nodes=1)
         objective = {"objective_seconds": 0.5, "timeout_seconds": DEADLINE_SECONDS}
         routes = (
             single_route("/urgent/", priority=0, **objective),
@@ -49,7 +49,7 @@
         self.overtaken: list[tuple[str, str]] = []
 
     def step(self, step: str | float) -> None:
-        """Let a caller, a replica or time act."""
+        """Apply one step: a request, a replica's reaction, or a delay."""
         seen = len(self.node.all_sends)
         waiting = self._waiting()
         match step:
@@ -83,7 +83,7 @@
                 self.node.fail(send, SendFailureKind.NOT_SENT)
 
     def _waiting(self) -> set[str]:
-        """Return the urgent requests that are open and were sent nowhere yet."""
+        """Return the open urgent requests that have not been sent yet."""
         sent = {send.request_id for send in self.node.all_sends}
         return {
             f"id-{number}"
@@ -94,7 +94,7 @@
         }
 
     def not_run(self) -> set[str]:
-        """Return the requests whose callers were told that they have not run and never will."""
+        """Return the requests that were reported to their callers as not run."""
         return {
             f"id-{number}"
             for number, reply in self.node.replies.items()
@@ -103,7 +103,7 @@
 
 
 def played(steps: list[str | float]) -> History:
-    """Return what came of some steps, and of the time in which every request must end."""
+    """Apply some steps, then wait until every request must have ended."""
     history = History()
     for step in steps:
         history.step(step)
@@ -113,18 +113,18 @@
 
 class PropertyTest(TestCase):
     @given(steps=STEPS)
-    def test_an_urgent_call_never_waits_behind_a_less_urgent_one(
+    def test_an_urgent_request_never_waits_behind_a_less_urgent_one(
         self, steps: list[str | float]
     ) -> None:
         self.assertEqual([], played(steps).overtaken)
 
     @given(steps=STEPS)
-    def test_what_is_called_not_run_has_run_nowhere_and_is_under_way_nowhere(
+    def test_a_request_reported_as_not_run_has_not_run_and_is_not_in_flight(
         self, steps: list[str | float]
     ) -> None:
         history = played(steps)
-        under_way = {send.request_id for send in history.node.sends}
-        self.assertEqual(set(), history.not_run() & (history.ran | under_way))
+        in_flight = {send.request_id for send in history.node.sends}
+        self.assertEqual(set(), history.not_run() & (history.ran | in_flight))
 
     @given(steps=STEPS)
     def test_every_request_ends_by_its_deadline(self, steps: list[str | float]) -> None:
@@ -138,7 +138,7 @@
         self.assertEqual(set(history.arrived), set(history.node.replies))
 
     @given(paths=st.lists(st.sampled_from(PATHS), min_size=1, max_size=10))
-    def test_those_without_a_chance_end_at_once(self, paths: list[str]) -> None:
+    def test_requests_without_replicas_end_at_once(self, paths: list[str]) -> None:
         history = History()
         history.node.change(gone=("r0", "r1"))
         history.node.advance(5.0)
--- a/tests/forwarding/test_replica_lives.py
+++ b/tests/forwarding/test_replica_lives.py
@@ -1,4 +1,4 @@
-"""Replicas that start again under their ids: what is believed of a life ends with it."""
+"""State of a replica belongs to one incarnation and must not outlast its restart."""
 
 import random
 
@@ -62,29 +62,29 @@
     return node
 
 
-class LifeNamesTest(TestCase):
-    def test_a_life_is_the_id_and_when_it_was_born(self) -> None:
-        lives = [replica("r0", "s", born=born).life for born in (None, 0, BORN)]
-        self.assertEqual(["r0", "r0 0", f"r0 {BORN}"], lives)
+class IncarnationNamesTest(TestCase):
+    def test_an_incarnation_is_named_by_id_and_start_time(self) -> None:
+        names = [replica("r0", "s", born=born).life for born in (None, 0, BORN)]
+        self.assertEqual(["r0", "r0 0", f"r0 {BORN}"], names)
 
 
-class OrderOfEntriesTest(TestCase):
-    """The store's revision orders entries; when a life was born only tells lives apart."""
+class RecordOrderTest(TestCase):
+    """Records are ordered by store revision; start times only distinguish incarnations."""
 
-    def test_which_entry_holds(self) -> None:
-        unborn = replica("r0", "s")
-        unborn_leaving = replica("r0", "s", is_draining=True)
+    def test_which_record_applies(self) -> None:
+        unstated = replica("r0", "s")
+        unstated_draining = replica("r0", "s", is_draining=True)
         leaving = replica("r0", "s", born=BORN, is_draining=True)
         cases = (
-            ("a new life", (OLD, 5), (NEW, 6), NEW),
-            ("an older entry after a newer one", (NEW, 6), (OLD, 5), NEW),
-            ("an older entry of the same life", (leaving, 6), (OLD, 5), leaving),
-            ("the same entry again", (OLD, 5), (OLD, 5), OLD),
+            ("a new incarnation", (OLD, 5), (NEW, 6), NEW),
+            ("an older record after a newer one", (NEW, 6), (OLD, 5), NEW),
+            ("an older record of the same incarnation", (leaving, 6), (OLD, 5), leaving),
+            ("the same record again", (OLD, 5), (OLD, 5), OLD),
             ("a clock that stepped back", (NEW, 5), (OLD, 6), OLD),
-            ("no word of its birth, later", (OLD, 5), (unborn, 6), OLD),
-            ("the rest of an entry without it", (OLD, 5), (unborn_leaving, 6), leaving),
-            ("no word of its birth, earlier", (unborn, 5), (OLD, 6), OLD),
-            ("no word of its birth, older", (OLD, 6), (unborn, 5), OLD),
+            ("no start time, newer", (OLD, 5), (unstated, 6), OLD),
+            ("other fields without a start time", (OLD, 5), (unstated_draining, 6), leaving),
+            ("no start time at first", (unstated, 5), (OLD, 6), OLD),
+            ("no start time, older", (OLD, 6), (unstated, 5), OLD),
         )
         for what, (first, first_revision), (second, second_revision), expected in cases:
             known = directory()
@@ -98,7 +98,7 @@
                 what,
             )
 
-    def test_only_another_life_forgets_what_was_believed(self) -> None:
+    def test_only_a_new_incarnation_resets_the_state(self) -> None:
         cases = (
             (NEW, 6, True),
             (replica("r0", "s"), 6, False),
@@ -107,15 +107,15 @@
             (replica("r0", "s", born=BORN, cold_seconds=3.0), 6, False),
             (replica("r0", "s", born=BORN, is_draining=True), 6, False),
         )
-        for record, revision, is_forgotten in cases:
+        for record, revision, is_reset in cases:
             known = directory()
             known.put(OLD, 1.0, 5)
             before = known.get("r0")
             over = known.put(record, 2.0, revision)
-            self.assertIs(before if is_forgotten else None, over, record)
-            self.assertEqual(is_forgotten, known.get("r0") is not before, record)
+            self.assertIs(before if is_reset else None, over, record)
+            self.assertEqual(is_reset, known.get("r0") is not before, record)
 
-    def test_a_replica_whose_entry_is_gone_is_not_brought_back_by_an_older_entry(self) -> None:
+    def test_a_deleted_record_is_not_restored_by_an_older_one(self) -> None:
         known = directory()
         known.put(OLD, 1.0, 5)
         known.mark_vanished("r0", 2.0, 8)
@@ -124,7 +124,7 @@
         known.put(OLD, 3.0, 9)
         self.assertIsNone(known.get("r0").vanished_at)
 
-    def test_an_older_word_that_it_is_gone_does_not_count(self) -> None:
+    def test_an_older_deletion_is_ignored(self) -> None:
         known = directory()
         known.put(NEW, 1.0, 9)
         known.mark_vanished("r0", 2.0, 8)
@@ -133,7 +133,7 @@
         known.keep_only((), 3.0, 9)
         self.assertEqual(3.0, known.get("r0").vanished_at)
 
-    def test_another_life_may_serve_another_service_elsewhere(self) -> None:
+    def test_a_new_incarnation_may_serve_another_service(self) -> None:
         known = directory()
         known.put(OLD, 1.0, 5)
         moved = ReplicaRecord("r0", "t", "10.0.0.9", 81, "b", 4, born=BORN + 1)
@@ -141,7 +141,7 @@
         self.assertEqual([], known.candidates("s", 2.0))
         self.assertEqual([moved], [state.record for state in known.candidates("t", 2.0)])
 
-    def test_a_life_that_names_another_service_is_found_there_only(self) -> None:
+    def test_an_incarnation_that_changes_its_service_is_moved(self) -> None:
         known = directory()
         known.put(OLD, 1.0, 5)
         known.put(replica("r0", "t", born=BORN), 2.0, 6)
@@ -150,7 +150,7 @@
         known.remove("r0")
         self.assertEqual(set(), known.services())
 
-    def test_what_others_say_of_the_life_before_does_not_touch_the_new_one(self) -> None:
+    def test_a_stale_mark_of_the_previous_incarnation_does_not_remove_the_new_one(self) -> None:
         known = directory()
         known.put(OLD, 1.0, 5)
         old = known.get("r0")
@@ -161,10 +161,12 @@
         self.assertIs(known.get("r0"), known.get_incarnation(NEW.life))
 
 
-class EntriesAtTheNodeTest(TestCase):
-    """The same by each way on which a node hears of entries."""
+class RecordsAtTheNodeTest(TestCase):
+    """Older records are ignored whichever way they reach the node."""
 
-    def news(self, node: OneNode, item: StoredValue, from_revision: int, revision: int) -> None:
+    def send_update(
+        self, node: OneNode, item: StoredValue, from_revision: int, revision: int
+    ) -> None:
         node.emit(
             PeerReceived(NEIGHBOUR, StoreNews(from_revision, revision, (item,), (), 0.0, False))
         )
@@ -175,23 +177,23 @@
     def item(self, node: OneNode, record: ReplicaRecord, revision: int) -> StoredValue:
         return StoredValue(REPLICA_PREFIX + "r0", node.stored(record).value, revision)
 
-    def test_news_of_another_node_that_overlap_do_not_bring_an_older_life_back(self) -> None:
+    def test_overlapping_updates_of_another_node_do_not_restore_an_older_incarnation(self) -> None:
         node = started()
         node.store_revision = 9
         node.change(NEW)
-        self.news(node, self.item(node, OLD, 6), 5, 11)
+        self.send_update(node, self.item(node, OLD, 6), 5, 11)
         self.assertEqual(NEW, self.held(node))
-        self.news(node, self.item(node, OLD, 12), 11, 12)
+        self.send_update(node, self.item(node, OLD, 12), 11, 12)
         self.assertEqual(OLD, self.held(node))
 
-    def test_a_listing_that_is_older_than_the_news_does_not(self) -> None:
+    def test_an_older_listing_does_not_restore_an_older_incarnation(self) -> None:
         node = started()
         node.change(NEW, values=())
         known = node.machine._directory
         node.machine._contents.listed((self.item(node, OLD, 1),), node.now)
         self.assertEqual(NEW, record_of(known))
 
-    def test_a_copy_of_a_neighbour_is_followed_by_the_later_word_of_the_store(self) -> None:
+    def test_later_store_updates_apply_after_a_neighbour_snapshot(self) -> None:
         node = OneNode()
         node.emit(Start())
         configuration = node.stored_table(table(1, single_route()))
@@ -202,13 +204,13 @@
         node.emit(WatchChanged(watch.watch_id, (self.item(node, OLD, 12),), (), 12))
         self.assertEqual(OLD, self.held(node))
 
-    def test_a_copy_that_comes_after_the_word_of_the_store_is_passed_over(self) -> None:
+    def test_a_neighbour_snapshot_older_than_the_store_update_is_ignored(self) -> None:
         node = started()
         node.change(NEW)
         node.emit(PeerSnapshot((self.item(node, OLD, 1),), 1))
         self.assertEqual(NEW, self.held(node))
 
-    def test_a_listing_after_lost_history_that_is_older_is_passed_over(self) -> None:
+    def test_an_older_listing_after_lost_history_is_ignored(self) -> None:
         node = started()
         node.store_revision = 9
         node.change(NEW)
@@ -221,16 +223,16 @@
         node.emit(StoreResponse(node.last(StoreRequest).operation_id, empty))
         self.assertEqual(node.now, node.machine._directory.get("r0").vanished_at)
 
-    def test_a_bad_entry_that_is_older_does_not_end_a_life(self) -> None:
+    def test_an_older_malformed_record_does_not_remove_a_replica(self) -> None:
         node = started()
         node.store_revision = 9
         node.change(NEW)
-        self.news(node, StoredValue(REPLICA_PREFIX + "r0", b"?", 6), 5, 11)
+        self.send_update(node, StoredValue(REPLICA_PREFIX + "r0", b"?", 6), 5, 11)
         self.assertIsNone(node.machine._directory.get("r0").vanished_at)
 
 
-class BeliefsTest(TestCase):
-    def test_pace_load_trouble_and_cold_requests_are_those_of_the_life(self) -> None:
+class ReplicaStateTest(TestCase):
+    def test_a_new_incarnation_starts_with_a_fresh_state(self) -> None:
         first = replica("r0", "s", born=BORN, cold_seconds=60.0)
         node = started(first, max_attempts=1)
         for _ in range(4):
@@ -254,7 +256,7 @@
             ),
         )
 
-    def test_a_life_that_was_out_of_reach_does_not_keep_work_from_the_next(self) -> None:
+    def test_an_unreachable_incarnation_does_not_block_the_next_one(self) -> None:
         node = started()
         node.request()
         node.fail(node.sends[0], SendFailureKind.NOT_SENT)
@@ -263,7 +265,7 @@
         node.request()
         self.assertEqual([NEW], [send.replica for send in node.sends[-1:]])
 
-    def test_a_connection_to_the_life_before_says_nothing_of_the_new_one(self) -> None:
+    def test_a_connection_result_of_the_previous_incarnation_is_ignored(self) -> None:
         node = started()
         node.request()
         node.fail(node.sends[0], SendFailureKind.NOT_SENT)
@@ -273,7 +275,7 @@
         node.emit(ConnectionTried(NEW.life, "refused", is_refused=True))
         self.assertTrue(node.machine._directory.get("r0").is_unreachable)
 
-    def test_the_trial_that_was_due_for_the_life_before_is_not_made(self) -> None:
+    def test_a_reconnect_scheduled_for_the_previous_incarnation_is_not_made(self) -> None:
         node = started()
         node.request()
         node.fail(node.sends[0], SendFailureKind.NOT_SENT)
@@ -288,12 +290,12 @@
 
 
 class ChoiceTest(TestCase):
-    """Replicas that say when they were born are chosen by the same rules as those that do not."""
+    """Replicas with a start time are selected by the same rules as those without."""
 
     def records(self, copies: int, **fields: object) -> list[ReplicaRecord]:
         return [replica(f"r{copy}", "s", born=BORN + copy, **fields) for copy in range(copies)]
 
-    def test_a_call_asks_no_life_twice(self) -> None:
+    def test_a_call_is_sent_to_each_incarnation_once(self) -> None:
         node = started(*self.records(3), max_attempts=3)
         node.request()
         for _ in range(3):
@@ -301,7 +303,7 @@
         asked = [send.replica.replica_id for send in node.all_sends]
         self.assertEqual(["r0", "r1", "r2"], sorted(asked))
 
-    def test_one_that_did_not_run_it_is_passed_over(self) -> None:
+    def test_a_replica_that_did_not_run_the_request_is_not_tried_again(self) -> None:
         node = started(*self.records(2), max_attempts=2)
         node.request()
         node.answer(node.sends[0], 503, signature=None, not_run=True)
@@ -309,7 +311,7 @@
         self.assertNotEqual(first.replica, second.replica)
 
     def sent_to_cold(self, born: int | None) -> int:
-        """Return how many of forty requests at once a cold replica gets."""
+        """Return how many of forty simultaneous requests a cold replica receives."""
         routes = (single_route(max_attempts=1),)
         service = UpstreamService("s", 24, cold_requests_per_second=10.0)
         node = OneNode(cold_overage=1.0, cold_slack=0.0, min_nodes=1, max_nodes=1)
@@ -321,13 +323,13 @@
                 node.answer(send)
         return len(node.all_sends)
 
-    def test_a_cold_one_gets_no_more_than_its_share(self) -> None:
+    def test_a_cold_replica_receives_no_more_than_the_quota(self) -> None:
         self.assertTrue(0 < self.sent_to_cold(None) < 10)
         self.assertEqual(self.sent_to_cold(None), self.sent_to_cold(BORN))
 
 
-class WorkUnderWayTest(TestCase):
-    def test_an_entry_that_does_not_say_its_birth_ends_no_work(self) -> None:
+class AttemptsInFlightTest(TestCase):
+    def test_a_record_without_a_start_time_cancels_no_attempts(self) -> None:
         node = started()
         number = node.request()
         sent = node.sends[0]
@@ -339,7 +341,7 @@
         node.request()
         self.assertEqual([OLD], [send.replica for send in node.sends])
 
-    def test_work_at_the_life_before_is_given_up_and_asked_for_again(self) -> None:
+    def test_attempts_at_the_previous_incarnation_are_cancelled_and_repeated(self) -> None:
         node = started()
         number = node.request()
         lost = node.sends[0]
@@ -350,14 +352,14 @@
         node.answer(node.sends[0])
         self.assertIs(ReplyUnchanged, type(node.replies[number]))
 
-    def test_work_that_must_not_run_twice_is_not_asked_for_again(self) -> None:
+    def test_a_non_repeatable_request_is_not_repeated(self) -> None:
         node = started(is_repeatable=False, max_attempts=2)
         number = node.request()
         node.change(NEW)
         self.assertEqual([], node.sends)
         self.assertIs(ReplyFailure, type(node.replies[number]))
 
-    def test_an_answer_of_the_life_before_counts_until_the_new_one_is_known(self) -> None:
+    def test_an_answer_before_the_new_record_is_delivered(self) -> None:
         node = started()
         number = node.request()
         node.answer(node.sends[0])
@@ -365,7 +367,7 @@
         self.assertIs(ReplyUnchanged, type(node.replies[number]))
         self.assertEqual([], node.cancelled)
 
-    def test_an_answer_that_comes_later_is_passed_over(self) -> None:
+    def test_an_answer_after_the_new_record_is_ignored(self) -> None:
         node = started()
         number = node.request()
         lost = node.sends[0]
@@ -375,13 +377,13 @@
         self.assertNotIn(number, node.replies)
         self.assertTrue(node.machine._directory.get("r0").answered_at < 0.0)
 
-    def test_a_replica_that_only_starts_to_drain_keeps_its_work(self) -> None:
+    def test_a_replica_that_starts_to_drain_keeps_its_attempts(self) -> None:
         node = started()
         node.request()
         node.change(replica("r0", "s", born=BORN, is_draining=True))
         self.assertEqual([], [a for a in node.actions if isinstance(a, CancelSend)])
 
-    def test_a_line_tells_of_the_new_life(self) -> None:
+    def test_a_new_incarnation_is_logged(self) -> None:
         node = started()
         node.request()
         node.change(NEW)
@@ -392,35 +394,35 @@
 
 
 class LostNodesTest(TestCase):
-    def test_a_lost_node_may_have_asked_the_life_before(self) -> None:
+    def test_a_shard_delegated_to_a_lost_node_is_not_sent_to_a_restarted_replica(self) -> None:
         node = node_in_group(max_attempts=3)
         node.request("/all/x")
         sender, message = delegated(node)[0]
         node.emit(PeerReceived(sender, DelegatedAnswer(message.delegation_id)))
-        renewed, *others = message.shards
-        node.change(replica(f"r{renewed.removeprefix('s')}-a", renewed, born=BORN))
+        restarted, *others = message.shards
+        node.change(replica(f"r{restarted.removeprefix('s')}-a", restarted, born=BORN))
         before = len(node.all_sends)
         node.emit(PeerLinkBroken(sender.node_id, "killed", was_open=True))
         direct = {send.replica.service for send in node.all_sends[before:]}
         self.assertEqual(set(others), direct & set(message.shards))
 
 
-class EndsUnderRequestsTest(TestCase):
-    def lives(self, count: int) -> list[ReplicaRecord]:
+class CrashesUnderRequestsTest(TestCase):
+    def incarnations(self, count: int) -> list[ReplicaRecord]:
         return [replica("r0", "s", born=BORN + number) for number in range(count)]
 
-    def test_lives_of_one_replica_end_one_by_one_under_a_request(self) -> None:
-        lives = self.lives(4)
-        node = started(lives[0], max_attempts=1)
-        for number, life in enumerate(lives[1:]):
+    def test_crashes_of_several_incarnations_under_a_request_are_counted(self) -> None:
+        incarnations = self.incarnations(4)
+        node = started(incarnations[0], max_attempts=1)
+        for number, incarnation in enumerate(incarnations[1:]):
             node.request("/one/deadly")
             node.crash_replica(node.sends[0])
             self.assertEqual(number + 1, node.logs("replica_ended_under_request")[-1]["ends"])
             node.advance(1.0)
-            node.change(life)
+            node.change(incarnation)
         self.assertEqual(1, len(node.logs("request_held")))
 
-    def test_a_connection_that_the_next_life_takes_shows_that_the_one_before_ended(self) -> None:
+    def test_a_connection_accepted_by_the_next_incarnation_shows_a_crash(self) -> None:
         node = started(max_attempts=1)
         node.request("/one/deadly")
         (looked_into,) = node.disconnect(node.sends[0])
@@ -431,7 +433,7 @@
             [OLD.life], [line["replica"] for line in node.logs("replica_ended_under_request")]
         )
 
-    def test_an_attempt_that_was_open_when_its_replica_started_again_saw_its_end(self) -> None:
+    def test_a_restart_with_an_attempt_in_flight_shows_a_crash(self) -> None:
         node = started(max_attempts=1)
         node.request("/one/deadly")
         node.change(NEW)
@@ -439,8 +441,8 @@
             [OLD.life], [line["replica"] for line in node.logs("replica_ended_under_request")]
         )
 
-    def test_it_counts_as_an_end_within_the_attempt_of_the_caller(self) -> None:
-        """As an end that a refused connection shows: from the second on, one replica is asked."""
+    def test_a_crash_counts_as_an_unexplained_disconnect(self) -> None:
+        """A crash counts the same whether a record or a refused connection shows it."""
         for is_seen_by_entry in (False, True):
             node = started(OLD, replica("r1", "s", born=BORN), max_attempts=2)
             number = node.request("/one/deadly")
@@ -452,7 +454,7 @@
             exchange = node.machine._forwarding._settlement.get(number)
             self.assertEqual(1, exchange.unexplained_disconnects)
 
-    def test_the_end_of_one_that_was_leaving_is_held_against_no_request(self) -> None:
+    def test_the_end_of_a_draining_replica_is_no_crash(self) -> None:
         node = started(max_attempts=1)
         node.request("/one/x")
         node.change(replica("r0", "s", born=BORN, is_draining=True))
--- a/tests/forwarding/test_replica_trials.py
+++ b/tests/forwarding/test_replica_trials.py
@@ -1,4 +1,4 @@
-"""Slow replicas are tried again one at a time, and seldom once a trial has shown them slow."""
+"""Slow replicas are tried one at a time, and less often after a slow trial."""
 
 from testtools import TestCase
 
@@ -8,7 +8,7 @@
 from wingquay.forwarding.settings import ForwardingSettings
 
 SHARDS = 6
-USUAL_SECONDS = 0.01
+TYPICAL_SECONDS = 0.01
 SLOW_SECONDS = 0.09
 
 
@@ -16,14 +16,14 @@
     return ReplicaState(replica("r", "s"), 0.0, slow_streak=slow_streak)
 
 
-class SlowInRowTest(TestCase):
-    def test_attempts_that_met_one_pause_count_once(self) -> None:
+class SlowStreakTest(TestCase):
+    def test_attempts_slowed_by_the_same_pause_count_once(self) -> None:
         replica_state = state(0)
         for _ in range(3):
             replica_state.on_latency(6.0, sent_at=10.0, now=10.2)
         self.assertEqual(1, replica_state.slow_streak)
 
-    def test_a_slow_trial_counts_and_a_usual_one_ends_the_row(self) -> None:
+    def test_a_slow_trial_extends_the_streak_and_a_typical_one_ends_it(self) -> None:
         replica_state = state(0)
         replica_state.on_latency(6.0, sent_at=10.0, now=10.2)
         replica_state.on_latency(6.0, sent_at=13.0, now=13.2)
@@ -43,12 +43,12 @@
             self.assertFalse(trials.is_allowed(second, start + spacing_seconds - 0.01))
             self.assertTrue(trials.is_allowed(second, start + spacing_seconds + 0.01))
 
-    def test_usual_replicas_are_not_spaced(self) -> None:
+    def test_replicas_that_are_not_slow_are_not_spaced(self) -> None:
         trials = ReplicaTrials(ForwardingSettings(zone="a"))
         trials.on_chosen(state(2), 1.0)
         self.assertTrue(trials.is_allowed(state(0), 1.0))
 
-    def test_a_slow_replica_that_is_asked_for_want_of_another_is_no_trial(self) -> None:
+    def test_a_slow_replica_chosen_without_alternative_is_no_trial(self) -> None:
         trials = ReplicaTrials(ForwardingSettings(zone="a"))
         trials.on_chosen(state(2), 1.0)
         trials.on_chosen(state(2), 1.5)
@@ -56,30 +56,30 @@
 
 
 class RequestTest(TestCase):
-    """All near replicas turn slow at once, the far ones answer as usual."""
+    """All replicas of the local zone become slow at once, those of the other zone do not."""
 
-    def test_one_request_does_not_try_them_all(self) -> None:
+    def test_one_request_does_not_try_all_slow_replicas(self) -> None:
         node = OneNode()
         records = [replica(f"near{number}", f"s{number}", "a") for number in range(SHARDS)]
         records += [replica(f"far{number}", f"s{number}", "b") for number in range(SHARDS)]
         node.start(table(1, sharded_route(SHARDS, max_attempts=1)), *records)
         for _ in range(20):
-            self.serve(node, near_seconds=USUAL_SECONDS)
-        asked = [self.serve(node, near_seconds=SLOW_SECONDS) for _ in range(120)]
+            self.serve(node, local_seconds=TYPICAL_SECONDS)
+        asked = [self.serve(node, local_seconds=SLOW_SECONDS) for _ in range(120)]
         self.assertEqual(SHARDS, asked[0])
-        # Later requests do without them, but for one trial at a time.
+        # Later requests avoid the slow replicas except for one trial at a time.
         self.assertLessEqual(max(asked[2:]), 1)
         self.assertGreater(sum(asked[2:]), 0)
 
-    def serve(self, node: OneNode, near_seconds: float) -> int:
-        """Play one request; return how many near replicas it asked."""
+    def serve(self, node: OneNode, local_seconds: float) -> int:
+        """Run one request; return the number of local replicas that it was sent to."""
         before = len(node.all_sends)
         node.request("/all/x")
-        node.advance(USUAL_SECONDS)
+        node.advance(TYPICAL_SECONDS)
         for send in list(node.sends):
-            if send.replica.zone == "b" or near_seconds == USUAL_SECONDS:
+            if send.replica.zone == "b" or local_seconds == TYPICAL_SECONDS:
                 node.answer(send)
-        node.advance(near_seconds - USUAL_SECONDS)
+        node.advance(local_seconds - TYPICAL_SECONDS)
         for send in list(node.sends):
             node.answer(send)
         node.advance(0.05)
--- a/tests/forwarding/test_reported_work.py
+++ b/tests/forwarding/test_reported_work.py
@@ -1,4 +1,4 @@
-"""A replica that reports slow work gets less of it, as long as that may still hold."""
+"""A replica that reports slow work costs more until the report is outdated."""
 
 from testtools import TestCase
 
@@ -16,15 +16,15 @@
 
 
 class ReportedWorkTest(TestCase):
-    def test_slow_work_makes_a_replica_dearer_and_is_soon_forgotten(self) -> None:
+    def test_reported_slow_work_raises_the_cost_and_decays(self) -> None:
         self.assertAlmostEqual(4.0, cost(4.0, 0.0))
         self.assertLess(cost(4.0, 0.4), 2.2)
         self.assertLess(cost(4.0, 4.0), 1.01)
 
-    def test_work_that_is_faster_than_usual_counts_as_usual(self) -> None:
+    def test_work_faster_than_typical_counts_as_typical(self) -> None:
         self.assertAlmostEqual(1.0, cost(0.5, 0.0))
 
-    def test_slowness_that_was_measured_and_reported_counts_once(self) -> None:
+    def test_measured_and_reported_slowdowns_are_not_multiplied(self) -> None:
         state = ReplicaState(replica("r", "s"), 0.0)
         for number in range(20):
             state.on_latency(4.0, ANSWERED_AT - 1.0 + number / 100, ANSWERED_AT)
--- a/tests/forwarding/test_waiting_decision.py
+++ b/tests/forwarding/test_waiting_decision.py
@@ -1,4 +1,4 @@
-"""The decision to send, wait or reject, by itself: tables of what is known and what follows."""
+"""Unit tests of the decision whether a request is sent, waits, or is rejected."""
 
 from hypothesis import given
 from hypothesis import strategies as st
@@ -38,19 +38,19 @@
 
 
 def request(**fields: object) -> WaitingRequest:
-    """Return a request of an objective of 1 s and a time of 8 s that came at 0."""
-    usual: dict[str, object] = {
+    """Return a request that arrived at 0 with an objective of 1 s and a time limit of 8 s."""
+    defaults: dict[str, object] = {
         "arrived_at": 0.0,
         "cutoff_at": 0.95,
         "ends_at": 8.0,
         "objective_seconds": 1.0,
         "has_unblocked": True,
     }
-    return WaitingRequest(**{**usual, **fields})  # type: ignore[arg-type]
+    return WaitingRequest(**{**defaults, **fields})  # type: ignore[arg-type]
 
 
 def outcome(decision: Decision) -> str:
-    """Return a decision in one word and its time, in milliseconds."""
+    """Return a decision as text, with its time in milliseconds."""
     match decision:
         case SendNow(replica_id=replica_id):
             return f"send {replica_id}"
@@ -61,7 +61,7 @@
 
 
 class DecisionTest(TestCase):
-    """Each row: what is known, the moment, what follows by estimate and by fixed shares."""
+    """Each row: name, request, capacity, time, and the decisions by estimate and fixed shares."""
 
     def check(
         self, rows: tuple[tuple[str, WaitingRequest, ExpectedCapacity, float, str, str], ...]
@@ -72,25 +72,32 @@
         }
         self.assertEqual({row[0]: row[4:] for row in rows}, decided)
 
-    def test_what_has_not_run(self) -> None:
+    def test_a_request_that_has_not_run(self) -> None:
         none = request(has_unblocked=False)
         coming = request(has_unblocked=False, may_records_reappear=True)
         self.check(
             (
-                ("room now", request(), ExpectedCapacity(0.0, "r"), 0.0, "send r", "send r"),
-                ("room soon", request(), ExpectedCapacity(0.06), 0.0, "wait 60", "wait 30"),
-                ("room in time", request(), ExpectedCapacity(0.5), 0.0, "wait 100", "wait 30"),
+                ("capacity now", request(), ExpectedCapacity(0.0, "r"), 0.0, "send r", "send r"),
+                ("capacity soon", request(), ExpectedCapacity(0.06), 0.0, "wait 60", "wait 30"),
+                ("capacity in time", request(), ExpectedCapacity(0.5), 0.0, "wait 100", "wait 30"),
                 (
-                    "room while late is worth it",
+                    "late but still worth it",
                     request(),
                     ExpectedCapacity(3.9),
                     0.0,
                     "wait 100",
                     "wait 30",
                 ),
-                ("room too late", request(), ExpectedCapacity(4.5), 0.0, "reject 4500", "wait 30"),
                 (
-                    "it has waited",
+                    "capacity too late",
+                    request(),
+                    ExpectedCapacity(4.5),
+                    0.0,
+                    "reject 4500",
+                    "wait 30",
+                ),
+                (
+                    "has waited",
                     request(),
                     ExpectedCapacity(4.1),
                     3.9,
@@ -106,9 +113,9 @@
                     "reject inf",
                 ),
                 ("no replica", none, ExpectedCapacity(NEVER), 0.0, "reject inf", "reject inf"),
-                ("out of reach a moment", none, ExpectedCapacity(0.15), 0.0, "wait 100", "wait 30"),
+                ("unreachable briefly", none, ExpectedCapacity(0.15), 0.0, "wait 100", "wait 30"),
                 (
-                    "out of reach for long",
+                    "unreachable for long",
                     none,
                     ExpectedCapacity(0.3),
                     0.0,
@@ -117,7 +124,7 @@
                 ),
                 ("records missing", coming, ExpectedCapacity(NEVER), 0.0, "wait 30", "wait 30"),
                 (
-                    "records stay away",
+                    "records still missing",
                     coming,
                     ExpectedCapacity(NEVER),
                     2.39,
@@ -127,7 +134,7 @@
             )
         )
 
-    def test_what_may_have_run(self) -> None:
+    def test_a_request_that_may_have_run(self) -> None:
         ran = request(may_have_run=True)
         once = request(may_have_run=True, may_run_again=False)
         soon = request(may_have_run=True, repeat_at=0.2)
@@ -136,8 +143,15 @@
         coming = request(may_have_run=True, has_unblocked=False, may_records_reappear=True)
         self.check(
             (
-                ("again at another", ran, ExpectedCapacity(0.0, "r"), 0.0, "send r", "send r"),
-                ("not again", once, ExpectedCapacity(0.0, "r"), 0.0, "reject inf", "reject inf"),
+                ("send to another", ran, ExpectedCapacity(0.0, "r"), 0.0, "send r", "send r"),
+                (
+                    "may not run again",
+                    once,
+                    ExpectedCapacity(0.0, "r"),
+                    0.0,
+                    "reject inf",
+                    "reject inf",
+                ),
                 ("budget soon", soon, ExpectedCapacity(0.0, "r"), 0.0, "wait 100", "wait 30"),
                 ("budget late", late, ExpectedCapacity(0.0, "r"), 0.0, "reject 400", "wait 30"),
                 ("no other", alone, ExpectedCapacity(NEVER), 0.0, "reject inf", "reject inf"),
@@ -145,7 +159,7 @@
             )
         )
 
-    def test_the_reason_says_what_is_missing(self) -> None:
+    def test_the_reason_of_a_rejection(self) -> None:
         rows = (
             (request(has_unblocked=False), ExpectedCapacity(NEVER), NO_REPLICA_REASON),
             (request(), ExpectedCapacity(NEVER), NO_CAPACITY_REASON),
@@ -158,7 +172,7 @@
                 case Reject(reason=found):
                     self.assertEqual(reason, found)
                 case other:
-                    self.fail(f"{known} in {room}: {other}")
+                    self.fail(f"{known} in {capacity}: {other}")
 
     @given(
         capacity=st.one_of(st.just(NEVER), st.floats(0.0, 20.0)),
@@ -167,7 +181,7 @@
         may_records_reappear=st.booleans(),
         rule=st.sampled_from(RULES),
     )
-    def test_waiting_ends_by_a_share_of_the_time_and_a_look_is_never_in_the_past(
+    def test_waiting_is_bounded_and_a_recheck_is_never_in_the_past(
         self,
         capacity: float,
         now: float,
@@ -186,9 +200,9 @@
                 self.assertLessEqual(capacity, now)
 
 
-def taken(name: str = "r", **fields: object) -> ReplicaCapacity:
-    """Return a replica with two slots that works 0.2 s on a request and is full."""
-    usual: dict[str, object] = {
+def saturated(name: str = "r", **fields: object) -> ReplicaCapacity:
+    """Return a saturated replica with two slots and a work time of 0.2 s."""
+    defaults: dict[str, object] = {
         "replica_id": name,
         "available_at": 0.0,
         "slots": 2,
@@ -197,25 +211,25 @@
         "reported_requests": 0.0,
         "work_seconds": 0.2,
     }
-    return ReplicaCapacity(**{**usual, **fields})  # type: ignore[arg-type]
+    return ReplicaCapacity(**{**defaults, **fields})  # type: ignore[arg-type]
 
 
-class RoomTest(TestCase):
-    def test_when_there_will_be_room(self) -> None:
-        free, half = taken("free", under_way=0), taken("half", under_way=1)
-        silent = taken(work_seconds=NEVER)
+class CapacityTest(TestCase):
+    def test_when_capacity_is_expected(self) -> None:
+        free, half = saturated("free", under_way=0), saturated("half", under_way=1)
+        silent = saturated(work_seconds=NEVER)
         rows: tuple[tuple[str, list[ReplicaCapacity], int, ExpectedCapacity], ...] = (
             ("no replica", [], 0, ExpectedCapacity(NEVER)),
-            ("one is free", [taken(), half], 0, ExpectedCapacity(0.0, "half")),
-            ("the freest", [half, free], 0, ExpectedCapacity(0.0, "free")),
-            ("those ahead take it", [taken(), half], 2, ExpectedCapacity(0.05)),
-            ("full", [taken()], 0, ExpectedCapacity(0.1)),
-            ("full, and others wait", [taken()], 4, ExpectedCapacity(0.5)),
-            ("two full ones", [taken(), taken("s")], 0, ExpectedCapacity(0.05)),
-            ("other nodes have half", [taken(elsewhere=3.0)], 0, ExpectedCapacity(0.2)),
-            ("out of reach", [taken(available_at=0.4)], 0, ExpectedCapacity(0.4)),
+            ("one is free", [saturated(), half], 0, ExpectedCapacity(0.0, "half")),
+            ("the least busy", [half, free], 0, ExpectedCapacity(0.0, "free")),
+            ("queued requests take it", [saturated(), half], 2, ExpectedCapacity(0.05)),
+            ("full", [saturated()], 0, ExpectedCapacity(0.1)),
+            ("full, and others wait", [saturated()], 4, ExpectedCapacity(0.5)),
+            ("two full ones", [saturated(), saturated("s")], 0, ExpectedCapacity(0.05)),
+            ("half is reported by others", [saturated(elsewhere=3.0)], 0, ExpectedCapacity(0.2)),
+            ("unreachable", [saturated(available_at=0.4)], 0, ExpectedCapacity(0.4)),
             ("silent", [silent], 0, ExpectedCapacity(NEVER)),
-            ("one is silent", [silent, taken()], 0, ExpectedCapacity(0.1)),
+            ("one is silent", [silent, saturated()], 0, ExpectedCapacity(0.1)),
         )
         found = {
             name: expected_capacity(capacities, ahead, 0.0) for name, capacities, ahead, _ in rows
@@ -226,16 +240,16 @@
         }
         self.assertEqual({row[0]: row[3] for row in rows}, rounded)
 
-    def test_a_share_of_the_services_is_enough(self) -> None:
+    def test_capacity_of_a_share_of_the_services(self) -> None:
         moments = (0.0, 0.3, 0.1, NEVER)
         self.assertEqual(ExpectedCapacity(0.3), capacity_for_share(moments, 0.75))
         self.assertEqual(ExpectedCapacity(NEVER), capacity_for_share(moments, 0.8))
         self.assertEqual(ExpectedCapacity(0.0), capacity_for_share(moments, 0.0))
 
 
-class ReturnTest(TestCase):
+class RetryAfterTest(TestCase):
     @given(capacity=st.one_of(st.just(NEVER), st.floats(0.0, 100.0)), draw=st.floats(0.0, 1.0))
-    def test_nobody_comes_back_before_there_is_room_nor_far_too_late(
+    def test_the_retry_is_not_before_capacity_and_not_far_too_late(
         self, capacity: float, draw: float
     ) -> None:
         seconds = jittered_retry_after(capacity, draw)
--- a/tests/forwarding/test_waiting_loads.py
+++ b/tests/forwarding/test_waiting_loads.py
@@ -1,4 +1,4 @@
-"""Loads replayed at one node: who waits, who is sent on, who is rejected, and how soon."""
+"""Requests at one node wait only while an answer is likely, and are rejected at once otherwise."""
 
 from testtools import TestCase
 
@@ -16,11 +16,11 @@
 DEADLINE_SECONDS = 8.0
 AT_ONCE_SECONDS = 0.02
 NODES = 70
-IN_FORCE = WaitingSettings(WaitingRule.ESTIMATE, QueueLocation.NODE)
+WAITING = WaitingSettings(WaitingRule.ESTIMATE, QueueLocation.NODE)
 
 
 def check_route(prefix: str = "/one/", **fields: object) -> Route:
-    """Return a route of requests that may take long and one replica answers."""
+    """Return a single-service route with a long time limit."""
     defaults: dict[str, object] = {
         "objective_seconds": OBJECTIVE_SECONDS,
         "timeout_seconds": DEADLINE_SECONDS,
@@ -29,8 +29,8 @@
 
 
 def settled(*routes: Route, replicas: int = 1, **settings: object) -> OneNode:
-    """Return a node that is one of many and knows all records."""
-    node = OneNode(waiting=IN_FORCE, min_nodes=NODES, max_nodes=NODES, **settings)
+    """Return a node that is one of many, past the settling time."""
+    node = OneNode(waiting=WAITING, min_nodes=NODES, max_nodes=NODES, **settings)
     records = [replica(f"r{number}", "s") for number in range(replicas)]
     node.start(table(1, *(routes or (check_route(),)), connections=NODES * 8), *records)
     node.advance(10.0)
@@ -38,12 +38,12 @@
 
 
 def ask(node: OneNode, path: str = "/one/x") -> int:
-    """Let a caller of a long request ask."""
+    """Send a request with the long time limit and return its number."""
     return node.request(path, DEADLINE_SECONDS)
 
 
 def ended(node: OneNode, number: int, begun_at: float) -> tuple[str, float | None]:
-    """Return how a request ended and after which time; the time is rounded to hundredths."""
+    """Return the outcome of a request and its response time, rounded to hundredths."""
     reply = node.replies.get(number)
     match reply:
         case None:
@@ -57,18 +57,18 @@
     return name, round(node.replied_at[number] - begun_at, 2)
 
 
-class HeldTest(TestCase):
-    """Nobody waits for a deadline to pass."""
+class WaitingTest(TestCase):
+    """Requests are rejected early instead of waiting until their deadline."""
 
-    def test_a_request_that_may_not_be_sent_again_soon_is_given_up_at_once(self) -> None:
-        # A part of the slack among so many nodes is never a whole extra arrival.
+    def test_a_request_without_budget_for_a_retry_fails_at_once(self) -> None:
+        # With so many nodes, a node's share of the slack is less than one extra request.
         node = settled(replicas=5)
         number, begun_at = ask(node), node.now
         node.fail(node.sends[0], SendFailureKind.BROKEN)
         node.advance(DEADLINE_SECONDS)
         self.assertEqual((ForwardFailureKind.FAILED.value, 0.0), ended(node, number, begun_at))
 
-    def test_a_request_behind_silent_replicas_is_rejected_when_they_are_known_to_be(self) -> None:
+    def test_a_request_is_rejected_at_once_when_all_replicas_are_silent(self) -> None:
         node = settled(check_route(is_repeatable=False), replicas=1)
         ask(node)
         node.answer(node.sends[0])
@@ -80,13 +80,13 @@
         node.advance(DEADLINE_SECONDS + 1.0)
         self.assertEqual((ForwardFailureKind.NOT_RUN.value, 0.0), ended(node, number, begun_at))
 
-    def test_a_service_without_replicas_rejects_at_once(self) -> None:
+    def test_a_request_to_a_service_without_replicas_is_rejected_at_once(self) -> None:
         node = settled(replicas=0)
         number, begun_at = ask(node), node.now
         self.assertEqual((ForwardFailureKind.NOT_RUN.value, 0.0), ended(node, number, begun_at))
 
-    def test_records_that_may_come_back_are_waited_for(self) -> None:
-        node = OneNode(waiting=IN_FORCE)
+    def test_a_request_waits_for_missing_records(self) -> None:
+        node = OneNode(waiting=WAITING)
         node.start(table(1, check_route()))
         number, begun_at = ask(node), node.now
         node.advance(0.5)
@@ -95,8 +95,8 @@
         node.answer(node.sends[0])
         self.assertEqual(("served", 0.55), ended(node, number, begun_at))
 
-    def test_records_that_stay_away_are_waited_for_no_longer_than_a_share(self) -> None:
-        node = OneNode(waiting=IN_FORCE)
+    def test_the_wait_for_missing_records_is_bounded(self) -> None:
+        node = OneNode(waiting=WAITING)
         node.start(table(1, check_route()))
         number, begun_at = ask(node), node.now
         node.advance(DEADLINE_SECONDS)
@@ -106,8 +106,8 @@
         self.assertLess(seconds, 0.3 * DEADLINE_SECONDS + AT_ONCE_SECONDS)
 
 
-class ReturnTest(TestCase):
-    def test_callers_that_are_rejected_together_do_not_come_back_together(self) -> None:
+class RetryAfterTest(TestCase):
+    def test_callers_rejected_together_do_not_retry_together(self) -> None:
         node = settled(replicas=0)
         times = [node.replies[ask(node)].retry_after_seconds for _ in range(40)]
         self.assertGreater(max(times) - min(times), 0.3 * min(times))
--- a/tests/routing/test_fair_line.py
+++ b/tests/routing/test_fair_line.py
@@ -1,4 +1,4 @@
-"""The order of what waits: ranks, flows, what is preferred, what was had lately."""
+"""The fair queue orders items by rank, fairness between flows, and preference."""
 
 from dataclasses import dataclass
 
@@ -20,12 +20,12 @@
     is_queued: bool = False
 
 
-def new_line(memory_seconds: float | None = None) -> FairQueue[Waiting]:
+def new_queue(memory_seconds: float | None = None) -> FairQueue[Waiting]:
     return FairQueue(lambda item: QueuePlacement(item.rank, item.flow), memory_seconds)
 
 
 def served(line: FairQueue[Waiting], now: float = 0.0) -> list[str]:
-    """Return the names of all that waits, in the order in which it is served."""
+    """Return the names of all queued items in the order in which they are served."""
     names = []
     while (item := line.pop(lambda _: True, now, lambda other: not other.is_late)) is not None:
         names.append(item.name)
@@ -33,42 +33,42 @@
 
 
 class OrderTest(TestCase):
-    def test_each_load_is_served_in_its_order(self) -> None:
+    def test_items_are_served_in_the_expected_order(self) -> None:
         hot = [Waiting(f"hot{number}", flow="hot") for number in range(3)]
         rows = {
             "by arrival": (
                 [Waiting("a"), Waiting("b"), Waiting("c")],
                 ["a", "b", "c"],
             ),
-            "urgent first, whenever it came": (
+            "urgent first, whenever it arrived": (
                 [Waiting("usual", 2), Waiting("urgent", 0), Waiting("middle", 1)],
                 ["urgent", "middle", "usual"],
             ),
-            "a burst takes turns with others": (
+            "a burst alternates with others": (
                 [*hot, Waiting("calm", flow="calm")],
                 ["hot0", "calm", "hot1", "hot2"],
             ),
-            "what is late anyway goes last": (
+            "late items last": (
                 [Waiting("late", is_late=True), Waiting("in time")],
                 ["in time", "late"],
             ),
-            "an urgent one that is late goes before a less urgent one": (
+            "a late urgent item before a less urgent one": (
                 [Waiting("usual", 1), Waiting("late", 0, is_late=True)],
                 ["late", "usual"],
             ),
         }
         orders = {}
         for name, (items, _) in rows.items():
-            line = new_line()
+            line = new_queue()
             for item in items:
                 line.push(item)
             orders[name] = served(line)
         self.assertEqual({name: order for name, (_, order) in rows.items()}, orders)
 
-    def test_what_a_flow_has_had_without_waiting_counts_and_is_forgotten(self) -> None:
+    def test_charged_service_counts_and_decays(self) -> None:
         orders = {}
         for seconds in (0.0, 100.0):
-            line = new_line(memory_seconds=2.0)
+            line = new_queue(memory_seconds=2.0)
             for _ in range(5):
                 line.charge(Waiting("sent", flow="hot"), 0.0)
             line.push(Waiting("hot", flow="hot"), seconds)
@@ -78,16 +78,16 @@
         expected = {0.0: ["calm1", "calm2", "hot"], 100.0: ["calm1", "hot", "calm2"]}
         self.assertEqual(expected, orders)
 
-    def test_what_cannot_be_served_now_lets_others_pass_and_keeps_its_place(self) -> None:
-        line = new_line()
+    def test_an_item_that_is_not_accepted_keeps_its_position(self) -> None:
+        line = new_queue()
         for name in ("first", "second"):
             line.push(Waiting(name))
         passed = line.pop(lambda item: item.name != "first", 0.0)
         assert passed is not None
         self.assertEqual(("second", ["first"]), (passed.name, served(line)))
 
-    def test_flows_that_do_not_wait_are_not_kept_for_ever(self) -> None:
-        line = new_line(memory_seconds=2.0)
+    def test_idle_flows_are_removed(self) -> None:
+        line = new_queue(memory_seconds=2.0)
         for number in range(5000):
             line.charge(Waiting("sent", flow=f"caller{number}"), 0.0)
         self.assertLess(len(line._ranks[0].flows), 300)
@@ -108,10 +108,10 @@
 
 class PropertyTest(TestCase):
     @given(items=ITEMS, data=st.data())
-    def test_nobody_is_served_before_one_that_is_more_urgent(
+    def test_no_item_is_served_before_a_more_urgent_one(
         self, items: list[Waiting], data: st.DataObject
     ) -> None:
-        line = new_line()
+        line = new_queue()
         waiting: list[Waiting] = []
         for item in items:
             line.push(item)
@@ -124,10 +124,8 @@
         self.assertEqual(len(waiting), len(line))
 
     @given(items=ITEMS)
-    def test_as_many_are_served_before_one_as_are_counted_ahead_of_it(
-        self, items: list[Waiting]
-    ) -> None:
-        line = new_line()
+    def test_the_count_covers_the_items_that_are_served_before(self, items: list[Waiting]) -> None:
+        line = new_queue()
         for item in items:
             item.is_late = False
             line.push(item)
@@ -151,10 +149,10 @@
             self.assertLess(count, len(left))
 
     @given(items=ITEMS, newcomer=st.builds(Waiting, st.just("new"), st.integers(0, 2)))
-    def test_the_quick_count_is_the_same_where_nobody_is_preferred(
+    def test_the_fast_count_matches_the_exact_one_without_preferences(
         self, items: list[Waiting], newcomer: Waiting
     ) -> None:
-        line = new_line()
+        line = new_queue()
         for item in items:
             line.push(item)
         for item in (*items, newcomer):
--- a/wingquay/forwarding/choice/__init__.py
+++ b/wingquay/forwarding/choice/__init__.py
@@ -1,1 +1,1 @@
-"""Which replica gets a request: what is known of each, and the choice among them."""
+"""Selection of the replica that receives a request, and the replica state it is based on."""
--- a/wingquay/forwarding/choice/completion.py
+++ b/wingquay/forwarding/choice/completion.py
@@ -1,43 +1,40 @@
-"""When a replica is expected to have answered: the time that one choice costs, in seconds.
+"""Estimates the cost of sending a request to a replica, in seconds until its completion.
 
-Every term is a time that the caller feels or, for what it does not feel, the part of its objective
-that this is worth. So a near replica that is slower but still early enough goes before a far one,
-which a product of factors cannot tell: there a replica at twice the usual work is as bad for an
-objective of ten usual times as for one of three.
+The cost is the expected response time plus penalties for risks that the response time doesn't
+show, each a fraction of the request's latency objective. A slower replica of the same zone is
+therefore preferred over one of another zone as long as it meets the objective.
 """
 
 from ...model.value import value
 
 DEFAULT_TYPICAL_SHARE = 0.1
-"""Usual time as a part of the objective while nothing is known of the route: objectives are some
-three to twelve usual times."""
+"""Typical latency, as a fraction of the objective, of a route without measurements."""
 OTHER_ZONE_SHARE = 0.2
-"""Part of the objective that a replica of another zone must be faster by. Two such delays in a row
-leave a caller time for a second attempt."""
+"""Penalty for a replica in another zone, as a fraction of the objective."""
 OWNED_OTHER_ZONE_SHARE = 0.35
-"""The same for an owner of the shard."""
+"""Penalty for a replica in another zone when this node owns the shard."""
 FAILURE_SHARE = 3.0
-"""Part of the objective that an attempt costs that brings nothing: its shard is lost to the answer
-whenever the second attempt fails, too."""
+"""Penalty for a failed attempt, as a multiple of the objective: the shard is missing from the
+answer if the second attempt fails too."""
 OVERDUE_SHARE = 0.5
-"""Part of the objective that is lost, at least, at a replica that has not answered in time."""
+"""Penalty for a replica with an overdue attempt, as a fraction of the objective."""
 UNPROVEN_SHARE = 0.05
-"""Part of the objective that a proven replica may be slower by, where a request runs once only."""
+"""Penalty for a replica that hasn't recently answered in time, for requests that run only once."""
 IN_FLIGHT_SLOWDOWN_SHARE = 0.5
-"""Part of its work by which a replica counts as slower for each slot in use, of all slots: what
-other nodes have sent meanwhile is not known yet."""
+"""Slowdown with all slots in use, as a fraction of the work time. It accounts for requests that
+other nodes have sent since the last load report."""
 
 
 @value
 class LatencyTarget:
-    """What of a request matters to the choice of its replica.
+    """Latency objective of a request and the typical latency of its route.
 
     Parameters
     ----------
     objective_seconds
-        Time within which an answer is worth its full price.
-    usual_seconds
-        The usual latency of its attempts; ``None``: not known yet.
+        Time within which an answer has its full value.
+    typical_seconds
+        Median latency of the route's attempts; ``None``: not known yet.
     """
 
     objective_seconds: float
@@ -46,16 +43,24 @@
 
 @value
 class ReplicaEstimate:
-    """What is known of one replica at a moment.
+    """Performance that is expected of one replica now.
 
     Parameters
     ----------
-    pace
-        How long work takes there, in usual times.
-    ahead
-        Requests that run or wait there, as far as known.
-    trouble
-        Share of attempts that fail there.
+    slowdown
+        Work time relative to the typical latency of the route; 1 is typical.
+    outstanding
+        Requests in flight from this node, plus those that the replica last reported.
+    slots
+        Requests that the replica processes concurrently.
+    failure_rate
+        Fraction of attempts that fail, 0 to 1.
+    is_overdue
+        Whether an attempt at the replica has exceeded its hedge delay.
+    is_in_other_zone
+        Whether the replica is in another zone than this node.
+    is_unproven
+        Whether proven replicas are preferred and this one isn't proven.
     """
 
     slowdown: float
@@ -70,12 +75,12 @@
 def completion_cost_seconds(
     target: LatencyTarget, estimate: ReplicaEstimate, is_owned: bool
 ) -> float:
-    """Return the time after which an answer is expected, and what else the choice costs.
+    """Return the expected response time plus the penalties, in seconds.
 
     Parameters
     ----------
     is_owned
-        Whether the nodes of a group leave the replica's service to this node.
+        Whether this node owns the replica's service on behalf of a group of nodes.
     """
     objective = target.objective_seconds
     typical = target.typical_seconds or objective * DEFAULT_TYPICAL_SHARE
--- a/wingquay/forwarding/choice/evacuations.py
+++ b/wingquay/forwarding/choice/evacuations.py
@@ -1,4 +1,4 @@
-"""The zones whose replicas must get nothing, as the keys of the store tell."""
+"""Excludes the replicas of evacuated zones, as listed by keys of the store."""
 
 from collections.abc import Collection
 
@@ -7,14 +7,14 @@
 
 
 class Evacuations:
-    """Follows the keys of evacuated zones.
+    """Maintains the set of evacuated zones from their keys in the store.
 
     Parameters
     ----------
     prefix
-        Keys begin with it; the rest is the zone's name.
+        Prefix of the keys; the rest of a key is the name of the zone.
     directory
-        Leaves the replicas of these zones out of every choice.
+        Receives the set of evacuated zones.
     """
 
     def __init__(self, prefix: str, directory: ReplicaDirectory) -> None:
@@ -22,21 +22,21 @@
         self._directory = directory
 
     def handles(self, key: str) -> bool:
-        """Whether a key tells of an evacuation."""
+        """Whether a key is that of an evacuated zone."""
         return key.startswith(self._prefix)
 
     def missing_from(self, keys: Collection[str]) -> tuple[str, ...]:
-        """Return the keys of evacuated zones that a whole listing lacks."""
+        """Return the keys of evacuated zones that are missing from a complete listing."""
         known = (self._prefix + zone for zone in sorted(self._directory.evacuated_zones))
         return tuple(key for key in known if key not in keys)
 
     def put(self, key: str) -> list[Action]:
-        """Send nothing to the replicas of a zone from now on."""
+        """Stop sending requests to the replicas of a zone."""
         zone = key.removeprefix(self._prefix)
         return self._set(self._directory.evacuated_zones | {zone}, zone, "zone_evacuated")
 
     def remove(self, key: str) -> list[Action]:
-        """Send to the replicas of a zone again."""
+        """Resume sending requests to the replicas of a zone."""
         zone = key.removeprefix(self._prefix)
         return self._set(self._directory.evacuated_zones - {zone}, zone, "zone_taken_back")
 
--- a/wingquay/forwarding/choice/replica_directory.py
+++ b/wingquay/forwarding/choice/replica_directory.py
@@ -1,4 +1,4 @@
-"""All replicas by service, and the choice of the one that a request is sent to."""
+"""Stores the replicas of all services and selects the one that receives a request."""
 
 import random
 from collections.abc import Container
@@ -12,12 +12,15 @@
 
 
 class ReplicaDirectory:
-    """Follows the records of replicas.
+    """Applies replica records and determines which replicas are candidates for requests.
+
+    A candidate is a replica that is neither draining nor in an evacuated zone. Replicas whose
+    record vanished are candidates during a grace period, if the service has no other candidate.
 
     Parameters
     ----------
     settings
-        The zone of this node and the times of grace.
+        The zone of this node and the grace periods.
     random_source
         Breaks ties.
     """
@@ -33,32 +36,31 @@
 
     @property
     def evacuated_zones(self) -> frozenset[str]:
-        """The zones whose replicas must get nothing."""
+        """Zones whose replicas receive no requests."""
         return self._evacuated
 
     def __len__(self) -> int:
-        """Return the number of replicas known."""
+        """Return the number of replicas."""
         return len(self._incarnations)
 
     def get(self, replica_id: str) -> ReplicaState | None:
         """Return the state of a replica."""
         return self._incarnations.get(replica_id)
 
-    def get_incarnation(self, life: str) -> ReplicaState | None:
-        """Return the state of a life of a replica; ``None``: it is not known, or over."""
-        return self._incarnations.get_incarnation(life)
+    def get_incarnation(self, incarnation: str) -> ReplicaState | None:
+        """Return the state of an incarnation; ``None`` if it is unknown or superseded."""
+        return self._incarnations.get_incarnation(incarnation)
 
     def is_current(self, record: ReplicaRecord) -> bool:
-        """Whether just this is known of a replica, and its record is there."""
+        """Whether the stored record of the replica equals this one and hasn't vanished."""
         state = self._incarnations.get(record.replica_id)
         return state is not None and state.vanished_at is None and state.record == record
 
     def put(self, record: ReplicaRecord, now: float, revision: int = 0) -> ReplicaState | None:
-        """Take in a record, new or changed; return the life that is over by it.
+        """Apply a new or changed record; return the incarnation that it supersedes, if any.
 
-        The store orders the records of a replica: one that is older than what is known is passed
-        over, and a later one holds whenever it says that its life began. One that does not say
-        so is of the life that is known.
+        A record with an older revision is ignored. A newer one applies whatever start time it
+        states; one without a start time belongs to the current incarnation.
 
         Parameters
         ----------
@@ -68,19 +70,19 @@
         return self._incarnations.put(record, now, revision)
 
     def mark_vanished(self, replica_id: str, now: float, revision: int | None = None) -> None:
-        """Take in that a record is gone.
+        """Record that a replica's record was deleted from the store.
 
         Parameters
         ----------
         revision
-            The store's revision by which it was; ``None``: it is gone now.
+            The store's revision of the deletion; ``None``: it was deleted just now.
         """
         self._incarnations.mark_vanished(replica_id, now, revision)
 
     def keep_only(
         self, replica_ids: Container[str], now: float, revision: int | None = None
     ) -> None:
-        """Take in a whole listing: what is not in it has vanished."""
+        """Apply a complete listing: replicas that are not in it have vanished."""
         if self._listed_at is None:
             self._listed_at = now
         for state in self._incarnations:
@@ -88,55 +90,55 @@
                 self.mark_vanished(state.record.replica_id, now, revision)
 
     def remove(self, replica_id: str) -> None:
-        """Forget a replica that certainly is gone."""
+        """Remove a replica at once, without a grace period."""
         state = self._incarnations.get(replica_id)
         if state is not None:
             self._incarnations.remove(state)
 
     def set_evacuated_zones(self, zones: frozenset[str]) -> None:
-        """Take in the zones whose replicas must get nothing, until they are taken back."""
+        """Replace the set of zones whose replicas receive no requests."""
         self._evacuated = zones
 
     def mark_stale(self, state: ReplicaState, now: float) -> None:
-        """Take in that another replica answers at a replica's address: its record is old."""
+        """Remove a replica at whose address another replica answered: its record is stale."""
         self._stale_found_at = now
         self._incarnations.remove(state)
 
     def found_stale_recently(self, now: float) -> bool:
-        """Whether a replica has just shown that records are old."""
+        """Whether a record was recently found to be stale."""
         return now - self._stale_found_at < self._settings.stale_record_seconds
 
     def on_outage(self, now: float) -> None:
-        """Take in that the directory is out of reach now."""
+        """Record that the store is unreachable now."""
         self._outage_ended_at = now
 
     def is_settling(self, now: float) -> bool:
-        """Whether records may be missing that come back by themselves."""
+        """Whether records may still be missing after the first listing or a store outage."""
         started_at = self._outage_ended_at
         if self._listed_at is not None:
             started_at = max(started_at, self._listed_at)
         return now - started_at < self._settings.settle_seconds
 
     def has_candidates(self, service: str, now: float) -> bool:
-        """Whether the service has a replica that may get work."""
+        """Whether the service has a candidate."""
         return bool(self._candidates(service, now))
 
     def has_other_candidates(self, service: str, excluded: Container[str], now: float) -> bool:
-        """Whether the service has a replica that may get work; ``excluded`` are lives."""
+        """Whether the service has a candidate besides the ``excluded`` incarnations."""
         candidates = self._candidates(service, now)
         return any(state.incarnation not in excluded for state in candidates)
 
     def has_record(self, service: str) -> bool:
-        """Whether a record of a replica of the service is there."""
+        """Whether the store has a record of a replica of the service."""
         states = self._incarnations.of_service(service)
         return any(state.vanished_at is None for state in states)
 
     def zones_of(self, service: str, now: float) -> set[str]:
-        """Return the zones that hold a replica of the service that may get work."""
+        """Return the zones of the service's candidates."""
         return {state.record.zone for state in self._candidates(service, now)}
 
     def by_zone(self, now: float) -> dict[str, list[ReplicaState]]:
-        """Return the replicas that may get work by zone, in the order of their ids."""
+        """Return the candidates of all services by zone, sorted by replica id."""
         found: dict[str, list[ReplicaState]] = {}
         for service in self._incarnations.services():
             for state in self._candidates(service, now):
@@ -146,35 +148,35 @@
         return found
 
     def services(self) -> set[str]:
-        """Return the services of which a replica is known."""
+        """Return the services that have a replica."""
         return set(self._incarnations.services())
 
     def candidates(self, service: str, now: float) -> list[ReplicaState]:
-        """Return the replicas of a service that may get work."""
+        """Return the candidates of a service."""
         return self._candidates(service, now)
 
     def replica_count(self, service: str) -> int:
-        """Return how many replicas of the service are known, whether they may get work or not."""
+        """Return the number of replicas of the service, whether they are candidates or not."""
         return len(self._incarnations.of_service(service))
 
     def has_restarted_since(self, service: str, moment: float) -> bool:
-        """Whether a replica of the service has started again since a moment."""
+        """Whether a replica of the service has restarted since a moment."""
         return self._incarnations.has_restarted_since(service, moment)
 
     def remove_expired(self, now: float) -> None:
-        """Forget the replicas whose time of grace is over."""
+        """Remove vanished replicas whose grace period has ended."""
         for state in self._incarnations:
             if state.vanished_at is not None and not self._has_grace(state, now):
                 self._incarnations.remove(state)
 
     def has_unblocked(self, service: str, now: float) -> bool:
-        """Whether a replica of the service may be asked and was not just out of reach."""
+        """Whether the service has a candidate that is not blocked."""
         return any(
             not state.is_blocked(self._settings, now) for state in self._candidates(service, now)
         )
 
     def unblocked_at(self, service: str, now: float) -> float:
-        """Return when a replica of the service may next be asked; infinity if there is none."""
+        """Return when the backoff of the first candidate ends; infinity if there is none."""
         return min(
             [max(now, state.blocked_until) for state in self._candidates(service, now)],
             default=float("inf"),
@@ -191,22 +193,22 @@
         is_owned: bool = False,
         target: LatencyTarget | None = None,
     ) -> ReplicaState | None:
-        """Return the replica with the least expected wait.
+        """Return the candidate with the lowest cost, or ``None`` if no replica is available.
 
         Parameters
         ----------
         excluded
-            Lives of replicas that must not be returned.
+            Incarnations that must not be returned.
         limit
-            Attempts under way at which a replica gets no more.
+            Maximum number of requests in flight from this node to a replica.
         with_blocked
-            Whether a replica that just failed may be returned when there is no other.
+            Whether a blocked replica may be returned if all others are blocked or excluded too.
         prefers_proven
-            Whether a replica that answered well lately goes before one of which nothing is known.
+            Whether to prefer replicas that recently answered in time over the others.
         is_owned
-            Whether the nodes of a group leave the service to this node.
-        task
-            What of the request matters; without it replicas are compared by factors.
+            Whether this node owns the service on behalf of a group of nodes.
+        target
+            Latency target of the request; ``None``: replicas are compared by cost factors.
         """
         free = [
             state
@@ -221,7 +223,7 @@
         return None
 
     def _candidates(self, service: str, now: float) -> list[ReplicaState]:
-        """Return the replicas that may get work; vanished ones only if no other is left."""
+        """Return the candidates of a service; vanished replicas only if there is no other."""
         present: list[ReplicaState] = []
         vanished: list[ReplicaState] = []
         for state in self._incarnations.of_service(service):
--- a/wingquay/forwarding/choice/replica_estimate.py
+++ b/wingquay/forwarding/choice/replica_estimate.py
@@ -1,4 +1,4 @@
-"""What is known of a replica at a moment, for the estimate of its completion."""
+"""Builds the estimate of a replica's performance from its state."""
 
 from .completion import ReplicaEstimate
 from .replica_state import ReplicaState
@@ -7,16 +7,16 @@
 def estimate_replica(
     state: ReplicaState, now: float, zone: str, prefers_proven: bool, may_try: bool
 ) -> ReplicaEstimate:
-    """Return what is known of a replica now.
+    """Return the current estimate of a replica.
 
     Parameters
     ----------
     zone
         The zone of this node.
     prefers_proven
-        Whether a replica that answered well lately goes before one of which nothing is known.
+        Whether to prefer replicas that recently answered in time over the others.
     may_try
-        Whether a replica that was slow may be taken for faster by now.
+        Whether the measured slowdown decays with time, so that a slow replica is tried again.
     """
     return ReplicaEstimate(
         slowdown=state.expected_slowdown(now, may_try),
--- a/wingquay/forwarding/choice/replica_incarnations.py
+++ b/wingquay/forwarding/choice/replica_incarnations.py
@@ -1,4 +1,4 @@
-"""The lives of replicas that are known, by id and by service: which record of each holds."""
+"""Stores the current incarnation of each replica, by id and by service."""
 
 from collections.abc import Collection, Iterator
 from dataclasses import replace
@@ -8,33 +8,33 @@
 
 
 class ReplicaIncarnations:
-    """Takes in records; the store's revision orders those of one replica."""
+    """Applies replica records, ordered by the revisions of the store."""
 
     def __init__(self) -> None:
         self._states: dict[str, ReplicaState] = {}
         self._by_service: dict[str, dict[str, ReplicaState]] = {}
         self._restarted_at: dict[str, float] = {}
-        """When a replica of a service last started again under its id."""
+        """Time of the last restart of any replica, by service."""
 
     def __len__(self) -> int:
-        """Return the number of replicas known."""
+        """Return the number of replicas."""
         return len(self._states)
 
     def __iter__(self) -> Iterator[ReplicaState]:
-        """Return all states as they are now; they may be removed meanwhile."""
+        """Iterate over a copy of all states, so that they may be removed meanwhile."""
         return iter(tuple(self._states.values()))
 
     def get(self, replica_id: str) -> ReplicaState | None:
         """Return the state of a replica."""
         return self._states.get(replica_id)
 
-    def get_incarnation(self, life: str) -> ReplicaState | None:
-        """Return the state of a life of a replica; ``None``: it is not known, or over."""
-        state = self._states.get(life.partition(" ")[0])
-        return state if state is not None and state.incarnation == life else None
+    def get_incarnation(self, incarnation: str) -> ReplicaState | None:
+        """Return the state of an incarnation; ``None`` if it is unknown or superseded."""
+        state = self._states.get(incarnation.partition(" ")[0])
+        return state if state is not None and state.incarnation == incarnation else None
 
     def services(self) -> Collection[str]:
-        """Return the services of which a replica is known."""
+        """Return the services that have a replica."""
         return self._by_service.keys()
 
     def of_service(self, service: str) -> Collection[ReplicaState]:
@@ -43,14 +43,14 @@
         return () if found is None else found.values()
 
     def has_restarted_since(self, service: str, moment: float) -> bool:
-        """Whether a replica of the service has started again since a moment."""
+        """Whether a replica of the service has restarted since a moment."""
         return self._restarted_at.get(service, float("-inf")) >= moment
 
     def put(self, record: ReplicaRecord, now: float, revision: int) -> ReplicaState | None:
-        """Take in a record, new or changed; return the life that is over by it.
+        """Apply a new or changed record; return the incarnation that it supersedes, if any.
 
-        A record that is older than what is known is passed over, and a later one holds whenever it
-        says that its life began. One that does not say so is of the life that is known.
+        A record with an older revision is ignored. A newer one applies whatever start time it
+        states; one without a start time belongs to the current incarnation.
         """
         state = self._states.get(record.replica_id)
         if state is None:
@@ -59,7 +59,7 @@
         if revision < state.revision:
             return None
         if record.born is None and state.record.born is not None:
-            # It says nothing of lives: the one that is known goes on.
+            # A record without a start time belongs to the current incarnation.
             record = replace(record, born=state.record.born)
         if state.incarnation != record.life:
             self.remove(state)
@@ -72,7 +72,7 @@
         return None
 
     def mark_vanished(self, replica_id: str, now: float, revision: int | None) -> None:
-        """Take in that a record is gone; ``revision`` ``None``: it is gone now."""
+        """Record that a replica's record was deleted; ``revision`` ``None``: deleted just now."""
         state = self._states.get(replica_id)
         if state is None or (revision is not None and revision < state.revision):
             return
@@ -81,7 +81,7 @@
             state.vanished_at = now
 
     def remove(self, state: ReplicaState) -> None:
-        """Forget a life, unless it is over already."""
+        """Remove an incarnation unless it is already superseded."""
         replica_id = state.record.replica_id
         if self._states.get(replica_id) is state:
             del self._states[replica_id]
--- a/wingquay/forwarding/choice/replica_selector.py
+++ b/wingquay/forwarding/choice/replica_selector.py
@@ -1,4 +1,4 @@
-"""The best of several replicas for a request, by one of two ways."""
+"""Selects the best of several replicas for a request, by one of two cost models."""
 
 import random
 from collections.abc import Iterable
@@ -11,12 +11,12 @@
 
 
 class ReplicaSelector:
-    """Compares replicas.
+    """Selects the replica with the lowest cost.
 
     Parameters
     ----------
     settings
-        The zone of this node and the way.
+        The zone of this node and the cost model (``choice_strategy``).
     random_source
         Breaks ties.
     """
@@ -34,16 +34,16 @@
         is_owned: bool,
         target: LatencyTarget | None,
     ) -> ReplicaState:
-        """Return the best of some replicas, which is asked then.
+        """Return the best of some replicas and count it as chosen.
 
         Parameters
         ----------
         prefers_proven
-            Whether a replica that answered well lately goes before one of which nothing is known.
+            Whether to prefer replicas that recently answered in time over the others.
         is_owned
-            Whether the nodes of a group leave the service to this node.
-        task
-            What of the request matters; without it replicas are compared by factors.
+            Whether this node owns the service on behalf of a group of nodes.
+        target
+            Latency target of the request; ``None``: replicas are compared by cost factors.
         """
         zone = self._settings.zone
         by_completion = self._settings.choice_strategy is ChoiceStrategy.COMPLETION
--- a/wingquay/forwarding/choice/replica_state.py
+++ b/wingquay/forwarding/choice/replica_state.py
@@ -1,4 +1,4 @@
-"""What this node has seen of a life of a replica: attempts under way, slowness, load, failures."""
+"""State that this node keeps of a replica: attempts in flight, slowdown, load and failures."""
 
 import math
 from dataclasses import dataclass, field
@@ -8,63 +8,69 @@
 from ..settings import ForwardingSettings
 
 SLOWDOWN_WEIGHT = 0.4
+"""EWMA weight of a new latency sample in the slowdown."""
 PAUSE_WEIGHT = 0.1
-"""The same for the first slow answer of a replica that says that its work takes as long as usual:
-most often it was a pause, which is over once it answers, and the way to a far replica is dear."""
+"""EWMA weight of the first slow sample of a replica that reports typical work times: it is probably
+a pause that is already over."""
 SLOWDOWN_MEMORY_SECONDS = 2.0
-"""Time constant with which a replica's slowness is forgotten, so that it is tried again."""
+"""Time constant with which the measured slowdown decays, so that the replica is tried again."""
 SLOWDOWN_TOLERANCE = 1.25
-"""Slowness that counts as none: otherwise a replica once slow would never be asked again."""
+"""Slowdown below which a replica counts as not slow, so that it recovers fully."""
 MAX_SLOWDOWN = 20.0
 SLOW_RATIO = 2.5
-"""Latency of an attempt, in usual latencies, from which on it counts as slow."""
+"""Latency of an attempt, relative to the median, from which on it counts as slow."""
 FAILURE_WEIGHT = 0.5
-"""How far one attempt that failed moves the share of failing attempts."""
+"""EWMA weight of a failed attempt in the failure rate."""
 SUCCESS_WEIGHT = 0.2
-"""How far one attempt that succeeded moves it."""
+"""EWMA weight of a successful attempt in the failure rate."""
 FAILURE_RATE_TOLERANCE = 0.05
+"""Failure rate below which a replica counts as not failing."""
 FAILURE_MEMORY_SECONDS = 4.0
+"""Time constant with which the failure rate decays."""
 FAILURE_FACTOR = 10.0
-"""Cost factor, less one, of a replica at which every attempt fails."""
+"""Increase of the cost, as a factor, of a replica at which every attempt fails."""
 LOAD_MEMORY_SECONDS = 0.1
-"""Time constant with which a reported load is forgotten."""
+"""Time constant with which a reported load decays."""
 REPORTED_SLOWDOWN_MEMORY_SECONDS = 0.4
-"""Time constant with which the reported pace of work is forgotten: replicas that share a machine
-are slow for some half a second."""
+"""Time constant with which the reported slowdown decays."""
 OVERDUE_FACTOR = 6.0
-"""Cost factor of a replica that holds an attempt beyond the time at which it is hedged."""
+"""Cost factor of a replica with an overdue attempt."""
 COLD_FACTOR = 1.6
+"""Cost factor of a cold replica."""
 COLD_MEMORY_SECONDS = 2.0
-"""Time for which sendings to a cold replica are remembered; bounds count those of a second."""
+"""Time for which requests sent to a cold replica are remembered; limits are per second."""
 OTHER_ZONE_FACTOR = 2.5
+"""Cost factor of a replica in another zone."""
 OWNED_OTHER_ZONE_FACTOR = 1.7
-"""The same for an owner of the shard: it sends for a whole group, and groups of every zone share a
-replica, so one request more at a near replica costs less than the way to a far one."""
+"""Cost factor of a replica in another zone when this node owns the shard. It is lower because
+owners in all zones share the replicas, so that load matters more than the network round trip."""
 PROVEN_SECONDS = 6.0
-"""Time for which a good answer proves a replica."""
+"""Time for which a replica counts as proven after an answer in time."""
 UNPROVEN_FACTOR = 1.3
-"""Cost factor of a replica that has not proved itself, where a slow one cannot be made up for."""
+"""Cost factor of an unproven replica where proven ones are preferred."""
 MIN_BROKEN_CONNECTIONS = 5
-"""Connections that break off in a row, with no answer between them, from which a replica is left
-out. One that ends two of five runs by a reset still brings three answers of five, and its shard may
-have no better one; five in a row happen to it once in a hundred. One that has ended refuses the
-next connection, and is left out for that."""
+"""Consecutive broken connections after which a replica is blocked. A replica that resets some of
+its connections still answers most requests, so a few are tolerated; a crashed replica refuses the
+next connection and is blocked for that."""
 MAX_DOUBLINGS = 8
+"""Maximum number of times that the backoff is doubled."""
 
 
 @dataclass(slots=True)
 class ReplicaState:
-    """One life of a replica as the directory and this node's own attempts show it.
+    """State of one incarnation of a replica, from its record and this node's attempts.
 
-    A replica that starts again has another state: what was seen of the life before says nothing of
-    the new one.
+    A replica that restarts gets a new state: measurements of an incarnation don't apply to the
+    next one.
 
     Parameters
     ----------
+    recorded_at
+        When the record arrived that states the current ``cold_seconds``.
     revision
-        The store's revision up to which its entry is known.
+        The store's revision up to which the record is applied.
     vanished_at
-        When its record disappeared from the directory; ``None`` while it is there.
+        When the record was deleted from the store; ``None`` while it exists.
     """
 
     record: ReplicaRecord
@@ -72,24 +78,25 @@
     revision: int = 0
     vanished_at: float | None = None
     in_flight: dict[int, tuple[float, float]] = field(default_factory=dict)
-    """When each attempt under way was sent and when it becomes overdue, by attempt."""
+    """Time sent and time at which it becomes overdue of each attempt in flight, by attempt id."""
     answered_at: float = float("-inf")
     blocked_until: float = 0.0
+    """End of the backoff; 0: the replica has answered since its last failure."""
     failures_in_row: int = 0
     is_unreachable: bool = False
-    """Whether no connection to it came up the last time: it gets work once one does."""
+    """Whether the last connection attempt failed; the replica is blocked until one succeeds."""
     is_reconnect_scheduled: bool = False
-    """Whether a connection to it will be tried by itself."""
+    """Whether a connection attempt without a request is scheduled."""
     is_superseded: bool = False
-    """Whether its replica is known to have started again."""
+    """Whether the replica has restarted, so that a newer incarnation replaces this one."""
     incarnation: str = field(init=False)
-    """The name of this life."""
+    """Name of this incarnation, unique among all replicas."""
     _cold_sends: list[float] = field(default_factory=list)
-    """When requests were sent lately while it was cold."""
+    """Times of recent requests that were sent while the replica was cold."""
     _proved_at: float = float("-inf")
     slow_streak: int = 0
-    """Slow attempts since the last usual one, each sent after the one before had ended: attempts
-    that met one pause count once."""
+    """Consecutive slow attempts. An attempt that was sent before the previous slow one ended is not
+    counted, so that a single pause counts once."""
     _slow_at: float = float("-inf")
     _slowdown: float = 1.0
     _slowdown_at: float = 0.0
@@ -99,20 +106,20 @@
     _load_at: float = 0.0
 
     def __post_init__(self) -> None:
-        """Name the life once: choices compare the names of all replicas of a service."""
+        """Store the name of the incarnation, which is compared at every choice of a replica."""
         self.incarnation = self.record.life
 
     @property
     def known_slots(self) -> int:
-        """Requests that it works on at a time, by its record or by its own last word."""
+        """Requests that the replica processes concurrently, from its record or its last report."""
         reported = 0 if self._load is None else self._load.slots
         return max(1, self.record.slots, reported)
 
     def is_blocked(self, settings: ForwardingSettings, now: float) -> bool:
-        """Whether the replica gets work only when no other can.
+        """Whether the replica receives requests only when no other replica can.
 
-        That is so while it is left out, while a first attempt after that is under way, and while
-        it has been silent for long.
+        A replica is blocked during its backoff, while a first attempt after the backoff is in
+        flight, while it is unreachable, and when it hasn't answered for a long time.
         """
         if now < self.blocked_until or (self.blocked_until and self.in_flight):
             return True
@@ -125,43 +132,43 @@
 
     @property
     def is_unused(self) -> bool:
-        """Whether nothing was ever sent to it or heard of it."""
+        """Whether this node has had no contact with the replica yet."""
         return not self.in_flight and not self.failures_in_row and self.answered_at < 0.0
 
     def is_cold(self, now: float) -> bool:
-        """Whether it is slow from its start, or again."""
+        """Whether the replica is within the cold period that its record states."""
         return now - self.recorded_at < self.record.cold_seconds
 
     def on_cold_send(self, now: float) -> None:
-        """Take in that a request was sent while it is cold."""
+        """Record that a request was sent while the replica is cold."""
         self._cold_sends = [at for at in self._cold_sends if at > now - COLD_MEMORY_SECONDS]
         self._cold_sends.append(now)
 
     def cold_sends_since(self, since: float) -> int:
-        """Return how many requests were sent to it since a moment, while it was cold."""
+        """Return the number of requests sent since a moment while the replica was cold."""
         return sum(at > since for at in self._cold_sends)
 
     def is_silent_since(self, sent_at: float) -> bool:
-        """Whether it has not answered anything since an attempt was sent."""
+        """Whether the replica has sent no answer since a moment."""
         return self.answered_at < sent_at
 
     def is_overdue(self, now: float) -> bool:
-        """Whether an attempt at the replica takes longer than attempts should."""
+        """Whether an attempt at the replica has exceeded its hedge delay."""
         return any(overdue_at <= now for _, overdue_at in self.in_flight.values())
 
     def slowdown(self, now: float) -> float:
-        """Return its latency in usual latencies, drawn towards 1 as time passes."""
+        """Return the measured latency relative to the median, decayed towards 1."""
         decay = math.exp(-(now - self._slowdown_at) / SLOWDOWN_MEMORY_SECONDS)
         return 1.0 + (self._slowdown - 1.0) * decay
 
     def failure_rate(self, now: float) -> float:
-        """Return the share of attempts that fail there, forgotten as time passes."""
+        """Return the fraction of attempts that fail, 0 to 1, decayed towards 0."""
         decay = math.exp(-(now - self._failure_rate_at) / FAILURE_MEMORY_SECONDS)
         share = self._failure_rate * decay
         return share if share >= FAILURE_RATE_TOLERANCE else 0.0
 
     def is_proven(self, now: float) -> bool:
-        """Whether it answered lately, and well."""
+        """Whether the replica recently answered in time and isn't slow."""
         return now - self._proved_at < PROVEN_SECONDS and self._slowdown < SLOWDOWN_TOLERANCE
 
     def cost(
@@ -172,17 +179,16 @@
         is_owned: bool = False,
         may_try: bool = True,
     ) -> float:
-        """Return the expected wait at the replica, in usual latencies.
+        """Return the expected response time relative to the median, times penalty factors.
 
         Parameters
         ----------
         may_try
-            Whether a replica that was slow may be taken for faster by now; otherwise it counts as
-            slow as it was.
+            Whether the measured slowdown decays with time, so that a slow replica is tried again.
         prefers_proven
-            Whether a replica that answered well lately goes before one of which nothing is known.
+            Whether to prefer replicas that recently answered in time over the others.
         is_owned
-            Whether the nodes of a group leave the replica's service to this node.
+            Whether this node owns the replica's service on behalf of a group of nodes.
         """
         slots = max(1, self.record.slots)
         slowdown = self.slowdown(now) if may_try else self._slowdown
@@ -202,14 +208,14 @@
         return cost
 
     def expected_slowdown(self, now: float, may_try: bool = True) -> float:
-        """Return how long work takes there, in usual times; ``may_try`` as for ``cost``."""
+        """Return the expected work time relative to the median; ``may_try`` as for ``cost``."""
         slowdown = self.slowdown(now) if may_try else self._slowdown
         return max(slowdown, self._reported_slowdown(now)) * (
             COLD_FACTOR if self.is_cold(now) else 1.0
         )
 
     def on_latency(self, ratio: float, sent_at: float, now: float) -> None:
-        """Take in the latency of an attempt, in usual latencies."""
+        """Record the latency of an attempt, relative to the median latency of its route."""
         ratio = min(ratio, MAX_SLOWDOWN)
         weight = SLOWDOWN_WEIGHT
         if ratio < SLOW_RATIO:
@@ -224,13 +230,13 @@
         self._slowdown_at = now
 
     def _reports_typical_latency(self, now: float) -> bool:
-        """Whether it has said just now that work takes as long as usual."""
+        """Whether the replica has just reported that its work times are typical."""
         is_fresh = self._load is not None and self._load_at == now
         return is_fresh and self._reported_slowdown(now) < SLOWDOWN_TOLERANCE
 
     def on_answer(self, load: ReportedLoad | None, now: float) -> bool:
-        """Take in that it answered; return whether it was left out before."""
-        was_left_out = self.blocked_until > 0.0
+        """Record an answer and end the backoff; return whether the replica was in backoff."""
+        was_blocked = self.blocked_until > 0.0
         self.answered_at = now
         self._update_failure_rate(0.0, SUCCESS_WEIGHT, now)
         self.failures_in_row = 0
@@ -239,25 +245,28 @@
         if load is not None:
             self._load = load
             self._load_at = now
-        return was_left_out
+        return was_blocked
 
     def on_answer_in_time(self, now: float) -> None:
-        """Take in that it answered within the objective of a route."""
+        """Record an answer within the objective of its route."""
         self._proved_at = now
 
     def on_connection_failure(
         self, settings: ForwardingSettings, is_certain: bool, now: float
     ) -> float:
-        """Take in that it failed: leave it out, longer each time; return for how long (seconds).
+        """Record a failed connection; return the backoff in seconds, 0 if there is none.
+
+        The backoff doubles with each consecutive failure.
 
         Parameters
         ----------
         is_certain
-            Whether it was out of reach; connections that broke off count from some in a row on.
+            Whether the replica is unreachable. Otherwise a connection broke, which leads to a
+            backoff only after ``MIN_BROKEN_CONNECTIONS`` in a row.
         """
         self.failures_in_row += 1
         if not self.is_unreachable:
-            # That it is out of reach is found out by connections, and forgotten when one comes up.
+            # Reachability is tracked separately and reset when a connection succeeds.
             self.on_failed_attempt(now)
         first = 1 if is_certain else MIN_BROKEN_CONNECTIONS
         if self.failures_in_row < first:
@@ -269,19 +278,19 @@
         return seconds
 
     def on_connected(self) -> None:
-        """Take in that a connection to it came up."""
+        """Record a successful connection, which ends the backoff of an unreachable replica."""
         if self.is_unreachable:
             self.is_unreachable = False
             self.blocked_until = 0.0
 
     def on_shed(self, settings: ForwardingSettings, now: float) -> None:
-        """Take in that it refused work for its load."""
+        """Record that the replica refused a request because of overload, and back off."""
         self.answered_at = now
         self.on_failed_attempt(now)
         self.blocked_until = max(self.blocked_until, now + settings.shed_backoff_seconds)
 
     def on_failed_attempt(self, now: float) -> None:
-        """Take in that an attempt failed there."""
+        """Record a failed attempt in the failure rate."""
         self._update_failure_rate(1.0, FAILURE_WEIGHT, now)
 
     def _update_failure_rate(self, sample: float, weight: float, now: float) -> None:
@@ -290,7 +299,7 @@
         self._failure_rate_at = now
 
     def reported_requests(self, now: float) -> float:
-        """Return the requests of other nodes that it last reported, as far as that still holds."""
+        """Return the number of requests that the replica last reported, decayed towards 0."""
         if self._load is None:
             return 0.0
         reported = self._load.running + self._load.waiting
@@ -298,7 +307,7 @@
         return reported * decay
 
     def _reported_slowdown(self, now: float) -> float:
-        """Return how long work takes there, in usual times, as far as its last word still holds."""
+        """Return the work time last reported, relative to typical, decayed towards 1."""
         if self._load is None:
             return 1.0
         decay = math.exp(-(now - self._load_at) / REPORTED_SLOWDOWN_MEMORY_SECONDS)
--- a/wingquay/forwarding/choice/replica_trials.py
+++ b/wingquay/forwarding/choice/replica_trials.py
@@ -1,21 +1,20 @@
-"""How often a replica that was slow is tried again.
+"""Limits how often slow replicas are tried again.
 
-A slow replica is found out by asking it, and the request that asks may miss its answer. When many
-turn slow at once they are found out together, so what is known of them would also be forgotten
-together, and one request would try all of them: more than it may do without. So trials are spaced:
-a node makes one at a time, sooner at replicas that were slow once (a pause, most often) than at
-those that were slow again when they were tried.
+A trial request may miss its objective. When many replicas become slow at the same time, their
+measured slowdowns also decay at the same time, and one request could then try all of them. A node
+therefore makes one trial at a time, and waits longer before it tries replicas that were slow again
+in a trial.
 """
 
 from ..settings import ForwardingSettings
 from .replica_state import ReplicaState
 
 MIN_SLOW_STREAK = 2
-"""Slow attempts in a row from which on a replica counts as slow rather than paused."""
+"""Consecutive slow attempts from which on a replica is considered slow; fewer are a pause."""
 
 
 class ReplicaTrials:
-    """Spaces a node's trials of slow replicas."""
+    """Spaces the trials of slow replicas by this node."""
 
     def __init__(self, settings: ForwardingSettings) -> None:
         self._settings = settings
@@ -23,7 +22,7 @@
         self._next_slow_trial_at = float("-inf")
 
     def is_allowed(self, replica: ReplicaState, now: float) -> bool:
-        """Whether the replica may be asked as if it had become faster."""
+        """Whether the replica may be tried now, if it was slow."""
         if replica.slow_streak == 0:
             return True
         if replica.slow_streak < MIN_SLOW_STREAK:
@@ -31,7 +30,7 @@
         return now >= self._next_slow_trial_at
 
     def on_chosen(self, replica: ReplicaState, now: float) -> None:
-        """Take in that a replica is asked."""
+        """Record that a request is sent to a replica, which may be a trial."""
         if replica.slow_streak == 0 or not self.is_allowed(replica, now):
             return
         self._next_trial_at = now + self._settings.paused_trial_seconds
--- a/wingquay/forwarding/choice/weighted_round_robin.py
+++ b/wingquay/forwarding/choice/weighted_round_robin.py
@@ -1,7 +1,7 @@
-"""Divides the requests of a route among its services in the proportions of their weights.
+"""Distributes the requests of a route over its services in proportion to their weights.
 
-Smooth weighted round robin (as nginx describes it): exact over every full round, evenly mixed
-within it. The first round begins at a random point, so that nodes do not move in step.
+Smooth weighted round robin, as in nginx: exact over every full round and evenly mixed within it.
+The first round starts at a random point, so that nodes are not synchronized.
 """
 
 import random
@@ -17,12 +17,12 @@
 
 
 class WeightedRoundRobin:
-    """Keeps each route's place in its round.
+    """Keeps the position of each route in its round.
 
     Parameters
     ----------
     random_source
-        Chooses where a route's first round begins.
+        Chooses where the first round of a route starts.
     """
 
     def __init__(self, random_source: random.Random) -> None:
@@ -30,7 +30,7 @@
         self._rounds: dict[tuple[str, str], _Round] = {}
 
     def choose(self, route: Route) -> str:
-        """Return the service that the route's next request goes to."""
+        """Return the service for the next request of a route."""
         services = route.services
         if len(services) == 1:
             return services[0].service
@@ -44,7 +44,7 @@
         return services[best].service
 
     def keep_only(self, routes: tuple[Route, ...]) -> None:
-        """Forget routes that a new configuration does not have."""
+        """Remove the rounds of routes that are not in a new configuration."""
         present = {(route.host, route.path_prefix) for route in routes}
         self._rounds = {key: state for key, state in self._rounds.items() if key in present}
 
--- a/wingquay/forwarding/sending/__init__.py
+++ b/wingquay/forwarding/sending/__init__.py
@@ -1,1 +1,1 @@
-"""How calls are sent to replicas: attempts, waiting calls, budgets and latencies."""
+"""Sending of requests to replicas: attempts, quotas, queueing and rejection."""
--- a/wingquay/forwarding/sending/attempts.py
+++ b/wingquay/forwarding/sending/attempts.py
@@ -1,4 +1,4 @@
-"""Sends attempts of calls to replicas and keeps account of those under way."""
+"""Sends attempts of calls to replicas and tracks those in flight."""
 
 from itertools import count
 
@@ -21,12 +21,11 @@
 from .sending_quotas import SendingQuotas
 
 SLOW_THRESHOLD = 2.0
-"""Usual times that work takes at a replica from which on its choice is counted as one of a slow
-one: it may cost a caller with a short objective its answer."""
+"""Slowdown from which on the choice of a replica is counted as one of a slow replica."""
 
 
 class AttemptSender:
-    """Chooses replicas, spends the budget of extra arrivals, starts and ends attempts."""
+    """Starts and ends attempts, and records their outcomes in the state of the replicas."""
 
     def __init__(
         self,
@@ -42,14 +41,14 @@
         self._ids = count(1)
         self._open: dict[int, Attempt] = {}
         self.evidence = ReachabilityEvidence()
-        """Which replicas failed lately, and where they are."""
+        """Recent failures of replicas, by zone."""
 
     def get(self, attempt_id: int) -> Attempt | None:
-        """Return an attempt under way."""
+        """Return an attempt in flight."""
         return self._open.get(attempt_id)
 
     def earn(self, service: str, now: float) -> None:
-        """Take in a request for a service: it earns extra arrivals there."""
+        """Add the extra requests that a request for a service earns."""
         self._limits.earn(service, now)
 
     def try_send(
@@ -59,12 +58,12 @@
         with_blocked: bool,
         is_hedge: bool = False,
     ) -> list[Action]:
-        """Send the call to a replica; nothing is returned when none can be asked now.
+        """Send the call to a replica; return no actions if none is available.
 
         Parameters
         ----------
         with_blocked
-            Whether a replica that just failed may be asked when there is no other.
+            Whether the call may be sent to a blocked replica when there is no other.
         """
         exchange = call.exchange
         route = exchange.route
@@ -103,7 +102,7 @@
     def _choice_count(
         self, call: ServiceCall, replica: ReplicaState, is_hedge: bool, now: float
     ) -> Count:
-        """Return the count of a choice: where, how fast by what is known, and which attempt."""
+        """Return the metric for a chosen replica, labeled by zone, slowdown and attempt."""
         attempt = "first"
         if call.arrivals:
             attempt = "hedge" if is_hedge else "again"
@@ -115,7 +114,7 @@
         return Count("replica_choices_total", labels=labels)
 
     def on_not_arrived(self, attempt: Attempt) -> None:
-        """Take back that a replica may have got the request: no byte of it left."""
+        """Record that no byte of the request was sent, and refund its extra request."""
         call = attempt.call
         call.arrivals -= 1
         self._mark_refused(attempt)
@@ -123,14 +122,13 @@
             self._limits.refund(call.service)
 
     def on_not_run(self, attempt: Attempt) -> None:
-        """Take in that a replica did not run the request."""
+        """Record that a replica did not run the request."""
         self._mark_refused(attempt)
 
     def on_suspended(self, seconds: float) -> None:
-        """Take in that this node was suspended: its attempts are no older by that.
+        """Move the attempts in flight forward by the time for which this node was suspended.
 
-        Replicas whose answers wait to be read would count as silent and slow, all at once: nothing
-        could be sent for up to 2 s.
+        Otherwise all replicas whose answers are still unread would count as silent and slow.
         """
         for attempt_id, attempt in self._open.items():
             attempt.was_suspended = True
@@ -139,13 +137,13 @@
             attempt.replica.in_flight[attempt_id] = (sent_at + seconds, overdue_at + seconds)
 
     def finish(self, attempt: Attempt) -> None:
-        """Forget an attempt that ended."""
+        """Remove an attempt that ended."""
         self._open.pop(attempt.attempt_id, None)
         attempt.call.attempts.pop(attempt.attempt_id, None)
         attempt.replica.in_flight.pop(attempt.attempt_id, None)
 
     def abandon(self, call: ServiceCall, now: float) -> list[Action]:
-        """Let the call's attempts end by themselves for a short time."""
+        """Mark the call's attempts as abandoned; they are cancelled unless they end soon."""
         actions: list[Action] = []
         for attempt in call.attempts.values():
             if not attempt.is_abandoned:
@@ -155,7 +153,7 @@
         return actions
 
     def cancel(self, attempt: Attempt, now: float) -> list[Action]:
-        """End an attempt and its connection; what it took so far is a lower bound."""
+        """Cancel an attempt and record its age as a lower bound of its latency."""
         self.finish(attempt)
         self.record_latency(attempt, now)
         is_long = now - attempt.sent_at >= self._settings.abandon_seconds
@@ -169,24 +167,24 @@
         return actions
 
     def on_answered(self, attempt: Attempt, load: ReportedLoad | None, now: float) -> list[Action]:
-        """Take in that a replica answered an attempt."""
-        was_left_out = attempt.replica.on_answer(load, now)
+        """Record that a replica answered an attempt."""
+        was_blocked = attempt.replica.on_answer(load, now)
         self.evidence.record_answer(attempt.replica.record.zone)
         if now - attempt.sent_at <= attempt.call.exchange.route.objective_seconds:
             attempt.replica.on_answer_in_time(now)
         self.record_latency(attempt, now)
-        return [replica_log("replica_back", attempt.replica)] if was_left_out else []
+        return [replica_log("replica_back", attempt.replica)] if was_blocked else []
 
     def on_failed(
         self, attempt: Attempt, reason: str, is_certain: bool, now: float
     ) -> list[Action]:
-        """Take in that a replica failed an attempt without an answer."""
+        """Record that an attempt failed without an answer."""
         return self._block(attempt.replica, reason, is_certain, now)
 
     def on_unreachable(self, replica: ReplicaState, reason: str, now: float) -> list[Action]:
-        """Take in that no connection to a replica came up; try again by itself later.
+        """Record a failed connection attempt and schedule another one without a request.
 
-        Trying by a request costs that request its part for as long as the connection may take.
+        A request used for this would wait for as long as the connection attempt takes.
         """
         replica.is_unreachable = True
         actions = self._block(replica, reason, True, now)
@@ -196,31 +194,32 @@
         return [*actions, Schedule(replica.blocked_until, ReconnectDue(replica.incarnation))]
 
     def on_reconnect_due(self, event: ReconnectDue, now: float) -> list[Action]:
-        """Try whether a replica is in reach again, as long as it may get work."""
+        """Try to connect to an unreachable replica, as soon as it is a candidate."""
         replica = self._directory.get_incarnation(event.incarnation)
         if replica is None:
             return []
-        is_usable = replica in self._directory.candidates(replica.record.service, now)
-        if replica.is_unreachable and not is_usable:
+        is_candidate = replica in self._directory.candidates(replica.record.service, now)
+        if replica.is_unreachable and not is_candidate:
             due_at = now + self._settings.connect_backoff_max_seconds
             return [Schedule(due_at, event)]
         replica.is_reconnect_scheduled = False
         return [OpenConnection(replica.record)] if replica.is_unreachable else []
 
     def on_connection_tried(self, event: ConnectionTried, now: float) -> list[Action]:
-        """Take in whether a connection that no request needed came up."""
+        """Record the result of a connection attempt that was made without a request."""
         replica = self._directory.get_incarnation(event.life)
         if replica is None:
             return []
         if not event.is_open:
             return self.on_unreachable(replica, event.reason, now)
-        was_out = replica.is_unreachable
+        was_unreachable = replica.is_unreachable
         replica.on_connected()
-        return [replica_log("replica_in_reach", replica)] if was_out else []
+        return [replica_log("replica_in_reach", replica)] if was_unreachable else []
 
     def _block(
         self, replica: ReplicaState, reason: str, is_certain: bool, now: float
     ) -> list[Action]:
+        """Record a failure of a replica, and log it if it leads to a backoff."""
         self.evidence.record_failure(replica.record.zone, replica.record.replica_id, now)
         seconds = replica.on_connection_failure(self._settings, is_certain, now)
         if not seconds:
@@ -229,7 +228,7 @@
         return [replica_log("replica_left_out", replica, fields)]
 
     def record_latency(self, attempt: Attempt, now: float) -> None:
-        """Take in how long an attempt took."""
+        """Record how long an attempt has taken."""
         route = attempt.call.exchange.route
         seconds = now - attempt.sent_at
         self._latencies.record(route, seconds, now)
@@ -264,7 +263,7 @@
     replica: ReplicaState,
     fields: tuple[tuple[str, str | int | float], ...] = (),
 ) -> Log:
-    """Return a log line about what the node believes of a replica."""
+    """Return a log line about a replica, with its failures and requests in flight."""
     record = replica.record
     known = (
         ("replica", record.replica_id),
--- a/wingquay/forwarding/sending/call_queue.py
+++ b/wingquay/forwarding/sending/call_queue.py
@@ -1,7 +1,7 @@
-"""The lines of calls that wait for a replica, one for each service.
+"""Queues of calls that wait for a replica, one for each service.
 
-The most urgent priority goes first. Within one, calls that can still be in time go before those
-that cannot, and tenants share by what each has had lately, whatever it sends.
+Calls are ordered by priority. Within a priority, calls that can still meet their cutoff precede
+those that can't, and tenants share the service fairly.
 """
 
 from collections.abc import Callable, Container
@@ -12,22 +12,21 @@
 from .latencies import RouteLatencies
 
 MEMORY_SECONDS = 2.0
-"""Time constant with which it is forgotten what a tenant has had beyond the others: about as long
-as callers wait at most, so that one whose burst has just used the service stands behind those whose
-callers came meanwhile, and one that was busy a minute ago does not."""
+"""Time constant with which the service that a tenant received beyond its share is forgotten; about
+the longest time that callers wait."""
 
 MAX_COUNTED_CALLS = 64
-"""Calls of a line up to which each is looked at to tell how many go before one: each of them looks
-some ten times a second, and the answers of replicas must not wait for that."""
+"""Length of a queue up to which calls before another one are counted one by one, which is exact but
+slow; the count is repeated about ten times a second for each waiting call."""
 
 
 class CallQueue:
-    """Calls that wait.
+    """Queues waiting calls by service.
 
     Parameters
     ----------
     latencies
-        Tell how long attempts of a route usually take.
+        Provide the expected work time of a call.
     """
 
     def __init__(self, latencies: RouteLatencies) -> None:
@@ -35,19 +34,18 @@
         self._queues: dict[str, FairQueue[ServiceCall]] = {}
 
     def __len__(self) -> int:
-        """Return how many calls wait, at all services."""
+        """Return the number of waiting calls of all services."""
         return sum(sum(1 for _ in queue.waiting()) for queue in self._queues.values())
 
     def add(self, call: ServiceCall, now: float) -> None:
-        """Let a call wait, unless it does already."""
+        """Add a call to the queue of its service unless it is already queued."""
         if not call.is_queued:
             self._queue(call.service).push(call, now)
 
     def charge(self, call: ServiceCall, now: float) -> None:
-        """Take in that a call was sent without waiting.
+        """Charge the tenant of a call that was sent without waiting.
 
-        Callers that are all one share nothing, and parts of merged answers hardly ever wait: each
-        request has one at every shard, which would all remember its tenant.
+        Anonymous calls are not charged, nor are sub-requests of merged answers, which rarely wait.
         """
         if not call.exchange.route.shards and call.exchange.tenant_name:
             self._queue(call.service).charge(call, now)
@@ -58,7 +56,7 @@
         return queue is not None and len(queue) > 0 and any(True for _ in queue.waiting())
 
     def keep_only(self, services: Container[str]) -> None:
-        """Forget the services that a new configuration does not have and nothing waits for."""
+        """Remove empty queues of services that are not in a new configuration."""
         for service in [name for name in self._queues if name not in services]:
             if not self.has_waiting(service):
                 del self._queues[service]
@@ -66,14 +64,14 @@
     def pop_first(
         self, service: str, accepts: Callable[[ServiceCall], bool], now: float
     ) -> ServiceCall | None:
-        """Take the first call that ``accepts`` agrees to out of line."""
+        """Remove and return the first call that ``accepts`` returns true for."""
         queue = self._queues.get(service)
         if queue is None:
             return None
         return queue.pop(accepts, now, lambda call: self._can_meet_cutoff(call, now))
 
     def queued_before(self, call: ServiceCall, now: float) -> int:
-        """Return how many calls go before one at its service."""
+        """Return the number of waiting calls of the same service that precede a call."""
         queue = self._queues.get(call.service)
         if queue is None or not len(queue):
             return 0
@@ -82,7 +80,7 @@
         return queue.queued_before(call, now, lambda other: self._can_meet_cutoff(other, now))
 
     def oldest_wait_seconds(self, now: float) -> float:
-        """Return how long the call has waited that came first."""
+        """Return the age of the oldest waiting call; 0 if no call waits."""
         queues = self._queues.values()
         arrivals = [call.exchange.arrived_at for queue in queues for call in queue.waiting()]
         return now - min(arrivals, default=now)
--- a/wingquay/forwarding/sending/call_starter.py
+++ b/wingquay/forwarding/sending/call_starter.py
@@ -1,4 +1,4 @@
-"""Sends calls to replicas, or lets them stand in line until one can be asked."""
+"""Sends calls to replicas, or queues them until a replica has capacity."""
 
 from collections.abc import Iterable
 
@@ -10,13 +10,12 @@
 from .waiting_policy import WaitingPolicy
 
 LOG_INTERVAL_SECONDS = 1.0
-"""Seconds between two lines about what waits: callers of a node wait a few seconds at most, and an
-operator who reads the lines of many nodes sees each wave of them once."""
+"""Minimum time between two log lines about waiting calls."""
 MILLISECONDS_PER_SECOND = 1000.0
 
 
 class CallStarter:
-    """Starts calls, in the order of their line where they have to wait."""
+    """Sends calls, in the order of the queue where calls have to wait."""
 
     def __init__(self, sender: AttemptSender, waiting: WaitingPolicy, queue: CallQueue) -> None:
         self._sender = sender
@@ -25,13 +24,13 @@
         self._next_log_at = float("-inf")
 
     def begin(self, call: ServiceCall, now: float) -> list[Action]:
-        """Start a call for the first time: the request earns extra arrivals at its service."""
+        """Send or queue a new call, which earns extra requests for its service."""
         self._sender.earn(call.service, now)
         call.is_begun = True
         return self.send_or_queue(call, now)
 
     def send_or_queue(self, call: ServiceCall, now: float) -> list[Action]:
-        """Send the call, or let it wait; those that wait already go by their order."""
+        """Send the call if a replica has capacity and no other call waits; otherwise queue it."""
         if self._queue.has_waiting(call.service):
             return self._wait(call, now) + self.send_queued(call.service, now)
         actions = self._try_send(call, now)
@@ -41,7 +40,7 @@
         return actions
 
     def send_queued(self, service: str, now: float) -> list[Action]:
-        """Send calls that wait for a replica of the service, in their order, while they can be."""
+        """Send the waiting calls of a service in queue order, as long as there is capacity."""
         actions: list[Action] = []
 
         def can_be_sent(call: ServiceCall) -> bool:
@@ -59,18 +58,17 @@
         return self._sender.try_send(call, now, self._may_use_blocked(call, now))
 
     def begin_all(self, calls: Iterable[ServiceCall], now: float) -> list[Action]:
-        """Start calls for the first time."""
+        """Send or queue new calls."""
         return [action for call in calls for action in self.begin(call, now)]
 
     def send_or_queue_all(self, calls: Iterable[ServiceCall], now: float) -> list[Action]:
-        """Send calls, or let them wait for replicas."""
+        """Send or queue several calls."""
         return [action for call in calls for action in self.send_or_queue(call, now)]
 
     def _may_use_blocked(self, call: ServiceCall, now: float) -> bool:
-        """Whether replicas that just failed are better than none.
+        """Whether a call may be sent to a blocked replica when there is no other.
 
-        A merged answer does without a shard whose replicas are all out of reach, as long as it
-        can be in time.
+        Until its cutoff, a merged answer rather omits a shard whose replicas are all blocked.
         """
         exchange = call.exchange
         return not exchange.route.shards or now >= exchange.cutoff_at
@@ -87,7 +85,7 @@
         return [*actions, Schedule(due_at, RetryDue(exchange.exchange_id))]
 
     def _log_waiting(self, call: ServiceCall, now: float) -> list[Action]:
-        """Say now and then how much waits, for as long as something does."""
+        """Return a log line about the waiting calls, at most one per interval."""
         if now < self._next_log_at:
             return []
         self._next_log_at = now + LOG_INTERVAL_SECONDS
--- a/wingquay/forwarding/sending/capacity.py
+++ b/wingquay/forwarding/sending/capacity.py
@@ -1,8 +1,8 @@
-"""When a replica of a service will have room for one more request.
+"""Estimates when the replicas of a service will have capacity for one more request.
 
-Work that this node has under way is known exactly. What other nodes have there is known only as far
-as a replica said so a moment ago: it lowers the part of the slots that this node reckons with, and
-never forbids anything, for the next moment it may be over.
+The number of requests in flight from this node is exact. Requests of other nodes are known only
+from the last load report of a replica, which is soon outdated: reported requests reduce the
+completion rate that is expected for this node, but never rule out a replica.
 """
 
 import math
@@ -16,24 +16,24 @@
 
 @value
 class ReplicaCapacity:
-    """What is known of the room at one replica that the request may be sent to.
+    """Capacity of one replica that the request may be sent to.
 
     Parameters
     ----------
     replica_id
-        The replica's id.
+        Name of the replica's incarnation.
     available_at
-        When it may be asked, as far as it is known to be in reach.
+        When the replica may receive requests; a time up to now: it may already.
     slots
-        Requests that it works on at a time.
-    most
-        Requests that this node may have under way there.
-    under_way
-        Requests that it has under way there.
-    elsewhere
-        Requests of other nodes that it reported, less the older that is.
+        Requests that it processes concurrently.
+    max_in_flight
+        Maximum number of requests in flight from this node.
+    in_flight
+        Requests in flight from this node.
+    reported_requests
+        Requests of all nodes that the replica last reported, decayed by the age of the report.
     work_seconds
-        How long it works on a request.
+        Expected work time of a request.
     """
 
     replica_id: str
@@ -46,12 +46,12 @@
 
     @property
     def free(self) -> int:
-        """How many more requests this node may send there."""
+        """Number of further requests that this node may send to the replica."""
         return max(0, self.max_in_flight - self.in_flight)
 
     @property
     def completions_per_second(self) -> float:
-        """How many requests of this node it is expected to end a second."""
+        """Requests of this node that the replica is expected to complete a second."""
         own = max(1.0, self.in_flight)
         return (
             min(self.slots, self.max_in_flight)
@@ -63,14 +63,14 @@
 
 @value
 class ExpectedCapacity:
-    """When a request can be sent, and whereto if that is now.
+    """When capacity for a request is expected, and at which replica if there is some now.
 
     Parameters
     ----------
     at
-        Infinity: no replica is known to become free.
+        When capacity is expected; infinity: not known.
     replica_id
-        The replica that has room now; empty while none has.
+        Name of the incarnation that has capacity now; empty if none has.
     """
 
     at: float
@@ -83,12 +83,12 @@
 def expected_capacity(
     capacities: Iterable[ReplicaCapacity], queued_before: int, now: float
 ) -> ExpectedCapacity:
-    """Return when a request that ``ahead`` others go before will find room.
+    """Return when capacity is expected for a request behind ``queued_before`` others.
 
     Parameters
     ----------
-    rooms
-        The replicas that may take it.
+    capacities
+        The replicas that may receive the request.
     """
     known = list(capacities)
     available = [capacity for capacity in known if capacity.available_at <= now]
@@ -106,14 +106,16 @@
     return ExpectedCapacity(now + (queued_before + 1 - free) / per_second)
 
 
-def capacity_for_share(moments: Iterable[float], least_share: float) -> ExpectedCapacity:
-    """Return when so large a share of several services has room.
+def capacity_for_share(moments: Iterable[float], min_share: float) -> ExpectedCapacity:
+    """Return when enough of several services have capacity.
 
     Parameters
     ----------
     moments
         When each of them has.
+    min_share
+        Fraction of the services that is enough, 0 to 1.
     """
     ordered = sorted(moments)
-    least = math.ceil(least_share * len(ordered) - SHARE_TOLERANCE)
-    return ExpectedCapacity(ordered[max(1, least) - 1])
+    min_count = math.ceil(min_share * len(ordered) - SHARE_TOLERANCE)
+    return ExpectedCapacity(ordered[max(1, min_count) - 1])
--- a/wingquay/forwarding/sending/cold_quota.py
+++ b/wingquay/forwarding/sending/cold_quota.py
@@ -1,10 +1,9 @@
-"""How many requests this node may send to a cold replica, so that the sum over all nodes holds.
+"""Quota of requests that this node may send to a cold replica.
 
-A replica that has just started, or has lost its cache, falls over at more requests a second than
-its service states. No message between nodes divides that bound: each takes an even share, and where
-a share is less than one request a second, as many nodes as requests are allowed take one each.
-Which nodes these are follows from the replica's id and the nodes' names, so that each replica is
-warmed by other nodes and all of them agree.
+A replica that has just started, or has lost its cache, fails above the request rate that its
+service states. Nodes divide this rate without messages: each takes an equal quota. Where the quota
+is below one request a second, some nodes take one request each and the others none. These nodes are
+selected by hashing the replica's id with the nodes' keys, so that all nodes select the same ones.
 """
 
 from ..choice.replica_state import ReplicaState
@@ -12,19 +11,19 @@
 
 WINDOW_SECONDS = 1.0
 USED_SHARE = 0.6
-"""Part of the bound that is divided: a fleet that has just grown by half takes a third more than
-its part until the nodes that were there have seen the others."""
+"""Fraction of the rate that is divided, in reserve for new nodes that others don't count yet."""
 
 
 class ColdQuota:
-    """Divides the bounds of cold replicas.
+    """Divides the request rates of cold replicas among the nodes.
 
     Parameters
     ----------
     overage, slack
-        A cold replica may get its service's requests a second, times the first, plus the second.
+        A cold replica may receive its service's stated rate times ``overage`` plus ``slack``
+        requests a second.
     nodes
-        The nodes that share the bound.
+        The nodes that share the rate.
     key
         This node's key.
     """
@@ -43,9 +42,9 @@
         Parameters
         ----------
         per_second
-            Requests a second that the service's cold replicas handle; 0: they are not bounded.
+            Requests a second that a cold replica of the service handles; 0: no limit.
         sharing_nodes
-            How many nodes usually ask the replica.
+            Number of nodes that usually send to the replica.
         """
         if not per_second or not replica.is_cold(now):
             return True
--- a/wingquay/forwarding/sending/decision.py
+++ b/wingquay/forwarding/sending/decision.py
@@ -1,9 +1,8 @@
-"""The one decision on a request that is not under way: send it, let it wait, or reject it.
+"""Decides whether a request without attempts in flight is sent, waits, or is rejected.
 
-It weighs what the caller gains by each. A caller that is rejected early comes back, most often to
-another node, and loses little; one that is held and then gets nothing has lost everything. So
-nobody waits for room that is not expected in the time in which an answer is still worth more than
-coming back, and what may have run is never called not run: that is said by the one who ends it.
+A caller that is rejected early can retry, usually at another node; one whose request waits and then
+fails can't. A request therefore waits only if capacity is expected while an answer is still worth
+more than a retry. A request that may have run is never reported as not run.
 """
 
 from ...model.value import value
@@ -18,26 +17,31 @@
 
 @value
 class WaitingRequest:
-    """What is known of a request that is not under way.
+    """State of a request without attempts in flight.
 
     Parameters
     ----------
-    arrived_at, cutoff_at, ends_at
-        When it came, until when an answer is in time for the caller, and when it is given up on.
+    arrived_at
+        When the request arrived.
+    cutoff_at
+        Latest time at which an answer meets the caller's objective.
+    ends_at
+        When the request times out.
     objective_seconds
-        Time within which an answer is worth its full price.
+        Time within which an answer has its full value.
     has_unblocked
-        Whether a replica of its services may be asked and was not just out of reach.
+        Whether its services have a replica that is not blocked.
     may_records_reappear
-        Whether records of replicas may be missing that come back by themselves.
+        Whether replica records may be missing that will reappear without intervention.
     may_have_run
-        Whether a replica may have run it.
+        Whether a replica may have run the request.
     may_run_again
-        Whether it may be sent once more.
+        Whether the request may be sent once more.
     is_merged
-        Whether its answer is merged from several services: late, it is worth little.
+        Whether its answer is merged from several services; such an answer is worth little when
+        late.
     repeat_at
-        When the budget of extra arrivals allows to send it once more.
+        When the budget of extra requests allows another attempt.
     """
 
     arrived_at: float
@@ -54,26 +58,32 @@
 
 @value
 class SendNow:
-    """Send it: this replica has room, or enough shards have for a merged answer (no id)."""
+    """Send the request now.
+
+    Parameters
+    ----------
+    replica_id
+        The replica that has capacity; empty for a merged answer, where enough shards have.
+    """
 
     replica_id: str = ""
 
 
 @value
 class WaitUntil:
-    """Let it wait, and look again then unless something happens before."""
+    """Keep the request waiting, and decide again at ``when`` or after an earlier event."""
 
     when: float
 
 
 @value
 class Reject:
-    """End it now.
+    """Reject the request now.
 
     Parameters
     ----------
     retry_after_seconds
-        When there will be room for this caller; infinity: not known.
+        Time until capacity for this caller is expected; infinity: not known.
     """
 
     retry_after_seconds: float
@@ -86,12 +96,12 @@
 def decide(
     request: WaitingRequest, capacity: ExpectedCapacity, settings: WaitingSettings, now: float
 ) -> Decision:
-    """Return what is best for the caller of a request that is not under way.
+    """Return the best decision for the caller of a request without attempts in flight.
 
     Parameters
     ----------
-    room
-        When its services will have room for it, after all that goes before it.
+    capacity
+        When its services will have capacity for it, after all requests queued before it.
     """
     if request.may_have_run and not request.may_run_again:
         return Reject(NEVER, RAN_REASON)
@@ -100,7 +110,7 @@
         return SendNow(capacity.replica_id)
     latest = _latest(request, capacity, settings, now)
     if request.may_records_reappear and not request.has_unblocked:
-        # Nothing tells when a record comes back; it is looked for as long as it may.
+        # The time at which a record reappears is unknown, so check again soon.
         starts_at = min(starts_at, now + settings.recheck_seconds)
     if starts_at == NEVER:
         return Reject(NEVER, _reason(request, capacity))
@@ -115,7 +125,7 @@
 def _latest(
     request: WaitingRequest, capacity: ExpectedCapacity, settings: WaitingSettings, now: float
 ) -> float:
-    """Return until when waiting is better for the caller than coming back."""
+    """Return the time until which waiting is better for the caller than a retry."""
     whole_seconds = request.ends_at - request.arrived_at
     hold_ends_at = request.arrived_at + whole_seconds * settings.hold_ratio
     if request.may_have_run:
--- a/wingquay/forwarding/sending/extra_request_budget.py
+++ b/wingquay/forwarding/sending/extra_request_budget.py
@@ -1,8 +1,9 @@
-"""The budget of extra arrivals at a service, so that the sum over all nodes stays within bounds.
+"""Budget of extra requests to a service, which bounds their sum over all nodes.
 
-Every node may cause extra arrivals in a fixed ratio to its own requests, which needs no message
-between nodes, and its part of a slack that all nodes share, for which it needs to know how many
-they are. Source: retry budgets as in Finagle and the SRE book, chapter 21 ("Handling Overload").
+An extra request is a retry or hedge, which may reach a service in addition to a request's first
+attempt. Every node may send extra requests in a fixed ratio to its own requests, and its share of a
+slack that all nodes divide. Source: retry budgets as in Finagle and the SRE book, chapter 21
+("Handling Overload").
 """
 
 from dataclasses import dataclass, field
@@ -10,35 +11,34 @@
 from ...routing.decaying_rate import DecayingRate
 
 MAX_SAVED = 1.0
-"""Extra arrivals earned by requests that can be saved up."""
+"""Maximum number of extra requests, earned by requests, that can be saved up."""
 SLACK_SHARE = 0.4
-"""Part of the slack that is divided among the nodes: a window may hold a node's whole share twice,
-saved up and granted anew, and nodes that start again begin with one."""
+"""Fraction of the slack that is divided among the nodes. A node may use its share twice in one
+window, once saved up and once refilled, and restarted nodes start with a full share."""
 
 SAVING_NODES_SHARE = 0.5
-"""Nodes, as a part of the slack, up to which each may save up one whole extra arrival."""
+"""Number of nodes, as a fraction of the slack, up to which each may save up one extra request."""
 
 OWNERS_RESERVE = 1.4
-"""Owners of a shard divide the slack by this many times their number. They make nearly all second
-attempts, and with half of all answers lost they need more than an even part brings."""
+"""Owners of a shard divide the slack by their number times this factor. They send most of the extra
+requests, so they need more than an equal share."""
 TAKEOVER_REFILL_SHARE = 0.25
-"""Part of its share that a node gets anew where others own the shard: it steps in for one that is
-lost, which happens now and then, so it may save up but needs no lasting part."""
+"""Fraction of its share that a node regains per window where other nodes own the shard. It sends
+extra requests only when it takes over from a lost owner, so it may save up but needs few."""
 EARNING_SECONDS = 2.0
-"""Time constant of the rate at which requests earn: a caller that waits for the budget waits for
-less, and a burst that is over earns nothing more."""
+"""Time constant of the rate at which requests earn extra requests."""
 
 
 @dataclass(slots=True)
 class ExtraRequestBudget:
-    """Extra arrivals at one service that one node may cause.
+    """Extra requests to one service that this node may send.
 
     Parameters
     ----------
     ratio
-        Extra arrivals for each request.
+        Extra requests for each request.
     slack
-        Extra arrivals in a window that all nodes together may cause besides.
+        Further extra requests that all nodes together may send in a window.
     window_seconds
         Length of the window.
     """
@@ -52,19 +52,19 @@
     _granted_at: float = 0.0
 
     def earn(self, now: float) -> None:
-        """Take in a request for the service."""
+        """Add the extra requests that a request for the service earns."""
         self._earning.add(self.ratio, now)
         self._earned = min(MAX_SAVED, self._earned + self.ratio)
 
     def spend(self, nodes: float, now: float, refill_share: float = 1.0) -> bool:
-        """Take one extra arrival; ``False`` if the budget does not allow it.
+        """Take one extra request; return ``False`` if the budget is exhausted.
 
         Parameters
         ----------
         nodes
-            How many nodes share the slack.
-        pace
-            Part of its share that this node gets in a window, besides what it has saved up.
+            Number of nodes that divide the slack.
+        refill_share
+            Fraction of its share that this node regains per window, 0 to 1.
         """
         self._refill(self._share(nodes), self._max_granted(nodes), refill_share, now)
         granted = self._granted or 0.0
@@ -76,9 +76,9 @@
         return True
 
     def next_at(self, nodes: float, now: float, refill_share: float = 1.0) -> float:
-        """Return when one extra arrival may be taken, if as many requests come as lately.
+        """Return when one extra request may be taken at the current rate of requests.
 
-        Infinity: none came, and without them it may never.
+        Infinity if no requests arrive and the budget can't recover without them.
         """
         share = self._share(nodes)
         self._refill(share, self._max_granted(nodes), refill_share, now)
@@ -91,14 +91,15 @@
         return now + missing / (earning + share * refill_share / self.window_seconds)
 
     def refund(self) -> None:
-        """Return an extra arrival that did not arrive."""
+        """Return an extra request that was not delivered to a replica."""
         self._earned = min(MAX_SAVED, self._earned + 1.0)
 
     def _share(self, nodes: float) -> float:
         return self.slack * SLACK_SHARE / max(1, nodes)
 
     def _max_granted(self, nodes: float) -> float:
-        # One whole arrival may be saved up, unless so many nodes could spend one each at once.
+        # A node may save up one extra request unless there are so many nodes that all of them
+        # spending one at the same time would exceed the slack.
         is_few = nodes <= self.slack * SAVING_NODES_SHARE
         return max(self._share(nodes), 1.0) if is_few else self._share(nodes)
 
--- a/wingquay/forwarding/sending/extra_request_fairness.py
+++ b/wingquay/forwarding/sending/extra_request_fairness.py
@@ -1,30 +1,30 @@
-"""Whose turn it is to cause an extra arrival at a service, where callers are told apart.
+"""Divides the budget of extra requests of a service fairly among tenants.
 
-The budget of extra arrivals is small, and a tenant whose burst fails would spend what the others'
-requests have earned. So the next one is kept for the tenant that has had the fewest lately, if it
-has just wanted one.
+The budget is small, and a tenant whose requests fail in a burst could use up what the requests of
+other tenants have earned. The next extra request is therefore reserved for the tenant with the
+fewest recent ones, among those that were recently refused one.
 """
 
 from ...routing.decaying_rate import DecayingRate
 
 REFUSAL_MEMORY_SECONDS = 0.5
-"""Seconds for which the next extra arrival is kept for a tenant that found the budget empty: half
-the objective of the callers that wait longest for one; afterwards its request is over."""
+"""Time for which the next extra request is reserved for a tenant that was refused one; later, the
+request that needed it has ended."""
 TAKEN_MEMORY_SECONDS = 10.0
-"""Time constant with which it is forgotten what a tenant has had: the window of the budget."""
+"""Time constant with which the extra requests of a tenant are forgotten; the budget's window."""
 MAX_TENANTS = 64
-"""Tenants that are remembered: more than want extra arrivals of one service within a window."""
+"""Maximum number of tenants that are remembered."""
 
 
 class ExtraRequestFairness:
-    """Follows which tenants have had extra arrivals at a service, and which have wanted one."""
+    """Tracks which tenants recently took extra requests of a service, and which were refused."""
 
     def __init__(self) -> None:
         self._taken: dict[str, DecayingRate] = {}
         self._refused_at: dict[str, float] = {}
 
     def may_take(self, tenant: str, now: float) -> bool:
-        """Whether no other tenant that has had fewer wants the next one."""
+        """Whether no recently refused tenant has taken fewer extra requests than this one."""
         if not self._refused_at:
             return True
         own = self._rate(tenant, now)
@@ -35,14 +35,14 @@
         )
 
     def on_taken(self, tenant: str, now: float) -> None:
-        """Take in that a tenant has had one."""
+        """Record that a tenant took an extra request."""
         self._refused_at.pop(tenant, None)
         if len(self._taken) >= MAX_TENANTS:
             self._taken = dict(list(self._taken.items())[MAX_TENANTS // 2 :])
         self._taken.setdefault(tenant, DecayingRate(TAKEN_MEMORY_SECONDS)).add(1.0, now)
 
     def on_refused(self, tenant: str, now: float) -> None:
-        """Take in that a tenant found the budget empty."""
+        """Record that a tenant was refused an extra request."""
         fresh = {
             other: at for other, at in self._refused_at.items() if now - at < REFUSAL_MEMORY_SECONDS
         }
