--- a/wingquay/forwarding/sending/latencies.py
+++ b/wingquay/forwarding/sending/latencies.py
@@ -1,4 +1,4 @@
-"""Latencies of attempts by route, and the delay after which an attempt is hedged."""
+"""Latencies of attempts by route, and the hedge delays derived from them."""
 
 from ...model.routing_table import Route
 from ...routing.latency_tracker import LatencyTracker
@@ -8,17 +8,17 @@
 MIN_SAMPLES = 40
 MEDIAN = 0.5
 WORK_WEIGHT = 0.1
-"""How far one attempt moves the work that is expected: replicas of one service differ by half, and
-a caller is to be told its time by the usual one."""
+"""EWMA weight of an attempt in the expected work time, small because replicas of one service differ
+in speed."""
 MIN_WORK_SECONDS = 0.0005
-"""Work in seconds that is expected at least: below it callers feel the network, not the work."""
+"""Lower bound of the expected work time; below it, the network dominates the latency."""
 DEFAULT_WORK_RATIO = 0.1
-"""Work that is expected before an attempt was seen, as a share of the objective: rather too little,
-since a caller that is rejected for a line that moves faster than thought has lost its answer."""
+"""Expected work time, as a fraction of the objective, of a route without measurements. It is low
+because too high an estimate rejects requests that could be answered in time."""
 
 
 class RouteLatencies:
-    """Recent latencies of each route's attempts."""
+    """Recent latencies of the attempts of each route."""
 
     def __init__(self, settings: ForwardingSettings) -> None:
         self._settings = settings
@@ -26,7 +26,7 @@
         self._work_seconds: dict[str, float] = {}
 
     def record(self, route: Route, seconds: float, now: float) -> None:
-        """Take in how long an attempt took, or had taken when it was cancelled."""
+        """Record the latency of an attempt, or its age if it was cancelled."""
         tracker = self._trackers.get(route.name)
         if tracker is None:
             tracker = LatencyTracker(PERIOD_SECONDS)
@@ -34,25 +34,25 @@
         tracker.record(seconds, now)
 
     def median_seconds(self, route: Route) -> float | None:
-        """Return the usual latency, or ``None`` while too few were seen."""
+        """Return the median latency, or ``None`` while there are too few samples."""
         tracker = self._trackers.get(route.name)
         return None if tracker is None else tracker.quantile_seconds(MEDIAN, MIN_SAMPLES)
 
     def record_work(self, route: Route, seconds: float) -> None:
-        """Take in how long a replica worked on an attempt, as far as it did not wait there."""
+        """Record how long a replica worked on an attempt, without the time queued there."""
         seconds = max(seconds, MIN_WORK_SECONDS)
         known = self._work_seconds.get(route.name, seconds)
         self._work_seconds[route.name] = known + WORK_WEIGHT * (seconds - known)
 
     def work_seconds(self, route: Route) -> float:
-        """Return how long a replica is expected to work on a request."""
+        """Return the expected work time of a request at a replica."""
         seen = self._work_seconds.get(route.name)
         if seen is None:
             seen = self.median_seconds(route)
         return route.objective_seconds * DEFAULT_WORK_RATIO if seen is None else seen
 
     def hedge_seconds(self, route: Route) -> float:
-        """Return the time after which an attempt takes too long."""
+        """Return the hedge delay: the time after which an attempt is overdue."""
         settings = self._settings
         median = self.median_seconds(route)
         if median is None:
@@ -63,7 +63,7 @@
         return min(delay, route.objective_seconds * settings.hedge_max_ratio)
 
     def keep_only(self, routes: tuple[Route, ...]) -> None:
-        """Forget routes that a new configuration does not have."""
+        """Remove the latencies of routes that are not in a new configuration."""
         names = {route.name for route in routes}
         for name in [name for name in self._trackers if name not in names]:
             del self._trackers[name]
--- a/wingquay/forwarding/sending/retry_after.py
+++ b/wingquay/forwarding/sending/retry_after.py
@@ -1,28 +1,24 @@
-"""When a caller that was rejected is told to come back."""
+"""Time after which a rejected caller is asked to retry."""
 
 from .capacity import NEVER
 
 MIN_RETRY_AFTER_SECONDS = 0.1
-"""Seconds after which a caller comes back at the earliest: sooner, a node that has no room is asked
-again before anything can have changed, and the caller has few tries."""
+"""Shortest time after which a caller retries; earlier, the load can hardly have changed."""
 DEFAULT_RETRY_AFTER_SECONDS = 1.0
-"""Seconds after which a caller may come back if no room is known of: another node may have some."""
+"""Time after which a caller retries when it is unknown when there will be capacity."""
 MAX_RETRY_AFTER_SECONDS = 3.0
-"""Seconds after which a caller may come back if room is known to come later: callers obey for a
-third of the time that they have left, and those that wait longest have 8 s."""
+"""Longest time after which a caller retries, without jitter."""
 JITTER_RATIO = 0.5
-"""Part of the time to come back by which callers that were rejected together are spread: their room
-comes free one after the other, and a caller that comes later by that is still better off than one
-that is rejected again."""
+"""Maximum jitter as a fraction of the time; it spreads callers that were rejected together."""
 
 
 def jittered_retry_after(capacity_seconds: float, draw: float) -> float:
-    """Return after which time a caller may come back.
+    """Return the time in seconds after which a caller may retry.
 
     Parameters
     ----------
     capacity_seconds
-        Time until there will be room for it; infinity: not known.
+        Time until capacity for the caller is expected; infinity: not known.
     draw
         A random number from 0 to 1.
     """
--- a/wingquay/forwarding/sending/sending_quotas.py
+++ b/wingquay/forwarding/sending/sending_quotas.py
@@ -1,4 +1,7 @@
-"""How much this node may send to the replicas of a service, as its part of what all nodes may."""
+"""Quotas of this node for sending to the replicas of a service.
+
+The limits of a service apply to all nodes together; each node takes its share of them.
+"""
 
 from typing import Protocol
 
@@ -14,28 +17,31 @@
 
 DEFAULT_CONNECTION_LIMIT = 24
 OWNERS_CONNECTION_RESERVE = 2
-"""Owners of a shard take this part of the connections: others may have to step in."""
+"""Owners of a shard divide its connections by their number times this factor, which leaves some for
+nodes that take over."""
 INCARNATIONS = 2
-"""Lives of this process whose connections a replica may still count after a start."""
+"""Incarnations of this process whose connections a replica may count just after a restart."""
 
 
 class ShardSharing(Protocol):
-    """Knows among how many nodes the requests for a shard are divided."""
+    """Provides the number of nodes among which the requests for a shard are divided."""
 
     def sharing_nodes(self, shard: str, now: float) -> int:
-        """Return how many nodes usually ask a shard."""
+        """Return the number of nodes that usually send to a shard."""
         ...
 
 
 class SendingQuotas:
-    """Its own parts of connections, of extra arrivals and of what cold replicas bear.
+    """Quotas of this node for connections, extra requests and requests to cold replicas.
 
     Parameters
     ----------
+    nodes
+        Number of nodes that share the limits.
     key
         This node's key in the store.
     waiting
-        Whether work waits here for the slots of replicas.
+        Determines where requests wait while the slots of replicas are in use.
     """
 
     def __init__(
@@ -55,14 +61,14 @@
         self._fairness: dict[str, ExtraRequestFairness] = {}
         self._first_sent_at: float | None = None
         self.placement: ShardSharing | None = None
-        """Who asks which shard, once shards are divided among nodes."""
+        """Number of nodes that send to each shard; ``None``: shards are not divided among nodes."""
 
     def earn(self, service: str, now: float) -> None:
-        """Take in a request for a service: it earns extra arrivals there."""
+        """Add the extra requests that a request for a service earns."""
         self._budget(service).earn(now)
 
     def take_extra_request(self, call: ServiceCall, now: float) -> bool:
-        """Take one extra arrival; ``False`` if the budget or another tenant's turn forbids it."""
+        """Take one extra request; return ``False`` if the budget or fairness forbids it."""
         tenant = call.exchange.tenant_name
         nodes, refill_share = self._budget_share(call, now)
         if not tenant:
@@ -77,16 +83,16 @@
         return False
 
     def repeat_at(self, call: ServiceCall, now: float) -> float:
-        """Return when the budget will allow one extra arrival, if no request earns one before."""
+        """Return when the budget allows one extra request at the current rate of requests."""
         nodes, refill_share = self._budget_share(call, now)
         return self._budget(call.service).next_at(nodes, now, refill_share)
 
     def refund(self, service: str) -> None:
-        """Return an extra arrival that did not arrive."""
+        """Return an extra request that was not delivered to a replica."""
         self._budget(service).refund()
 
     def too_cold(self, call: ServiceCall, now: float) -> set[str]:
-        """Return the lives of the cold replicas to which this node may send nothing more now."""
+        """Return the incarnations of cold replicas for which this node's quota is used up."""
         known = call.exchange.table.services.get(call.service)
         per_second = 0.0 if known is None else known.cold_requests_per_second
         if not per_second:
@@ -99,14 +105,14 @@
         }
 
     def max_in_flight(self, call: ServiceCall, replica: ReplicaState, now: float) -> int:
-        """Return how many requests this node may have under way at a replica."""
+        """Return the maximum number of requests in flight from this node to a replica."""
         connections = self.connections(call, now)
         if not self._queues_at_node(call):
             return connections
         return min(connections, self._max_with_surplus(replica))
 
     def saturated(self, call: ServiceCall, now: float) -> set[str]:
-        """Return the lives of the replicas for which a call is to wait here, in line."""
+        """Return the incarnations of replicas for which a call must wait in this node's queue."""
         if not self._queues_at_node(call):
             return set()
         return {
@@ -120,11 +126,12 @@
         return slots + max(1, int(slots * self._waiting.surplus_ratio))
 
     def _queues_at_node(self, call: ServiceCall) -> bool:
-        # A part of a merged answer has no time to wait: its replica may be free by when it arrives.
+        # Sub-requests of a merged answer have no time to wait in a queue: they are sent at once,
+        # and a slot may be free when they arrive at the replica.
         return self._waiting.queue_location is QueueLocation.NODE and not call.exchange.route.shards
 
     def connections(self, call: ServiceCall, now: float) -> int:
-        """Return how many connections this node may use at a replica."""
+        """Return the number of connections that this node may use to a replica."""
         if self._first_sent_at is None:
             self._first_sent_at = now
         known = call.exchange.table.services.get(call.service)
@@ -136,7 +143,7 @@
         return max(1, limit // self._sharing_nodes(call, now))
 
     def _sharing_nodes(self, call: ServiceCall, now: float) -> int:
-        """Return among how many nodes the limits of a call's service are divided."""
+        """Return the number of nodes among which the limits of a call's service are divided."""
         nodes = self._nodes.get(now)
         if self.placement is None or not call.is_owned:
             return nodes
@@ -145,7 +152,7 @@
         )
 
     def _budget_share(self, call: ServiceCall, now: float) -> tuple[float, float]:
-        """Return among how many nodes the slack is divided, and how fast this one's part grows."""
+        """Return the number of nodes that divide the slack, and this node's refill share."""
         nodes = self._nodes.get(now)
         if self.placement is None:
             return nodes, 1.0
--- a/wingquay/forwarding/sending/waiting_policy.py
+++ b/wingquay/forwarding/sending/waiting_policy.py
@@ -1,11 +1,17 @@
-"""Gathers what is known of a request that is not under way, for the decision whether it waits."""
+"""Gathers the inputs of the decision whether a request is sent, waits, or is rejected."""
 
 from ..choice.replica_directory import ReplicaDirectory
 from ..choice.replica_state import ReplicaState
 from ..exchange import Exchange, ServiceCall
 from ..settings import ForwardingSettings
 from .call_queue import CallQueue
-from .capacity import NEVER, NO_CAPACITY, ReplicaCapacity, capacity_for_share, expected_capacity
+from .capacity import (
+    NEVER,
+    NO_CAPACITY,
+    ReplicaCapacity,
+    capacity_for_share,
+    expected_capacity,
+)
 from .decision import Decision, WaitingRequest, WaitUntil, decide
 from .latencies import RouteLatencies
 from .sending_quotas import SendingQuotas
@@ -13,16 +19,16 @@
 
 
 class WaitingPolicy:
-    """Decides on requests that are not under way.
+    """Decides on requests that have no attempt in flight.
 
     Parameters
     ----------
     settings
-        How the rules go.
+        Waiting rule and waiting times.
     forwarding
-        When replicas count as out of reach.
-    line
-        The calls that wait.
+        Determines when replicas are unreachable.
+    queue
+        The waiting calls.
     """
 
     def __init__(
@@ -42,7 +48,7 @@
         self._queue = queue
 
     def decide(self, exchange: Exchange, now: float) -> Decision:
-        """Return what is to be done with a request of which nothing is under way."""
+        """Return the decision on a request that has no attempt in flight."""
         if exchange.route.shards:
             return self._decide_merged(exchange, now)
         call = exchange.calls[0]
@@ -65,7 +71,7 @@
         return decide(request, capacity, self._settings, now)
 
     def recheck_at(self, exchange: Exchange, now: float) -> float:
-        """Return when a request that waits is to be looked at again."""
+        """Return when to decide again on a waiting request."""
         if not exchange.route.shards:
             match self.decide(exchange, now):
                 case WaitUntil(when=when):
@@ -73,11 +79,11 @@
         return now + self._settings.recheck_seconds
 
     def _decide_merged(self, exchange: Exchange, now: float) -> Decision:
-        """Decide on a request over shards that has reached none of them."""
+        """Return the decision on a request over several shards that has reached none of them."""
         capacity = NO_CAPACITY
         if any(call.is_begun for call in exchange.calls):
             later = now + self._settings.recheck_seconds
-            moments = (self._usable_at(call.service, later, now) for call in exchange.calls)
+            moments = (self._unblocked_at(call.service, later, now) for call in exchange.calls)
             capacity = capacity_for_share(moments, exchange.route.least_share)
         has_unblocked = capacity.at < NEVER and any(
             self._directory.has_unblocked(call.service, now) for call in exchange.calls
@@ -93,14 +99,17 @@
         )
         return decide(request, capacity, self._settings, now)
 
-    def _usable_at(self, service: str, later: float, now: float) -> float:
-        """Return when a shard may be asked; ``later``: it may be now, but just was not."""
+    def _unblocked_at(self, service: str, later: float, now: float) -> float:
+        """Return when a shard may receive requests, but not before ``later``.
+
+        A replica may be available now, but an attempt to send to it has just failed.
+        """
         return max(later, self._directory.unblocked_at(service, now))
 
     def _replica_capacities(
         self, call: ServiceCall, now: float
     ) -> list[tuple[ReplicaState, ReplicaCapacity]]:
-        """Return what is known of the replicas that a call may still be sent to."""
+        """Return the capacities of the replicas that a call may still be sent to."""
         later = call.refused_incarnations | self._limits.too_cold(call, now)
         return [
             (state, self._replica_capacity(call, state, state.incarnation in later, now))
@@ -113,7 +122,7 @@
     ) -> ReplicaCapacity:
         work_seconds = self._latencies.work_seconds(call.exchange.route)
         if self._is_blocked(state, now):
-            # What a silent replica has will not end, as far as is known.
+            # Requests at a blocked replica are not expected to complete.
             work_seconds = NEVER
         available_at = now
         if is_later:
--- a/wingquay/forwarding/sending/waiting_settings.py
+++ b/wingquay/forwarding/sending/waiting_settings.py
@@ -1,4 +1,4 @@
-"""What the rules of waiting may be tuned by, and which of two ways each of them goes."""
+"""Settings that determine whether, where and how long requests wait for a replica."""
 
 from enum import Enum
 
@@ -6,62 +6,54 @@
 
 
 class WaitingRule(Enum):
-    """How it is decided whether a request waits on."""
+    """Rule that decides whether a request continues to wait."""
 
     FIXED_SHARES = "fixed_shares"
-    """It waits for fixed shares of its objective and of its time, whatever is before it."""
+    """It waits for fixed shares of its objective and time limit, regardless of the queue."""
     ESTIMATE = "estimate"
-    """It waits only if room is expected within these shares; otherwise it is rejected at once."""
+    """It waits only if capacity is expected within these shares, and is rejected otherwise."""
 
 
 class QueueLocation(Enum):
-    """Where requests that one replica answers wait while its slots are taken."""
+    """Where requests for a single replica wait while its slots are in use."""
 
     REPLICA = "replica"
-    """In the replica's own line, first come first served, up to its connections."""
+    """In the replica's own FIFO queue, up to its connection limit."""
     NODE = "node"
-    """Here, where they can still be ordered, rejected or sent elsewhere."""
+    """At this node, which can still reorder, reject or redirect them."""
 
 
 @value
 class WaitingSettings:
-    """How requests wait.
+    """Waiting rule, queue location and waiting times.
 
     Parameters
     ----------
     rule
-        How it is decided whether a request waits on.
-    line
-        Where it waits.
+        Rule that decides whether a request continues to wait.
+    queue_location
+        Where requests wait.
     recheck_seconds
-        Seconds between two looks for a replica while nothing tells when there will be room: short
-        against the shortest objectives of callers (50 ms), so that a look late costs little.
+        Time between two checks of a waiting request while it is unknown when there will be
+        capacity; short compared with the shortest objectives.
     max_recheck_seconds
-        Most seconds between two looks while room is expected later: a replica may appear, or be
-        freed by other nodes, without this node being told, and a tenth of a second is what callers
-        of single replicas (objectives from 350 ms on) do not feel.
+        Maximum time between two checks while capacity is expected later: other nodes may free a
+        replica, or a new one may appear, without an event at this node.
     offer_ratio
-        Share of the objective for which a request waits while no replica can be asked: within a
-        quarter of it a caller that is rejected loses half the difference between in time and late
-        at most, and an answer takes its way back.
+        Fraction of the objective for which a request waits while all replicas are unreachable;
+        small enough that a rejected caller can still retry in time.
     hold_ratio
-        Share of the caller's whole time for which a request waits for missing records, or by fixed
-        shares for a replica that is taken: the rest is enough for one more try elsewhere, which
-        waits for a third of the time left at most.
+        Fraction of the request's time limit for which it waits for missing replica records, or,
+        with fixed shares, for a busy replica; the rest suffices for a retry at another node.
     queue_ratio
-        Share of the caller's whole time within which room must be expected for a request to wait in
-        line, by estimate: elsewhere it would wait for the same slots, and those that can still be
-        in time go before it, so it takes from nobody; the rest of its time is for the work and for
-        a line that moves at half the speed that was expected.
+        With the estimate rule, fraction of the request's time limit within which capacity must be
+        expected for it to wait in the queue; the rest is for the work and for estimation errors.
     repeat_ratio
-        Share of the objective for which a request that may have run waits until it may be sent
-        again: its caller sends it anew to another node once it hears of the failure, which is
-        better for it as soon as the answer here would be late.
+        Fraction of the objective for which a request that may have run waits for a second attempt;
+        after that, the caller does better to retry at another node.
     surplus_ratio
-        Requests that a replica gets beyond its slots from one node, as a share of them, at least
-        one, so that it has the next one when a slot is free: the way there and back takes some
-        2 ms, callers of such services wait for work of 90 to 130 ms, and half of the slots free at
-        the same moment are rare.
+        Requests in flight from this node beyond the replica's slots, as a fraction of the slots
+        but at least one request, so that slots don't idle for a network round trip.
     """
 
     rule: WaitingRule = WaitingRule.ESTIMATE
--- a/wingquay/routing/__init__.py
+++ b/wingquay/routing/__init__.py
@@ -1,1 +1,1 @@
-"""Which node owns a shard and which replica serves a sub-request."""
+"""Ownership of shards, selection of replicas for sub-requests, and fair queueing."""
--- a/wingquay/routing/decaying_rate.py
+++ b/wingquay/routing/decaying_rate.py
@@ -1,4 +1,4 @@
-"""A rate over the recent past, forgotten exponentially."""
+"""An exponentially decaying average rate."""
 
 import math
 from dataclasses import dataclass
@@ -6,19 +6,19 @@
 
 @dataclass(slots=True)
 class DecayingRate:
-    """Amount a second, where what lies ``time_constant_seconds`` back counts 1/e."""
+    """Average amount per second, in which an amount decays with ``time_constant_seconds``."""
 
     time_constant_seconds: float
     _weight: float = 0.0
     _at: float = 0.0
 
     def add(self, amount: float, now: float) -> None:
-        """Count ``amount`` at ``now``."""
+        """Add ``amount`` at ``now``."""
         self._weight = self._decayed(now) + amount
         self._at = now
 
     def per_second(self, now: float) -> float:
-        """Return the present rate."""
+        """Return the current rate."""
         return self._decayed(now) / self.time_constant_seconds
 
     def _decayed(self, now: float) -> float:
--- a/wingquay/routing/fair_queue.py
+++ b/wingquay/routing/fair_queue.py
@@ -1,9 +1,9 @@
-"""The order in which what waits for a slot is served.
+"""A queue with priorities and fair sharing between flows.
 
-The most urgent rank goes first. Within a rank: start-time fair queueing between flows (classes,
-tenants), first come first served within one. Under contention a flow gets service in proportion to
-its weight, whatever it sends, so one below its share is served next and none starves.
-Source: Goyal, Vin, Cheng, "Start-time Fair Queuing", SIGCOMM 1996.
+Ranks are served in order of priority. Within a rank, flows (classes or tenants) are scheduled by
+start-time fair queueing, and the items of a flow in FIFO order. Under contention, a flow receives
+service in proportion to its weight, however many items it queues, so that no flow of the rank
+starves. Source: Goyal, Vin, Cheng, "Start-time Fair Queuing", SIGCOMM 1996.
 """
 
 import math
@@ -16,19 +16,17 @@
 from .queue_placement import QueueItem, QueuePlacement
 
 SERVED_SECONDS = 0.25
-"""Time constant of the rate at which a flow was served: what callers of it see of the service just
-now, over several of its shortest promises."""
+"""Time constant of the rate at which a flow was served."""
 SCANNED_ENTRIES = 8
-"""Entries of a flow that are looked at for one that can be served now."""
+"""Maximum number of entries of a flow that are checked for one that can be served now."""
 MAX_IDLE_FLOWS = 256
-"""Flows without an entry that are remembered for each rank: more than callers of one service that
-matter to each other at a time."""
+"""Number of flows of a rank above which flows without entries are removed."""
 
 
 Item = TypeVar("Item", bound=QueueItem)
 
 
-# Plain classes: a node loads them before it serves, and defining a dataclass takes a millisecond.
+# Plain classes: defining a dataclass would delay the start of a node by a millisecond.
 
 
 class _Entry(Generic[Item]):
@@ -61,15 +59,15 @@
 
 
 class FairQueue(Generic[Item]):
-    """What waits for the slots of one shard or service.
+    """Items that wait for the slots of one shard or service.
 
     Parameters
     ----------
     placement_of
-        Tells where an item belongs.
+        Returns the rank, flow, weight and cost of an item.
     memory_seconds
-        Time constant with which it is forgotten what a flow has had beyond the others; ``None``: it
-        is kept until the others have had as much.
+        Time constant with which the service that an idle flow received beyond its share is
+        forgotten; ``None``: it counts until the other flows have received as much.
     """
 
     def __init__(
@@ -81,11 +79,11 @@
         self._length = 0
 
     def __len__(self) -> int:
-        """Return the number of waiting items, finished ones not yet dropped included."""
+        """Return the number of queued items, including finished ones that are not yet removed."""
         return self._length
 
     def push(self, item: Item, now: float = 0.0) -> None:
-        """Let ``item`` wait."""
+        """Add an item at the end of its flow."""
         placement = self._placement_of(item)
         flow = self._flow_of(placement)
         start_tag = self._start_tag(placement, now)
@@ -95,7 +93,7 @@
         self._on_added(flow, item, placement)
 
     def push_front(self, item: Item) -> None:
-        """Let ``item`` wait again, before the others of its flow (it has waited before)."""
+        """Put an item back at the front of its flow."""
         placement = self._placement_of(item)
         flow = self._flow_of(placement)
         tag = self._ranks[placement.rank].virtual_time
@@ -103,7 +101,7 @@
         self._on_added(flow, item, placement)
 
     def charge(self, item: Item, now: float) -> None:
-        """Take in that ``item`` was served without waiting: its flow has had that."""
+        """Charge the flow of an item that was served without being queued."""
         placement = self._placement_of(item)
         flow = self._flow_of(placement)
         flow.finish_tag = self._start_tag(placement, now) + placement.cost / placement.weight
@@ -115,12 +113,12 @@
         now: float,
         prefers: Callable[[Item], bool] | None = None,
     ) -> Item | None:
-        """Remove and return the next item that ``accepts`` agrees to, or ``None``.
+        """Remove and return the next item that ``accepts`` returns true for, or ``None``.
 
         Parameters
         ----------
         prefers
-            Whether an item goes before those of its rank for which this does not hold.
+            Returns whether an item precedes the items of its rank for which it returns false.
         """
         for number in sorted(self._ranks):
             rank = self._ranks[number]
@@ -137,13 +135,13 @@
     def queued_before(
         self, item: Item, now: float, prefers: Callable[[Item], bool] | None = None
     ) -> int:
-        """Return how many items go before ``item``, whether it waits already or would from now.
+        """Return the number of items that precede ``item``, which need not be queued yet.
 
         Parameters
         ----------
         prefers
-            As in ``pop``; it is asked of each. Without it, finished ones are counted too and the
-            count is quick.
+            As in ``pop``, called for each item. Without it, the count is fast but includes
+            finished items.
         """
         placement = self._placement_of(item)
         tag = self._tag_of(item, placement, now)
@@ -159,17 +157,17 @@
         )
 
     def waiting(self) -> Iterator[Item]:
-        """Return what waits."""
+        """Iterate over the queued items that are not finished."""
         for rank in self._ranks:
             for entry in self._entries(rank):
                 if not entry.item.is_finished:
                     yield entry.item
 
     def delay_seconds(self, placement: QueuePlacement, parallelism: int, now: float) -> float:
-        """Return how long a newcomer would wait for one of ``parallelism`` slots.
+        """Return how long a new item would wait for one of ``parallelism`` slots.
 
-        Its flow is served at the rate that its weight guarantees it, or at the one seen lately if
-        that is greater: other flows rarely take all that they may.
+        Its flow is served at the rate that its weight guarantees, or at its recent rate if that is
+        higher because other flows use less than their share.
         """
         if self._length == 0:
             return 0.0
@@ -198,11 +196,19 @@
         key: tuple[bool, float],
         prefers: Callable[[Item], bool] | None,
     ) -> int:
-        """Return how many of a flow go before an item."""
+        """Return the number of items of a flow that precede an item.
+
+        Parameters
+        ----------
+        is_before
+            Whether the whole flow precedes the item, because its rank is more urgent.
+        key
+            Sort key of the item within its rank.
+        """
         if prefers is None:
             if is_before:
                 return len(flow.entries)
-            # Those that came before it at the same tag go first, but it is not before itself.
+            # Items with the same tag precede a new item. A queued item must not count itself.
             find = bisect_left if item.is_queued else bisect_right
             return find(flow.entries, key[1], key=lambda entry: entry.start_tag)
         others = (entry for entry in flow.entries if entry.item is not item)
@@ -234,10 +240,10 @@
         flow = rank.flows.get(placement.flow)
         if flow is None:
             return rank.virtual_time
-        beyond = max(0.0, flow.finish_tag - rank.virtual_time)
+        excess = max(0.0, flow.finish_tag - rank.virtual_time)
         if self._memory_seconds is not None and not flow.entries:
-            beyond *= math.exp(-(now - flow.finish_at) / self._memory_seconds)
-        return rank.virtual_time + beyond
+            excess *= math.exp(-(now - flow.finish_at) / self._memory_seconds)
+        return rank.virtual_time + excess
 
     def _on_added(self, flow: _Flow[Item], item: Item, placement: QueuePlacement) -> None:
         flow.backlog += placement.cost
@@ -245,6 +251,7 @@
         self._length += 1
 
     def _remove_finished(self, flow: _Flow[Item]) -> bool:
+        """Remove finished items at the front of a flow; return whether it has items left."""
         while flow.entries and flow.entries[0].item.is_finished:
             self._on_removed(flow, flow.entries.popleft())
         return bool(flow.entries)
@@ -273,7 +280,7 @@
 def _passes(
     accepts: Callable[[Item], bool], prefers: Callable[[Item], bool] | None
 ) -> tuple[Callable[[Item], bool], ...]:
-    """Return what to agree to, in the order in which it is looked for."""
+    """Return the filters for the passes over a rank: preferred items first, then the others."""
     if prefers is None:
         return (accepts,)
     return (
--- a/wingquay/routing/latency_tracker.py
+++ b/wingquay/routing/latency_tracker.py
@@ -1,6 +1,6 @@
-"""Recent latencies of one kind of sub-request, as a sliding histogram.
+"""Quantiles of recent latencies.
 
-Two HDR histograms take turns, so that quantiles speak of the last one to two periods.
+Two HDR histograms alternate, so that a quantile covers the last one to two periods.
 """
 
 from hdrh.histogram import HdrHistogram
@@ -10,7 +10,7 @@
 HIGHEST_MICROSECONDS = 60 * MICROSECONDS
 SIGNIFICANT_DIGITS = 2
 REFRESH_SAMPLES = 64
-"""Samples after which a cached quantile is computed anew."""
+"""Number of samples after which a cached quantile is recomputed."""
 
 
 def _new_histogram() -> HdrHistogram:
@@ -18,12 +18,12 @@
 
 
 class LatencyTracker:
-    """Quantiles of recent latencies.
+    """Records latencies and returns quantiles of the recent ones.
 
     Parameters
     ----------
     period_seconds
-        How long samples go into one histogram before the older one is emptied.
+        Time for which samples are added to one histogram before the older one is reset.
     """
 
     def __init__(self, period_seconds: float) -> None:
@@ -35,7 +35,7 @@
         self._cached: dict[float, float] = {}
 
     def record(self, latency_seconds: float, now: float) -> None:
-        """Take in one latency."""
+        """Record one latency."""
         self._rotate(now)
         self._current.record_value(self._to_microseconds(latency_seconds))
         self._since_refresh += 1
@@ -43,7 +43,7 @@
             self._clear_cache()
 
     def quantile_seconds(self, quantile: float, min_samples: int) -> float | None:
-        """Return the latency at ``quantile`` (0 to 1), or ``None`` with too few samples."""
+        """Return the latency at ``quantile`` (0 to 1), or ``None`` if there are too few samples."""
         cached = self._cached.get(quantile)
         if cached is not None:
             return cached
@@ -55,7 +55,7 @@
         return value
 
     def _fuller(self) -> HdrHistogram:
-        # The current histogram is used once it has as much to say as the one before it.
+        # The current histogram is used once it has a quarter of the samples of the previous one.
         if self._current.get_total_count() * 4 >= self._previous.get_total_count():
             return self._current
         return self._previous
--- a/wingquay/routing/ownership.py
+++ b/wingquay/routing/ownership.py
@@ -1,8 +1,8 @@
-"""Which nodes own a shard: they queue for its replicas' slots and hold its connections.
+"""Determines which nodes own a shard: they queue its sub-requests and connect to its replicas.
 
-The table keeps a short ranked list for each shard and changes only the lists that a joining or
-leaving node touches, since ranking all nodes for all shards at each change of membership would
-hold up the event loop at the target size (1,400 shards, 470 nodes).
+The table keeps a short ranked list of nodes for each shard. When a node joins or leaves, only the
+lists that it affects are changed, since ranking all nodes for all shards would block the event loop
+in large deployments.
 """
 
 from collections.abc import Iterable
@@ -11,17 +11,17 @@
 from .rendezvous import best, rank, score, spread_over_zones
 
 KEPT_CANDIDATES = 12
-"""Best nodes remembered for each shard."""
+"""Number of nodes in the ranked list of a shard."""
 
 MIN_CANDIDATES = 4
-"""A list that has shrunk below this is ranked anew."""
+"""Length of a ranked list below which it is rebuilt."""
 
 HANDOFF_OWNERS = 2
-"""Nodes after the owners that take over when all of those cannot be reached."""
+"""Number of nodes that take over when all owners are unreachable."""
 
 
 class OwnerTable:
-    """Owners and handoff nodes of shards, for the nodes of one deployment."""
+    """Owners and handoff nodes of shards among the nodes of one deployment."""
 
     def __init__(self, owners_per_shard: int) -> None:
         self._owners_per_shard = owners_per_shard
@@ -47,7 +47,8 @@
             return
         merged = rank([*kept, *added], shard_id)[:KEPT_CANDIDATES]
         if added and len(kept) < len(candidates):
-            # A node that was not kept may rank above an added one: never trust the tail.
+            # A node that is not in the list may rank above an added one that follows the last kept
+            # node, so such nodes are cut off.
             lowest_kept = score(kept[-1].node_id, shard_id)
             merged = [node for node in merged if score(node.node_id, shard_id) >= lowest_kept]
         if merged != candidates:
@@ -55,7 +56,7 @@
             self._chosen.pop(shard_id, None)
 
     def nodes_for(self, shard_id: str) -> tuple[NodeIdentity, ...]:
-        """Return the shard's owners, then its handoff nodes; empty only without any node."""
+        """Return the shard's owners, then its handoff nodes; empty if there are no nodes."""
         chosen = self._chosen.get(shard_id)
         if chosen is None:
             chosen = self._choose(shard_id)
@@ -71,5 +72,5 @@
         return tuple(spread_over_zones(candidates, count))
 
     def owners_of(self, shard_id: str) -> tuple[NodeIdentity, ...]:
-        """Return the shard's owners alone."""
+        """Return the shard's owners without its handoff nodes."""
         return self.nodes_for(shard_id)[: max(1, self._owners_per_shard)]
--- a/wingquay/routing/queue_placement.py
+++ b/wingquay/routing/queue_placement.py
@@ -1,4 +1,4 @@
-"""What can wait in a fair line, and where it belongs there."""
+"""Items of a fair queue, and the attributes that determine their order."""
 
 from typing import Protocol
 
@@ -6,30 +6,30 @@
 
 
 class QueueItem(Protocol):
-    """What can wait in line."""
+    """An item that can wait in a fair queue."""
 
     is_queued: bool
 
     @property
     def is_finished(self) -> bool:
-        """Whether nobody waits for it any more."""
+        """Whether the item no longer needs service and can be dropped from the queue."""
         ...
 
 
 @value
 class QueuePlacement:
-    """Where something belongs in line.
+    """Attributes that determine when an item of a fair queue is served.
 
     Parameters
     ----------
     rank
-        0 is the most urgent; a rank is served before those above it.
+        Priority; lower ranks are served first, 0 is the most urgent.
     flow
-        What is served fairly within the rank.
+        Name of the flow; flows of the same rank share the service fairly.
     weight
-        Part of the service that the flow gets, against the others that wait.
+        Share of the service that the flow receives, relative to the weights of other flows.
     cost
-        Service that it takes.
+        Amount of service that the item needs.
     """
 
     rank: int
--- a/wingquay/routing/rendezvous.py
+++ b/wingquay/routing/rendezvous.py
@@ -1,7 +1,7 @@
 """Rendezvous (highest random weight) hashing, spread over zones.
 
-Source: Thaler and Ravishankar, "Using name-based mappings to increase hit rates", 1998. When a
-node joins or leaves, only the keys that it wins or won move.
+When a node joins or leaves, only the keys that it gains or loses move. Source: Thaler and
+Ravishankar, "Using name-based mappings to increase hit rates", 1998.
 """
 
 from collections.abc import Iterable
@@ -18,7 +18,7 @@
 
 
 def best(nodes: Iterable[NodeIdentity], key: str, count: int) -> list[NodeIdentity]:
-    """Return the first ``count`` of ``rank``, much faster when there are many nodes."""
+    """Return the first ``count`` nodes of ``rank``, without sorting all of them."""
     suffix = f"\0{key}".encode()
     digest = xxhash.xxh64_intdigest
     scored = [(-digest(node.node_id.encode() + suffix), node.node_id, node) for node in nodes]
@@ -26,7 +26,7 @@
 
 
 def rank(nodes: Iterable[NodeIdentity], key: str) -> list[NodeIdentity]:
-    """Return the nodes by falling weight for ``key``."""
+    """Return the nodes by decreasing weight for ``key``."""
     return sorted(nodes, key=lambda node: (-score(node.node_id, key), node.node_id))
 
 
--- a/wingquay/routing/replica_choice.py
+++ b/wingquay/routing/replica_choice.py
@@ -1,7 +1,6 @@
-"""The policy that picks a replica for a sub-request.
+"""The policy that selects a replica for a sub-request.
 
-Weighed in docs/design: random, power of two choices, least in flight, C3, Prequal. An owner sees
-all of its replicas (a few), so it compares all of them by in-flight work times recent latency
+An owner has only a few replicas, so it compares all of them by in-flight work times recent latency
 (the core of C3, NSDI 2015) instead of sampling two.
 """
 
@@ -12,20 +11,22 @@
 from .replica_tracker import ReplicaTracker
 
 OTHER_ZONE_PENALTY = 1.1
-"""Factor on the cost of a replica in another zone: breaks ties, does not herd."""
+"""Cost factor of a replica in another zone, low enough that load matters more than the zone."""
 
 
 class ReplicaChoice:
-    """Chooses among the replicas of a shard.
+    """Selects among the replicas of a shard.
 
     Parameters
     ----------
     zone
         The zone of this node.
     load_aware
-        Whether load is looked at; otherwise any free replica is taken at random.
-    slow_start, ejection
-        Whether cold replicas get less and failing ones nothing.
+        Whether to compare replicas by load; otherwise a free replica is selected at random.
+    slow_start
+        Whether cold replicas receive fewer sub-requests.
+    ejection
+        Whether failing replicas receive no sub-requests.
     """
 
     def __init__(
@@ -43,7 +44,7 @@
         self._ejection = ejection
 
     def usable(self, trackers: Sequence[ReplicaTracker], now: float) -> list[ReplicaTracker]:
-        """Return the replicas that may get work at all; ejection never leaves out the last."""
+        """Return the replicas that are not leaving or ejected; if all are ejected, return them."""
         staying = [tracker for tracker in trackers if not tracker.leaving]
         if all(tracker.ejected_until <= now for tracker in staying):
             return staying
@@ -53,7 +54,7 @@
         return healthy or staying
 
     def with_free_slot(self, usable: Sequence[ReplicaTracker], now: float) -> list[ReplicaTracker]:
-        """Return the ``usable`` replicas that may take one more sub-request now."""
+        """Return the ``usable`` replicas that may receive one more sub-request now."""
         return [
             tracker
             for tracker in usable
@@ -68,7 +69,7 @@
     ) -> ReplicaTracker | None:
         """Return the best of the ``free`` replicas for a sub-request, or ``None``.
 
-        Replicas in ``tried`` and those known not to hold ``snapshot`` are never returned.
+        Replicas in ``tried`` and those that reported not to hold ``snapshot`` are excluded.
         """
         eligible = [
             tracker
--- a/wingquay/routing/replica_tracker.py
+++ b/wingquay/routing/replica_tracker.py
@@ -1,4 +1,4 @@
-"""What this node has seen of one replica, and how much work it may be given."""
+"""State that an owner keeps of one replica, and the limits derived from it."""
 
 import math
 from dataclasses import dataclass, field
@@ -10,16 +10,20 @@
 
 INITIAL_LATENCY_SECONDS = 0.005
 ANSWER_TRUST_SECONDS = 2.0
-"""Time for which versions stated on an answer go before those on the health page, which lags."""
+"""Time for which versions reported with an answer take precedence over the health page, which
+lags."""
 
 SHED_DECREASE_FACTOR = 0.7
 SHED_RECOVERY_ANSWERS = 10
-"""Answers after which a limit lowered by shedding grows by one."""
+"""Number of answers after which a limit that was lowered by shedding grows by one."""
 
 
 @dataclass(slots=True)
 class ReplicaTracker:
-    """Our own evidence about a replica: what our requests saw goes before what it reports."""
+    """Latency, failures and limits of a replica.
+
+    Outcomes of this node's own sub-requests take precedence over what the replica reports.
+    """
 
     replica: Replica
     settings: RoutingSettings
@@ -35,9 +39,9 @@
     reported_cold: bool = False
     reported_utilization: float | None = None
     connection_limit: int = field(init=False, default=1)
-    """Connections that this owner may hold to the replica."""
+    """Maximum number of connections from this owner to the replica."""
     full_limit: int = field(init=False, default=1)
-    """Sub-requests that this owner keeps at the replica when all is well."""
+    """Maximum number of sub-requests in flight when the replica is warm and healthy."""
     held: HeldVersions | None = None
     held_at: float = -ANSWER_TRUST_SECONDS
     _limit_reduction: float = field(default=0.0)
@@ -48,14 +52,14 @@
         self.set_replica(self.replica)
 
     def set_replica(self, replica: Replica) -> None:
-        """Follow the configuration."""
+        """Apply a changed configuration of the replica."""
         self.replica = replica
         self.connection_limit = max(1, replica.connection_limit // self.owner_count)
         share = replica.slots * self.settings.in_flight_per_slot / self.owner_count
         self.full_limit = max(1, min(math.ceil(share), self.connection_limit))
 
     def limit(self, now: float, slow_start: bool = True) -> int:
-        """Return how many sub-requests may be in flight now."""
+        """Return the current maximum number of sub-requests in flight."""
         if self.cold_since is None and not self._limit_reduction and not self.failures_in_row:
             return self.full_limit
         limit: float = self.full_limit - self._limit_reduction
@@ -75,17 +79,17 @@
         return min(1.0, initial + (1.0 - initial) * elapsed_share)
 
     def is_ejected(self, now: float) -> bool:
-        """Whether the replica is left out for its failures."""
+        """Whether the replica is ejected because of failures."""
         return now < self.ejected_until
 
     def lacks_snapshot(self, snapshot: SnapshotVersion | None) -> bool:
-        """Whether the replica said that it does not hold ``snapshot``."""
+        """Whether the replica reported versions that exclude ``snapshot``."""
         if snapshot is None or self.held is None:
             return False
         return not self.held.oldest <= snapshot <= self.held.newest
 
     def on_answer(self, latency_seconds: float) -> None:
-        """Take in a whole answer."""
+        """Record a complete answer."""
         weight = self.settings.latency_weight
         self.latency_seconds += weight * (latency_seconds - self.latency_seconds)
         self.failures_in_row = 0
@@ -102,7 +106,7 @@
             self._limit_reduction = max(0.0, self._limit_reduction - 1.0)
 
     def on_shed(self) -> None:
-        """Take in a refusal for overload: keep fewer sub-requests there for a while."""
+        """Record a refusal because of overload, which lowers the limit for a while."""
         limit = self.full_limit - self._limit_reduction
         self._limit_reduction = min(
             self.full_limit - 1.0, self.full_limit - limit * SHED_DECREASE_FACTOR
@@ -110,13 +114,13 @@
         self._answers_since_shed = 0
 
     def on_failure(self, now: float) -> None:
-        """Take in a failure; enough in a row eject the replica, longer each time."""
+        """Record a failure; consecutive ones eject the replica, for longer each time."""
         self.failures_in_row += 1
         if self.failures_in_row >= self.settings.ejection_failures:
             self._eject(now)
 
     def on_lost_race(self, now: float) -> None:
-        """Take in that a hedge sent later than this replica's attempt answered first."""
+        """Record that a hedge, sent later than the attempt at this replica, was answered first."""
         self.lost_races_in_row += 1
         if self.lost_races_in_row >= self.settings.ejection_lost_races:
             self.lost_races_in_row = 0
@@ -136,7 +140,19 @@
         now: float,
         is_on_answer: bool,
     ) -> None:
-        """Take in what the replica says of itself, on an answer or on its health page."""
+        """Record what the replica reports with an answer or on its health page.
+
+        Parameters
+        ----------
+        cold
+            Whether the replica reports that it is cold.
+        utilization
+            Utilization of the replica; ``None``: not reported.
+        held
+            Snapshot versions that it holds; ``None``: not reported.
+        is_on_answer
+            Whether the report came with an answer; otherwise it is from the health page.
+        """
         if cold and not self.reported_cold and self.cold_since is None:
             self.cold_since = now
         self.reported_cold = cold
