--- a/benchmarks/waiting_ways.py
+++ b/benchmarks/waiting_ways.py
@@ -57,7 +57,7 @@
     queue: list[tuple[OneNode, SendToReplica]] = field(default_factory=list)
 
 
-class Play:
+class Simulation:
     """Simulation of one load."""
 
     def __init__(self, load: Load, waiting: WaitingSettings, seed: int) -> None:
@@ -136,11 +136,11 @@
 
     def _send_requests(self) -> None:
         while self._due and self._due[0][0] <= self._now:
-            _, caller, tries, begun_at = heapq.heappop(self._due)
+            _, caller, tries, started_at = heapq.heappop(self._due)
             number = self._random.randrange(len(self._nodes))
-            left = self._load.deadline_seconds - (self._now - begun_at)
+            left = self._load.deadline_seconds - (self._now - started_at)
             exchange_id = self._nodes[number].request("/one/x", left)
-            self._open[number, exchange_id] = (caller, tries, begun_at)
+            self._open[number, exchange_id] = (caller, tries, started_at)
 
     def _collect_replies(self) -> None:
         load = self._load
@@ -148,8 +148,8 @@
             reply = self._nodes[number].replies.get(exchange_id)
             if reply is None:
                 continue
-            caller, tries, begun_at = self._open.pop((number, exchange_id))
-            waited = self._now - begun_at
+            caller, tries, started_at = self._open.pop((number, exchange_id))
+            waited = self._now - started_at
             match reply:
                 case ReplyUnchanged():
                     is_late = waited > load.objective_seconds
@@ -158,7 +158,7 @@
                     self.rejected += 1
                     if not tries and after is not None:
                         back_at = self._now + min(after, (load.deadline_seconds - waited) / 3)
-                        heapq.heappush(self._due, (back_at, caller, 1, begun_at))
+                        heapq.heappush(self._due, (back_at, caller, 1, started_at))
 
 
 def main() -> None:
@@ -170,15 +170,20 @@
     print("|---|---|---|---|---|---|---|")
     for load in LOADS:
         for rule in WaitingRule:
-            for place in QueueLocation:
-                plays = [Play(load, WaitingSettings(rule, place), seed) for seed in range(seeds)]
-                for play in plays:
-                    play.run()
-                worth = ", ".join(f"{sum(play.worth) / len(play.worth):.3f}" for play in plays)
-                lost = sum(play.worth.count(0.0) for play in plays)
-                away = sum(play.shed for play in plays)
-                rejected = sum(play.rejected for play in plays)
-                row = (load.name, rule.value, place.value, worth, lost, away, rejected)
+            for location in QueueLocation:
+                simulations = [
+                    Simulation(load, WaitingSettings(rule, location), seed) for seed in range(seeds)
+                ]
+                for simulation in simulations:
+                    simulation.run()
+                worth = ", ".join(
+                    f"{sum(simulation.worth) / len(simulation.worth):.3f}"
+                    for simulation in simulations
+                )
+                lost = sum(simulation.worth.count(0.0) for simulation in simulations)
+                shed = sum(simulation.shed for simulation in simulations)
+                rejected = sum(simulation.rejected for simulation in simulations)
+                row = (load.name, rule.value, location.value, worth, lost, shed, rejected)
                 print("| " + " | ".join(str(cell) for cell in row) + " |", flush=True)
 
 
--- a/tests/forwarding/choice/replayed_nodes.py
+++ b/tests/forwarding/choice/load_simulation.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass, field
 from itertools import count
 
-from tests.forwarding.choice.replayed_replicas import ReplayedReplica, VirtualClock, Work
+from tests.forwarding.choice.virtual_replicas import VirtualClock, VirtualReplica, Work
 from wingquay.adapters.forwarding_peer_codec import encode
 from wingquay.adapters.peer_frames import FRAME_OVERHEAD_BYTES, MESSAGE_OVERHEAD_BYTES
 from wingquay.forwarding.choice.replica_directory import ReplicaDirectory
@@ -33,8 +33,8 @@
 from wingquay.ports.machine import Action, Event, Schedule
 from wingquay.ports.peer_link import NodeIdentity, NodeRecord, PeerReceived, SendToPeer
 
-NEAR_SECONDS = 0.0003
-FAR_SECONDS = 0.0008
+SAME_ZONE_SECONDS = 0.0003
+OTHER_ZONE_SECONDS = 0.0008
 CONNECT_SECONDS = 0.006
 REQUEST_HEADERS = (
     (b"Host", b"pupu76.example"),
@@ -46,12 +46,12 @@
 """Size of a request to a replica, with its headers."""
 ANSWER_BYTES = 190
 """Size of an answer without its body."""
-COME_BACK_SECONDS = 0.01
+RETRY_SECONDS = 0.01
 """Time from a failure to the caller's retry at a random node."""
 
 
 @dataclass
-class Ended:
+class RequestOutcome:
     """Outcome of one request."""
 
     seconds: float
@@ -63,7 +63,7 @@
 
 
 @dataclass(eq=False)
-class ReplayedLoad:
+class LoadSimulation:
     """Nodes and replicas on one clock.
 
     Parameters
@@ -74,20 +74,20 @@
         Standard deviation of the logarithm of work times.
     """
 
-    replicas: list[ReplayedReplica]
+    replicas: list[VirtualReplica]
     clock: VirtualClock
     work_seconds: dict[str, float]
     random_source: random.Random
-    spread: float = 0.35
+    work_spread: float = 0.35
     retries: int = 0
     """Number of times that a caller retries after a failure."""
-    nodes: list["ReplayedNode"] = field(default_factory=list)
-    ended: list[Ended] = field(default_factory=list)
+    nodes: list["VirtualNode"] = field(default_factory=list)
+    ended: list[RequestOutcome] = field(default_factory=list)
     sent: int = 0
-    far_sent: int = 0
+    sent_to_other_zones: int = 0
     body_bytes: dict[str, int] = field(default_factory=dict)
     """Size of an answer's body by path."""
-    far_bytes: Counter[str] = field(default_factory=Counter)
+    bytes_between_zones: Counter[str] = field(default_factory=Counter)
     """Bytes sent between zones, by purpose."""
     numbers: "count[int]" = field(default_factory=lambda: count(1))
 
@@ -98,7 +98,7 @@
             zone = zones[index % len(zones)]
             known = ForwardingSettings(zone=zone, **settings)  # type: ignore[arg-type]
             seed = self.random_source.getrandbits(32)
-            self.nodes.append(ReplayedNode(self, f"node-{index}", known, names, table, seed))
+            self.nodes.append(VirtualNode(self, f"node-{index}", known, names, table, seed))
 
     def join_nodes(self, shards: int) -> None:
         """Let the nodes delegate shards to each other from now on."""
@@ -109,9 +109,9 @@
         for node in self.nodes:
             node.join(records, shards)
 
-    def requests(self, path: str, per_second: float, begun: float, seconds: float) -> None:
+    def requests(self, path: str, per_second: float, start_after: float, seconds: float) -> None:
         """Schedule requests at random nodes, as a Poisson process."""
-        at = self.clock.now + begun
+        at = self.clock.now + start_after
         end = at + seconds
         while True:
             at += self.random_source.expovariate(per_second)
@@ -123,7 +123,7 @@
     def draw_work(self, path: str) -> float:
         """Return a random work time at a replica of typical speed."""
         mean = self.work_seconds[path]
-        return self.random_source.lognormvariate(0.0, self.spread) * mean
+        return self.random_source.lognormvariate(0.0, self.work_spread) * mean
 
     def quantile(self, path: str, share: float) -> float:
         """Return a quantile of the response times; failed requests count as infinite."""
@@ -140,12 +140,12 @@
         return max(runs) / (sum(runs) / len(runs))
 
 
-class ReplayedNode:
+class VirtualNode:
     """A forwarding machine with simulated connections to replicas and other nodes."""
 
     def __init__(
         self,
-        load: ReplayedLoad,
+        load: LoadSimulation,
         name: str,
         settings: ForwardingSettings,
         names: set[str],
@@ -168,8 +168,8 @@
         self._replicas = {item.record.replica_id: item for item in load.replicas}
         for item in load.replicas:
             self.directory.put(item.record, self._clock.now - 100.0)
-        self._open: dict[int, tuple[ReplayedReplica, Work]] = {}
-        self._asked: dict[int, tuple[float, str, int]] = {}
+        self._open: dict[int, tuple[VirtualReplica, Work]] = {}
+        self._open_requests: dict[int, tuple[float, str, int]] = {}
 
     def join(self, records: dict[str, NodeRecord], shards: int) -> None:
         """Form groups with the other nodes and delegate shards to them."""
@@ -179,19 +179,23 @@
         groups.set_fan_out(shards)
         self._machine.enable_peers(groups)
 
-    def request(self, path: str, asked_at: float | None = None, tries: int = 0) -> None:
+    def request(self, path: str, started_at: float | None = None, tries: int = 0) -> None:
         """Handle a request of a caller, or its retry."""
         number = next(self._load.numbers)
-        self._asked[number] = (self._clock.now if asked_at is None else asked_at, path, tries)
+        self._open_requests[number] = (
+            self._clock.now if started_at is None else started_at,
+            path,
+            tries,
+        )
         target = f"{path}{number}"
         opaque = OpaqueRequest(b"GET", target.encode(), REQUEST_HEADERS)
         self._emit(ForwardRequested(number, f"id-{number}", "search.example", target, opaque, None))
 
     def _emit(self, event: Event) -> None:
         for action in self._machine.handle(event, self._clock.now):
-            self._take(action)
+            self._handle(action)
 
-    def _take(self, action: Action) -> None:
+    def _handle(self, action: Action) -> None:
         match action:
             case Schedule():
                 due = action.event
@@ -199,7 +203,7 @@
             case SendToReplica():
                 self._send(action)
             case SendToPeer():
-                self._tell(action)
+                self._send_to_peer(action)
             case CancelSend():
                 self._cancel(action.attempt_id)
             case OpenConnection():
@@ -212,42 +216,53 @@
             case ReplyFailure():
                 self._end(action.exchange_id, action, failure=action.reason)
 
-    def _tell(self, action: SendToPeer) -> None:
+    def _send_to_peer(self, action: SendToPeer) -> None:
         to = next(node for node in self._load.nodes if node.identity == action.to)
-        is_far = to.identity.zone != self._zone
-        if is_far:
+        is_in_other_zone = to.identity.zone != self._zone
+        if is_in_other_zone:
             size = len(encode(action.message, self.identity))
             size += MESSAGE_OVERHEAD_BYTES + FRAME_OVERHEAD_BYTES
-            self._load.far_bytes[type(action.message).__name__] += size
+            self._load.bytes_between_zones[type(action.message).__name__] += size
         received = PeerReceived(self.identity, action.message)
-        self._clock.after(FAR_SECONDS if is_far else NEAR_SECONDS, lambda: to._emit(received))
+        self._clock.after(
+            OTHER_ZONE_SECONDS if is_in_other_zone else SAME_ZONE_SECONDS,
+            lambda: to._emit(received),
+        )
 
     def _end(self, number: int, action: Action, missing: int = 0, failure: str = "") -> None:
-        asked_at, path, tries = self._asked.pop(number)
+        started_at, path, tries = self._open_requests.pop(number)
         now = self._clock.now
         if failure and tries < self._load.retries:
             other = self._load.nodes[self._load.random_source.randrange(len(self._load.nodes))]
-            self._clock.after(COME_BACK_SECONDS, lambda: other.request(path, asked_at, tries + 1))
+            self._clock.after(RETRY_SECONDS, lambda: other.request(path, started_at, tries + 1))
             return
-        self._load.ended.append(Ended(now - asked_at, path, type(action), missing, failure, now))
+        self._load.ended.append(
+            RequestOutcome(now - started_at, path, type(action), missing, failure, now)
+        )
 
     def _send(self, action: SendToReplica) -> None:
         replica = self._replicas[action.replica.replica_id]
-        way = NEAR_SECONDS if action.replica.zone == self._zone else FAR_SECONDS
+        one_way_seconds = (
+            SAME_ZONE_SECONDS if action.replica.zone == self._zone else OTHER_ZONE_SECONDS
+        )
         self._load.sent += 1
         attempt_id = action.attempt_id
         path = action.request.target.decode().rstrip("0123456789")
         if action.replica.zone != self._zone:
-            self._load.far_sent += 1
+            self._load.sent_to_other_zones += 1
             answer_bytes = ANSWER_BYTES + self._load.body_bytes.get(path, 0)
-            self._load.far_bytes["replicas"] += REQUEST_BYTES + answer_bytes
+            self._load.bytes_between_zones["replicas"] += REQUEST_BYTES + answer_bytes
         work = Work(
             self._load.draw_work(path),
-            lambda load: self._clock.after(way, lambda: self._answered(attempt_id, path, load)),
-            lambda: self._clock.after(way, lambda: self._shed(attempt_id)),
+            lambda load: self._clock.after(
+                one_way_seconds, lambda: self._answered(attempt_id, path, load)
+            ),
+            lambda: self._clock.after(one_way_seconds, lambda: self._shed(attempt_id)),
         )
         self._open[attempt_id] = (replica, work)
-        self._clock.after(way, lambda: None if work.is_cancelled else replica.arrive(work))
+        self._clock.after(
+            one_way_seconds, lambda: None if work.is_cancelled else replica.arrive(work)
+        )
 
     def _cancel(self, attempt_id: int) -> None:
         replica, work = self._open.pop(attempt_id)
@@ -271,7 +286,7 @@
             self._emit(ReplicaAnswered(attempt_id, answer))
 
 
-def replayed_route(path: str, **fields: object) -> Route:
+def simulated_route(path: str, **fields: object) -> Route:
     """Return a route of the simulated loads."""
     defaults: dict[str, object] = {
         "name": path,
--- a/tests/forwarding/choice/test_completion.py
+++ b/tests/forwarding/choice/test_completion.py
@@ -11,58 +11,60 @@
 from wingquay.forwarding.choice.replica_state import ReplicaState
 from wingquay.ports.forwarding import ReportedLoad
 
-TASK = LatencyTarget(objective_seconds=0.133, typical_seconds=0.012)
+TARGET = LatencyTarget(objective_seconds=0.133, typical_seconds=0.012)
 NOW = 100.0
 
 
-def seconds(
-    target: LatencyTarget = TASK,
-    pace: float = 1.0,
-    ahead: float = 0.0,
+def cost(
+    target: LatencyTarget = TARGET,
+    slowdown: float = 1.0,
+    outstanding: float = 0.0,
     slots: int = 2,
-    trouble: float = 0.0,
+    failure_rate: float = 0.0,
     is_overdue: bool = False,
-    is_far: bool = False,
+    is_in_other_zone: bool = False,
     is_unproven: bool = False,
 ) -> float:
-    estimate = ReplicaEstimate(pace, ahead, slots, trouble, is_overdue, is_far, is_unproven)
+    estimate = ReplicaEstimate(
+        slowdown, outstanding, slots, failure_rate, is_overdue, is_in_other_zone, is_unproven
+    )
     return completion_cost_seconds(target, estimate, is_owned=True)
 
 
 class CompletionCostTest(TestCase):
     def test_a_slower_replica_of_the_same_zone_is_preferred_if_it_answers_in_time(self) -> None:
-        self.assertLess(seconds(pace=2.5), seconds(is_far=True))
-        self.assertLess(seconds(ahead=1.0), seconds(is_far=True))
+        self.assertLess(cost(slowdown=2.5), cost(is_in_other_zone=True))
+        self.assertLess(cost(outstanding=1.0), cost(is_in_other_zone=True))
 
     def test_another_zone_is_preferred_if_the_same_zone_would_use_most_of_the_objective(
         self,
     ) -> None:
-        self.assertGreater(seconds(pace=8.0), seconds(is_far=True))
-        self.assertGreater(seconds(ahead=12.0), seconds(is_far=True))
+        self.assertGreater(cost(slowdown=8.0), cost(is_in_other_zone=True))
+        self.assertGreater(cost(outstanding=12.0), cost(is_in_other_zone=True))
 
     def test_the_same_slowdown_matters_more_with_a_short_objective(self) -> None:
         short = LatencyTarget(objective_seconds=0.03, typical_seconds=0.012)
-        self.assertGreater(seconds(short, pace=2.5), seconds(short, is_far=True))
+        self.assertGreater(cost(short, slowdown=2.5), cost(short, is_in_other_zone=True))
 
     def test_another_zone_is_preferred_over_a_replica_that_loses_answers(self) -> None:
-        self.assertGreater(seconds(trouble=0.2), seconds(is_far=True))
+        self.assertGreater(cost(failure_rate=0.2), cost(is_in_other_zone=True))
 
     def test_queueing_costs_more_than_sharing_a_replica_with_a_free_slot(self) -> None:
-        waits = seconds(ahead=2.0) - seconds(ahead=1.0)
-        shares = seconds(ahead=1.0) - seconds(ahead=0.0)
-        self.assertGreater(waits, 2 * shares)
-        self.assertGreater(shares, 0.0)
+        queueing = cost(outstanding=2.0) - cost(outstanding=1.0)
+        sharing = cost(outstanding=1.0) - cost(outstanding=0.0)
+        self.assertGreater(queueing, 2 * sharing)
+        self.assertGreater(sharing, 0.0)
 
     def test_another_zone_is_preferred_over_an_overdue_replica(self) -> None:
-        self.assertGreater(seconds(is_overdue=True), seconds(is_far=True))
+        self.assertGreater(cost(is_overdue=True), cost(is_in_other_zone=True))
 
     def test_a_proven_replica_is_preferred_over_an_unproven_one(self) -> None:
-        self.assertGreater(seconds(is_unproven=True), seconds(pace=1.4))
+        self.assertGreater(cost(is_unproven=True), cost(slowdown=1.4))
 
     def test_penalties_apply_to_a_route_without_measurements(self) -> None:
         unknown = LatencyTarget(objective_seconds=0.133)
-        self.assertLess(seconds(unknown), seconds(unknown, is_far=True))
-        self.assertLess(seconds(unknown, is_far=True), seconds(unknown, is_overdue=True))
+        self.assertLess(cost(unknown), cost(unknown, is_in_other_zone=True))
+        self.assertLess(cost(unknown, is_in_other_zone=True), cost(unknown, is_overdue=True))
 
 
 class PauseTest(TestCase):
--- a/tests/forwarding/choice/test_lost_answers.py
+++ b/tests/forwarding/choice/test_lost_answers.py
@@ -4,26 +4,26 @@
 
 from testtools import TestCase
 
-from tests.forwarding.choice.replayed_nodes import ReplayedLoad, replayed_route
-from tests.forwarding.choice.replayed_replicas import ReplayedReplica, VirtualClock, Work
+from tests.forwarding.choice.load_simulation import LoadSimulation, simulated_route
+from tests.forwarding.choice.virtual_replicas import VirtualClock, VirtualReplica, Work
 from tests.forwarding.one_node import replica, table
 from wingquay.forwarding.choice.replica_state import MIN_BROKEN_CONNECTIONS, ReplicaState
 from wingquay.forwarding.settings import ForwardingSettings
 from wingquay.ports.forwarding import ReplyFailure
 
 SHARDS = 90
-SHARE_OF_REPLICAS = 0.5
-LOST_SHARE = 0.4
+LOSING_REPLICAS_SHARE = 0.5
+LOST_ANSWERS_SHARE = 0.4
 LOST_SECONDS = 4.0
 OBJECTIVE_SECONDS = 0.15
 LATE_WORTH = 0.05
 NODES = 16
-ALL_PER_SECOND = 20.0
-PER_SECOND = 6.7
+REQUESTS_PER_SECOND = 20.0
+OWNER_REQUESTS_PER_SECOND = 6.7
 """Requests a second at one of three owners of a shard."""
 
 
-WIDE = replayed_route(
+WIDE = simulated_route(
     "/wide/",
     shards=tuple(f"s{shard}" for shard in range(SHARDS)),
     objective_seconds=OBJECTIVE_SECONDS,
@@ -32,10 +32,10 @@
 )
 
 
-def shard_replicas(source: random.Random, clock: VirtualClock) -> list[ReplayedReplica]:
+def shard_replicas(source: random.Random, clock: VirtualClock) -> list[VirtualReplica]:
     """Return the replicas of 90 shards, each in three of four zones."""
     return [
-        ReplayedReplica(
+        VirtualReplica(
             replica(f"r{shard}{zone}", f"s{shard}", zone),
             clock,
             random.Random(source.getrandbits(32)),
@@ -47,27 +47,27 @@
     ]
 
 
-def owners_load(seed: int) -> ReplayedLoad:
+def load_of_one_owner(seed: int) -> LoadSimulation:
     """Return a load with one node that owns all 90 shards."""
     source = random.Random(seed)
     clock = VirtualClock()
     replicas = shard_replicas(source, clock)
-    load = ReplayedLoad(replicas, clock, {"/wide/": 0.015}, source, retries=1)
+    load = LoadSimulation(replicas, clock, {"/wide/": 0.015}, source, retries=1)
     load.add_nodes(1, "a", table(1, WIDE), retry_slack=180.0)
     return load
 
 
 def mean_worth_with_lost_answers(seed: int) -> float:
     """Return the mean worth of requests that arrive while answers are lost."""
-    load = owners_load(seed)
-    load.requests("/wide/", PER_SECOND, 0.0, 4.0 + LOST_SECONDS)
+    load = load_of_one_owner(seed)
+    load.requests("/wide/", OWNER_REQUESTS_PER_SECOND, 0.0, 4.0 + LOST_SECONDS)
     load.clock.run(4.0)
-    begun_at = load.clock.now
+    started_at = load.clock.now
     lose_answers(load)
     load.clock.run(LOST_SECONDS + 2.0)
     worths = []
     for item in load.ended:
-        if item.at - item.seconds < begun_at:
+        if item.at - item.seconds < started_at:
             continue
         worth = (1.0 - item.missing_shards / SHARDS) ** 2
         if item.kind is ReplyFailure:
@@ -78,28 +78,28 @@
     return sum(worths) / len(worths)
 
 
-def owners_of_many_nodes(seed: int) -> ReplayedLoad:
+def load_of_many_nodes(seed: int) -> LoadSimulation:
     """Return a load with nodes in four zones that delegate shards to each other."""
     source = random.Random(seed)
     clock = VirtualClock()
     replicas = shard_replicas(source, clock)
-    load = ReplayedLoad(replicas, clock, {"/wide/": 0.015}, source, retries=1)
+    load = LoadSimulation(replicas, clock, {"/wide/": 0.015}, source, retries=1)
     load.add_nodes(NODES, "abcd", table(1, WIDE), retry_slack=180.0)
     load.join_nodes(SHARDS)
     return load
 
 
-def lose_answers(load: ReplayedLoad) -> None:
+def lose_answers(load: LoadSimulation) -> None:
     """Let half of the replicas lose answers from now on."""
     for item in load.replicas:
-        if load.random_source.random() < SHARE_OF_REPLICAS:
-            item.lost_share = LOST_SHARE
+        if load.random_source.random() < LOSING_REPLICAS_SHARE:
+            item.lost_share = LOST_ANSWERS_SHARE
 
 
 class LostAnswersTest(TestCase):
     def test_callers_do_not_wait_for_shards_without_answers(self) -> None:
-        load = owners_of_many_nodes(2)
-        load.requests("/wide/", ALL_PER_SECOND, 0.0, 4.0)
+        load = load_of_many_nodes(2)
+        load.requests("/wide/", REQUESTS_PER_SECOND, 0.0, 4.0)
         load.clock.run(2.0)
         lose_answers(load)
         load.clock.run(5.0)
@@ -131,10 +131,10 @@
         self.assertEqual(0.3, state.on_connection_failure(ForwardingSettings(zone="a"), True, 1.0))
 
 
-class ReplayTest(TestCase):
+class VirtualReplicaTest(TestCase):
     def test_a_simulated_replica_drops_cancelled_requests(self) -> None:
         clock = VirtualClock()
-        one = ReplayedReplica(replica("r", "s"), clock, random.Random(1))
+        one = VirtualReplica(replica("r", "s"), clock, random.Random(1))
         ended: list[str] = []
         works = [
             Work(1.0, lambda _load, name=name: ended.append(name), list)  # type: ignore[misc]
--- a/tests/forwarding/choice/test_single_replica_loads.py
+++ b/tests/forwarding/choice/test_single_replica_loads.py
@@ -5,8 +5,8 @@
 
 from testtools import TestCase
 
-from tests.forwarding.choice.replayed_nodes import ReplayedLoad, replayed_route
-from tests.forwarding.choice.replayed_replicas import ReplayedReplica, VirtualClock
+from tests.forwarding.choice.load_simulation import LoadSimulation, simulated_route
+from tests.forwarding.choice.virtual_replicas import VirtualClock, VirtualReplica
 from tests.forwarding.one_node import replica, table
 from wingquay.forwarding.settings import ChoiceStrategy
 from wingquay.model.routing_table import WeightedService
@@ -32,18 +32,18 @@
 FEWER_NODES = Load(25, 4, 6, 0.090, 0.347, 5.29)
 
 
-def played(
+def simulate(
     load: Load,
     strategy: ChoiceStrategy,
     seed: int,
     lost_share: float = 0.0,
     is_repeatable: bool = True,
-) -> ReplayedLoad:
+) -> LoadSimulation:
     """Simulate ten seconds of normal load, fifteen of a burst and five of normal load."""
     source = random.Random(seed)
     clock = VirtualClock()
     replicas = [
-        ReplayedReplica(
+        VirtualReplica(
             replace(replica(f"r{number}", "one", "abcd"[number % 4]), slots=load.slots),
             clock,
             random.Random(source.getrandbits(32)),
@@ -53,7 +53,7 @@
         )
         for number in range(load.replicas)
     ]
-    route = replayed_route(
+    route = simulated_route(
         "/one/",
         services=(WeightedService("one", 1.0),),
         objective_seconds=load.objective_seconds,
@@ -62,7 +62,7 @@
     )
     work = {"/one/": load.work_seconds}
     retries = 1 if is_repeatable else 0
-    result = ReplayedLoad(replicas, clock, work, source, spread=0.5, retries=retries)
+    result = LoadSimulation(replicas, clock, work, source, work_spread=0.5, retries=retries)
     result.add_nodes(
         load.nodes, "abcd", table(1, route), retry_slack=180.0, choice_strategy=strategy
     )
@@ -73,7 +73,7 @@
     return result
 
 
-def mean_quantile(loads: list[ReplayedLoad], share: float) -> float:
+def mean_quantile(loads: list[LoadSimulation], share: float) -> float:
     """Return the mean of a quantile over several simulations."""
     return sum(load.quantile("/one/", share) for load in loads) / len(loads)
 
@@ -82,21 +82,21 @@
     def test_a_burst_is_served_in_time_and_spread_evenly(self) -> None:
         for load in (MANY_NODES, FEWER_NODES):
             for strategy in ChoiceStrategy:
-                loads = [played(load, strategy, seed) for seed in SEEDS]
+                loads = [simulate(load, strategy, seed) for seed in SEEDS]
                 self.assertLess(mean_quantile(loads, 0.99), load.objective_seconds, load)
                 busiest = sum(item.busiest() for item in loads) / len(loads)
                 self.assertLess(busiest, 1.45, load)
 
     def test_lost_answers_do_not_delay_other_requests(self) -> None:
         for load in (MANY_NODES, FEWER_NODES):
-            loads = [played(load, ChoiceStrategy.COMPLETION, seed, 0.08) for seed in SEEDS]
+            loads = [simulate(load, ChoiceStrategy.COMPLETION, seed, 0.08) for seed in SEEDS]
             self.assertLess(mean_quantile(loads, 0.95), load.objective_seconds, load)
             self.assertEqual([], [item for one in loads for item in one.ended if item.failure])
 
 
 class OnceOnlyTest(TestCase):
     def test_a_non_repeatable_request_that_may_have_run_is_not_sent_again(self) -> None:
-        load = played(MANY_NODES, ChoiceStrategy.COMPLETION, 1, 0.4, is_repeatable=False)
+        load = simulate(MANY_NODES, ChoiceStrategy.COMPLETION, 1, 0.4, is_repeatable=False)
         self.assertEqual(len(load.ended), load.sent)
         lost = [item for item in load.ended if item.kind is ReplyFailure]
         self.assertGreater(len(lost), 0)
--- a/tests/forwarding/choice/replayed_replicas.py
+++ b/tests/forwarding/choice/virtual_replicas.py
@@ -52,7 +52,7 @@
 
 
 @dataclass(eq=False)
-class ReplayedReplica:
+class VirtualReplica:
     """Processes requests in its slots, and queues further ones.
 
     Parameters
--- a/tests/forwarding/test_cold_share.py
+++ b/tests/forwarding/test_cold_quota.py
@@ -49,15 +49,15 @@
     return max((sum(at - 1.0 < other <= at for other in sent) for at in set(sent)), default=0)
 
 
-class SumTest(TestCase):
+class SharedQuotaTest(TestCase):
     def test_nodes_that_start_together_use_but_do_not_exceed_the_limit(self) -> None:
         for count in (6, 12, 76, 300):
             for per_second in (2.0, 10.0, 100.0):
                 nodes = [_Node(name, names(count)) for name in names(count)]
-                most = max_in_a_second(nodes, per_second)
+                max_sent = max_in_a_second(nodes, per_second)
                 bound = per_second * OVERAGE + SLACK
-                self.assertLessEqual(most, bound, (count, per_second))
-                self.assertGreaterEqual(most, min(bound * 0.25, count), (count, per_second))
+                self.assertLessEqual(max_sent, bound, (count, per_second))
+                self.assertGreaterEqual(max_sent, min(bound * 0.25, count), (count, per_second))
 
     def test_a_fleet_that_grew_by_half_does_not_exceed_the_limit(self) -> None:
         for count in (12, 76, 200):
@@ -65,8 +65,8 @@
                 known, all_names = names(count), names(count * 3 // 2)
                 nodes = [_Node(name, known) for name in known]
                 nodes += [_Node(name, all_names) for name in all_names[count:]]
-                most = max_in_a_second(nodes, per_second)
-                self.assertLessEqual(most, per_second * OVERAGE + SLACK, (count, per_second))
+                max_sent = max_in_a_second(nodes, per_second)
+                self.assertLessEqual(max_sent, per_second * OVERAGE + SLACK, (count, per_second))
 
     def test_a_node_that_is_not_counted_yet_takes_no_request_of_a_small_quota(self) -> None:
         stranger = _Node("nodes/new", names(300))
--- a/tests/forwarding/test_arrival_budget.py
+++ b/tests/forwarding/test_extra_request_budget.py
@@ -12,13 +12,14 @@
 STEPS = 1000
 
 
-def max_in_window(slack: float, nodes: float, pace: float) -> int:
+def max_in_window(slack: float, nodes: float, refill_share: float) -> int:
     """Return the extra requests in one window of a node that has saved up all it may."""
     budget = ExtraRequestBudget(0.18, slack, WINDOW_SECONDS)
-    budget.spend(nodes, 0.0, pace)
-    begun_at = 1000.0
+    budget.spend(nodes, 0.0, refill_share)
+    started_at = 1000.0
     return sum(
-        budget.spend(nodes, begun_at + WINDOW_SECONDS * step / STEPS, pace) for step in range(STEPS)
+        budget.spend(nodes, started_at + WINDOW_SECONDS * step / STEPS, refill_share)
+        for step in range(STEPS)
     )
 
 
--- a/tests/forwarding/test_extra_turns.py
+++ b/tests/forwarding/test_extra_request_fairness.py
@@ -21,21 +21,21 @@
 
 class FairnessTest(TestCase):
     def test_the_next_request_is_reserved_for_the_refused_tenant_with_the_fewest(self) -> None:
-        turns = ExtraRequestFairness()
-        found = {"no tenant was refused": turns.may_take("hot", 0.0)}
+        fairness = ExtraRequestFairness()
+        found = {"no tenant was refused": fairness.may_take("hot", 0.0)}
         for _ in range(3):
-            turns.on_taken("hot", 0.0)
-        found["hot took three, calm was not refused"] = turns.may_take("hot", 0.1)
-        turns.on_refused("hot", 0.1)
-        turns.on_refused("calm", 0.1)
-        found["hot, calm was refused"] = turns.may_take("hot", 0.2)
-        found["calm"] = turns.may_take("calm", 0.2)
-        found["calm's reservation has expired"] = turns.may_take(
+            fairness.on_taken("hot", 0.0)
+        found["hot took three, calm was not refused"] = fairness.may_take("hot", 0.1)
+        fairness.on_refused("hot", 0.1)
+        fairness.on_refused("calm", 0.1)
+        found["hot, calm was refused"] = fairness.may_take("hot", 0.2)
+        found["calm"] = fairness.may_take("calm", 0.2)
+        found["calm's reservation has expired"] = fairness.may_take(
             "hot", 0.1 + REFUSAL_MEMORY_SECONDS
         )
-        turns.on_refused("calm", 1.0)
-        turns.on_taken("calm", 1.1)
-        found["calm has taken it"] = turns.may_take("hot", 1.2)
+        fairness.on_refused("calm", 1.0)
+        fairness.on_taken("calm", 1.1)
+        found["calm has taken it"] = fairness.may_take("hot", 1.2)
         expected = {
             "no tenant was refused": True,
             "hot took three, calm was not refused": True,
@@ -47,11 +47,11 @@
         self.assertEqual(expected, found)
 
     def test_the_number_of_remembered_tenants_is_bounded(self) -> None:
-        turns = ExtraRequestFairness()
+        fairness = ExtraRequestFairness()
         for number in range(1000):
-            turns.on_taken(f"tenant{number}", 0.0)
-            turns.on_refused(f"other{number}", 0.0)
-        self.assertLess(len(turns._had) + len(turns._wanted_at), 200)
+            fairness.on_taken(f"tenant{number}", 0.0)
+            fairness.on_refused(f"other{number}", 0.0)
+        self.assertLess(len(fairness._had) + len(fairness._wanted_at), 200)
 
 
 class SendingQuotasTest(TestCase):
--- a/tests/forwarding/test_line_properties.py
+++ b/tests/forwarding/test_queue_properties.py
@@ -51,7 +51,7 @@
     def step(self, step: str | float) -> None:
         """Apply one step: a request, a replica's reaction, or a delay."""
         seen = len(self.node.all_sends)
-        waiting = self._waiting()
+        waiting = self._unsent_urgent()
         match step:
             case float():
                 self.node.advance(step)
@@ -82,7 +82,7 @@
             case _:
                 self.node.fail(send, SendFailureKind.NOT_SENT)
 
-    def _waiting(self) -> set[str]:
+    def _unsent_urgent(self) -> set[str]:
         """Return the open urgent requests that have not been sent yet."""
         sent = {send.request_id for send in self.node.all_sends}
         return {
@@ -102,7 +102,7 @@
         }
 
 
-def played(steps: list[str | float]) -> History:
+def simulate(steps: list[str | float]) -> History:
     """Apply some steps, then wait until every request must have ended."""
     history = History()
     for step in steps:
@@ -116,19 +116,19 @@
     def test_an_urgent_request_never_waits_behind_a_less_urgent_one(
         self, steps: list[str | float]
     ) -> None:
-        self.assertEqual([], played(steps).overtaken)
+        self.assertEqual([], simulate(steps).overtaken)
 
     @given(steps=STEPS)
     def test_a_request_reported_as_not_run_has_not_run_and_is_not_in_flight(
         self, steps: list[str | float]
     ) -> None:
-        history = played(steps)
+        history = simulate(steps)
         in_flight = {send.request_id for send in history.node.sends}
         self.assertEqual(set(), history.not_run() & (history.ran | in_flight))
 
     @given(steps=STEPS)
     def test_every_request_ends_by_its_deadline(self, steps: list[str | float]) -> None:
-        history = played(steps)
+        history = simulate(steps)
         late = {
             number: at - history.arrived[number]
             for number, at in history.node.replied_at.items()
--- a/tests/forwarding/test_replica_lives.py
+++ b/tests/forwarding/test_replica_incarnations.py
@@ -51,8 +51,8 @@
     return ReplicaDirectory(ForwardingSettings(zone="a"), random.Random(1))
 
 
-def record_of(known: ReplicaDirectory, replica_id: str = "r0") -> ReplicaRecord | None:
-    state = known.get(replica_id)
+def record_of(replicas: ReplicaDirectory, replica_id: str = "r0") -> ReplicaRecord | None:
+    state = replicas.get(replica_id)
     return None if state is None else state.record
 
 
@@ -87,14 +87,16 @@
             ("no start time, older", (OLD, 6), (unstated, 5), OLD),
         )
         for what, (first, first_revision), (second, second_revision), expected in cases:
-            known = directory()
-            known.put(first, 1.0, first_revision)
-            known.put(second, 2.0, second_revision)
-            self.assertEqual(expected, record_of(known), what)
+            replicas = directory()
+            replicas.put(first, 1.0, first_revision)
+            replicas.put(second, 2.0, second_revision)
+            self.assertEqual(expected, record_of(replicas), what)
             self.assertEqual(
                 [expected],
-                [item.record for item in known.candidates("s", 2.0)]
-                or [item for item in (record_of(known),) if item is not None and item.is_draining],
+                [item.record for item in replicas.candidates("s", 2.0)]
+                or [
+                    item for item in (record_of(replicas),) if item is not None and item.is_draining
+                ],
                 what,
             )
 
@@ -108,57 +110,57 @@
             (replica("r0", "s", born=BORN, is_draining=True), 6, False),
         )
         for record, revision, is_reset in cases:
-            known = directory()
-            known.put(OLD, 1.0, 5)
-            before = known.get("r0")
-            over = known.put(record, 2.0, revision)
-            self.assertIs(before if is_reset else None, over, record)
-            self.assertEqual(is_reset, known.get("r0") is not before, record)
+            replicas = directory()
+            replicas.put(OLD, 1.0, 5)
+            before = replicas.get("r0")
+            superseded = replicas.put(record, 2.0, revision)
+            self.assertIs(before if is_reset else None, superseded, record)
+            self.assertEqual(is_reset, replicas.get("r0") is not before, record)
 
     def test_a_deleted_record_is_not_restored_by_an_older_one(self) -> None:
-        known = directory()
-        known.put(OLD, 1.0, 5)
-        known.mark_vanished("r0", 2.0, 8)
-        known.put(OLD, 2.5, 7)
-        self.assertEqual(2.0, known.get("r0").vanished_at)
-        known.put(OLD, 3.0, 9)
-        self.assertIsNone(known.get("r0").vanished_at)
+        replicas = directory()
+        replicas.put(OLD, 1.0, 5)
+        replicas.mark_vanished("r0", 2.0, 8)
+        replicas.put(OLD, 2.5, 7)
+        self.assertEqual(2.0, replicas.get("r0").vanished_at)
+        replicas.put(OLD, 3.0, 9)
+        self.assertIsNone(replicas.get("r0").vanished_at)
 
     def test_an_older_deletion_is_ignored(self) -> None:
-        known = directory()
-        known.put(NEW, 1.0, 9)
-        known.mark_vanished("r0", 2.0, 8)
-        known.keep_only((), 2.0, 8)
-        self.assertIsNone(known.get("r0").vanished_at)
-        known.keep_only((), 3.0, 9)
-        self.assertEqual(3.0, known.get("r0").vanished_at)
+        replicas = directory()
+        replicas.put(NEW, 1.0, 9)
+        replicas.mark_vanished("r0", 2.0, 8)
+        replicas.keep_only((), 2.0, 8)
+        self.assertIsNone(replicas.get("r0").vanished_at)
+        replicas.keep_only((), 3.0, 9)
+        self.assertEqual(3.0, replicas.get("r0").vanished_at)
 
     def test_a_new_incarnation_may_serve_another_service(self) -> None:
-        known = directory()
-        known.put(OLD, 1.0, 5)
+        replicas = directory()
+        replicas.put(OLD, 1.0, 5)
         moved = ReplicaRecord("r0", "t", "10.0.0.9", 81, "b", 4, born=BORN + 1)
-        known.put(moved, 2.0, 6)
-        self.assertEqual([], known.candidates("s", 2.0))
-        self.assertEqual([moved], [state.record for state in known.candidates("t", 2.0)])
+        replicas.put(moved, 2.0, 6)
+        self.assertEqual([], replicas.candidates("s", 2.0))
+        self.assertEqual([moved], [state.record for state in replicas.candidates("t", 2.0)])
 
     def test_an_incarnation_that_changes_its_service_is_moved(self) -> None:
-        known = directory()
-        known.put(OLD, 1.0, 5)
-        known.put(replica("r0", "t", born=BORN), 2.0, 6)
-        self.assertEqual([], known.candidates("s", 2.0))
-        self.assertEqual(["t"], [state.record.service for state in known.candidates("t", 2.0)])
-        known.remove("r0")
-        self.assertEqual(set(), known.services())
+        replicas = directory()
+        replicas.put(OLD, 1.0, 5)
+        replicas.put(replica("r0", "t", born=BORN), 2.0, 6)
+        self.assertEqual([], replicas.candidates("s", 2.0))
+        self.assertEqual(["t"], [state.record.service for state in replicas.candidates("t", 2.0)])
+        replicas.remove("r0")
+        self.assertEqual(set(), replicas.services())
 
     def test_a_stale_mark_of_the_previous_incarnation_does_not_remove_the_new_one(self) -> None:
-        known = directory()
-        known.put(OLD, 1.0, 5)
-        old = known.get("r0")
-        known.put(NEW, 2.0, 6)
-        known.mark_stale(old, 2.5)
-        self.assertEqual(NEW, record_of(known))
-        self.assertIsNone(known.get_incarnation(OLD.life))
-        self.assertIs(known.get("r0"), known.get_incarnation(NEW.life))
+        replicas = directory()
+        replicas.put(OLD, 1.0, 5)
+        old = replicas.get("r0")
+        replicas.put(NEW, 2.0, 6)
+        replicas.mark_stale(old, 2.5)
+        self.assertEqual(NEW, record_of(replicas))
+        self.assertIsNone(replicas.get_incarnation(OLD.life))
+        self.assertIs(replicas.get("r0"), replicas.get_incarnation(NEW.life))
 
 
 class RecordsAtTheNodeTest(TestCase):
@@ -171,7 +173,7 @@
             PeerReceived(NEIGHBOUR, StoreNews(from_revision, revision, (item,), (), 0.0, False))
         )
 
-    def held(self, node: OneNode) -> ReplicaRecord | None:
+    def current_record(self, node: OneNode) -> ReplicaRecord | None:
         return record_of(node.machine._directory)
 
     def item(self, node: OneNode, record: ReplicaRecord, revision: int) -> StoredValue:
@@ -182,33 +184,33 @@
         node.store_revision = 9
         node.change(NEW)
         self.send_update(node, self.item(node, OLD, 6), 5, 11)
-        self.assertEqual(NEW, self.held(node))
+        self.assertEqual(NEW, self.current_record(node))
         self.send_update(node, self.item(node, OLD, 12), 11, 12)
-        self.assertEqual(OLD, self.held(node))
+        self.assertEqual(OLD, self.current_record(node))
 
     def test_an_older_listing_does_not_restore_an_older_incarnation(self) -> None:
         node = started()
         node.change(NEW, values=())
-        known = node.machine._directory
+        replicas = node.machine._directory
         node.machine._contents.listed((self.item(node, OLD, 1),), node.now)
-        self.assertEqual(NEW, record_of(known))
+        self.assertEqual(NEW, record_of(replicas))
 
     def test_later_store_updates_apply_after_a_neighbour_snapshot(self) -> None:
         node = OneNode()
         node.emit(Start())
         configuration = node.stored_table(table(1, single_route()))
         node.emit(PeerSnapshot((configuration, self.item(node, NEW, 7)), 9))
-        self.assertEqual(NEW, self.held(node))
+        self.assertEqual(NEW, self.current_record(node))
         watch = node.last(StartWatch)
         self.assertEqual(9, watch.from_store_revision)
         node.emit(WatchChanged(watch.watch_id, (self.item(node, OLD, 12),), (), 12))
-        self.assertEqual(OLD, self.held(node))
+        self.assertEqual(OLD, self.current_record(node))
 
     def test_a_neighbour_snapshot_older_than_the_store_update_is_ignored(self) -> None:
         node = started()
         node.change(NEW)
         node.emit(PeerSnapshot((self.item(node, OLD, 1),), 1))
-        self.assertEqual(NEW, self.held(node))
+        self.assertEqual(NEW, self.current_record(node))
 
     def test_an_older_listing_after_lost_history_is_ignored(self) -> None:
         node = started()
@@ -217,7 +219,7 @@
         node.emit(WatchBroken(node.last_watch_id, "gone", history_lost=True))
         listed = ReadResult((self.item(node, OLD, 5),), 8)
         node.emit(StoreResponse(node.last(StoreRequest).operation_id, listed))
-        self.assertEqual(NEW, self.held(node))
+        self.assertEqual(NEW, self.current_record(node))
         empty = ReadResult((), 12)
         node.emit(WatchBroken(node.last_watch_id, "gone", history_lost=True))
         node.emit(StoreResponse(node.last(StoreRequest).operation_id, empty))
@@ -425,8 +427,8 @@
     def test_a_connection_accepted_by_the_next_incarnation_shows_a_crash(self) -> None:
         node = started(max_attempts=1)
         node.request("/one/deadly")
-        (looked_into,) = node.disconnect(node.sends[0])
-        self.assertEqual(OLD, looked_into)
+        (checked_incarnation,) = node.disconnect(node.sends[0])
+        self.assertEqual(OLD, checked_incarnation)
         node.change(NEW)
         node.emit(ConnectionTried(OLD.life))
         self.assertEqual(
--- a/tests/forwarding/test_replica_trials.py
+++ b/tests/forwarding/test_replica_trials.py
@@ -65,11 +65,11 @@
         node.start(table(1, sharded_route(SHARDS, max_attempts=1)), *records)
         for _ in range(20):
             self.serve(node, local_seconds=TYPICAL_SECONDS)
-        asked = [self.serve(node, local_seconds=SLOW_SECONDS) for _ in range(120)]
-        self.assertEqual(SHARDS, asked[0])
+        local_sends = [self.serve(node, local_seconds=SLOW_SECONDS) for _ in range(120)]
+        self.assertEqual(SHARDS, local_sends[0])
         # Later requests avoid the slow replicas except for one trial at a time.
-        self.assertLessEqual(max(asked[2:]), 1)
-        self.assertGreater(sum(asked[2:]), 0)
+        self.assertLessEqual(max(local_sends[2:]), 1)
+        self.assertGreater(sum(local_sends[2:]), 0)
 
     def serve(self, node: OneNode, local_seconds: float) -> int:
         """Run one request; return the number of local replicas that it was sent to."""
--- a/tests/forwarding/test_waiting_decision.py
+++ b/tests/forwarding/test_waiting_decision.py
@@ -216,7 +216,7 @@
 
 class CapacityTest(TestCase):
     def test_when_capacity_is_expected(self) -> None:
-        free, half = saturated("free", under_way=0), saturated("half", under_way=1)
+        free, half = saturated("free", in_flight=0), saturated("half", in_flight=1)
         silent = saturated(work_seconds=NEVER)
         rows: tuple[tuple[str, list[ReplicaCapacity], int, ExpectedCapacity], ...] = (
             ("no replica", [], 0, ExpectedCapacity(NEVER)),
@@ -226,13 +226,19 @@
             ("full", [saturated()], 0, ExpectedCapacity(0.1)),
             ("full, and others wait", [saturated()], 4, ExpectedCapacity(0.5)),
             ("two full ones", [saturated(), saturated("s")], 0, ExpectedCapacity(0.05)),
-            ("half is reported by others", [saturated(elsewhere=3.0)], 0, ExpectedCapacity(0.2)),
+            (
+                "half is reported by others",
+                [saturated(reported_requests=3.0)],
+                0,
+                ExpectedCapacity(0.2),
+            ),
             ("unreachable", [saturated(available_at=0.4)], 0, ExpectedCapacity(0.4)),
             ("silent", [silent], 0, ExpectedCapacity(NEVER)),
             ("one is silent", [silent, saturated()], 0, ExpectedCapacity(0.1)),
         )
         found = {
-            name: expected_capacity(capacities, ahead, 0.0) for name, capacities, ahead, _ in rows
+            name: expected_capacity(capacities, queued_before, 0.0)
+            for name, capacities, queued_before, _ in rows
         }
         rounded = {
             name: ExpectedCapacity(round(capacity.at, 3), capacity.replica_id)
--- a/tests/forwarding/played_service.py
+++ b/tests/forwarding/virtual_service.py
@@ -11,7 +11,7 @@
 """First number of requests with a key; those without a key count from 1."""
 
 
-class PlayedService:
+class VirtualService:
     """Answers the requests of a node; each replica processes them in FIFO order.
 
     Parameters
