--- a/tests/forwarding/choice/load_simulation.py
+++ b/tests/forwarding/choice/load_simulation.py
@@ -70,7 +70,7 @@
     ----------
     work_seconds
         Mean work time by path.
-    spread
+    work_spread
         Standard deviation of the logarithm of work times.
     """
 
