--- a/tests/forwarding/choice/test_bytes_between_zones.py
+++ b/tests/forwarding/choice/test_bytes_between_zones.py
@@ -55,7 +55,7 @@
         "/wide/",
         shards=tuple(f"bapu{561 + shard}" for shard in range(SHARDS)),
         objective_seconds=OBJECTIVE_SECONDS,
-        least_share=0.95,
+        min_share=0.95,
         merged_records=50,
     )
     load = LoadSimulation(replicas, clock, {"/wide/": 0.0112}, source, body_bytes={"/wide/": 1000})
--- a/tests/forwarding/test_replica_incarnations.py
+++ b/tests/forwarding/test_replica_incarnations.py
@@ -39,7 +39,7 @@
     WatchBroken,
     WatchChanged,
 )
-from wingquay.ports.store_news import StoreNews
+from wingquay.ports.store_update import StoreUpdate
 
 BORN = 1_700_000_000_000
 OLD = replica("r0", "s", born=BORN)
@@ -64,7 +64,7 @@
 
 class IncarnationNamesTest(TestCase):
     def test_an_incarnation_is_named_by_id_and_start_time(self) -> None:
-        names = [replica("r0", "s", born=born).life for born in (None, 0, BORN)]
+        names = [replica("r0", "s", born=born).incarnation for born in (None, 0, BORN)]
         self.assertEqual(["r0", "r0 0", f"r0 {BORN}"], names)
 
 
@@ -159,8 +159,8 @@
         replicas.put(NEW, 2.0, 6)
         replicas.mark_stale(old, 2.5)
         self.assertEqual(NEW, record_of(replicas))
-        self.assertIsNone(replicas.get_incarnation(OLD.life))
-        self.assertIs(replicas.get("r0"), replicas.get_incarnation(NEW.life))
+        self.assertIsNone(replicas.get_incarnation(OLD.incarnation))
+        self.assertIs(replicas.get("r0"), replicas.get_incarnation(NEW.incarnation))
 
 
 class RecordsAtTheNodeTest(TestCase):
@@ -170,7 +170,7 @@
         self, node: OneNode, item: StoredValue, from_revision: int, revision: int
     ) -> None:
         node.emit(
-            PeerReceived(NEIGHBOUR, StoreNews(from_revision, revision, (item,), (), 0.0, False))
+            PeerReceived(NEIGHBOUR, StoreUpdate(from_revision, revision, (item,), (), 0.0, False))
         )
 
     def current_record(self, node: OneNode) -> ReplicaRecord | None:
@@ -272,9 +272,9 @@
         node.request()
         node.fail(node.sends[0], SendFailureKind.NOT_SENT)
         node.change(NEW)
-        node.emit(ConnectionTried(OLD.life, "refused", is_refused=True))
+        node.emit(ConnectionTried(OLD.incarnation, "refused", is_refused=True))
         self.assertFalse(node.machine._directory.get("r0").is_unreachable)
-        node.emit(ConnectionTried(NEW.life, "refused", is_refused=True))
+        node.emit(ConnectionTried(NEW.incarnation, "refused", is_refused=True))
         self.assertTrue(node.machine._directory.get("r0").is_unreachable)
 
     def test_a_reconnect_scheduled_for_the_previous_incarnation_is_not_made(self) -> None:
@@ -430,9 +430,10 @@
         (checked_incarnation,) = node.disconnect(node.sends[0])
         self.assertEqual(OLD, checked_incarnation)
         node.change(NEW)
-        node.emit(ConnectionTried(OLD.life))
+        node.emit(ConnectionTried(OLD.incarnation))
         self.assertEqual(
-            [OLD.life], [line["replica"] for line in node.logs("replica_ended_under_request")]
+            [OLD.incarnation],
+            [line["replica"] for line in node.logs("replica_ended_under_request")],
         )
 
     def test_a_restart_with_an_attempt_in_flight_shows_a_crash(self) -> None:
@@ -440,7 +441,8 @@
         node.request("/one/deadly")
         node.change(NEW)
         self.assertEqual(
-            [OLD.life], [line["replica"] for line in node.logs("replica_ended_under_request")]
+            [OLD.incarnation],
+            [line["replica"] for line in node.logs("replica_ended_under_request")],
         )
 
     def test_a_crash_counts_as_an_unexplained_disconnect(self) -> None:
--- a/wingquay/configuration/configuration_machine.py
+++ b/wingquay/configuration/configuration_machine.py
@@ -9,7 +9,7 @@
     LeavingStarted,
     LoadObserved,
     MembershipChanged,
-    NewerRevisionHeard,
+    NewerRevisionReported,
 )
 from ..ports.machine import Action, Event, Start, StopRequested
 from ..ports.operator import OperatorRequest
@@ -25,7 +25,7 @@
 from .configuration_finder import ConfigurationFinder
 from .current_key import CurrentKey
 from .dissemination import Dissemination
-from .in_force import InForce
+from .in_force import InForceConfiguration
 from .node_view import NodeView
 from .operator_requests import OperatorRequests
 from .script import ScriptRunner, ScriptTimer
@@ -54,7 +54,7 @@
         WatchChanged,
         WatchBroken,
         PeerLinkBroken,
-        NewerRevisionHeard,
+        NewerRevisionReported,
         MembershipChanged,
         LoadObserved,
         StopRequested,
@@ -73,7 +73,7 @@
     ) -> None:
         self._view = NodeView(identity, random, disabled)
         self._runner = ScriptRunner("configuration")
-        self._in_force = InForce(self._view)
+        self._in_force = InForceConfiguration(self._view)
         self._spread = Spread(self._view)
         self._current_key = CurrentKey()
         self._dissemination = Dissemination(self._view, self._runner, self._in_force, self._spread)
@@ -118,7 +118,7 @@
                 return self._watcher.watch_broken(event, now)
             case PeerLinkBroken():
                 return self._dissemination.link_broken(event.node_id, now)
-            case NewerRevisionHeard():
+            case NewerRevisionReported():
                 return self._dissemination.heard(event.sender, event.revision, now)
         return self._handle_node_event(event, now)
 
--- a/wingquay/forwarding/choice/replica_incarnations.py
+++ b/wingquay/forwarding/choice/replica_incarnations.py
@@ -61,7 +61,7 @@
         if record.born is None and state.record.born is not None:
             # A record without a start time belongs to the current incarnation.
             record = replace(record, born=state.record.born)
-        if state.incarnation != record.life:
+        if state.incarnation != record.incarnation:
             self.remove(state)
             state.is_superseded = True
             self._restarted_at[state.record.service] = now
--- a/wingquay/forwarding/choice/replica_state.py
+++ b/wingquay/forwarding/choice/replica_state.py
@@ -107,7 +107,7 @@
 
     def __post_init__(self) -> None:
         """Store the name of the incarnation, which is compared at every choice of a replica."""
-        self.incarnation = self.record.life
+        self.incarnation = self.record.incarnation
 
     @property
     def known_slots(self) -> int:
--- a/wingquay/forwarding/sending/waiting_policy.py
+++ b/wingquay/forwarding/sending/waiting_policy.py
@@ -84,7 +84,7 @@
         if any(call.is_begun for call in exchange.calls):
             later = now + self._settings.recheck_seconds
             moments = (self._unblocked_at(call.service, later, now) for call in exchange.calls)
-            capacity = capacity_for_share(moments, exchange.route.least_share)
+            capacity = capacity_for_share(moments, exchange.route.min_share)
         has_unblocked = capacity.at < NEVER and any(
             self._directory.has_unblocked(call.service, now) for call in exchange.calls
         )
