--- a/tests/forwarding/test_extra_request_fairness.py
+++ b/tests/forwarding/test_extra_request_fairness.py
@@ -51,7 +51,7 @@
         for number in range(1000):
             fairness.on_taken(f"tenant{number}", 0.0)
             fairness.on_refused(f"other{number}", 0.0)
-        self.assertLess(len(fairness._had) + len(fairness._wanted_at), 200)
+        self.assertLess(len(fairness._taken) + len(fairness._refused_at), 200)
 
 
 class SendingQuotasTest(TestCase):
--- a/tests/forwarding/test_queue_order.py
+++ b/tests/forwarding/test_queue_order.py
@@ -118,8 +118,8 @@
         names = {}
         for tenants in ((), (HOT, CALM)):
             simulation = service(SETTINGS["node"], 1, 10.0, *tenants)
-            lines = simulation.node.machine._forwarding._line._lines.values()
-            ranks = [rank for line in lines for rank in line._ranks.values()]
+            queues = simulation.node.machine._forwarding._line._queues.values()
+            ranks = [rank for queue in queues for rank in queue._ranks.values()]
             names[len(tenants)] = [name for rank in ranks for name in rank.flows]
         self.assertEqual({0: [], 2: ["hot"]}, names)
 
