--- a/wingquay/forwarding/choice/replica_state.py
+++ b/wingquay/forwarding/choice/replica_state.py
@@ -80,9 +80,11 @@
     in_flight: dict[int, tuple[float, float]] = field(default_factory=dict)
     """Time sent and time at which it becomes overdue of each attempt in flight, by attempt id."""
     answered_at: float = float("-inf")
+    """Time of the last answer; minus infinity: none yet."""
     blocked_until: float = 0.0
     """End of the backoff; 0: the replica has answered since its last failure."""
     failures_in_row: int = 0
+    """Consecutive failures to connect or to get an answer."""
     is_unreachable: bool = False
     """Whether the last connection attempt failed; the replica is blocked until one succeeds."""
     is_reconnect_scheduled: bool = False
@@ -94,6 +96,7 @@
     _cold_sends: list[float] = field(default_factory=list)
     """Times of recent requests that were sent while the replica was cold."""
     _proved_at: float = float("-inf")
+    """Time of the last answer within the objective of its route."""
     slow_streak: int = 0
     """Consecutive slow attempts. An attempt that was sent before the previous slow one ended is not
     counted, so that a single pause counts once."""
@@ -183,6 +186,8 @@
 
         Parameters
         ----------
+        zone
+            The zone of this node.
         may_try
             Whether the measured slowdown decays with time, so that a slow replica is tried again.
         prefers_proven
--- a/wingquay/forwarding/sending/attempts.py
+++ b/wingquay/forwarding/sending/attempts.py
@@ -32,12 +32,12 @@
         settings: ForwardingSettings,
         directory: ReplicaDirectory,
         latencies: RouteLatencies,
-        limits: SendingQuotas,
+        quotas: SendingQuotas,
     ) -> None:
         self._settings = settings
         self._directory = directory
         self._latencies = latencies
-        self._limits = limits
+        self._quotas = quotas
         self._ids = count(1)
         self._open: dict[int, Attempt] = {}
         self.evidence = ReachabilityEvidence()
@@ -49,7 +49,7 @@
 
     def earn(self, service: str, now: float) -> None:
         """Add the extra requests that a request for a service earns."""
-        self._limits.earn(service, now)
+        self._quotas.earn(service, now)
 
     def try_send(
         self,
@@ -72,11 +72,11 @@
         if exchange.is_sequential and exchange.has_recent_attempt(now):
             return []
         excluded = (
-            call.tried_incarnations | call.refused_incarnations | self._limits.too_cold(call, now)
+            call.tried_incarnations | call.refused_incarnations | self._quotas.too_cold(call, now)
         )
         if not route.shards:
-            excluded |= self._limits.saturated(call, now)
-        limit = self._limits.connections(call, now)
+            excluded |= self._quotas.saturated(call, now)
+        limit = self._quotas.connections(call, now)
         prefers_proven = not route.is_repeatable
         target = LatencyTarget(route.objective_seconds, self._latencies.median_seconds(route))
         replica = self._directory.choose(
@@ -84,7 +84,7 @@
         )
         if replica is None:
             return []
-        if call.arrivals and not self._limits.take_extra_request(call, now):
+        if call.arrivals and not self._quotas.take_extra_request(call, now):
             return []
         choice_count = self._choice_count(call, replica, is_hedge, now)
         attempt_id = next(self._ids)
@@ -119,7 +119,7 @@
         call.arrivals -= 1
         self._mark_refused(attempt)
         if call.arrivals:
-            self._limits.refund(call.service)
+            self._quotas.refund(call.service)
 
     def on_not_run(self, attempt: Attempt) -> None:
         """Record that a replica did not run the request."""
--- a/wingquay/forwarding/sending/call_starter.py
+++ b/wingquay/forwarding/sending/call_starter.py
@@ -32,10 +32,10 @@
     def send_or_queue(self, call: ServiceCall, now: float) -> list[Action]:
         """Send the call if a replica has capacity and no other call waits; otherwise queue it."""
         if self._queue.has_waiting(call.service):
-            return self._wait(call, now) + self.send_queued(call.service, now)
+            return self._enqueue(call, now) + self.send_queued(call.service, now)
         actions = self._try_send(call, now)
         if not actions:
-            return self._wait(call, now)
+            return self._enqueue(call, now)
         self._queue.charge(call, now)
         return actions
 
@@ -73,7 +73,7 @@
         exchange = call.exchange
         return not exchange.route.shards or now >= exchange.cutoff_at
 
-    def _wait(self, call: ServiceCall, now: float) -> list[Action]:
+    def _enqueue(self, call: ServiceCall, now: float) -> list[Action]:
         exchange = call.exchange
         call.is_waiting = True
         self._queue.add(call, now)
--- a/wingquay/forwarding/sending/capacity.py
+++ b/wingquay/forwarding/sending/capacity.py
@@ -106,7 +106,7 @@
     return ExpectedCapacity(now + (queued_before + 1 - free) / per_second)
 
 
-def capacity_for_share(moments: Iterable[float], min_share: float) -> ExpectedCapacity:
+def capacity_for_share(capacity_times: Iterable[float], min_share: float) -> ExpectedCapacity:
     """Return when enough of several services have capacity.
 
     Parameters
@@ -116,6 +116,6 @@
     min_share
         Fraction of the services that is enough, 0 to 1.
     """
-    ordered = sorted(moments)
+    ordered = sorted(capacity_times)
     min_count = math.ceil(min_share * len(ordered) - SHARE_TOLERANCE)
     return ExpectedCapacity(ordered[max(1, min_count) - 1])
--- a/wingquay/forwarding/sending/cold_quota.py
+++ b/wingquay/forwarding/sending/cold_quota.py
@@ -44,7 +44,7 @@
         per_second
             Requests a second that a cold replica of the service handles; 0: no limit.
         sharing_nodes
-            Number of nodes that usually send to the replica.
+            Number of nodes that normally send to the replica.
         """
         if not per_second or not replica.is_cold(now):
             return True
--- a/wingquay/forwarding/sending/decision.py
+++ b/wingquay/forwarding/sending/decision.py
@@ -140,7 +140,7 @@
         return max(request.cutoff_at, request.arrived_at + whole_seconds * ratio)
     if request.may_records_reappear:
         return hold_ends_at
-    return request.arrived_at + request.objective_seconds * settings.offer_ratio
+    return request.arrived_at + request.objective_seconds * settings.unreachable_ratio
 
 
 def _next_recheck(starts_at: float, latest: float, settings: WaitingSettings, now: float) -> float:
--- a/wingquay/forwarding/sending/retry_after.py
+++ b/wingquay/forwarding/sending/retry_after.py
@@ -1,4 +1,4 @@
-"""Time after which a rejected caller is asked to retry."""
+"""Computes the time after which a rejected caller should retry."""
 
 from .capacity import NEVER
 
--- a/wingquay/forwarding/sending/sending_quotas.py
+++ b/wingquay/forwarding/sending/sending_quotas.py
@@ -27,7 +27,7 @@
     """Provides the number of nodes among which the requests for a shard are divided."""
 
     def sharing_nodes(self, shard: str, now: float) -> int:
-        """Return the number of nodes that usually send to a shard."""
+        """Return the number of nodes that normally send to a shard."""
         ...
 
 
--- a/wingquay/forwarding/sending/waiting_policy.py
+++ b/wingquay/forwarding/sending/waiting_policy.py
@@ -26,7 +26,7 @@
     settings
         Waiting rule and waiting times.
     forwarding
-        Determines when replicas are unreachable.
+        Times after which silent replicas count as unreachable.
     queue
         The waiting calls.
     """
@@ -37,14 +37,14 @@
         forwarding: ForwardingSettings,
         directory: ReplicaDirectory,
         latencies: RouteLatencies,
-        limits: SendingQuotas,
+        quotas: SendingQuotas,
         queue: CallQueue,
     ) -> None:
         self._settings = settings
         self._forwarding = forwarding
         self._directory = directory
         self._latencies = latencies
-        self._limits = limits
+        self._quotas = quotas
         self._queue = queue
 
     def decide(self, exchange: Exchange, now: float) -> Decision:
@@ -66,7 +66,7 @@
             self._directory.is_settling(now),
             exchange.may_have_run,
             exchange.is_repeatable and call.attempts_left > 0,
-            repeat_at=self._limits.repeat_at(call, now) if call.arrivals else now,
+            repeat_at=self._quotas.repeat_at(call, now) if call.arrivals else now,
         )
         return decide(request, capacity, self._settings, now)
 
@@ -82,9 +82,11 @@
         """Return the decision on a request over several shards that has reached none of them."""
         capacity = NO_CAPACITY
         if any(call.is_begun for call in exchange.calls):
-            later = now + self._settings.recheck_seconds
-            moments = (self._unblocked_at(call.service, later, now) for call in exchange.calls)
-            capacity = capacity_for_share(moments, exchange.route.min_share)
+            not_before = now + self._settings.recheck_seconds
+            capacity_times = (
+                self._unblocked_at(call.service, not_before, now) for call in exchange.calls
+            )
+            capacity = capacity_for_share(capacity_times, exchange.route.min_share)
         has_unblocked = capacity.at < NEVER and any(
             self._directory.has_unblocked(call.service, now) for call in exchange.calls
         )
@@ -99,39 +101,42 @@
         )
         return decide(request, capacity, self._settings, now)
 
-    def _unblocked_at(self, service: str, later: float, now: float) -> float:
-        """Return when a shard may receive requests, but not before ``later``.
+    def _unblocked_at(self, service: str, not_before: float, now: float) -> float:
+        """Return when a shard may receive requests, but no earlier than ``not_before``.
 
-        A replica may be available now, but an attempt to send to it has just failed.
+        A shard may seem available now although sending to it has just failed.
         """
-        return max(later, self._directory.unblocked_at(service, now))
+        return max(not_before, self._directory.unblocked_at(service, now))
 
     def _replica_capacities(
         self, call: ServiceCall, now: float
     ) -> list[tuple[ReplicaState, ReplicaCapacity]]:
         """Return the capacities of the replicas that a call may still be sent to."""
-        later = call.refused_incarnations | self._limits.too_cold(call, now)
+        temporarily_excluded = call.refused_incarnations | self._quotas.too_cold(call, now)
         return [
-            (state, self._replica_capacity(call, state, state.incarnation in later, now))
+            (
+                state,
+                self._replica_capacity(call, state, state.incarnation in temporarily_excluded, now),
+            )
             for state in self._directory.candidates(call.service, now)
             if state.incarnation not in call.tried_incarnations
         ]
 
     def _replica_capacity(
-        self, call: ServiceCall, state: ReplicaState, is_later: bool, now: float
+        self, call: ServiceCall, state: ReplicaState, is_temporarily_excluded: bool, now: float
     ) -> ReplicaCapacity:
         work_seconds = self._latencies.work_seconds(call.exchange.route)
         if self._is_blocked(state, now):
             # Requests at a blocked replica are not expected to complete.
             work_seconds = NEVER
         available_at = now
-        if is_later:
+        if is_temporarily_excluded:
             available_at = max(now + self._settings.recheck_seconds, state.blocked_until)
         return ReplicaCapacity(
             state.incarnation,
             available_at,
             state.known_slots,
-            self._limits.max_in_flight(call, state, now),
+            self._quotas.max_in_flight(call, state, now),
             len(state.in_flight),
             state.reported_requests(now),
             work_seconds,
--- a/wingquay/forwarding/sending/waiting_settings.py
+++ b/wingquay/forwarding/sending/waiting_settings.py
@@ -39,7 +39,7 @@
     max_recheck_seconds
         Maximum time between two checks while capacity is expected later: other nodes may free a
         replica, or a new one may appear, without an event at this node.
-    offer_ratio
+    unreachable_ratio
         Fraction of the objective for which a request waits while all replicas are unreachable;
         small enough that a rejected caller can still retry in time.
     hold_ratio
@@ -60,7 +60,7 @@
     queue_location: QueueLocation = QueueLocation.NODE
     recheck_seconds: float = 0.03
     max_recheck_seconds: float = 0.1
-    offer_ratio: float = 0.2
+    unreachable_ratio: float = 0.2
     hold_ratio: float = 0.3
     queue_ratio: float = 0.5
     repeat_ratio: float = 0.25
--- a/wingquay/routing/latency_tracker.py
+++ b/wingquay/routing/latency_tracker.py
@@ -47,14 +47,14 @@
         cached = self._cached.get(quantile)
         if cached is not None:
             return cached
-        histogram = self._fuller()
+        histogram = self._most_complete()
         if histogram.get_total_count() < min_samples:
             return None
         value: float = histogram.get_value_at_percentile(quantile * 100.0) / MICROSECONDS
         self._cached[quantile] = value
         return value
 
-    def _fuller(self) -> HdrHistogram:
+    def _most_complete(self) -> HdrHistogram:
         # The current histogram is used once it has a quarter of the samples of the previous one.
         if self._current.get_total_count() * 4 >= self._previous.get_total_count():
             return self._current
--- a/wingquay/routing/ownership.py
+++ b/wingquay/routing/ownership.py
@@ -1,8 +1,9 @@
-"""Determines which nodes own a shard: they queue its sub-requests and connect to its replicas.
+"""Determines which nodes own a shard.
 
-The table keeps a short ranked list of nodes for each shard. When a node joins or leaves, only the
-lists that it affects are changed, since ranking all nodes for all shards would block the event loop
-in large deployments.
+The owners of a shard queue its sub-requests and hold the connections to its replicas. The table
+keeps a short ranked list of nodes for each shard. When a node joins or leaves, only the lists that
+it affects are changed, since ranking all nodes for all shards would block the event loop in large
+deployments.
 """
 
 from collections.abc import Iterable
@@ -10,14 +11,14 @@
 from ..ports.peer import NodeIdentity
 from .rendezvous import best, rank, score, spread_over_zones
 
-KEPT_CANDIDATES = 12
-"""Number of nodes in the ranked list of a shard."""
+MAX_CANDIDATES = 12
+"""Maximum length of the ranked list of a shard."""
 
 MIN_CANDIDATES = 4
 """Length of a ranked list below which it is rebuilt."""
 
 HANDOFF_OWNERS = 2
-"""Number of nodes that take over when all owners are unreachable."""
+"""Number of handoff nodes, which take over when all owners are unreachable."""
 
 
 class OwnerTable:
@@ -40,17 +41,17 @@
 
     def _update(self, shard_id: str, removed: list[str], added: list[NodeIdentity]) -> None:
         candidates = self._candidates[shard_id]
-        kept = [node for node in candidates if node.node_id not in removed]
-        if len(kept) < min(MIN_CANDIDATES, len(self._nodes)):
+        remaining = [node for node in candidates if node.node_id not in removed]
+        if len(remaining) < min(MIN_CANDIDATES, len(self._nodes)):
             del self._candidates[shard_id]
             self._chosen.pop(shard_id, None)
             return
-        merged = rank([*kept, *added], shard_id)[:KEPT_CANDIDATES]
-        if added and len(kept) < len(candidates):
-            # A node that is not in the list may rank above an added one that follows the last kept
-            # node, so such nodes are cut off.
-            lowest_kept = score(kept[-1].node_id, shard_id)
-            merged = [node for node in merged if score(node.node_id, shard_id) >= lowest_kept]
+        merged = rank([*remaining, *added], shard_id)[:MAX_CANDIDATES]
+        if added and len(remaining) < len(candidates):
+            # Drop added nodes that rank below the last remaining candidate: nodes outside the list
+            # may rank above them.
+            lowest_remaining = score(remaining[-1].node_id, shard_id)
+            merged = [node for node in merged if score(node.node_id, shard_id) >= lowest_remaining]
         if merged != candidates:
             self._candidates[shard_id] = merged
             self._chosen.pop(shard_id, None)
@@ -66,7 +67,7 @@
     def _choose(self, shard_id: str) -> tuple[NodeIdentity, ...]:
         candidates = self._candidates.get(shard_id)
         if candidates is None:
-            candidates = best(self._nodes.values(), shard_id, KEPT_CANDIDATES)
+            candidates = best(self._nodes.values(), shard_id, MAX_CANDIDATES)
             self._candidates[shard_id] = candidates
         count = max(1, self._owners_per_shard) + HANDOFF_OWNERS
         return tuple(spread_over_zones(candidates, count))
