--- a/tests/forwarding/test_replica_incarnations.py
+++ b/tests/forwarding/test_replica_incarnations.py
@@ -192,7 +192,7 @@
         node = started()
         node.change(NEW, values=())
         replicas = node.machine._directory
-        node.machine._contents.listed((self.item(node, OLD, 1),), node.now)
+        node.machine._contents.apply_listing((self.item(node, OLD, 1),), node.now)
         self.assertEqual(NEW, record_of(replicas))
 
     def test_later_store_updates_apply_after_a_neighbour_snapshot(self) -> None:
--- a/wingquay/forwarding/crashing/suspects.py
+++ b/wingquay/forwarding/crashing/suspects.py
@@ -1,126 +1,134 @@
-"""The requests under which replicas have ended lately, and which of them are held back."""
+"""Stores the requests during which replicas have crashed recently, and which of them are held."""
 
 from collections.abc import Iterable
 from dataclasses import dataclass, field
 from enum import Enum
 
-from .evidence import ReplicaEnd, separate_ends
+from .replica_crash import ReplicaCrash, select_independent_crashes
 
-HOLD_ENDS = 3
-"""Replicas that end one after the other under a request until it is held back.
+CRASHES_BEFORE_HOLD = 3
+"""Independent crashes during a request after which it is held.
 
-With two, a neighbour of the request that ends them is held as well if their second tries meet."""
+With two, a request that shares its replicas with a crashing one twice would be held as well."""
 HOLD_SECONDS = 300.0
-"""How long a request is held back for the first time. The try after that ends one replica; an
-innocent request gets through with it."""
-MOST_HOLD_SECONDS = 600.0
-"""The same when a try after a hold ends a replica again: the longest lease of the store."""
-FORGET_SECONDS = 600.0
-"""Time after the last end, and after the end of a hold, at which a request is forgotten."""
-CLEARED_SECONDS = 10.0
-"""Time for which it is remembered that a request was answered: news of older ends may be on their
-way."""
-MOST_SUSPECTS = 512
-"""Requests that are remembered; those longest ago are forgotten first. With all their ends they
-take 2.3 kB each, 1.2 MB in all (allocations traced)."""
-MOST_ENDS = 8
-"""Ends that are remembered of a request; further ones change nothing."""
+"""First hold period of a request. The attempt after it crashes at most one replica."""
+MAX_HOLD_SECONDS = 600.0
+"""Hold period after a further crash; also the longest lease of the store."""
+EXPIRY_SECONDS = 600.0
+"""Time after the last change or the end of the hold after which a request is removed."""
+CLEARED_EXPIRY_SECONDS = 10.0
+"""Time for which a cleared request is remembered, so that late reports of older crashes are
+ignored."""
+MAX_SUSPECTS = 512
+"""Requests in the table; the least recently changed ones are evicted first."""
+MAX_CRASHES = 8
+"""Crashes that are stored for a request; further ones have no effect."""
 
 
 class SuspicionLevel(Enum):
-    """How a request is to be treated."""
+    """How likely a request is to crash replicas, which determines how it is sent."""
 
     NORMAL = "usual"
     SUSPECT = "suspect"
-    """Replicas ended under it, and none has answered it since: one replica is asked at a time."""
+    """Replicas have crashed and none has answered since: it is sent to one replica at a time."""
     HELD = "held"
     """It is not sent to any replica."""
 
 
 @dataclass(slots=True, eq=False)
 class Suspect:
-    """What is known of one request.
+    """The crashes and holds of one request.
 
     Parameters
     ----------
     holds
-        How many times it was held back.
+        Number of holds so far.
     """
 
-    ends: dict[str, ReplicaEnd] = field(default_factory=dict)
-    """Ends that came one after the other, by the life of the replica: what two nodes tell of
-    one counts once."""
+    crashes: dict[str, ReplicaCrash] = field(default_factory=dict)
+    """Independent crashes by the incarnation of the replica, so that a crash that several nodes
+    report counts once."""
     held_until: float = float("-inf")
     holds: int = 0
     changed_at: float = 0.0
 
-    def is_ended_again(self, ends: Iterable[ReplicaEnd], now: float) -> bool:
-        """Whether replicas ended under it when it was tried after a hold."""
+    def has_crashed_after_hold(self, crashes: Iterable[ReplicaCrash], now: float) -> bool:
+        """Return whether one of the crashes happened in an attempt after a hold."""
         was_held = self.holds > 0 and now >= self.held_until
-        return was_held and any(end.sent_at >= self.held_until for end in ends)
+        return was_held and any(crash.sent_at >= self.held_until for crash in crashes)
 
 
-class Suspects:
-    """A table of bounded size."""
+class SuspectTable:
+    """A table of suspect and held requests by their identity, of bounded size."""
 
     def __init__(self) -> None:
         self._by_identity: dict[bytes, Suspect] = {}
         self._cleared: dict[bytes, float] = {}
 
     def __len__(self) -> int:
-        """Return the number of requests that are remembered."""
+        """Return the number of requests in the table."""
         return len(self._by_identity)
 
     def get(self, identity: bytes) -> Suspect | None:
-        """Return what is known of a request."""
+        """Return the entry of a request; ``None`` if there is none."""
         return self._by_identity.get(identity)
 
     def suspicion_level(self, identity: bytes, now: float) -> SuspicionLevel:
-        """Return how a request is to be treated."""
+        """Return the suspicion level of a request."""
         suspect = self._by_identity.get(identity)
-        if suspect is None or self._is_over(suspect, now):
+        if suspect is None or self._is_expired(suspect, now):
             return SuspicionLevel.NORMAL
         return SuspicionLevel.HELD if now < suspect.held_until else SuspicionLevel.SUSPECT
 
     def held_seconds(self, identity: bytes, now: float) -> float:
-        """Return how much longer a request is held back; 0: it is not."""
+        """Return the remaining hold period of a request; 0 if it is not held."""
         suspect = self._by_identity.get(identity)
         return 0.0 if suspect is None else max(suspect.held_until - now, 0.0)
 
-    def held(self, now: float) -> int:
-        """Return how many requests are held back."""
+    def count_held(self, now: float) -> int:
+        """Return the number of held requests."""
         return sum(now < suspect.held_until for suspect in self._by_identity.values())
 
-    def add(self, identity: bytes, ends: Iterable[ReplicaEnd], now: float) -> bool:
-        """Take in ends under a request; return whether more is known of it than before."""
+    def add(self, identity: bytes, crashes: Iterable[ReplicaCrash], now: float) -> bool:
+        """Add crashes during a request; return whether its entry has changed."""
         cleared_at = self._cleared.get(identity, float("-inf"))
-        known = self._by_identity.get(identity)
-        present = {} if known is None else known.ends
-        fresh = [end for end in ends if end.ended_at > cleared_at and end.life not in present]
-        separate = separate_ends([*present.values(), *fresh])[:MOST_ENDS]
-        is_tried_again = known is not None and known.is_ended_again(fresh, now)
-        if len(separate) <= len(present) and not is_tried_again:
+        previous = self._by_identity.get(identity)
+        known_crashes = {} if previous is None else previous.crashes
+        new_crashes = [
+            crash
+            for crash in crashes
+            if crash.crashed_at > cleared_at and crash.incarnation not in known_crashes
+        ]
+        independent = select_independent_crashes([*known_crashes.values(), *new_crashes])[
+            :MAX_CRASHES
+        ]
+        crashed_after_hold = previous is not None and previous.has_crashed_after_hold(
+            new_crashes, now
+        )
+        if len(independent) <= len(known_crashes) and not crashed_after_hold:
             return False
-        suspect = self._touched(identity, now)
-        suspect.ends = {end.life: end for end in separate}
-        if now >= suspect.held_until and (is_tried_again or len(separate) >= HOLD_ENDS):
-            self._hold(suspect, MOST_HOLD_SECONDS if suspect.holds else HOLD_SECONDS, now)
+        suspect = self._refresh_entry(identity, now)
+        suspect.crashes = {crash.incarnation: crash for crash in independent}
+        if now >= suspect.held_until and (
+            crashed_after_hold or len(independent) >= CRASHES_BEFORE_HOLD
+        ):
+            self._hold(suspect, MAX_HOLD_SECONDS if suspect.holds else HOLD_SECONDS, now)
         return True
 
     def hold(self, identity: bytes, seconds: float, now: float) -> bool:
-        """Hold a request back as another node does; return whether that is news."""
+        """Hold a request that another node holds; return whether it was not held before."""
         if now < self.held_until(identity):
             return False
-        self._hold(self._touched(identity, now), seconds, now)
+        self._hold(self._refresh_entry(identity, now), seconds, now)
         return True
 
     def held_until(self, identity: bytes) -> float:
-        """Return until when a request is held back."""
+        """Return the end of the hold period; negative infinity if the request was never held."""
         suspect = self._by_identity.get(identity)
         return float("-inf") if suspect is None else suspect.held_until
 
-    def lift(self, identity: bytes, now: float) -> bool:
-        """Let a request be tried again, at one replica at a time; return whether it was held."""
+    def release(self, identity: bytes, now: float) -> bool:
+        """End the hold of a request, which stays suspect; return whether it was held."""
         suspect = self._by_identity.get(identity)
         if suspect is None or now >= suspect.held_until:
             return False
@@ -129,13 +137,13 @@
         return True
 
     def clear(self, identity: bytes, now: float) -> bool:
-        """Take in that a replica has answered a request; return whether it was suspect."""
+        """Remove a request that a replica has answered; return whether it was in the table."""
         if self._by_identity.pop(identity, None) is None:
             return False
         self._cleared[identity] = now
-        for old in [key for key, at in self._cleared.items() if now - at > CLEARED_SECONDS]:
+        for old in [key for key, at in self._cleared.items() if now - at > CLEARED_EXPIRY_SECONDS]:
             del self._cleared[old]
-        if len(self._cleared) > MOST_SUSPECTS:
+        if len(self._cleared) > MAX_SUSPECTS:
             del self._cleared[next(iter(self._cleared))]
         return True
 
@@ -144,23 +152,23 @@
         suspect.held_until = now + seconds
         suspect.holds += 1
 
-    def _touched(self, identity: bytes, now: float) -> Suspect:
-        """Return a request's entry as the latest one; make one, and room for it, if need be."""
+    def _refresh_entry(self, identity: bytes, now: float) -> Suspect:
+        """Move the entry of a request to the end, or create it; evict one if the table is full."""
         suspect = self._by_identity.pop(identity, None)
-        if suspect is None or self._is_over(suspect, now):
+        if suspect is None or self._is_expired(suspect, now):
             suspect = Suspect()
         suspect.changed_at = now
         self._by_identity[identity] = suspect
-        if len(self._by_identity) > MOST_SUSPECTS:
-            self._forget_one(now)
+        if len(self._by_identity) > MAX_SUSPECTS:
+            self._evict_one(now)
         return suspect
 
-    def _forget_one(self, now: float) -> None:
-        """Forget the entry that changed longest ago, one that is not held if there is any."""
-        waiting = (key for key, item in self._by_identity.items() if now >= item.held_until)
-        oldest = next(waiting, None) or next(iter(self._by_identity))
+    def _evict_one(self, now: float) -> None:
+        """Remove the least recently changed entry, preferably one that is not held."""
+        not_held = (key for key, item in self._by_identity.items() if now >= item.held_until)
+        oldest = next(not_held, None) or next(iter(self._by_identity))
         del self._by_identity[oldest]
 
     @staticmethod
-    def _is_over(suspect: Suspect, now: float) -> bool:
-        return now > max(suspect.changed_at, suspect.held_until) + FORGET_SECONDS
+    def _is_expired(suspect: Suspect, now: float) -> bool:
+        return now > max(suspect.changed_at, suspect.held_until) + EXPIRY_SECONDS
