--- a/benchmarks/waiting_ways.py
+++ b/benchmarks/waiting_ways.py
@@ -104,20 +104,22 @@
             self._collect_replies()
 
     def _work(self) -> None:
-        for known in self._replicas.values():
-            ended = [item for item in known.running if item[0] <= self._now]
-            known.running = [item for item in known.running if item[0] > self._now]
+        for backend in self._replicas.values():
+            ended = [item for item in backend.running if item[0] <= self._now]
+            backend.running = [item for item in backend.running if item[0] > self._now]
             for _, node, send in ended:
                 if send in node.sends:
-                    report = ReportedLoad(len(known.running), len(known.queue), self._load.slots)
+                    report = ReportedLoad(
+                        len(backend.running), len(backend.queue), self._load.slots
+                    )
                     node.answer(send, load=report)
-            known.queue = [(node, send) for node, send in known.queue if send in node.sends]
-            while known.queue and len(known.running) < self._load.slots:
-                self._begin(known, *known.queue.pop(0))
+            backend.queue = [(node, send) for node, send in backend.queue if send in node.sends]
+            while backend.queue and len(backend.running) < self._load.slots:
+                self._begin(backend, *backend.queue.pop(0))
 
-    def _begin(self, known: _Replica, node: OneNode, send: SendToReplica) -> None:
-        seconds = known.work_seconds * self._random.uniform(0.7, 1.3)
-        known.running.append((self._now + seconds, node, send))
+    def _begin(self, backend: _Replica, node: OneNode, send: SendToReplica) -> None:
+        seconds = backend.work_seconds * self._random.uniform(0.7, 1.3)
+        backend.running.append((self._now + seconds, node, send))
 
     def _deliver_sends(self) -> None:
         for number, node in enumerate(self._nodes):
@@ -125,11 +127,11 @@
                 if (number, send.attempt_id) in self._seen:
                     continue
                 self._seen.add((number, send.attempt_id))
-                known = self._replicas[send.replica.replica_id]
-                if len(known.running) < self._load.slots:
-                    self._begin(known, node, send)
-                elif len(known.queue) < REPLICA_QUEUE_LIMIT:
-                    known.queue.append((node, send))
+                backend = self._replicas[send.replica.replica_id]
+                if len(backend.running) < self._load.slots:
+                    self._begin(backend, node, send)
+                elif len(backend.queue) < REPLICA_QUEUE_LIMIT:
+                    backend.queue.append((node, send))
                 else:
                     self.shed += 1
                     node.answer(send, 503, b"", None, not_run=True)
@@ -166,7 +168,7 @@
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--seeds", type=int, default=3)
     seeds = parser.parse_args().seeds
-    print("| load | rule | line | worth of 1, by seed | lost | turned away | rejected |")
+    print("| load | rule | queue at | worth of 1, by seed | lost | shed | rejected |")
     print("|---|---|---|---|---|---|---|")
     for load in LOADS:
         for rule in WaitingRule:
--- a/tests/forwarding/choice/test_bytes_between_zones.py
+++ b/tests/forwarding/choice/test_bytes_between_zones.py
@@ -84,7 +84,7 @@
         self.assertLess(completion.bytes_per_second, 0.5 * product.bytes_per_second)
         self.assertGreaterEqual(completion.served_in_time, product.served_in_time - 0.01)
 
-    def test_most_bytes_between_zones_are_answers_of_replicas(self) -> None:
+    def test_replica_answers_are_the_largest_share_of_bytes_between_zones(self) -> None:
         found = simulate(ChoiceStrategy.COMPLETION, seed=2).bytes_by_purpose
         self.assertEqual("replicas", max(found, key=lambda purpose: found[purpose]))
         self.assertLess(found["DelegatedRequest"], 0.5 * found["DelegatedAnswer"])
