--- a/wingquay/forwarding/choice/replica_state.py
+++ b/wingquay/forwarding/choice/replica_state.py
@@ -82,7 +82,7 @@
     answered_at: float = float("-inf")
     """Time of the last answer; minus infinity: none yet."""
     blocked_until: float = 0.0
-    """End of the backoff; 0: the replica has answered since its last failure."""
+    """End of the backoff; 0: no failure since the last answer."""
     failures_in_row: int = 0
     """Consecutive failures to connect or to get an answer."""
     is_unreachable: bool = False
--- a/wingquay/forwarding/sending/capacity.py
+++ b/wingquay/forwarding/sending/capacity.py
@@ -90,10 +90,12 @@
     capacities
         The replicas that may receive the request.
     """
-    known = list(capacities)
-    available = [capacity for capacity in known if capacity.available_at <= now]
+    replicas = list(capacities)
+    available = [capacity for capacity in replicas if capacity.available_at <= now]
     if not available:
-        return ExpectedCapacity(min((capacity.available_at for capacity in known), default=NEVER))
+        return ExpectedCapacity(
+            min((capacity.available_at for capacity in replicas), default=NEVER)
+        )
     free = sum(capacity.free for capacity in available)
     if free > queued_before:
         best = min(
--- a/wingquay/forwarding/sending/decision.py
+++ b/wingquay/forwarding/sending/decision.py
@@ -126,8 +126,8 @@
     request: WaitingRequest, capacity: ExpectedCapacity, settings: WaitingSettings, now: float
 ) -> float:
     """Return the time until which waiting is better for the caller than a retry."""
-    whole_seconds = request.ends_at - request.arrived_at
-    hold_ends_at = request.arrived_at + whole_seconds * settings.hold_ratio
+    limit_seconds = request.ends_at - request.arrived_at
+    hold_ends_at = request.arrived_at + limit_seconds * settings.hold_ratio
     if request.may_have_run:
         if request.may_records_reappear:
             return request.ends_at
@@ -137,7 +137,7 @@
         ratio = settings.hold_ratio
         if settings.rule is WaitingRule.ESTIMATE and not request.is_merged:
             ratio = settings.queue_ratio
-        return max(request.cutoff_at, request.arrived_at + whole_seconds * ratio)
+        return max(request.cutoff_at, request.arrived_at + limit_seconds * ratio)
     if request.may_records_reappear:
         return hold_ends_at
     return request.arrived_at + request.objective_seconds * settings.unreachable_ratio
--- a/wingquay/forwarding/sending/latencies.py
+++ b/wingquay/forwarding/sending/latencies.py
@@ -41,15 +41,15 @@
     def record_work(self, route: Route, seconds: float) -> None:
         """Record how long a replica worked on an attempt, without the time queued there."""
         seconds = max(seconds, MIN_WORK_SECONDS)
-        known = self._work_seconds.get(route.name, seconds)
-        self._work_seconds[route.name] = known + WORK_WEIGHT * (seconds - known)
+        current = self._work_seconds.get(route.name, seconds)
+        self._work_seconds[route.name] = current + WORK_WEIGHT * (seconds - current)
 
     def work_seconds(self, route: Route) -> float:
         """Return the expected work time of a request at a replica."""
-        seen = self._work_seconds.get(route.name)
-        if seen is None:
-            seen = self.median_seconds(route)
-        return route.objective_seconds * DEFAULT_WORK_RATIO if seen is None else seen
+        measured = self._work_seconds.get(route.name)
+        if measured is None:
+            measured = self.median_seconds(route)
+        return route.objective_seconds * DEFAULT_WORK_RATIO if measured is None else measured
 
     def hedge_seconds(self, route: Route) -> float:
         """Return the hedge delay: the time after which an attempt is overdue."""
@@ -58,8 +58,8 @@
         if median is None:
             return route.objective_seconds * settings.hedge_initial_ratio
         tracker = self._trackers[route.name]
-        slow = tracker.quantile_seconds(settings.hedge_quantile, MIN_SAMPLES) or median
-        delay = max(slow, median * settings.hedge_min_factor)
+        quantile = tracker.quantile_seconds(settings.hedge_quantile, MIN_SAMPLES) or median
+        delay = max(quantile, median * settings.hedge_min_factor)
         return min(delay, route.objective_seconds * settings.hedge_max_ratio)
 
     def keep_only(self, routes: tuple[Route, ...]) -> None:
--- a/wingquay/routing/fair_queue.py
+++ b/wingquay/routing/fair_queue.py
@@ -124,9 +124,9 @@
             rank = self._ranks[number]
             flows = [flow for flow in rank.flows.values() if self._remove_finished(flow)]
             flows.sort(key=lambda flow: flow.entries[0].start_tag)
-            for agrees in _passes(accepts, prefers):
+            for matches in _passes(accepts, prefers):
                 for flow in flows:
-                    entry = self._pop_from(rank, flow, agrees)
+                    entry = self._pop_from(rank, flow, matches)
                     if entry is not None:
                         flow.served.add(entry.cost, now)
                         return entry.item
@@ -177,9 +177,9 @@
         weights = sum(
             flow.weight for name, flow in flows.items() if flow.entries and name != placement.flow
         )
-        guaranteed = max(1, parallelism) * placement.weight / (placement.weight + weights)
-        seen = own.served.per_second(now) if own is not None else 0.0
-        return (own.backlog if own is not None else 0.0) / max(guaranteed, seen)
+        guaranteed_rate = max(1, parallelism) * placement.weight / (placement.weight + weights)
+        recent_rate = own.served.per_second(now) if own is not None else 0.0
+        return (own.backlog if own is not None else 0.0) / max(guaranteed_rate, recent_rate)
 
     def _tag_of(self, item: Item, placement: QueuePlacement, now: float) -> float:
         tag = self._start_tag(placement, now)
@@ -257,11 +257,11 @@
         return bool(flow.entries)
 
     def _pop_from(
-        self, rank: _Rank[Item], flow: _Flow[Item], agrees: Callable[[Item], bool]
+        self, rank: _Rank[Item], flow: _Flow[Item], matches: Callable[[Item], bool]
     ) -> _Entry[Item] | None:
         for position in range(min(SCANNED_ENTRIES, len(flow.entries))):
             entry = flow.entries[position]
-            if entry.item.is_finished or not agrees(entry.item):
+            if entry.item.is_finished or not matches(entry.item):
                 continue
             del flow.entries[position]
             self._on_removed(flow, entry)
--- a/wingquay/routing/replica_choice.py
+++ b/wingquay/routing/replica_choice.py
@@ -45,13 +45,13 @@
 
     def usable(self, trackers: Sequence[ReplicaTracker], now: float) -> list[ReplicaTracker]:
         """Return the replicas that are not leaving or ejected; if all are ejected, return them."""
-        staying = [tracker for tracker in trackers if not tracker.leaving]
-        if all(tracker.ejected_until <= now for tracker in staying):
-            return staying
+        remaining = [tracker for tracker in trackers if not tracker.leaving]
+        if all(tracker.ejected_until <= now for tracker in remaining):
+            return remaining
         if not self._ejection:
-            return staying
-        healthy = [tracker for tracker in staying if not tracker.is_ejected(now)]
-        return healthy or staying
+            return remaining
+        healthy = [tracker for tracker in remaining if not tracker.is_ejected(now)]
+        return healthy or remaining
 
     def with_free_slot(self, usable: Sequence[ReplicaTracker], now: float) -> list[ReplicaTracker]:
         """Return the ``usable`` replicas that may receive one more sub-request now."""
