--- a/tests/forwarding/test_waiting_decision.py
+++ b/tests/forwarding/test_waiting_decision.py
@@ -52,8 +52,8 @@
 def outcome(decision: Decision) -> str:
     """Return a decision as text, with its time in milliseconds."""
     match decision:
-        case SendNow(replica_id=replica_id):
-            return f"send {replica_id}"
+        case SendNow(incarnation=incarnation):
+            return f"send {incarnation}"
         case WaitUntil(when=when):
             return f"wait {when * 1000:.0f}"
         case Reject(retry_after_seconds=seconds):
@@ -203,7 +203,7 @@
 def saturated(name: str = "r", **fields: object) -> ReplicaCapacity:
     """Return a saturated replica with two slots and a work time of 0.2 s."""
     defaults: dict[str, object] = {
-        "replica_id": name,
+        "incarnation": name,
         "available_at": 0.0,
         "slots": 2,
         "max_in_flight": 3,
@@ -241,7 +241,7 @@
             for name, capacities, queued_before, _ in rows
         }
         rounded = {
-            name: ExpectedCapacity(round(capacity.at, 3), capacity.replica_id)
+            name: ExpectedCapacity(round(capacity.at, 3), capacity.incarnation)
             for name, capacity in found.items()
         }
         self.assertEqual({row[0]: row[3] for row in rows}, rounded)
--- a/wingquay/forwarding/sending/capacity.py
+++ b/wingquay/forwarding/sending/capacity.py
@@ -20,7 +20,7 @@
 
     Parameters
     ----------
-    replica_id
+    incarnation
         Name of the replica's incarnation.
     available_at
         When the replica may receive requests; a time up to now: it may already.
@@ -36,7 +36,7 @@
         Expected work time of a request.
     """
 
-    replica_id: str
+    incarnation: str
     available_at: float
     slots: int
     max_in_flight: int
@@ -69,12 +69,12 @@
     ----------
     at
         When capacity is expected; infinity: not known.
-    replica_id
+    incarnation
         Name of the incarnation that has capacity now; empty if none has.
     """
 
     at: float
-    replica_id: str = ""
+    incarnation: str = ""
 
 
 NO_CAPACITY = ExpectedCapacity(NEVER)
@@ -101,7 +101,7 @@
         best = min(
             available, key=lambda capacity: (not capacity.free, capacity.in_flight / capacity.slots)
         )
-        return ExpectedCapacity(now, best.replica_id)
+        return ExpectedCapacity(now, best.incarnation)
     per_second = sum(capacity.completions_per_second for capacity in available)
     if not per_second:
         return NO_CAPACITY
--- a/wingquay/forwarding/sending/decision.py
+++ b/wingquay/forwarding/sending/decision.py
@@ -62,11 +62,11 @@
 
     Parameters
     ----------
-    replica_id
-        The replica that has capacity; empty for a merged answer, where enough shards have.
+    incarnation
+        Incarnation that has capacity; empty for a merged answer, where enough shards have.
     """
 
-    replica_id: str = ""
+    incarnation: str = ""
 
 
 @value
@@ -107,7 +107,7 @@
         return Reject(NEVER, RAN_REASON)
     starts_at = max(capacity.at, request.repeat_at)
     if starts_at <= now:
-        return SendNow(capacity.replica_id)
+        return SendNow(capacity.incarnation)
     latest = _latest(request, capacity, settings, now)
     if request.may_records_reappear and not request.has_unblocked:
         # The time at which a record reappears is unknown, so check again soon.
