--- a/wingquay/forwarding/sending/cold_quota.py
+++ b/wingquay/forwarding/sending/cold_quota.py
@@ -51,6 +51,6 @@
         bound = (per_second * self._overage + self._slack) * USED_SHARE
         quota = int(bound / max(1, sharing_nodes))
         if quota < 1:
-            rank = self._nodes.rank(self._key, replica.record.replica_id)
+            rank = self._nodes.hashed_position(self._key, replica.record.replica_id)
             quota = int(rank is not None and rank < int(bound))
         return replica.cold_sends_since(now - WINDOW_SECONDS) < quota
