--- a/tests/forwarding/choice/load_simulation.py
+++ b/tests/forwarding/choice/load_simulation.py
@@ -134,7 +134,7 @@
         )
         return times[min(len(times) - 1, int(share * len(times)))]
 
-    def busiest(self) -> float:
+    def max_to_mean_runs(self) -> float:
         """Return the number of runs of the busiest replica relative to the mean of all."""
         runs = [item.runs for item in self.replicas]
         return max(runs) / (sum(runs) / len(runs))
--- a/tests/forwarding/choice/test_completion.py
+++ b/tests/forwarding/choice/test_completion.py
@@ -23,10 +23,16 @@
     failure_rate: float = 0.0,
     is_overdue: bool = False,
     is_in_other_zone: bool = False,
-    is_unproven: bool = False,
+    counts_as_unreliable: bool = False,
 ) -> float:
     estimate = ReplicaEstimate(
-        slowdown, outstanding, slots, failure_rate, is_overdue, is_in_other_zone, is_unproven
+        slowdown,
+        outstanding,
+        slots,
+        failure_rate,
+        is_overdue,
+        is_in_other_zone,
+        counts_as_unreliable,
     )
     return completion_cost_seconds(target, estimate, is_owned=True)
 
@@ -59,7 +65,7 @@
         self.assertGreater(cost(is_overdue=True), cost(is_in_other_zone=True))
 
     def test_a_proven_replica_is_preferred_over_an_unproven_one(self) -> None:
-        self.assertGreater(cost(is_unproven=True), cost(slowdown=1.4))
+        self.assertGreater(cost(counts_as_unreliable=True), cost(slowdown=1.4))
 
     def test_penalties_apply_to_a_route_without_measurements(self) -> None:
         unknown = LatencyTarget(objective_seconds=0.133)
--- a/tests/forwarding/choice/test_single_replica_loads.py
+++ b/tests/forwarding/choice/test_single_service_loads.py
@@ -84,8 +84,8 @@
             for strategy in ChoiceStrategy:
                 loads = [simulate(load, strategy, seed) for seed in SEEDS]
                 self.assertLess(mean_quantile(loads, 0.99), load.objective_seconds, load)
-                busiest = sum(item.busiest() for item in loads) / len(loads)
-                self.assertLess(busiest, 1.45, load)
+                max_to_mean_runs = sum(item.max_to_mean_runs() for item in loads) / len(loads)
+                self.assertLess(max_to_mean_runs, 1.45, load)
 
     def test_lost_answers_do_not_delay_other_requests(self) -> None:
         for load in (MANY_NODES, FEWER_NODES):
--- a/tests/forwarding/test_connections_ahead.py
+++ b/tests/forwarding/test_connections_ahead.py
@@ -103,7 +103,7 @@
         self.assertNotIn("r0", self.asked())
         self.node.emit(ConnectionTried("r0"))
         self.assertIn("r0", self.asked())
-        self.assertEqual(1, len(self.node.logs("replica_in_reach")))
+        self.assertEqual(1, len(self.node.logs("replica_reachable")))
 
     def test_it_is_tried_again_less_often_each_time(self) -> None:
         for tries in range(1, 4):
--- a/tests/forwarding/test_extra_request_budget.py
+++ b/tests/forwarding/test_extra_request_budget.py
@@ -3,7 +3,7 @@
 from testtools import TestCase
 
 from wingquay.forwarding.sending.extra_request_budget import (
-    OWNERS_RESERVE,
+    OWNERS_SLACK_DIVISOR,
     TAKEOVER_REFILL_SHARE,
     ExtraRequestBudget,
 )
@@ -25,7 +25,7 @@
 
 def max_of_all_nodes(slack: float, nodes: int, owners: int) -> int:
     """Return the extra requests in one window if every node takes all it may."""
-    owned = max_in_window(slack, owners * OWNERS_RESERVE, 1.0)
+    owned = max_in_window(slack, owners * OWNERS_SLACK_DIVISOR, 1.0)
     taken_over = max_in_window(slack, nodes, TAKEOVER_REFILL_SHARE)
     return owners * owned + (nodes - owners) * taken_over
 
@@ -35,8 +35,8 @@
         for slack, nodes in ((180.0, 70), (164.0, 25), (180.0, 40)):
             self.assertLessEqual(max_of_all_nodes(slack, nodes, 3), slack, nodes)
 
-    def test_owners_get_a_third_more_than_with_a_reserve_of_two(self) -> None:
-        owned = max_in_window(180.0, 3 * OWNERS_RESERVE, 1.0)
+    def test_owners_get_a_third_more_than_with_a_divisor_of_two(self) -> None:
+        owned = max_in_window(180.0, 3 * OWNERS_SLACK_DIVISOR, 1.0)
         self.assertGreaterEqual(owned, 4 / 3 * max_in_window(180.0, 3 * 2, 1.0))
 
     def test_a_node_that_rarely_takes_over_has_an_extra_request(self) -> None:
--- a/tests/forwarding/test_presence.py
+++ b/tests/forwarding/test_presence.py
@@ -177,7 +177,7 @@
             budget = ExtraRequestBudget(ratio, slack, 10.0)
             for _ in range(requests):
                 budget.earn(0.0)
-            foretold[name] = round(budget.next_at(70, 0.0), 1)
+            foretold[name] = round(budget.extra_request_at(70, 0.0), 1)
         self.assertEqual({name: row[3] for name, row in rows.items()}, foretold)
 
     def test_requests_earn_their_ratio(self) -> None:
--- a/tests/forwarding/test_queue_order.py
+++ b/tests/forwarding/test_queue_order.py
@@ -134,7 +134,7 @@
         for _ in range(160):
             simulation.ask("/usual/x")
         simulation.run(2.5)
-        lines = simulation.node.logs("calls_wait")
+        lines = simulation.node.logs("calls_waiting")
         self.assertLessEqual(len(lines), 4)
         self.assertGreater(max(int(str(line["waiting"])) for line in lines), 50)
         self.assertGreater(max(int(str(line["oldest_ms"])) for line in lines), 900)
--- a/tests/forwarding/test_reported_work.py
+++ b/tests/forwarding/test_reported_work.py
@@ -12,7 +12,7 @@
 def cost(work_factor: float, age_seconds: float) -> float:
     state = ReplicaState(replica("r", "s"), 0.0)
     state.on_answer(ReportedLoad(0, 0, 2, work_factor), ANSWERED_AT)
-    return state.cost(ANSWERED_AT + age_seconds, "a", prefers_proven=False)
+    return state.cost(ANSWERED_AT + age_seconds, "a", prefers_reliable=False)
 
 
 class ReportedWorkTest(TestCase):
@@ -29,4 +29,4 @@
         for number in range(20):
             state.on_latency(4.0, ANSWERED_AT - 1.0 + number / 100, ANSWERED_AT)
         state.on_answer(ReportedLoad(0, 0, 2, 4.0), ANSWERED_AT)
-        self.assertLessEqual(state.cost(ANSWERED_AT, "a", prefers_proven=False), 4.0)
+        self.assertLessEqual(state.cost(ANSWERED_AT, "a", prefers_reliable=False), 4.0)
--- a/tests/forwarding/test_single_service.py
+++ b/tests/forwarding/test_single_service.py
@@ -224,7 +224,7 @@
         node.request()
         lost = node.sends[0]
         node.fail(lost, SendFailureKind.NOT_SENT)
-        line = node.logs("replica_left_out")[0]
+        line = node.logs("replica_blocked")[0]
         self.assertEqual(lost.replica.replica_id, line["replica"])
         node.answer(node.sends[0])
         node.advance(1.0)
@@ -232,7 +232,7 @@
             node.request()
         for send in list(node.sends):
             node.answer(send)
-        self.assertEqual(lost.replica.replica_id, node.logs("replica_back")[0]["replica"])
+        self.assertEqual(lost.replica.replica_id, node.logs("replica_unblocked")[0]["replica"])
 
 
 class ReplicaPreferenceTest(TestCase):
--- a/tests/forwarding/test_suspension.py
+++ b/tests/forwarding/test_suspension.py
@@ -72,7 +72,7 @@
             one.advance(0.01)
             suspend(one, seconds)
             one.advance(1.0)
-            self.assertEqual([], one.logs("replica_left_out"), seconds)
+            self.assertEqual([], one.logs("replica_blocked"), seconds)
             one.request("/all/x", deadline_seconds=1.0)
             self.assertEqual(SHARDS, len(one.sends), seconds)
 
--- a/tests/forwarding/test_waiting_decision.py
+++ b/tests/forwarding/test_waiting_decision.py
@@ -13,9 +13,9 @@
 )
 from wingquay.forwarding.sending.decision import (
     NO_CAPACITY_REASON,
-    NO_REPEAT_REASON,
+    NO_EXTRA_REQUEST_REASON,
     NO_REPLICA_REASON,
-    RAN_REASON,
+    NOT_REPEATABLE_REASON,
     Decision,
     Reject,
     SendNow,
@@ -74,7 +74,7 @@
 
     def test_a_request_that_has_not_run(self) -> None:
         none = request(has_unblocked=False)
-        coming = request(has_unblocked=False, may_records_reappear=True)
+        coming = request(has_unblocked=False, is_settling=True)
         self.check(
             (
                 ("capacity now", request(), ExpectedCapacity(0.0, "r"), 0.0, "send r", "send r"),
@@ -137,10 +137,10 @@
     def test_a_request_that_may_have_run(self) -> None:
         ran = request(may_have_run=True)
         once = request(may_have_run=True, may_run_again=False)
-        soon = request(may_have_run=True, repeat_at=0.2)
-        late = request(may_have_run=True, repeat_at=0.4)
+        soon = request(may_have_run=True, extra_request_at=0.2)
+        late = request(may_have_run=True, extra_request_at=0.4)
         alone = request(may_have_run=True, has_unblocked=False)
-        coming = request(may_have_run=True, has_unblocked=False, may_records_reappear=True)
+        coming = request(may_have_run=True, has_unblocked=False, is_settling=True)
         self.check(
             (
                 ("send to another", ran, ExpectedCapacity(0.0, "r"), 0.0, "send r", "send r"),
@@ -164,8 +164,12 @@
             (request(has_unblocked=False), ExpectedCapacity(NEVER), NO_REPLICA_REASON),
             (request(), ExpectedCapacity(NEVER), NO_CAPACITY_REASON),
             (request(), ExpectedCapacity(5.0), NO_CAPACITY_REASON),
-            (request(repeat_at=NEVER), ExpectedCapacity(0.1), NO_REPEAT_REASON),
-            (request(may_have_run=True, may_run_again=False), ExpectedCapacity(0.0), RAN_REASON),
+            (request(extra_request_at=NEVER), ExpectedCapacity(0.1), NO_EXTRA_REQUEST_REASON),
+            (
+                request(may_have_run=True, may_run_again=False),
+                ExpectedCapacity(0.0),
+                NOT_REPEATABLE_REASON,
+            ),
         )
         for known, capacity, reason in rows:
             match decide(known, capacity, ESTIMATE, 0.0):
@@ -178,7 +182,7 @@
         capacity=st.one_of(st.just(NEVER), st.floats(0.0, 20.0)),
         now=st.floats(0.0, 8.0),
         has_unblocked=st.booleans(),
-        may_records_reappear=st.booleans(),
+        is_settling=st.booleans(),
         rule=st.sampled_from(RULES),
     )
     def test_waiting_is_bounded_and_a_recheck_is_never_in_the_past(
@@ -186,10 +190,10 @@
         capacity: float,
         now: float,
         has_unblocked: bool,
-        may_records_reappear: bool,
+        is_settling: bool,
         rule: WaitingSettings,
     ) -> None:
-        known = request(has_unblocked=has_unblocked, may_records_reappear=may_records_reappear)
+        known = request(has_unblocked=has_unblocked, is_settling=is_settling)
         match decide(known, ExpectedCapacity(capacity), rule, now):
             case WaitUntil(when=when):
                 self.assertGreater(when, now)
--- a/wingquay/forwarding/choice/completion.py
+++ b/wingquay/forwarding/choice/completion.py
@@ -7,20 +7,21 @@
 
 from ...model.value import value
 
-DEFAULT_TYPICAL_SHARE = 0.1
+DEFAULT_TYPICAL_RATIO = 0.1
 """Typical latency, as a fraction of the objective, of a route without measurements."""
-OTHER_ZONE_SHARE = 0.2
+OTHER_ZONE_PENALTY_RATIO = 0.2
 """Penalty for a replica in another zone, as a fraction of the objective."""
-OWNED_OTHER_ZONE_SHARE = 0.35
+OWNED_OTHER_ZONE_PENALTY_RATIO = 0.35
 """Penalty for a replica in another zone when this node owns the shard."""
-FAILURE_SHARE = 3.0
+FAILURE_PENALTY_RATIO = 3.0
 """Penalty for a failed attempt, as a multiple of the objective: the shard is missing from the
 answer if the second attempt fails too."""
-OVERDUE_SHARE = 0.5
+OVERDUE_PENALTY_RATIO = 0.5
 """Penalty for a replica with an overdue attempt, as a fraction of the objective."""
-UNPROVEN_SHARE = 0.05
-"""Penalty for a replica that hasn't recently answered in time, for requests that run only once."""
-IN_FLIGHT_SLOWDOWN_SHARE = 0.5
+UNRELIABLE_PENALTY_RATIO = 0.05
+"""Penalty for a replica that isn't reliable, as a fraction of the objective, for requests that must
+not run twice."""
+IN_FLIGHT_SLOWDOWN_RATIO = 0.5
 """Slowdown with all slots in use, as a fraction of the work time. It accounts for requests that
 other nodes have sent since the last load report."""
 
@@ -59,8 +60,8 @@
         Whether an attempt at the replica has exceeded its hedge delay.
     is_in_other_zone
         Whether the replica is in another zone than this node.
-    is_unproven
-        Whether proven replicas are preferred and this one isn't proven.
+    counts_as_unreliable
+        Whether reliable replicas are preferred and this one isn't reliable.
     """
 
     slowdown: float
@@ -69,7 +70,7 @@
     failure_rate: float
     is_overdue: bool
     is_in_other_zone: bool
-    is_unproven: bool
+    counts_as_unreliable: bool
 
 
 def completion_cost_seconds(
@@ -83,16 +84,16 @@
         Whether this node owns the replica's service on behalf of a group of nodes.
     """
     objective = target.objective_seconds
-    typical = target.typical_seconds or objective * DEFAULT_TYPICAL_SHARE
+    typical = target.typical_seconds or objective * DEFAULT_TYPICAL_RATIO
     work = typical * estimate.slowdown
     queued = max(0.0, estimate.outstanding + 1.0 - estimate.slots)
-    slowed_by = min(estimate.outstanding, estimate.slots) * IN_FLIGHT_SLOWDOWN_SHARE
+    slowed_by = min(estimate.outstanding, estimate.slots) * IN_FLIGHT_SLOWDOWN_RATIO
     seconds = work * (1.0 + (queued + slowed_by) / estimate.slots)
-    lost_share = estimate.failure_rate * FAILURE_SHARE
+    penalty_ratio = estimate.failure_rate * FAILURE_PENALTY_RATIO
     if estimate.is_overdue:
-        lost_share += OVERDUE_SHARE
+        penalty_ratio += OVERDUE_PENALTY_RATIO
     if estimate.is_in_other_zone:
-        lost_share += OWNED_OTHER_ZONE_SHARE if is_owned else OTHER_ZONE_SHARE
-    if estimate.is_unproven:
-        lost_share += UNPROVEN_SHARE
-    return seconds + objective * lost_share
+        penalty_ratio += OWNED_OTHER_ZONE_PENALTY_RATIO if is_owned else OTHER_ZONE_PENALTY_RATIO
+    if estimate.counts_as_unreliable:
+        penalty_ratio += UNRELIABLE_PENALTY_RATIO
+    return seconds + objective * penalty_ratio
--- a/wingquay/forwarding/choice/replica_incarnations.py
+++ b/wingquay/forwarding/choice/current_replicas.py
@@ -1,4 +1,4 @@
-"""Stores the current incarnation of each replica, by id and by service."""
+"""Stores the state of the current incarnation of each replica, by id and by service."""
 
 from collections.abc import Collection, Iterator
 from dataclasses import replace
@@ -7,7 +7,7 @@
 from .replica_state import ReplicaState
 
 
-class ReplicaIncarnations:
+class CurrentReplicas:
     """Applies replica records, ordered by the revisions of the store."""
 
     def __init__(self) -> None:
@@ -29,7 +29,10 @@
         return self._states.get(replica_id)
 
     def get_incarnation(self, incarnation: str) -> ReplicaState | None:
-        """Return the state of an incarnation; ``None`` if it is unknown or superseded."""
+        """Return the state of the incarnation of that name; ``None`` if unknown or superseded.
+
+        The name is the replica's id, followed by a space and the start time if that is stated.
+        """
         state = self._states.get(incarnation.partition(" ")[0])
         return state if state is not None and state.incarnation == incarnation else None
 
@@ -37,7 +40,7 @@
         """Return the services that have a replica."""
         return self._by_service.keys()
 
-    def of_service(self, service: str) -> Collection[ReplicaState]:
+    def get_by_service(self, service: str) -> Collection[ReplicaState]:
         """Return the replicas of a service."""
         found = self._by_service.get(service)
         return () if found is None else found.values()
@@ -47,7 +50,7 @@
         return self._restarted_at.get(service, float("-inf")) >= moment
 
     def put(self, record: ReplicaRecord, now: float, revision: int) -> ReplicaState | None:
-        """Apply a new or changed record; return the incarnation that it supersedes, if any.
+        """Apply a new or changed record; return the state of the incarnation that it supersedes.
 
         A record with an older revision is ignored. A newer one applies whatever start time it
         states; one without a start time belongs to the current incarnation.
--- a/wingquay/forwarding/choice/evacuations.py
+++ b/wingquay/forwarding/choice/evacuations.py
@@ -27,8 +27,8 @@
 
     def missing_from(self, keys: Collection[str]) -> tuple[str, ...]:
         """Return the keys of evacuated zones that are missing from a complete listing."""
-        known = (self._prefix + zone for zone in sorted(self._directory.evacuated_zones))
-        return tuple(key for key in known if key not in keys)
+        evacuated_keys = (self._prefix + zone for zone in sorted(self._directory.evacuated_zones))
+        return tuple(key for key in evacuated_keys if key not in keys)
 
     def put(self, key: str) -> list[Action]:
         """Stop sending requests to the replicas of a zone."""
--- a/wingquay/forwarding/choice/replica_estimate.py
+++ b/wingquay/forwarding/choice/replica_estimate.py
@@ -5,7 +5,7 @@
 
 
 def estimate_replica(
-    state: ReplicaState, now: float, zone: str, prefers_proven: bool, may_try: bool
+    state: ReplicaState, now: float, zone: str, prefers_reliable: bool, is_trial_allowed: bool
 ) -> ReplicaEstimate:
     """Return the current estimate of a replica.
 
@@ -13,17 +13,17 @@
     ----------
     zone
         The zone of this node.
-    prefers_proven
-        Whether to prefer replicas that recently answered in time over the others.
-    may_try
-        Whether the measured slowdown decays with time, so that a slow replica is tried again.
+    prefers_reliable
+        Whether to prefer reliable replicas over the others.
+    is_trial_allowed
+        Whether the replica may be tried if it was slow; if so, its measured slowdown decays.
     """
     return ReplicaEstimate(
-        slowdown=state.expected_slowdown(now, may_try),
+        slowdown=state.expected_slowdown(now, is_trial_allowed),
         outstanding=len(state.in_flight) + state.reported_requests(now),
         slots=state.known_slots,
         failure_rate=state.failure_rate(now),
         is_overdue=state.is_overdue(now),
         is_in_other_zone=state.record.zone != zone,
-        is_unproven=prefers_proven and not state.is_proven(now),
+        counts_as_unreliable=prefers_reliable and not state.is_reliable(now),
     )
--- a/wingquay/forwarding/choice/replica_selector.py
+++ b/wingquay/forwarding/choice/replica_selector.py
@@ -30,7 +30,7 @@
         self,
         states: Iterable[ReplicaState],
         now: float,
-        prefers_proven: bool,
+        prefers_reliable: bool,
         is_owned: bool,
         target: LatencyTarget | None,
     ) -> ReplicaState:
@@ -38,8 +38,8 @@
 
         Parameters
         ----------
-        prefers_proven
-            Whether to prefer replicas that recently answered in time over the others.
+        prefers_reliable
+            Whether to prefer reliable replicas over the others.
         is_owned
             Whether this node owns the service on behalf of a group of nodes.
         target
@@ -49,11 +49,11 @@
         by_completion = self._settings.choice_strategy is ChoiceStrategy.COMPLETION
 
         def rank(state: ReplicaState) -> tuple[float, float]:
-            may_try = self._trials.is_allowed(state, now)
+            is_trial_allowed = self._trials.is_allowed(state, now)
             if target is not None and by_completion:
-                estimate = estimate_replica(state, now, zone, prefers_proven, may_try)
+                estimate = estimate_replica(state, now, zone, prefers_reliable, is_trial_allowed)
                 return completion_cost_seconds(target, estimate, is_owned), self._random.random()
-            cost = state.cost(now, zone, prefers_proven, is_owned, may_try)
+            cost = state.cost(now, zone, prefers_reliable, is_owned, is_trial_allowed)
             return cost, self._random.random()
 
         best = min(states, key=rank)
--- a/wingquay/forwarding/choice/replica_state.py
+++ b/wingquay/forwarding/choice/replica_state.py
@@ -14,11 +14,11 @@
 a pause that is already over."""
 SLOWDOWN_MEMORY_SECONDS = 2.0
 """Time constant with which the measured slowdown decays, so that the replica is tried again."""
-SLOWDOWN_TOLERANCE = 1.25
+MIN_COUNTED_SLOWDOWN = 1.25
 """Slowdown below which a replica counts as not slow, so that it recovers fully."""
 MAX_SLOWDOWN = 20.0
-SLOW_RATIO = 2.5
-"""Latency of an attempt, relative to the median, from which on it counts as slow."""
+SLOW_ATTEMPT_RATIO = 2.5
+"""Latency of an attempt, relative to the median, from which on it extends the slow streak."""
 FAILURE_WEIGHT = 0.5
 """EWMA weight of a failed attempt in the failure rate."""
 SUCCESS_WEIGHT = 0.2
@@ -44,10 +44,10 @@
 OWNED_OTHER_ZONE_FACTOR = 1.7
 """Cost factor of a replica in another zone when this node owns the shard. It is lower because
 owners in all zones share the replicas, so that load matters more than the network round trip."""
-PROVEN_SECONDS = 6.0
-"""Time for which a replica counts as proven after an answer in time."""
-UNPROVEN_FACTOR = 1.3
-"""Cost factor of an unproven replica where proven ones are preferred."""
+RELIABLE_SECONDS = 6.0
+"""Time for which a replica counts as reliable after an answer within the objective."""
+UNRELIABLE_FACTOR = 1.3
+"""Cost factor of a replica that isn't reliable, where reliable ones are preferred."""
 MIN_BROKEN_CONNECTIONS = 5
 """Consecutive broken connections after which a replica is blocked. A replica that resets some of
 its connections still answers most requests, so a few are tolerated; a crashed replica refuses the
@@ -82,7 +82,7 @@
     answered_at: float = float("-inf")
     """Time of the last answer; minus infinity: none yet."""
     blocked_until: float = 0.0
-    """End of the backoff; 0: no failure since the last answer."""
+    """End of the last backoff; 0: no backoff since the last answer or reconnection."""
     failures_in_row: int = 0
     """Consecutive failures to connect or to get an answer."""
     is_unreachable: bool = False
@@ -95,7 +95,7 @@
     """Name of this incarnation, unique among all replicas."""
     _cold_sends: list[float] = field(default_factory=list)
     """Times of recent requests that were sent while the replica was cold."""
-    _proved_at: float = float("-inf")
+    _in_time_at: float = float("-inf")
     """Time of the last answer within the objective of its route."""
     slow_streak: int = 0
     """Consecutive slow attempts. An attempt that was sent before the previous slow one ended is not
@@ -170,17 +170,17 @@
         share = self._failure_rate * decay
         return share if share >= FAILURE_RATE_TOLERANCE else 0.0
 
-    def is_proven(self, now: float) -> bool:
-        """Whether the replica recently answered in time and isn't slow."""
-        return now - self._proved_at < PROVEN_SECONDS and self._slowdown < SLOWDOWN_TOLERANCE
+    def is_reliable(self, now: float) -> bool:
+        """Whether the replica recently answered within the objective and isn't slow."""
+        return now - self._in_time_at < RELIABLE_SECONDS and self._slowdown < MIN_COUNTED_SLOWDOWN
 
     def cost(
         self,
         now: float,
         zone: str,
-        prefers_proven: bool,
+        prefers_reliable: bool,
         is_owned: bool = False,
-        may_try: bool = True,
+        is_trial_allowed: bool = True,
     ) -> float:
         """Return the expected response time relative to the median, times penalty factors.
 
@@ -188,19 +188,19 @@
         ----------
         zone
             The zone of this node.
-        may_try
-            Whether the measured slowdown decays with time, so that a slow replica is tried again.
-        prefers_proven
-            Whether to prefer replicas that recently answered in time over the others.
+        is_trial_allowed
+            Whether the replica may be tried if it was slow; if so, its measured slowdown decays.
+        prefers_reliable
+            Whether to prefer reliable replicas over the others.
         is_owned
             Whether this node owns the replica's service on behalf of a group of nodes.
         """
         slots = max(1, self.record.slots)
-        slowdown = self.slowdown(now) if may_try else self._slowdown
-        if slowdown < SLOWDOWN_TOLERANCE:
+        slowdown = self.slowdown(now) if is_trial_allowed else self._slowdown
+        if slowdown < MIN_COUNTED_SLOWDOWN:
             slowdown = 1.0
-        waiting = len(self.in_flight) + self.reported_requests(now)
-        cost = max(slowdown, self._reported_slowdown(now)) * (1.0 + waiting / slots)
+        outstanding = len(self.in_flight) + self.reported_requests(now)
+        cost = max(slowdown, self._reported_slowdown(now)) * (1.0 + outstanding / slots)
         cost *= 1.0 + FAILURE_FACTOR * self.failure_rate(now)
         if self.is_overdue(now):
             cost *= OVERDUE_FACTOR
@@ -208,13 +208,19 @@
             cost *= COLD_FACTOR
         if self.record.zone != zone:
             cost *= OWNED_OTHER_ZONE_FACTOR if is_owned else OTHER_ZONE_FACTOR
-        if prefers_proven and not self.is_proven(now):
-            cost *= UNPROVEN_FACTOR
+        if prefers_reliable and not self.is_reliable(now):
+            cost *= UNRELIABLE_FACTOR
         return cost
 
-    def expected_slowdown(self, now: float, may_try: bool = True) -> float:
-        """Return the expected work time relative to the median; ``may_try`` as for ``cost``."""
-        slowdown = self.slowdown(now) if may_try else self._slowdown
+    def expected_slowdown(self, now: float, is_trial_allowed: bool = True) -> float:
+        """Return the expected work time relative to the median.
+
+        Parameters
+        ----------
+        is_trial_allowed
+            As for ``cost``.
+        """
+        slowdown = self.slowdown(now) if is_trial_allowed else self._slowdown
         return max(slowdown, self._reported_slowdown(now)) * (
             COLD_FACTOR if self.is_cold(now) else 1.0
         )
@@ -223,7 +229,7 @@
         """Record the latency of an attempt, relative to the median latency of its route."""
         ratio = min(ratio, MAX_SLOWDOWN)
         weight = SLOWDOWN_WEIGHT
-        if ratio < SLOW_RATIO:
+        if ratio < SLOW_ATTEMPT_RATIO:
             self.slow_streak = 0
         elif sent_at >= self._slow_at:
             self.slow_streak += 1
@@ -237,10 +243,10 @@
     def _reports_typical_latency(self, now: float) -> bool:
         """Whether the replica has just reported that its work times are typical."""
         is_fresh = self._load is not None and self._load_at == now
-        return is_fresh and self._reported_slowdown(now) < SLOWDOWN_TOLERANCE
+        return is_fresh and self._reported_slowdown(now) < MIN_COUNTED_SLOWDOWN
 
     def on_answer(self, load: ReportedLoad | None, now: float) -> bool:
-        """Record an answer and end the backoff; return whether the replica was in backoff."""
+        """Record an answer and reset the backoff; return whether one was set (even if over)."""
         was_blocked = self.blocked_until > 0.0
         self.answered_at = now
         self._update_failure_rate(0.0, SUCCESS_WEIGHT, now)
@@ -254,26 +260,26 @@
 
     def on_answer_in_time(self, now: float) -> None:
         """Record an answer within the objective of its route."""
-        self._proved_at = now
+        self._in_time_at = now
 
     def on_connection_failure(
-        self, settings: ForwardingSettings, is_certain: bool, now: float
+        self, settings: ForwardingSettings, blocks_at_once: bool, now: float
     ) -> float:
-        """Record a failed connection; return the backoff in seconds, 0 if there is none.
+        """Record a failure to connect or to answer; return the backoff in seconds, 0 for none.
 
         The backoff doubles with each consecutive failure.
 
         Parameters
         ----------
-        is_certain
-            Whether the replica is unreachable. Otherwise a connection broke, which leads to a
-            backoff only after ``MIN_BROKEN_CONNECTIONS`` in a row.
+        blocks_at_once
+            Whether a single failure leads to a backoff, as for an unreachable or silent replica;
+            otherwise only ``MIN_BROKEN_CONNECTIONS`` in a row do.
         """
         self.failures_in_row += 1
         if not self.is_unreachable:
             # Reachability is tracked separately and reset when a connection succeeds.
             self.on_failed_attempt(now)
-        first = 1 if is_certain else MIN_BROKEN_CONNECTIONS
+        first = 1 if blocks_at_once else MIN_BROKEN_CONNECTIONS
         if self.failures_in_row < first:
             return 0.0
         doublings = min(self.failures_in_row - first, MAX_DOUBLINGS)
--- a/wingquay/forwarding/choice/replica_trials.py
+++ b/wingquay/forwarding/choice/replica_trials.py
@@ -2,8 +2,8 @@
 
 A trial request may miss its objective. When many replicas become slow at the same time, their
 measured slowdowns also decay at the same time, and one request could then try all of them. A node
-therefore makes one trial at a time, and waits longer before it tries replicas that were slow again
-in a trial.
+therefore makes at most one trial per interval; the interval is longer for replicas that were slow
+again in a trial.
 """
 
 from ..settings import ForwardingSettings
@@ -14,7 +14,7 @@
 
 
 class ReplicaTrials:
-    """Spaces the trials of slow replicas by this node."""
+    """Limits the rate of trials of slow replicas."""
 
     def __init__(self, settings: ForwardingSettings) -> None:
         self._settings = settings
--- a/wingquay/forwarding/choice/weighted_round_robin.py
+++ b/wingquay/forwarding/choice/weighted_round_robin.py
@@ -11,7 +11,7 @@
 
 
 @dataclass(slots=True)
-class _Round:
+class _RouteCredits:
     services: tuple[WeightedService, ...]
     credits: list[float]
 
@@ -27,7 +27,7 @@
 
     def __init__(self, random_source: random.Random) -> None:
         self._random = random_source
-        self._rounds: dict[tuple[str, str], _Round] = {}
+        self._rounds: dict[tuple[str, str], _RouteCredits] = {}
 
     def choose(self, route: Route) -> str:
         """Return the service for the next request of a route."""
@@ -36,9 +36,9 @@
             return services[0].service
         current = self._round(route)
         total = 0.0
-        for index, part in enumerate(services):
-            current.credits[index] += part.weight
-            total += part.weight
+        for index, weighted in enumerate(services):
+            current.credits[index] += weighted.weight
+            total += weighted.weight
         best = max(range(len(services)), key=current.credits.__getitem__)
         current.credits[best] -= total
         return services[best].service
@@ -48,11 +48,11 @@
         present = {(route.host, route.path_prefix) for route in routes}
         self._rounds = {key: state for key, state in self._rounds.items() if key in present}
 
-    def _round(self, route: Route) -> _Round:
+    def _round(self, route: Route) -> _RouteCredits:
         key = (route.host, route.path_prefix)
         current = self._rounds.get(key)
         if current is None or current.services != route.services:
-            credits = [part.weight * self._random.random() for part in route.services]
-            current = _Round(route.services, credits)
+            credits = [weighted.weight * self._random.random() for weighted in route.services]
+            current = _RouteCredits(route.services, credits)
             self._rounds[key] = current
         return current
--- a/wingquay/forwarding/sending/attempts.py
+++ b/wingquay/forwarding/sending/attempts.py
@@ -20,8 +20,8 @@
 from .latencies import RouteLatencies
 from .sending_quotas import SendingQuotas
 
-SLOW_THRESHOLD = 2.0
-"""Slowdown from which on the choice of a replica is counted as one of a slow replica."""
+SLOW_CHOICE_THRESHOLD = 2.0
+"""Slowdown from which on the metric of choices counts a replica as slow."""
 
 
 class AttemptSender:
@@ -72,15 +72,24 @@
         if exchange.is_sequential and exchange.has_recent_attempt(now):
             return []
         excluded = (
-            call.tried_incarnations | call.refused_incarnations | self._quotas.too_cold(call, now)
+            call.tried_incarnations
+            | call.refused_incarnations
+            | self._quotas.with_used_up_cold_quota(call, now)
         )
         if not route.shards:
             excluded |= self._quotas.saturated(call, now)
-        limit = self._quotas.connections(call, now)
-        prefers_proven = not route.is_repeatable
+        limit = self._quotas.max_connections(call, now)
+        prefers_reliable = not route.is_repeatable
         target = LatencyTarget(route.objective_seconds, self._latencies.median_seconds(route))
         replica = self._directory.choose(
-            call.service, excluded, limit, now, with_blocked, prefers_proven, call.is_owned, target
+            call.service,
+            excluded,
+            limit,
+            now,
+            with_blocked,
+            prefers_reliable,
+            call.is_owned,
+            target,
         )
         if replica is None:
             return []
@@ -108,22 +117,25 @@
             attempt = "hedge" if is_hedge else "again"
         labels = (
             ("place", "near" if replica.record.zone == self._settings.zone else "far"),
-            ("pace", "slow" if replica.expected_slowdown(now) >= SLOW_THRESHOLD else "usual"),
+            (
+                "pace",
+                "slow" if replica.expected_slowdown(now) >= SLOW_CHOICE_THRESHOLD else "usual",
+            ),
             ("attempt", attempt),
         )
         return Count("replica_choices_total", labels=labels)
 
     def on_not_arrived(self, attempt: Attempt) -> None:
-        """Record that no byte of the request was sent, and refund its extra request."""
+        """Record that no byte of the request was sent, and refund the extra request."""
         call = attempt.call
         call.arrivals -= 1
-        self._mark_refused(attempt)
+        self._mark_not_run(attempt)
         if call.arrivals:
             self._quotas.refund(call.service)
 
     def on_not_run(self, attempt: Attempt) -> None:
         """Record that a replica did not run the request."""
-        self._mark_refused(attempt)
+        self._mark_not_run(attempt)
 
     def on_suspended(self, seconds: float) -> None:
         """Move the attempts in flight forward by the time for which this node was suspended.
@@ -173,21 +185,21 @@
         if now - attempt.sent_at <= attempt.call.exchange.route.objective_seconds:
             attempt.replica.on_answer_in_time(now)
         self.record_latency(attempt, now)
-        return [replica_log("replica_back", attempt.replica)] if was_blocked else []
+        return [replica_log("replica_unblocked", attempt.replica)] if was_blocked else []
 
     def on_failed(
-        self, attempt: Attempt, reason: str, is_certain: bool, now: float
+        self, attempt: Attempt, reason: str, blocks_at_once: bool, now: float
     ) -> list[Action]:
         """Record that an attempt failed without an answer."""
-        return self._block(attempt.replica, reason, is_certain, now)
+        return self._record_failure(attempt.replica, reason, blocks_at_once, now)
 
     def on_unreachable(self, replica: ReplicaState, reason: str, now: float) -> list[Action]:
         """Record a failed connection attempt and schedule another one without a request.
 
-        A request used for this would wait for as long as the connection attempt takes.
+        Probing with a request would delay that request until the connection attempt ends.
         """
         replica.is_unreachable = True
-        actions = self._block(replica, reason, True, now)
+        actions = self._record_failure(replica, reason, True, now)
         if replica.is_reconnect_scheduled:
             return actions
         replica.is_reconnect_scheduled = True
@@ -214,18 +226,18 @@
             return self.on_unreachable(replica, event.reason, now)
         was_unreachable = replica.is_unreachable
         replica.on_connected()
-        return [replica_log("replica_in_reach", replica)] if was_unreachable else []
+        return [replica_log("replica_reachable", replica)] if was_unreachable else []
 
-    def _block(
-        self, replica: ReplicaState, reason: str, is_certain: bool, now: float
+    def _record_failure(
+        self, replica: ReplicaState, reason: str, blocks_at_once: bool, now: float
     ) -> list[Action]:
         """Record a failure of a replica, and log it if it leads to a backoff."""
         self.evidence.record_failure(replica.record.zone, replica.record.replica_id, now)
-        seconds = replica.on_connection_failure(self._settings, is_certain, now)
+        seconds = replica.on_connection_failure(self._settings, blocks_at_once, now)
         if not seconds:
             return []
-        fields = (("reason", reason), ("seconds", round(seconds, 2)))
-        return [replica_log("replica_left_out", replica, fields)]
+        fields = (("reason", reason), ("backoff_seconds", round(seconds, 2)))
+        return [replica_log("replica_blocked", replica, fields)]
 
     def record_latency(self, attempt: Attempt, now: float) -> None:
         """Record how long an attempt has taken."""
@@ -241,7 +253,7 @@
         if median is not None:
             attempt.replica.on_latency(seconds / median, attempt.sent_at, now)
 
-    def _mark_refused(self, attempt: Attempt) -> None:
+    def _mark_not_run(self, attempt: Attempt) -> None:
         call = attempt.call
         call.tried_incarnations.discard(attempt.replica.incarnation)
         call.refused_incarnations.add(attempt.replica.incarnation)
@@ -265,10 +277,10 @@
 ) -> Log:
     """Return a log line about a replica, with its failures and requests in flight."""
     record = replica.record
-    known = (
+    log_fields = (
         ("replica", record.replica_id),
         ("service", record.service),
         ("failures", replica.failures_in_row),
         ("in_flight", len(replica.in_flight)),
     )
-    return Log(message, LogLevel.INFO, (*known, *fields))
+    return Log(message, LogLevel.INFO, (*log_fields, *fields))
--- a/wingquay/forwarding/sending/call_queue.py
+++ b/wingquay/forwarding/sending/call_queue.py
@@ -1,7 +1,7 @@
 """Queues of calls that wait for a replica, one for each service.
 
 Calls are ordered by priority. Within a priority, calls that can still meet their cutoff precede
-those that can't, and tenants share the service fairly.
+those that can't, and tenants are served fairly.
 """
 
 from collections.abc import Callable, Container
@@ -12,8 +12,8 @@
 from .latencies import RouteLatencies
 
 MEMORY_SECONDS = 2.0
-"""Time constant with which the service that a tenant received beyond its share is forgotten; about
-the longest time that callers wait."""
+"""Time constant with which the work done for a tenant beyond its share is forgotten; about the
+longest time that callers wait."""
 
 MAX_COUNTED_CALLS = 64
 """Length of a queue up to which calls before another one are counted one by one, which is exact but
--- a/wingquay/forwarding/sending/call_starter.py
+++ b/wingquay/forwarding/sending/call_starter.py
@@ -40,15 +40,18 @@
         return actions
 
     def send_queued(self, service: str, now: float) -> list[Action]:
-        """Send the waiting calls of a service in queue order, as long as there is capacity."""
+        """Send the waiting calls of a service in queue order, as long as there is capacity.
+
+        ``pop_first`` removes a call from the queue only if it was sent.
+        """
         actions: list[Action] = []
 
-        def can_be_sent(call: ServiceCall) -> bool:
+        def try_send_call(call: ServiceCall) -> bool:
             sent = self._try_send(call, now)
             actions.extend(sent)
             return bool(sent)
 
-        while (call := self._queue.pop_first(service, can_be_sent, now)) is not None:
+        while (call := self._queue.pop_first(service, try_send_call, now)) is not None:
             seconds = now - call.exchange.arrived_at
             priority = str(call.exchange.route.priority)
             actions.append(Observe("forwarded_wait_seconds", seconds, (("priority", priority),)))
@@ -90,5 +93,9 @@
             return []
         self._next_log_at = now + LOG_INTERVAL_SECONDS
         oldest_ms = round(self._queue.oldest_wait_seconds(now) * MILLISECONDS_PER_SECOND)
-        fields = (("waiting", len(self._queue)), ("oldest_ms", oldest_ms), ("last", call.service))
-        return [Log("calls_wait", LogLevel.INFO, fields)]
+        fields = (
+            ("waiting", len(self._queue)),
+            ("oldest_ms", oldest_ms),
+            ("service", call.service),
+        )
+        return [Log("calls_waiting", LogLevel.INFO, fields)]
--- a/wingquay/forwarding/sending/capacity.py
+++ b/wingquay/forwarding/sending/capacity.py
@@ -113,8 +113,8 @@
 
     Parameters
     ----------
-    moments
-        When each of them has.
+    capacity_times
+        Time at which each service is expected to have capacity; infinity: not known.
     min_share
         Fraction of the services that is enough, 0 to 1.
     """
--- a/wingquay/forwarding/sending/cold_quota.py
+++ b/wingquay/forwarding/sending/cold_quota.py
@@ -11,7 +11,8 @@
 
 WINDOW_SECONDS = 1.0
 USED_SHARE = 0.6
-"""Fraction of the rate that is divided, in reserve for new nodes that others don't count yet."""
+"""Fraction of the rate that is divided among the nodes; the rest is a reserve for new nodes that
+the others don't count yet."""
 
 
 class ColdQuota:
@@ -51,6 +52,6 @@
         bound = (per_second * self._overage + self._slack) * USED_SHARE
         quota = int(bound / max(1, sharing_nodes))
         if quota < 1:
-            rank = self._nodes.hashed_position(self._key, replica.record.replica_id)
-            quota = int(rank is not None and rank < int(bound))
+            position = self._nodes.hashed_position(self._key, replica.record.replica_id)
+            quota = int(position is not None and position < int(bound))
         return replica.cold_sends_since(now - WINDOW_SECONDS) < quota
--- a/wingquay/forwarding/sending/decision.py
+++ b/wingquay/forwarding/sending/decision.py
@@ -1,7 +1,7 @@
 """Decides whether a request without attempts in flight is sent, waits, or is rejected.
 
-A caller that is rejected early can retry, usually at another node; one whose request waits and then
-fails can't. A request therefore waits only if capacity is expected while an answer is still worth
+A caller that is rejected early has time to retry at another node; one whose request waits and then
+fails hasn't. A request therefore waits only if capacity is expected while an answer is still worth
 more than a retry. A request that may have run is never reported as not run.
 """
 
@@ -11,8 +11,8 @@
 
 NO_REPLICA_REASON = "no replica can be asked"
 NO_CAPACITY_REASON = "its replicas have no room soon enough"
-NO_REPEAT_REASON = "it may not be sent again soon enough"
-RAN_REASON = "no other replica may run it"
+NO_EXTRA_REQUEST_REASON = "it may not be sent again soon enough"
+NOT_REPEATABLE_REASON = "no other replica may run it"
 
 
 @value
@@ -31,17 +31,17 @@
         Time within which an answer has its full value.
     has_unblocked
         Whether its services have a replica that is not blocked.
-    may_records_reappear
-        Whether replica records may be missing that will reappear without intervention.
+    is_settling
+        Whether replica records may still be missing.
     may_have_run
         Whether a replica may have run the request.
     may_run_again
-        Whether the request may be sent once more.
+        Whether the request may be sent again, as to its route and its number of attempts.
     is_merged
         Whether its answer is merged from several services; such an answer is worth little when
         late.
-    repeat_at
-        When the budget of extra requests allows another attempt.
+    extra_request_at
+        When the budget allows an extra request; minus infinity: none is needed.
     """
 
     arrived_at: float
@@ -49,11 +49,11 @@
     ends_at: float
     objective_seconds: float
     has_unblocked: bool
-    may_records_reappear: bool = False
+    is_settling: bool = False
     may_have_run: bool = False
     may_run_again: bool = True
     is_merged: bool = False
-    repeat_at: float = float("-inf")
+    extra_request_at: float = float("-inf")
 
 
 @value
@@ -83,7 +83,7 @@
     Parameters
     ----------
     retry_after_seconds
-        Time until capacity for this caller is expected; infinity: not known.
+        Time until capacity or an extra request is expected to be available; infinity: not known.
     """
 
     retry_after_seconds: float
@@ -94,63 +94,65 @@
 
 
 def decide(
-    request: WaitingRequest, capacity: ExpectedCapacity, settings: WaitingSettings, now: float
+    request: WaitingRequest, expected: ExpectedCapacity, settings: WaitingSettings, now: float
 ) -> Decision:
     """Return the best decision for the caller of a request without attempts in flight.
 
     Parameters
     ----------
-    capacity
+    expected
         When its services will have capacity for it, after all requests queued before it.
     """
     if request.may_have_run and not request.may_run_again:
-        return Reject(NEVER, RAN_REASON)
-    starts_at = max(capacity.at, request.repeat_at)
+        return Reject(NEVER, NOT_REPEATABLE_REASON)
+    starts_at = max(expected.at, request.extra_request_at)
     if starts_at <= now:
-        return SendNow(capacity.incarnation)
-    latest = _latest(request, capacity, settings, now)
-    if request.may_records_reappear and not request.has_unblocked:
+        return SendNow(expected.incarnation)
+    wait_limit_at = _wait_limit(request, expected, settings, now)
+    if request.is_settling and not request.has_unblocked:
         # The time at which a record reappears is unknown, so check again soon.
         starts_at = min(starts_at, now + settings.recheck_seconds)
     if starts_at == NEVER:
-        return Reject(NEVER, _reason(request, capacity))
-    is_worth_it = starts_at <= latest
+        return Reject(NEVER, _reason(request, expected))
+    is_wait_worthwhile = starts_at <= wait_limit_at
     if settings.rule is WaitingRule.FIXED_SHARES:
-        is_worth_it = now + settings.recheck_seconds < latest
-    if not is_worth_it:
-        return Reject(starts_at - now, _reason(request, capacity))
-    return WaitUntil(_next_recheck(starts_at, latest, settings, now))
+        is_wait_worthwhile = now + settings.recheck_seconds < wait_limit_at
+    if not is_wait_worthwhile:
+        return Reject(starts_at - now, _reason(request, expected))
+    return WaitUntil(_next_recheck(starts_at, wait_limit_at, settings, now))
 
 
-def _latest(
-    request: WaitingRequest, capacity: ExpectedCapacity, settings: WaitingSettings, now: float
+def _wait_limit(
+    request: WaitingRequest, expected: ExpectedCapacity, settings: WaitingSettings, now: float
 ) -> float:
-    """Return the time until which waiting is better for the caller than a retry."""
+    """Return the time until which waiting is better for the caller than to retry elsewhere."""
     limit_seconds = request.ends_at - request.arrived_at
     hold_ends_at = request.arrived_at + limit_seconds * settings.hold_ratio
     if request.may_have_run:
-        if request.may_records_reappear:
+        if request.is_settling:
             return request.ends_at
-        if capacity.at <= now:
+        if expected.at <= now:
             return now + request.objective_seconds * settings.repeat_ratio
     if request.has_unblocked or request.may_have_run:
         ratio = settings.hold_ratio
         if settings.rule is WaitingRule.ESTIMATE and not request.is_merged:
             ratio = settings.queue_ratio
         return max(request.cutoff_at, request.arrived_at + limit_seconds * ratio)
-    if request.may_records_reappear:
+    if request.is_settling:
         return hold_ends_at
-    return request.arrived_at + request.objective_seconds * settings.unreachable_ratio
+    return request.arrived_at + request.objective_seconds * settings.blocked_ratio
 
 
-def _next_recheck(starts_at: float, latest: float, settings: WaitingSettings, now: float) -> float:
+def _next_recheck(
+    starts_at: float, wait_limit_at: float, settings: WaitingSettings, now: float
+) -> float:
     if settings.rule is WaitingRule.FIXED_SHARES:
         return now + settings.recheck_seconds
-    at = min(starts_at, latest, now + settings.max_recheck_seconds)
-    return max(at, now + min(settings.recheck_seconds, latest - now))
+    at = min(starts_at, wait_limit_at, now + settings.max_recheck_seconds)
+    return max(at, now + min(settings.recheck_seconds, wait_limit_at - now))
 
 
-def _reason(request: WaitingRequest, capacity: ExpectedCapacity) -> str:
-    if capacity.at < request.repeat_at:
-        return NO_REPEAT_REASON
+def _reason(request: WaitingRequest, expected: ExpectedCapacity) -> str:
+    if expected.at < request.extra_request_at:
+        return NO_EXTRA_REQUEST_REASON
     return NO_CAPACITY_REASON if request.has_unblocked else NO_REPLICA_REASON
--- a/wingquay/forwarding/sending/extra_request_budget.py
+++ b/wingquay/forwarding/sending/extra_request_budget.py
@@ -16,10 +16,10 @@
 """Fraction of the slack that is divided among the nodes. A node may use its share twice in one
 window, once saved up and once refilled, and restarted nodes start with a full share."""
 
-SAVING_NODES_SHARE = 0.5
-"""Number of nodes, as a fraction of the slack, up to which each may save up one extra request."""
+MAX_SAVING_NODES_RATIO = 0.5
+"""Each node may save up one extra request if there are at most this fraction of ``slack`` nodes."""
 
-OWNERS_RESERVE = 1.4
+OWNERS_SLACK_DIVISOR = 1.4
 """Owners of a shard divide the slack by their number times this factor. They send most of the extra
 requests, so they need more than an equal share."""
 TAKEOVER_REFILL_SHARE = 0.25
@@ -66,7 +66,7 @@
         refill_share
             Fraction of its share that this node regains per window, 0 to 1.
         """
-        self._refill(self._share(nodes), self._max_granted(nodes), refill_share, now)
+        self._refill(self._quota(nodes), self._max_granted(nodes), refill_share, now)
         granted = self._granted or 0.0
         if self._earned + granted < 1.0:
             return False
@@ -75,38 +75,40 @@
         self._granted = granted - (1.0 - from_earned)
         return True
 
-    def next_at(self, nodes: float, now: float, refill_share: float = 1.0) -> float:
-        """Return when one extra request may be taken at the current rate of requests.
+    def extra_request_at(self, nodes: float, now: float, refill_share: float = 1.0) -> float:
+        """Refill the budget and return when an extra request is available.
+
+        Assumes that requests arrive at the current rate.
 
         Infinity if no requests arrive and the budget can't recover without them.
         """
-        share = self._share(nodes)
-        self._refill(share, self._max_granted(nodes), refill_share, now)
+        quota = self._quota(nodes)
+        self._refill(quota, self._max_granted(nodes), refill_share, now)
         missing = 1.0 - self._earned - (self._granted or 0.0)
         if missing <= 0.0:
             return now
         earning = self._earning.per_second(now)
-        if not earning and (self._earned + self._max_granted(nodes) < 1.0 or not share):
+        if not earning and (self._earned + self._max_granted(nodes) < 1.0 or not quota):
             return float("inf")
-        return now + missing / (earning + share * refill_share / self.window_seconds)
+        return now + missing / (earning + quota * refill_share / self.window_seconds)
 
     def refund(self) -> None:
         """Return an extra request that was not delivered to a replica."""
         self._earned = min(MAX_SAVED, self._earned + 1.0)
 
-    def _share(self, nodes: float) -> float:
+    def _quota(self, nodes: float) -> float:
         return self.slack * SLACK_SHARE / max(1, nodes)
 
     def _max_granted(self, nodes: float) -> float:
         # A node may save up one extra request unless there are so many nodes that all of them
         # spending one at the same time would exceed the slack.
-        is_few = nodes <= self.slack * SAVING_NODES_SHARE
-        return max(self._share(nodes), 1.0) if is_few else self._share(nodes)
+        is_few = nodes <= self.slack * MAX_SAVING_NODES_RATIO
+        return max(self._quota(nodes), 1.0) if is_few else self._quota(nodes)
 
-    def _refill(self, share: float, max_granted: float, refill_share: float, now: float) -> None:
+    def _refill(self, quota: float, max_granted: float, refill_share: float, now: float) -> None:
         if self._granted is None:
-            self._granted = share
+            self._granted = quota
         else:
-            refilled = share * refill_share * (now - self._granted_at) / self.window_seconds
+            refilled = quota * refill_share * (now - self._granted_at) / self.window_seconds
             self._granted = min(max_granted, self._granted + refilled)
         self._granted_at = now
--- a/wingquay/forwarding/sending/retry_after.py
+++ b/wingquay/forwarding/sending/retry_after.py
@@ -12,17 +12,17 @@
 """Maximum jitter as a fraction of the time; it spreads callers that were rejected together."""
 
 
-def jittered_retry_after(capacity_seconds: float, draw: float) -> float:
+def jittered_retry_after(available_in_seconds: float, draw: float) -> float:
     """Return the time in seconds after which a caller may retry.
 
     Parameters
     ----------
-    capacity_seconds
+    available_in_seconds
         Time until capacity for the caller is expected; infinity: not known.
     draw
         A random number from 0 to 1.
     """
-    if capacity_seconds == NEVER:
-        capacity_seconds = DEFAULT_RETRY_AFTER_SECONDS
-    seconds = min(max(MIN_RETRY_AFTER_SECONDS, capacity_seconds), MAX_RETRY_AFTER_SECONDS)
+    if available_in_seconds == NEVER:
+        available_in_seconds = DEFAULT_RETRY_AFTER_SECONDS
+    seconds = min(max(MIN_RETRY_AFTER_SECONDS, available_in_seconds), MAX_RETRY_AFTER_SECONDS)
     return seconds * (1.0 + JITTER_RATIO * draw)
--- a/wingquay/forwarding/sending/sending_quotas.py
+++ b/wingquay/forwarding/sending/sending_quotas.py
@@ -11,15 +11,15 @@
 from ..knowledge.presence import NodeCount
 from ..settings import ForwardingSettings
 from .cold_quota import ColdQuota
-from .extra_request_budget import OWNERS_RESERVE, TAKEOVER_REFILL_SHARE, ExtraRequestBudget
+from .extra_request_budget import OWNERS_SLACK_DIVISOR, TAKEOVER_REFILL_SHARE, ExtraRequestBudget
 from .extra_request_fairness import ExtraRequestFairness
 from .waiting_settings import QueueLocation, WaitingSettings
 
 DEFAULT_CONNECTION_LIMIT = 24
-OWNERS_CONNECTION_RESERVE = 2
-"""Owners of a shard divide its connections by their number times this factor, which leaves some for
-nodes that take over."""
-INCARNATIONS = 2
+OWNERS_CONNECTION_DIVISOR = 2
+"""Owners of a shard divide its connections by their number times this factor, which leaves some
+connections for nodes that take over."""
+MAX_COUNTED_INCARNATIONS = 2
 """Incarnations of this process whose connections a replica may count just after a restart."""
 
 
@@ -27,7 +27,13 @@
     """Provides the number of nodes among which the requests for a shard are divided."""
 
     def sharing_nodes(self, shard: str, now: float) -> int:
-        """Return the number of nodes that normally send to a shard."""
+        """Return the number of nodes that normally send to a shard.
+
+        Parameters
+        ----------
+        shard
+            Name of the shard's service.
+        """
         ...
 
 
@@ -82,19 +88,19 @@
         fairness.on_refused(tenant, now)
         return False
 
-    def repeat_at(self, call: ServiceCall, now: float) -> float:
+    def extra_request_at(self, call: ServiceCall, now: float) -> float:
         """Return when the budget allows one extra request at the current rate of requests."""
         nodes, refill_share = self._budget_share(call, now)
-        return self._budget(call.service).next_at(nodes, now, refill_share)
+        return self._budget(call.service).extra_request_at(nodes, now, refill_share)
 
     def refund(self, service: str) -> None:
         """Return an extra request that was not delivered to a replica."""
         self._budget(service).refund()
 
-    def too_cold(self, call: ServiceCall, now: float) -> set[str]:
+    def with_used_up_cold_quota(self, call: ServiceCall, now: float) -> set[str]:
         """Return the incarnations of cold replicas for which this node's quota is used up."""
-        known = call.exchange.table.services.get(call.service)
-        per_second = 0.0 if known is None else known.cold_requests_per_second
+        service_settings = call.exchange.table.services.get(call.service)
+        per_second = 0.0 if service_settings is None else service_settings.cold_requests_per_second
         if not per_second:
             return set()
         sharing = self._sharing_nodes(call, now)
@@ -106,10 +112,10 @@
 
     def max_in_flight(self, call: ServiceCall, replica: ReplicaState, now: float) -> int:
         """Return the maximum number of requests in flight from this node to a replica."""
-        connections = self.connections(call, now)
+        max_connections = self.max_connections(call, now)
         if not self._queues_at_node(call):
-            return connections
-        return min(connections, self._max_with_surplus(replica))
+            return max_connections
+        return min(max_connections, self._max_with_surplus(replica))
 
     def saturated(self, call: ServiceCall, now: float) -> set[str]:
         """Return the incarnations of replicas for which a call must wait in this node's queue."""
@@ -130,16 +136,24 @@
         # and a slot may be free when they arrive at the replica.
         return self._waiting.queue_location is QueueLocation.NODE and not call.exchange.route.shards
 
-    def connections(self, call: ServiceCall, now: float) -> int:
-        """Return the number of connections that this node may use to a replica."""
+    def max_connections(self, call: ServiceCall, now: float) -> int:
+        """Return the maximum number of connections from this node to a replica.
+
+        It is reduced for the first ``first_connections_seconds`` after the first call of this
+        method, because replicas may still count connections of this node's last incarnation.
+        """
         if self._first_sent_at is None:
             self._first_sent_at = now
-        known = call.exchange.table.services.get(call.service)
-        limit = DEFAULT_CONNECTION_LIMIT if known is None else known.connection_limit
+        service_settings = call.exchange.table.services.get(call.service)
+        limit = (
+            DEFAULT_CONNECTION_LIMIT
+            if service_settings is None
+            else service_settings.connection_limit
+        )
         if now - self._first_sent_at < self._settings.first_connections_seconds:
             if not call.is_owned:
                 return 1
-            limit //= INCARNATIONS
+            limit //= MAX_COUNTED_INCARNATIONS
         return max(1, limit // self._sharing_nodes(call, now))
 
     def _sharing_nodes(self, call: ServiceCall, now: float) -> int:
@@ -148,7 +162,7 @@
         if self.placement is None or not call.is_owned:
             return nodes
         return min(
-            nodes, OWNERS_CONNECTION_RESERVE * self.placement.sharing_nodes(call.service, now)
+            nodes, OWNERS_CONNECTION_DIVISOR * self.placement.sharing_nodes(call.service, now)
         )
 
     def _budget_share(self, call: ServiceCall, now: float) -> tuple[float, float]:
@@ -158,7 +172,7 @@
             return nodes, 1.0
         if call.is_owned:
             owners = self.placement.sharing_nodes(call.service, now)
-            return min(nodes, owners * OWNERS_RESERVE), 1.0
+            return min(nodes, owners * OWNERS_SLACK_DIVISOR), 1.0
         is_wide = len(call.exchange.route.shards) >= self._settings.delegate_min_shards
         return nodes, TAKEOVER_REFILL_SHARE if is_wide else 1.0
 
--- a/wingquay/forwarding/sending/waiting_policy.py
+++ b/wingquay/forwarding/sending/waiting_policy.py
@@ -66,7 +66,7 @@
             self._directory.is_settling(now),
             exchange.may_have_run,
             exchange.is_repeatable and call.attempts_left > 0,
-            repeat_at=self._quotas.repeat_at(call, now) if call.arrivals else now,
+            extra_request_at=self._quotas.extra_request_at(call, now) if call.arrivals else now,
         )
         return decide(request, capacity, self._settings, now)
 
@@ -80,14 +80,14 @@
 
     def _decide_merged(self, exchange: Exchange, now: float) -> Decision:
         """Return the decision on a request over several shards that has reached none of them."""
-        capacity = NO_CAPACITY
+        expected = NO_CAPACITY
         if any(call.is_begun for call in exchange.calls):
             not_before = now + self._settings.recheck_seconds
             capacity_times = (
                 self._unblocked_at(call.service, not_before, now) for call in exchange.calls
             )
-            capacity = capacity_for_share(capacity_times, exchange.route.min_share)
-        has_unblocked = capacity.at < NEVER and any(
+            expected = capacity_for_share(capacity_times, exchange.route.min_share)
+        has_unblocked = expected.at < NEVER and any(
             self._directory.has_unblocked(call.service, now) for call in exchange.calls
         )
         request = WaitingRequest(
@@ -99,7 +99,7 @@
             self._directory.is_settling(now),
             is_merged=True,
         )
-        return decide(request, capacity, self._settings, now)
+        return decide(request, expected, self._settings, now)
 
     def _unblocked_at(self, service: str, not_before: float, now: float) -> float:
         """Return when a shard may receive requests, but no earlier than ``not_before``.
@@ -112,7 +112,9 @@
         self, call: ServiceCall, now: float
     ) -> list[tuple[ReplicaState, ReplicaCapacity]]:
         """Return the capacities of the replicas that a call may still be sent to."""
-        temporarily_excluded = call.refused_incarnations | self._quotas.too_cold(call, now)
+        temporarily_excluded = call.refused_incarnations | self._quotas.with_used_up_cold_quota(
+            call, now
+        )
         return [
             (
                 state,
--- a/wingquay/forwarding/sending/waiting_settings.py
+++ b/wingquay/forwarding/sending/waiting_settings.py
@@ -9,9 +9,9 @@
     """Rule that decides whether a request continues to wait."""
 
     FIXED_SHARES = "fixed_shares"
-    """It waits for fixed shares of its objective and time limit, regardless of the queue."""
+    """It waits until a fixed fraction of its objective or time limit, regardless of the queue."""
     ESTIMATE = "estimate"
-    """It waits only if capacity is expected within these shares, and is rejected otherwise."""
+    """It waits only if capacity is expected before that, and is rejected at once otherwise."""
 
 
 class QueueLocation(Enum):
@@ -39,8 +39,8 @@
     max_recheck_seconds
         Maximum time between two checks while capacity is expected later: other nodes may free a
         replica, or a new one may appear, without an event at this node.
-    unreachable_ratio
-        Fraction of the objective for which a request waits while all replicas are unreachable;
+    blocked_ratio
+        Fraction of the objective for which a request waits while all replicas are blocked;
         small enough that a rejected caller can still retry in time.
     hold_ratio
         Fraction of the request's time limit for which it waits for missing replica records, or,
@@ -49,8 +49,9 @@
         With the estimate rule, fraction of the request's time limit within which capacity must be
         expected for it to wait in the queue; the rest is for the work and for estimation errors.
     repeat_ratio
-        Fraction of the objective for which a request that may have run waits for a second attempt;
-        after that, the caller does better to retry at another node.
+        Time, as a fraction of the objective, within which an extra request must become available
+        for a request that may have run to wait for it; otherwise the caller does better to retry
+        at another node.
     surplus_ratio
         Requests in flight from this node beyond the replica's slots, as a fraction of the slots
         but at least one request, so that slots don't idle for a network round trip.
@@ -60,7 +61,7 @@
     queue_location: QueueLocation = QueueLocation.NODE
     recheck_seconds: float = 0.03
     max_recheck_seconds: float = 0.1
-    unreachable_ratio: float = 0.2
+    blocked_ratio: float = 0.2
     hold_ratio: float = 0.3
     queue_ratio: float = 0.5
     repeat_ratio: float = 0.25
--- a/wingquay/routing/decaying_rate.py
+++ b/wingquay/routing/decaying_rate.py
@@ -1,4 +1,4 @@
-"""An exponentially decaying average rate."""
+"""An exponentially weighted average rate."""
 
 import math
 from dataclasses import dataclass
@@ -6,15 +6,15 @@
 
 @dataclass(slots=True)
 class DecayingRate:
-    """Average amount per second, in which an amount decays with ``time_constant_seconds``."""
+    """Exponentially weighted rate: each added amount decays with ``time_constant_seconds``."""
 
     time_constant_seconds: float
-    _weight: float = 0.0
+    _amount: float = 0.0
     _at: float = 0.0
 
     def add(self, amount: float, now: float) -> None:
         """Add ``amount`` at ``now``."""
-        self._weight = self._decayed(now) + amount
+        self._amount = self._decayed(now) + amount
         self._at = now
 
     def per_second(self, now: float) -> float:
@@ -22,4 +22,4 @@
         return self._decayed(now) / self.time_constant_seconds
 
     def _decayed(self, now: float) -> float:
-        return self._weight * math.exp(-(now - self._at) / self.time_constant_seconds)
+        return self._amount * math.exp(-(now - self._at) / self.time_constant_seconds)
--- a/wingquay/routing/fair_queue.py
+++ b/wingquay/routing/fair_queue.py
@@ -17,8 +17,8 @@
 
 SERVED_SECONDS = 0.25
 """Time constant of the rate at which a flow was served."""
-SCANNED_ENTRIES = 8
-"""Maximum number of entries of a flow that are checked for one that can be served now."""
+MAX_SCANNED_ENTRIES = 8
+"""Maximum number of entries of a flow that ``pop`` checks."""
 MAX_IDLE_FLOWS = 256
 """Number of flows of a rank above which flows without entries are removed."""
 
@@ -26,9 +26,6 @@
 Item = TypeVar("Item", bound=QueueItem)
 
 
-# Plain classes: defining a dataclass would delay the start of a node by a millisecond.
-
-
 class _Entry(Generic[Item]):
     __slots__ = ("cost", "item", "start_tag")
 
@@ -39,13 +36,13 @@
 
 
 class _Flow(Generic[Item]):
-    __slots__ = ("backlog", "entries", "finish_at", "finish_tag", "served", "weight")
+    __slots__ = ("backlog", "entries", "finish_set_at", "finish_tag", "served", "weight")
 
     def __init__(self) -> None:
         self.weight = 1.0
         self.entries: deque[_Entry[Item]] = deque()
         self.finish_tag = 0.0
-        self.finish_at = 0.0
+        self.finish_set_at = 0.0
         self.backlog = 0.0
         self.served = DecayingRate(SERVED_SECONDS)
 
@@ -66,8 +63,8 @@
     placement_of
         Returns the rank, flow, weight and cost of an item.
     memory_seconds
-        Time constant with which the service that an idle flow received beyond its share is
-        forgotten; ``None``: it counts until the other flows have received as much.
+        Time constant with which the work done for an idle flow beyond its share is forgotten;
+        ``None``: it counts until as much has been done for the other flows.
     """
 
     def __init__(
@@ -88,7 +85,7 @@
         flow = self._flow_of(placement)
         start_tag = self._start_tag(placement, now)
         flow.finish_tag = start_tag + placement.cost / placement.weight
-        flow.finish_at = now
+        flow.finish_set_at = now
         flow.entries.append(_Entry(item, placement.cost, start_tag))
         self._on_added(flow, item, placement)
 
@@ -105,7 +102,7 @@
         placement = self._placement_of(item)
         flow = self._flow_of(placement)
         flow.finish_tag = self._start_tag(placement, now) + placement.cost / placement.weight
-        flow.finish_at = now
+        flow.finish_set_at = now
 
     def pop(
         self,
@@ -115,6 +112,9 @@
     ) -> Item | None:
         """Remove and return the next item that ``accepts`` returns true for, or ``None``.
 
+        Only the first ``MAX_SCANNED_ENTRIES`` items of each flow are checked. ``accepts`` may act
+        on an item, which is removed if it returns true.
+
         Parameters
         ----------
         prefers
@@ -242,7 +242,7 @@
             return rank.virtual_time
         excess = max(0.0, flow.finish_tag - rank.virtual_time)
         if self._memory_seconds is not None and not flow.entries:
-            excess *= math.exp(-(now - flow.finish_at) / self._memory_seconds)
+            excess *= math.exp(-(now - flow.finish_set_at) / self._memory_seconds)
         return rank.virtual_time + excess
 
     def _on_added(self, flow: _Flow[Item], item: Item, placement: QueuePlacement) -> None:
@@ -259,7 +259,7 @@
     def _pop_from(
         self, rank: _Rank[Item], flow: _Flow[Item], matches: Callable[[Item], bool]
     ) -> _Entry[Item] | None:
-        for position in range(min(SCANNED_ENTRIES, len(flow.entries))):
+        for position in range(min(MAX_SCANNED_ENTRIES, len(flow.entries))):
             entry = flow.entries[position]
             if entry.item.is_finished or not matches(entry.item):
                 continue
--- a/wingquay/routing/latency_tracker.py
+++ b/wingquay/routing/latency_tracker.py
@@ -1,6 +1,7 @@
 """Quantiles of recent latencies.
 
-Two HDR histograms alternate, so that a quantile covers the last one to two periods.
+Two HDR histograms alternate. A quantile is taken from the histogram of the current period, or from
+the previous one while the current one has few samples.
 """
 
 from hdrh.histogram import HdrHistogram
--- a/wingquay/routing/ownership.py
+++ b/wingquay/routing/ownership.py
@@ -17,7 +17,7 @@
 MIN_CANDIDATES = 4
 """Length of a ranked list below which it is rebuilt."""
 
-HANDOFF_OWNERS = 2
+HANDOFF_NODES = 2
 """Number of handoff nodes, which take over when all owners are unreachable."""
 
 
@@ -27,8 +27,8 @@
     def __init__(self, owners_per_shard: int) -> None:
         self._owners_per_shard = owners_per_shard
         self._nodes: dict[str, NodeIdentity] = {}
-        self._candidates: dict[str, list[NodeIdentity]] = {}
-        self._chosen: dict[str, tuple[NodeIdentity, ...]] = {}
+        self._ranked_nodes: dict[str, list[NodeIdentity]] = {}
+        self._owners_and_handoff: dict[str, tuple[NodeIdentity, ...]] = {}
 
     def set_nodes(self, nodes: Iterable[NodeIdentity]) -> None:
         """Replace the set of nodes that may own shards."""
@@ -36,41 +36,41 @@
         removed = [node_id for node_id in self._nodes if node_id not in fresh]
         added = [node for node_id, node in fresh.items() if node_id not in self._nodes]
         self._nodes = dict(sorted(fresh.items()))
-        for shard_id in list(self._candidates):
+        for shard_id in list(self._ranked_nodes):
             self._update(shard_id, removed, added)
 
     def _update(self, shard_id: str, removed: list[str], added: list[NodeIdentity]) -> None:
-        candidates = self._candidates[shard_id]
-        remaining = [node for node in candidates if node.node_id not in removed]
+        ranked = self._ranked_nodes[shard_id]
+        remaining = [node for node in ranked if node.node_id not in removed]
         if len(remaining) < min(MIN_CANDIDATES, len(self._nodes)):
-            del self._candidates[shard_id]
-            self._chosen.pop(shard_id, None)
+            del self._ranked_nodes[shard_id]
+            self._owners_and_handoff.pop(shard_id, None)
             return
         merged = rank([*remaining, *added], shard_id)[:MAX_CANDIDATES]
-        if added and len(remaining) < len(candidates):
-            # Drop added nodes that rank below the last remaining candidate: nodes outside the list
-            # may rank above them.
+        if added and len(remaining) < len(ranked):
+            # Nodes outside the list may rank above an added node that ranks below all remaining
+            # ones, so such nodes are not added.
             lowest_remaining = score(remaining[-1].node_id, shard_id)
             merged = [node for node in merged if score(node.node_id, shard_id) >= lowest_remaining]
-        if merged != candidates:
-            self._candidates[shard_id] = merged
-            self._chosen.pop(shard_id, None)
+        if merged != ranked:
+            self._ranked_nodes[shard_id] = merged
+            self._owners_and_handoff.pop(shard_id, None)
 
     def nodes_for(self, shard_id: str) -> tuple[NodeIdentity, ...]:
         """Return the shard's owners, then its handoff nodes; empty if there are no nodes."""
-        chosen = self._chosen.get(shard_id)
+        chosen = self._owners_and_handoff.get(shard_id)
         if chosen is None:
             chosen = self._choose(shard_id)
-            self._chosen[shard_id] = chosen
+            self._owners_and_handoff[shard_id] = chosen
         return chosen
 
     def _choose(self, shard_id: str) -> tuple[NodeIdentity, ...]:
-        candidates = self._candidates.get(shard_id)
-        if candidates is None:
-            candidates = best(self._nodes.values(), shard_id, MAX_CANDIDATES)
-            self._candidates[shard_id] = candidates
-        count = max(1, self._owners_per_shard) + HANDOFF_OWNERS
-        return tuple(spread_over_zones(candidates, count))
+        ranked = self._ranked_nodes.get(shard_id)
+        if ranked is None:
+            ranked = best(self._nodes.values(), shard_id, MAX_CANDIDATES)
+            self._ranked_nodes[shard_id] = ranked
+        count = max(1, self._owners_per_shard) + HANDOFF_NODES
+        return tuple(spread_over_zones(ranked, count))
 
     def owners_of(self, shard_id: str) -> tuple[NodeIdentity, ...]:
         """Return the shard's owners without its handoff nodes."""
--- a/wingquay/routing/queue_placement.py
+++ b/wingquay/routing/queue_placement.py
@@ -25,11 +25,11 @@
     rank
         Priority; lower ranks are served first, 0 is the most urgent.
     flow
-        Name of the flow; flows of the same rank share the service fairly.
+        Name of the flow; flows of the same rank are served fairly.
     weight
-        Share of the service that the flow receives, relative to the weights of other flows.
+        Share of the work that is done for the flow, relative to the weights of other flows.
     cost
-        Amount of service that the item needs.
+        Amount of work that the item needs.
     """
 
     rank: int
--- a/wingquay/routing/rendezvous.py
+++ b/wingquay/routing/rendezvous.py
@@ -13,7 +13,7 @@
 
 
 def score(node_id: str, key: str) -> int:
-    """Return the weight of a node for a key; the same on every machine."""
+    """Return the score of a node for a key; the same on every machine."""
     return xxhash.xxh64_intdigest(f"{node_id}\0{key}".encode())
 
 
@@ -26,7 +26,7 @@
 
 
 def rank(nodes: Iterable[NodeIdentity], key: str) -> list[NodeIdentity]:
-    """Return the nodes by decreasing weight for ``key``."""
+    """Return the nodes by decreasing score for ``key``."""
     return sorted(nodes, key=lambda node: (-score(node.node_id, key), node.node_id))
 
 
--- a/wingquay/routing/replica_choice.py
+++ b/wingquay/routing/replica_choice.py
@@ -10,7 +10,7 @@
 from ..model.identifiers import SnapshotVersion, ZoneName
 from .replica_tracker import ReplicaTracker
 
-OTHER_ZONE_PENALTY = 1.1
+OTHER_ZONE_FACTOR = 1.1
 """Cost factor of a replica in another zone, low enough that load matters more than the zone."""
 
 
@@ -87,5 +87,5 @@
     def _cost(self, tracker: ReplicaTracker) -> tuple[float, float]:
         expected = tracker.latency_seconds * (tracker.in_flight + 1) / tracker.full_limit
         if tracker.replica.zone != self._zone:
-            expected *= OTHER_ZONE_PENALTY
+            expected *= OTHER_ZONE_FACTOR
         return (expected, self._random.random())
--- a/wingquay/routing/replica_tracker.py
+++ b/wingquay/routing/replica_tracker.py
@@ -22,7 +22,7 @@
 class ReplicaTracker:
     """Latency, failures and limits of a replica.
 
-    Outcomes of this node's own sub-requests take precedence over what the replica reports.
+    Versions reported with an answer take precedence over those of the health page.
     """
 
     replica: Replica
@@ -59,7 +59,10 @@
         self.full_limit = max(1, min(math.ceil(share), self.connection_limit))
 
     def limit(self, now: float, slow_start: bool = True) -> int:
-        """Return the current maximum number of sub-requests in flight."""
+        """Return the current maximum number of sub-requests in flight.
+
+        Also ends the slow start when its time is over and the replica no longer reports as cold.
+        """
         if self.cold_since is None and not self._limit_reduction and not self.failures_in_row:
             return self.full_limit
         limit: float = self.full_limit - self._limit_reduction
@@ -106,7 +109,7 @@
             self._limit_reduction = max(0.0, self._limit_reduction - 1.0)
 
     def on_shed(self) -> None:
-        """Record a refusal because of overload, which lowers the limit for a while."""
+        """Record a refusal because of overload, which lowers the limit until answers follow."""
         limit = self.full_limit - self._limit_reduction
         self._limit_reduction = min(
             self.full_limit - 1.0, self.full_limit - limit * SHED_DECREASE_FACTOR
