--- a/wingquay/forwarding/sending/sending_quotas.py
+++ b/wingquay/forwarding/sending/sending_quotas.py
@@ -65,7 +65,7 @@
         self._nodes = nodes
         self._budgets: dict[str, ExtraRequestBudget] = {}
         self._fairness: dict[str, ExtraRequestFairness] = {}
-        self._first_sent_at: float | None = None
+        self._reduced_since: float | None = None
         self.placement: ShardSharing | None = None
         """Number of nodes that send to each shard; ``None``: shards are not divided among nodes."""
 
@@ -142,15 +142,15 @@
         It is reduced for the first ``first_connections_seconds`` after the first call of this
         method, because replicas may still count connections of this node's last incarnation.
         """
-        if self._first_sent_at is None:
-            self._first_sent_at = now
+        if self._reduced_since is None:
+            self._reduced_since = now
         service_settings = call.exchange.table.services.get(call.service)
         limit = (
             DEFAULT_CONNECTION_LIMIT
             if service_settings is None
             else service_settings.connection_limit
         )
-        if now - self._first_sent_at < self._settings.first_connections_seconds:
+        if now - self._reduced_since < self._settings.first_connections_seconds:
             if not call.is_owned:
                 return 1
             limit //= MAX_COUNTED_INCARNATIONS
--- a/wingquay/forwarding/sending/waiting_policy.py
+++ b/wingquay/forwarding/sending/waiting_policy.py
@@ -54,7 +54,7 @@
         call = exchange.calls[0]
         capacities = self._replica_capacities(call, now)
         has_unblocked = any(not self._is_blocked(state, now) for state, _ in capacities)
-        capacity = expected_capacity(
+        expected = expected_capacity(
             (capacity for _, capacity in capacities), self._queue.queued_before(call, now), now
         )
         request = WaitingRequest(
@@ -68,7 +68,7 @@
             exchange.is_repeatable and call.attempts_left > 0,
             extra_request_at=self._quotas.extra_request_at(call, now) if call.arrivals else now,
         )
-        return decide(request, capacity, self._settings, now)
+        return decide(request, expected, self._settings, now)
 
     def recheck_at(self, exchange: Exchange, now: float) -> float:
         """Return when to decide again on a waiting request."""
