--- a/benchmarks/waiting_ways.py
+++ b/benchmarks/waiting_ways.py
@@ -1,8 +1,8 @@
-"""What callers of a small service get in a burst, by each way of deciding who waits and where.
+"""Compares waiting rules and queue locations for a small service under a burst.
 
-Many nodes, each by what it sees itself, send to a few replicas that work on few requests at a time,
-queue a few more and turn the rest away. Callers come back once, when they were told. All on the
-virtual clock: figures are the same in every run.
+Many nodes send to a few replicas that process a few requests concurrently, queue a few more and
+shed the rest. Rejected callers retry once, after the time that they were given. The benchmark runs
+on a virtual clock, so that its results are reproducible.
 """
 
 import argparse
@@ -11,7 +11,7 @@
 from dataclasses import dataclass, field
 
 from tests.forwarding.one_node import OneNode, replica, single_route, table
-from wingquay.forwarding.sending.waiting_settings import LinePlace, WaitingRule, WaitingSettings
+from wingquay.forwarding.sending.waiting_settings import QueueLocation, WaitingRule, WaitingSettings
 from wingquay.ports.forwarding import (
     ForwardFailureKind,
     ReplyFailure,
@@ -21,14 +21,14 @@
 )
 
 STEP_SECONDS = 0.002
-REPLICA_LINE = 4
-"""Requests that a replica lets wait; it turns more away."""
+REPLICA_QUEUE_LIMIT = 4
+"""Number of requests that a replica queues before it sheds."""
 CONNECTIONS = 200
 
 
 @dataclass(frozen=True)
 class Load:
-    """A service, its callers, and the nodes between them."""
+    """A service, its request rate and the number of nodes."""
 
     name: str
     nodes: int
@@ -54,11 +54,11 @@
 class _Replica:
     work_seconds: float
     running: list[tuple[float, OneNode, SendToReplica]] = field(default_factory=list)
-    line: list[tuple[OneNode, SendToReplica]] = field(default_factory=list)
+    queue: list[tuple[OneNode, SendToReplica]] = field(default_factory=list)
 
 
-class Play:
-    """One load played to its end."""
+class Simulation:
+    """Simulation of one load."""
 
     def __init__(self, load: Load, waiting: WaitingSettings, seed: int) -> None:
         self._load = load
@@ -83,11 +83,11 @@
         self._due: list[tuple[float, int, int, float]] = []
         self._open: dict[tuple[int, int], tuple[int, int, float]] = {}
         self.worth: list[float] = []
-        self.turned_away = 0
+        self.shed = 0
         self.rejected = 0
 
     def run(self) -> None:
-        """Let callers come, and wait until each has heard."""
+        """Run until every request has ended."""
         load = self._load
         at = self._random.expovariate(load.per_second)
         while at < load.seconds:
@@ -99,57 +99,59 @@
             for node in self._nodes:
                 node.advance(STEP_SECONDS)
             self._work()
-            self._take_sends()
-            self._call()
-            self._hear()
+            self._deliver_sends()
+            self._send_requests()
+            self._collect_replies()
 
     def _work(self) -> None:
-        for known in self._replicas.values():
-            ended = [item for item in known.running if item[0] <= self._now]
-            known.running = [item for item in known.running if item[0] > self._now]
+        for backend in self._replicas.values():
+            ended = [item for item in backend.running if item[0] <= self._now]
+            backend.running = [item for item in backend.running if item[0] > self._now]
             for _, node, send in ended:
                 if send in node.sends:
-                    report = ReportedLoad(len(known.running), len(known.line), self._load.slots)
+                    report = ReportedLoad(
+                        len(backend.running), len(backend.queue), self._load.slots
+                    )
                     node.answer(send, load=report)
-            known.line = [(node, send) for node, send in known.line if send in node.sends]
-            while known.line and len(known.running) < self._load.slots:
-                self._begin(known, *known.line.pop(0))
+            backend.queue = [(node, send) for node, send in backend.queue if send in node.sends]
+            while backend.queue and len(backend.running) < self._load.slots:
+                self._begin(backend, *backend.queue.pop(0))
 
-    def _begin(self, known: _Replica, node: OneNode, send: SendToReplica) -> None:
-        seconds = known.work_seconds * self._random.uniform(0.7, 1.3)
-        known.running.append((self._now + seconds, node, send))
+    def _begin(self, backend: _Replica, node: OneNode, send: SendToReplica) -> None:
+        seconds = backend.work_seconds * self._random.uniform(0.7, 1.3)
+        backend.running.append((self._now + seconds, node, send))
 
-    def _take_sends(self) -> None:
+    def _deliver_sends(self) -> None:
         for number, node in enumerate(self._nodes):
             for send in list(node.sends):
                 if (number, send.attempt_id) in self._seen:
                     continue
                 self._seen.add((number, send.attempt_id))
-                known = self._replicas[send.replica.replica_id]
-                if len(known.running) < self._load.slots:
-                    self._begin(known, node, send)
-                elif len(known.line) < REPLICA_LINE:
-                    known.line.append((node, send))
+                backend = self._replicas[send.replica.replica_id]
+                if len(backend.running) < self._load.slots:
+                    self._begin(backend, node, send)
+                elif len(backend.queue) < REPLICA_QUEUE_LIMIT:
+                    backend.queue.append((node, send))
                 else:
-                    self.turned_away += 1
+                    self.shed += 1
                     node.answer(send, 503, b"", None, not_run=True)
 
-    def _call(self) -> None:
+    def _send_requests(self) -> None:
         while self._due and self._due[0][0] <= self._now:
-            _, caller, tries, begun_at = heapq.heappop(self._due)
+            _, caller, tries, started_at = heapq.heappop(self._due)
             number = self._random.randrange(len(self._nodes))
-            left = self._load.deadline_seconds - (self._now - begun_at)
+            left = self._load.deadline_seconds - (self._now - started_at)
             exchange_id = self._nodes[number].request("/one/x", left)
-            self._open[number, exchange_id] = (caller, tries, begun_at)
+            self._open[number, exchange_id] = (caller, tries, started_at)
 
-    def _hear(self) -> None:
+    def _collect_replies(self) -> None:
         load = self._load
         for number, exchange_id in list(self._open):
             reply = self._nodes[number].replies.get(exchange_id)
             if reply is None:
                 continue
-            caller, tries, begun_at = self._open.pop((number, exchange_id))
-            waited = self._now - begun_at
+            caller, tries, started_at = self._open.pop((number, exchange_id))
+            waited = self._now - started_at
             match reply:
                 case ReplyUnchanged():
                     is_late = waited > load.objective_seconds
@@ -158,27 +160,32 @@
                     self.rejected += 1
                     if not tries and after is not None:
                         back_at = self._now + min(after, (load.deadline_seconds - waited) / 3)
-                        heapq.heappush(self._due, (back_at, caller, 1, begun_at))
+                        heapq.heappush(self._due, (back_at, caller, 1, started_at))
 
 
 def main() -> None:
-    """Print the table."""
+    """Print the results as a table."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--seeds", type=int, default=3)
     seeds = parser.parse_args().seeds
-    print("| load | rule | line | worth of 1, by seed | lost | turned away | rejected |")
+    print("| load | rule | queue at | worth of 1, by seed | lost | shed | rejected |")
     print("|---|---|---|---|---|---|---|")
     for load in LOADS:
         for rule in WaitingRule:
-            for place in LinePlace:
-                plays = [Play(load, WaitingSettings(rule, place), seed) for seed in range(seeds)]
-                for play in plays:
-                    play.run()
-                worth = ", ".join(f"{sum(play.worth) / len(play.worth):.3f}" for play in plays)
-                lost = sum(play.worth.count(0.0) for play in plays)
-                away = sum(play.turned_away for play in plays)
-                rejected = sum(play.rejected for play in plays)
-                row = (load.name, rule.value, place.value, worth, lost, away, rejected)
+            for location in QueueLocation:
+                simulations = [
+                    Simulation(load, WaitingSettings(rule, location), seed) for seed in range(seeds)
+                ]
+                for simulation in simulations:
+                    simulation.run()
+                worth = ", ".join(
+                    f"{sum(simulation.worth) / len(simulation.worth):.3f}"
+                    for simulation in simulations
+                )
+                lost = sum(simulation.worth.count(0.0) for simulation in simulations)
+                shed = sum(simulation.shed for simulation in simulations)
+                rejected = sum(simulation.rejected for simulation in simulations)
+                row = (load.name, rule.value, location.value, worth, lost, shed, rejected)
                 print("| " + " | ".join(str(cell) for cell in row) + " |", flush=True)
 
 
--- a/wingquay/forwarding/choice/__init__.py
+++ b/wingquay/forwarding/choice/__init__.py
@@ -1,1 +1,4 @@
-"""Which replica gets a request: what is known of each, and the choice among them."""
+"""Selection of the replica that receives a forwarded request, based on the state of replicas.
+
+Used by ``forwarding`` only; ``query`` and ``admission`` select replicas by ``routing``.
+"""
--- a/wingquay/forwarding/choice/replica_trials.py
+++ b/wingquay/forwarding/choice/replica_trials.py
@@ -1,39 +1,38 @@
-"""How often a replica that was slow is tried again.
+"""Limits how often slow replicas are tried again.
 
-A slow replica is found out by asking it, and the request that asks may miss its answer. When many
-turn slow at once they are found out together, so what is known of them would also be forgotten
-together, and one request would try all of them: more than it may do without. So trials are spaced:
-a node makes one at a time, sooner at replicas that were slow once (a pause, most often) than at
-those that were slow again when they were tried.
+A trial request may miss its objective. When many replicas become slow at the same time, their
+measured slowdowns also decay at the same time, and one request could then try all of them. A node
+therefore makes at most one trial per interval; the interval is longer for replicas that were slow
+again in a trial.
 """
 
 from ..settings import ForwardingSettings
 from .replica_state import ReplicaState
 
-CONFIRMED_SLOW = 2
-"""Slow attempts in a row from which on a replica counts as slow rather than paused."""
+MIN_SLOW_STREAK = 2
+"""Consecutive slow attempts from which on a replica is considered slow; fewer are a pause."""
 
 
 class ReplicaTrials:
-    """Spaces a node's trials of slow replicas."""
+    """Limits the rate of trials of slow replicas."""
 
     def __init__(self, settings: ForwardingSettings) -> None:
         self._settings = settings
-        self._paused_at = float("-inf")
-        self._slow_at = float("-inf")
+        self._next_trial_at = float("-inf")
+        self._next_slow_trial_at = float("-inf")
 
     def is_allowed(self, replica: ReplicaState, now: float) -> bool:
-        """Whether the replica may be asked as if it had become faster."""
-        if replica.slow_in_row == 0:
+        """Whether the replica may be tried now, if it was slow."""
+        if replica.slow_streak == 0:
             return True
-        if replica.slow_in_row < CONFIRMED_SLOW:
-            return now >= self._paused_at
-        return now >= self._slow_at
+        if replica.slow_streak < MIN_SLOW_STREAK:
+            return now >= self._next_trial_at
+        return now >= self._next_slow_trial_at
 
-    def chosen(self, replica: ReplicaState, now: float) -> None:
-        """Take in that a replica is asked."""
-        if replica.slow_in_row == 0 or not self.is_allowed(replica, now):
+    def on_chosen(self, replica: ReplicaState, now: float) -> None:
+        """Record that a request is sent to a replica, which may be a trial."""
+        if replica.slow_streak == 0 or not self.is_allowed(replica, now):
             return
-        self._paused_at = now + self._settings.paused_trial_seconds
-        if replica.slow_in_row >= CONFIRMED_SLOW:
-            self._slow_at = now + self._settings.slow_trial_seconds
+        self._next_trial_at = now + self._settings.paused_trial_seconds
+        if replica.slow_streak >= MIN_SLOW_STREAK:
+            self._next_slow_trial_at = now + self._settings.slow_trial_seconds
--- a/wingquay/forwarding/sending/attempts.py
+++ b/wingquay/forwarding/sending/attempts.py
@@ -1,4 +1,4 @@
-"""Sends attempts of calls to replicas and keeps account of those under way."""
+"""Sends attempts of calls to replicas and tracks those in flight."""
 
 from itertools import count
 
@@ -10,7 +10,7 @@
     SendToReplica,
 )
 from ...ports.machine import Action, Count, Log, LogLevel, Schedule
-from ..choice.completion import Task
+from ..choice.completion import LatencyTarget
 from ..choice.replica_directory import ReplicaDirectory
 from ..choice.replica_state import ReplicaState
 from ..exchange import Attempt, ServiceCall
@@ -20,37 +20,36 @@
 from .latencies import RouteLatencies
 from .sending_quotas import SendingQuotas
 
-SLOW_PACE = 2.0
-"""Usual times that work takes at a replica from which on its choice is counted as one of a slow
-one: it may cost a caller with a short objective its answer."""
+SLOW_CHOICE_THRESHOLD = 2.0
+"""Slowdown from which on the metric of choices counts a replica as slow."""
 
 
 class AttemptSender:
-    """Chooses replicas, spends the budget of extra arrivals, starts and ends attempts."""
+    """Starts and ends attempts, and records their outcomes in the state of the replicas."""
 
     def __init__(
         self,
         settings: ForwardingSettings,
         directory: ReplicaDirectory,
         latencies: RouteLatencies,
-        limits: SendingQuotas,
+        quotas: SendingQuotas,
     ) -> None:
         self._settings = settings
         self._directory = directory
         self._latencies = latencies
-        self._limits = limits
+        self._quotas = quotas
         self._ids = count(1)
         self._open: dict[int, Attempt] = {}
         self.evidence = ReachabilityEvidence()
-        """Which replicas failed lately, and where they are."""
+        """Recent failures of replicas, by zone."""
 
     def get(self, attempt_id: int) -> Attempt | None:
-        """Return an attempt under way."""
+        """Return an attempt in flight."""
         return self._open.get(attempt_id)
 
     def earn(self, service: str, now: float) -> None:
-        """Take in a request for a service: it earns extra arrivals there."""
-        self._limits.earn(service, now)
+        """Add the extra requests that a request for a service earns."""
+        self._quotas.earn(service, now)
 
     def try_send(
         self,
@@ -59,12 +58,12 @@
         with_blocked: bool,
         is_hedge: bool = False,
     ) -> list[Action]:
-        """Send the call to a replica; nothing is returned when none can be asked now.
+        """Send the call to a replica; return no actions if none is available.
 
         Parameters
         ----------
         with_blocked
-            Whether a replica that just failed may be asked when there is no other.
+            Whether the call may be sent to a blocked replica when there is no other.
         """
         exchange = call.exchange
         route = exchange.route
@@ -73,21 +72,30 @@
         if exchange.is_sequential and exchange.has_recent_attempt(now):
             return []
         excluded = (
-            call.tried_incarnations | call.refused_incarnations | self._limits.too_cold(call, now)
+            call.tried_incarnations
+            | call.refused_incarnations
+            | self._quotas.with_used_up_cold_quota(call, now)
         )
         if not route.shards:
-            excluded |= self._limits.full(call, now)
-        limit = self._limits.connections(call, now)
-        prefers_proven = not route.is_repeatable
-        task = Task(route.objective_seconds, self._latencies.median_seconds(route))
+            excluded |= self._quotas.saturated(call, now)
+        limit = self._quotas.max_connections(call, now)
+        prefers_reliable = not route.is_repeatable
+        target = LatencyTarget(route.objective_seconds, self._latencies.median_seconds(route))
         replica = self._directory.choose(
-            call.service, excluded, limit, now, with_blocked, prefers_proven, call.is_owned, task
+            call.service,
+            excluded,
+            limit,
+            now,
+            with_blocked,
+            prefers_reliable,
+            call.is_owned,
+            target,
         )
         if replica is None:
             return []
-        if call.arrivals and not self._limits.may_arrive_again(call, now):
+        if call.arrivals and not self._quotas.take_extra_request(call, now):
             return []
-        counted = self._count(call, replica, is_hedge, now)
+        choice_count = self._choice_count(call, replica, is_hedge, now)
         attempt_id = next(self._ids)
         attempt = Attempt(attempt_id, call, replica, now, is_hedge, len(replica.in_flight))
         call.attempts[attempt_id] = attempt
@@ -95,40 +103,44 @@
         call.arrivals += 1
         call.is_waiting = False
         if replica.is_cold(now):
-            replica.on_sent_cold(now)
+            replica.on_cold_send(now)
         replica.in_flight[attempt_id] = (now, now + self._latencies.hedge_seconds(route))
         self._open[attempt_id] = attempt
-        return [self._send_action(attempt, now), counted]
+        return [self._send_action(attempt, now), choice_count]
 
-    def _count(self, call: ServiceCall, replica: ReplicaState, is_hedge: bool, now: float) -> Count:
-        """Return the count of a choice: where, how fast by what is known, and which attempt."""
+    def _choice_count(
+        self, call: ServiceCall, replica: ReplicaState, is_hedge: bool, now: float
+    ) -> Count:
+        """Return the metric for a chosen replica, labeled by zone, slowdown and attempt."""
         attempt = "first"
         if call.arrivals:
             attempt = "hedge" if is_hedge else "again"
         labels = (
             ("place", "near" if replica.record.zone == self._settings.zone else "far"),
-            ("pace", "slow" if replica.pace(now) >= SLOW_PACE else "usual"),
+            (
+                "pace",
+                "slow" if replica.expected_slowdown(now) >= SLOW_CHOICE_THRESHOLD else "usual",
+            ),
             ("attempt", attempt),
         )
         return Count("replica_choices_total", labels=labels)
 
     def on_not_arrived(self, attempt: Attempt) -> None:
-        """Take back that a replica may have got the request: no byte of it left."""
+        """Record that no byte of the request was sent, and refund the extra request."""
         call = attempt.call
         call.arrivals -= 1
-        self._not_run(attempt)
+        self._mark_not_run(attempt)
         if call.arrivals:
-            self._limits.give_back(call.service)
+            self._quotas.refund(call.service)
 
     def on_not_run(self, attempt: Attempt) -> None:
-        """Take in that a replica did not run the request."""
-        self._not_run(attempt)
+        """Record that a replica did not run the request."""
+        self._mark_not_run(attempt)
 
     def on_suspended(self, seconds: float) -> None:
-        """Take in that this node was suspended: its attempts are no older by that.
+        """Move the attempts in flight forward by the time for which this node was suspended.
 
-        Replicas whose answers wait to be read would count as silent and slow, all at once: nothing
-        could be sent for up to 2 s.
+        Otherwise all replicas whose answers are still unread would count as silent and slow.
         """
         for attempt_id, attempt in self._open.items():
             attempt.was_suspended = True
@@ -137,13 +149,13 @@
             attempt.replica.in_flight[attempt_id] = (sent_at + seconds, overdue_at + seconds)
 
     def finish(self, attempt: Attempt) -> None:
-        """Forget an attempt that ended."""
+        """Remove an attempt that ended."""
         self._open.pop(attempt.attempt_id, None)
         attempt.call.attempts.pop(attempt.attempt_id, None)
         attempt.replica.in_flight.pop(attempt.attempt_id, None)
 
     def abandon(self, call: ServiceCall, now: float) -> list[Action]:
-        """Let the call's attempts end by themselves for a short time."""
+        """Mark the call's attempts as abandoned; they are cancelled unless they end soon."""
         actions: list[Action] = []
         for attempt in call.attempts.values():
             if not attempt.is_abandoned:
@@ -153,7 +165,7 @@
         return actions
 
     def cancel(self, attempt: Attempt, now: float) -> list[Action]:
-        """End an attempt and its connection; what it took so far is a lower bound."""
+        """Cancel an attempt and record its age as a lower bound of its latency."""
         self.finish(attempt)
         self.record_latency(attempt, now)
         is_long = now - attempt.sent_at >= self._settings.abandon_seconds
@@ -167,67 +179,68 @@
         return actions
 
     def on_answered(self, attempt: Attempt, load: ReportedLoad | None, now: float) -> list[Action]:
-        """Take in that a replica answered an attempt."""
-        was_left_out = attempt.replica.on_answer(load, now)
+        """Record that a replica answered an attempt."""
+        was_blocked = attempt.replica.on_answer(load, now)
         self.evidence.record_answer(attempt.replica.record.zone)
         if now - attempt.sent_at <= attempt.call.exchange.route.objective_seconds:
-            attempt.replica.on_good_answer(now)
+            attempt.replica.on_answer_in_time(now)
         self.record_latency(attempt, now)
-        return [replica_line("replica_back", attempt.replica)] if was_left_out else []
+        return [replica_log("replica_unblocked", attempt.replica)] if was_blocked else []
 
     def on_failed(
-        self, attempt: Attempt, reason: str, is_certain: bool, now: float
+        self, attempt: Attempt, reason: str, blocks_at_once: bool, now: float
     ) -> list[Action]:
-        """Take in that a replica failed an attempt without an answer."""
-        return self._left_out(attempt.replica, reason, is_certain, now)
+        """Record that an attempt failed without an answer."""
+        return self._record_failure(attempt.replica, reason, blocks_at_once, now)
 
     def on_unreachable(self, replica: ReplicaState, reason: str, now: float) -> list[Action]:
-        """Take in that no connection to a replica came up; try again by itself later.
+        """Record a failed connection attempt and schedule another one without a request.
 
-        Trying by a request costs that request its part for as long as the connection may take.
+        Probing with a request would delay that request until the connection attempt ends.
         """
-        replica.is_out_of_reach = True
-        actions = self._left_out(replica, reason, True, now)
-        if replica.is_reach_due:
+        replica.is_unreachable = True
+        actions = self._record_failure(replica, reason, True, now)
+        if replica.is_reconnect_scheduled:
             return actions
-        replica.is_reach_due = True
+        replica.is_reconnect_scheduled = True
         return [*actions, Schedule(replica.blocked_until, ReconnectDue(replica.incarnation))]
 
     def on_reconnect_due(self, event: ReconnectDue, now: float) -> list[Action]:
-        """Try whether a replica is in reach again, as long as it may get work."""
+        """Try to connect to an unreachable replica, as soon as it is a candidate."""
         replica = self._directory.get_incarnation(event.incarnation)
         if replica is None:
             return []
-        is_usable = replica in self._directory.candidates(replica.record.service, now)
-        if replica.is_out_of_reach and not is_usable:
+        is_candidate = replica in self._directory.candidates(replica.record.service, now)
+        if replica.is_unreachable and not is_candidate:
             due_at = now + self._settings.connect_backoff_max_seconds
             return [Schedule(due_at, event)]
-        replica.is_reach_due = False
-        return [OpenConnection(replica.record)] if replica.is_out_of_reach else []
+        replica.is_reconnect_scheduled = False
+        return [OpenConnection(replica.record)] if replica.is_unreachable else []
 
     def on_connection_tried(self, event: ConnectionTried, now: float) -> list[Action]:
-        """Take in whether a connection that no request needed came up."""
+        """Record the result of a connection attempt that was made without a request."""
         replica = self._directory.get_incarnation(event.incarnation)
         if replica is None:
             return []
         if not event.is_open:
             return self.on_unreachable(replica, event.reason, now)
-        was_out = replica.is_out_of_reach
-        replica.on_reached()
-        return [replica_line("replica_in_reach", replica)] if was_out else []
+        was_unreachable = replica.is_unreachable
+        replica.on_connected()
+        return [replica_log("replica_reachable", replica)] if was_unreachable else []
 
-    def _left_out(
-        self, replica: ReplicaState, reason: str, is_certain: bool, now: float
+    def _record_failure(
+        self, replica: ReplicaState, reason: str, blocks_at_once: bool, now: float
     ) -> list[Action]:
+        """Record a failure of a replica, and log it if it leads to a backoff."""
         self.evidence.record_failure(replica.record.zone, replica.record.replica_id, now)
-        seconds = replica.on_failure(self._settings, is_certain, now)
+        seconds = replica.on_connection_failure(self._settings, blocks_at_once, now)
         if not seconds:
             return []
-        fields = (("reason", reason), ("seconds", round(seconds, 2)))
-        return [replica_line("replica_left_out", replica, fields)]
+        fields = (("reason", reason), ("backoff_seconds", round(seconds, 2)))
+        return [replica_log("replica_blocked", replica, fields)]
 
     def record_latency(self, attempt: Attempt, now: float) -> None:
-        """Take in how long an attempt took."""
+        """Record how long an attempt has taken."""
         route = attempt.call.exchange.route
         seconds = now - attempt.sent_at
         self._latencies.record(route, seconds, now)
@@ -240,7 +253,7 @@
         if median is not None:
             attempt.replica.on_latency(seconds / median, attempt.sent_at, now)
 
-    def _not_run(self, attempt: Attempt) -> None:
+    def _mark_not_run(self, attempt: Attempt) -> None:
         call = attempt.call
         call.tried_incarnations.discard(attempt.replica.incarnation)
         call.refused_incarnations.add(attempt.replica.incarnation)
@@ -257,17 +270,17 @@
         )
 
 
-def replica_line(
+def replica_log(
     message: str,
     replica: ReplicaState,
     fields: tuple[tuple[str, str | int | float], ...] = (),
 ) -> Log:
-    """Return a log line about what the node believes of a replica."""
+    """Return a log line about a replica, with its failures and requests in flight."""
     record = replica.record
-    known = (
+    log_fields = (
         ("replica", record.replica_id),
         ("service", record.service),
         ("failures", replica.failures_in_row),
         ("in_flight", len(replica.in_flight)),
     )
-    return Log(message, LogLevel.INFO, (*known, *fields))
+    return Log(message, LogLevel.INFO, (*log_fields, *fields))
--- a/wingquay/forwarding/sending/extra_request_budget.py
+++ b/wingquay/forwarding/sending/extra_request_budget.py
@@ -1,44 +1,44 @@
-"""The budget of extra arrivals at a service, so that the sum over all nodes stays within bounds.
+"""Budget of extra requests to a service, which bounds their sum over all nodes.
 
-Every node may cause extra arrivals in a fixed ratio to its own requests, which needs no message
-between nodes, and its part of a slack that all nodes share, for which it needs to know how many
-they are. Source: retry budgets as in Finagle and the SRE book, chapter 21 ("Handling Overload").
+An extra request is a retry or hedge, which may reach a service in addition to a request's first
+attempt. Every node may send extra requests in a fixed ratio to its own requests, and its share of a
+slack that all nodes divide. Source: retry budgets as in Finagle and the SRE book, chapter 21
+("Handling Overload").
 """
 
 from dataclasses import dataclass, field
 
 from ...routing.decaying_rate import DecayingRate
 
-MOST_SAVED = 1.0
-"""Extra arrivals earned by requests that can be saved up."""
+MAX_SAVED = 1.0
+"""Maximum number of extra requests, earned by requests, that can be saved up."""
 SLACK_SHARE = 0.4
-"""Part of the slack that is divided among the nodes: a window may hold a node's whole share twice,
-saved up and granted anew, and nodes that start again begin with one."""
-
-SAVING_NODES_SHARE = 0.5
-"""Nodes, as a part of the slack, up to which each may save up one whole extra arrival."""
-
-OWNERS_RESERVE = 1.4
-"""Owners of a shard divide the slack by this many times their number. They make nearly all second
-attempts, and with half of all answers lost they need more than an even part brings."""
-STEP_IN_PACE = 0.25
-"""Part of its share that a node gets anew where others own the shard: it steps in for one that is
-lost, which happens now and then, so it may save up but needs no lasting part."""
+"""Fraction of the slack that is divided among the nodes. A node may use its share twice in one
+window, once saved up and once refilled, and restarted nodes start with a full share."""
+
+MAX_SAVING_NODES_RATIO = 0.5
+"""Each node may save up one extra request if there are at most this fraction of ``slack`` nodes."""
+
+OWNERS_SLACK_DIVISOR = 1.4
+"""Owners of a shard divide the slack by their number times this factor. They send most of the extra
+requests, so they need more than an equal share."""
+TAKEOVER_REFILL_SHARE = 0.25
+"""Fraction of its share that a node regains per window where other nodes own the shard. It sends
+extra requests only when it takes over from a lost owner, so it may save up but needs few."""
 EARNING_SECONDS = 2.0
-"""Time constant of the rate at which requests earn: a caller that waits for the budget waits for
-less, and a burst that is over earns nothing more."""
+"""Time constant of the rate at which requests earn extra requests."""
 
 
 @dataclass(slots=True)
 class ExtraRequestBudget:
-    """Extra arrivals at one service that one node may cause.
+    """Extra requests to one service that this node may send.
 
     Parameters
     ----------
     ratio
-        Extra arrivals for each request.
+        Extra requests for each request.
     slack
-        Extra arrivals in a window that all nodes together may cause besides.
+        Further extra requests that all nodes together may send in a window.
     window_seconds
         Length of the window.
     """
@@ -52,21 +52,21 @@
     _granted_at: float = 0.0
 
     def earn(self, now: float) -> None:
-        """Take in a request for the service."""
+        """Add the extra requests that a request for the service earns."""
         self._earning.add(self.ratio, now)
-        self._earned = min(MOST_SAVED, self._earned + self.ratio)
+        self._earned = min(MAX_SAVED, self._earned + self.ratio)
 
-    def spend(self, nodes: float, now: float, pace: float = 1.0) -> bool:
-        """Take one extra arrival; ``False`` if the budget does not allow it.
+    def spend(self, nodes: float, now: float, refill_share: float = 1.0) -> bool:
+        """Take one extra request; return ``False`` if the budget is exhausted.
 
         Parameters
         ----------
         nodes
-            How many nodes share the slack.
-        pace
-            Part of its share that this node gets in a window, besides what it has saved up.
+            Number of nodes that divide the slack.
+        refill_share
+            Fraction of its share that this node regains per window, 0 to 1.
         """
-        self._grant(self._share(nodes), self._most(nodes), pace, now)
+        self._refill(self._quota(nodes), self._max_granted(nodes), refill_share, now)
         granted = self._granted or 0.0
         if self._earned + granted < 1.0:
             return False
@@ -75,37 +75,40 @@
         self._granted = granted - (1.0 - from_earned)
         return True
 
-    def next_at(self, nodes: float, now: float, pace: float = 1.0) -> float:
-        """Return when one extra arrival may be taken, if as many requests come as lately.
+    def extra_request_at(self, nodes: float, now: float, refill_share: float = 1.0) -> float:
+        """Refill the budget and return when an extra request is available.
 
-        Infinity: none came, and without them it may never.
+        Assumes that requests arrive at the current rate.
+
+        Infinity if no requests arrive and the budget can't recover without them.
         """
-        share = self._share(nodes)
-        self._grant(share, self._most(nodes), pace, now)
+        quota = self._quota(nodes)
+        self._refill(quota, self._max_granted(nodes), refill_share, now)
         missing = 1.0 - self._earned - (self._granted or 0.0)
         if missing <= 0.0:
             return now
         earning = self._earning.per_second(now)
-        if not earning and (self._earned + self._most(nodes) < 1.0 or not share):
+        if not earning and (self._earned + self._max_granted(nodes) < 1.0 or not quota):
             return float("inf")
-        return now + missing / (earning + share * pace / self.window_seconds)
+        return now + missing / (earning + quota * refill_share / self.window_seconds)
 
-    def give_back(self) -> None:
-        """Return an extra arrival that did not arrive."""
-        self._earned = min(MOST_SAVED, self._earned + 1.0)
+    def refund(self) -> None:
+        """Return an extra request that was not delivered to a replica."""
+        self._earned = min(MAX_SAVED, self._earned + 1.0)
 
-    def _share(self, nodes: float) -> float:
+    def _quota(self, nodes: float) -> float:
         return self.slack * SLACK_SHARE / max(1, nodes)
 
-    def _most(self, nodes: float) -> float:
-        # One whole arrival may be saved up, unless so many nodes could spend one each at once.
-        is_few = nodes <= self.slack * SAVING_NODES_SHARE
-        return max(self._share(nodes), 1.0) if is_few else self._share(nodes)
+    def _max_granted(self, nodes: float) -> float:
+        # A node may save up one extra request unless there are so many nodes that all of them
+        # spending one at the same time would exceed the slack.
+        is_few = nodes <= self.slack * MAX_SAVING_NODES_RATIO
+        return max(self._quota(nodes), 1.0) if is_few else self._quota(nodes)
 
-    def _grant(self, share: float, most: float, pace: float, now: float) -> None:
+    def _refill(self, quota: float, max_granted: float, refill_share: float, now: float) -> None:
         if self._granted is None:
-            self._granted = share
+            self._granted = quota
         else:
-            fresh = share * pace * (now - self._granted_at) / self.window_seconds
-            self._granted = min(most, self._granted + fresh)
+            refilled = quota * refill_share * (now - self._granted_at) / self.window_seconds
+            self._granted = min(max_granted, self._granted + refilled)
         self._granted_at = now
--- a/wingquay/forwarding/sending/sending_quotas.py
+++ b/wingquay/forwarding/sending/sending_quotas.py
@@ -1,4 +1,7 @@
-"""How much this node may send to the replicas of a service, as its part of what all nodes may."""
+"""Quotas of this node for sending to the replicas of a service.
+
+The limits of a service apply to all nodes together; each node takes its share of them.
+"""
 
 from typing import Protocol
 
@@ -7,35 +10,44 @@
 from ..exchange import ServiceCall
 from ..knowledge.presence import NodeCount
 from ..settings import ForwardingSettings
-from .cold_share import ColdShare
-from .extra_request_budget import OWNERS_RESERVE, STEP_IN_PACE, ExtraRequestBudget
-from .extra_turns import ExtraTurns
-from .waiting_settings import LinePlace, WaitingSettings
+from .cold_quota import ColdQuota
+from .extra_request_budget import OWNERS_SLACK_DIVISOR, TAKEOVER_REFILL_SHARE, ExtraRequestBudget
+from .extra_request_fairness import ExtraRequestFairness
+from .waiting_settings import QueueLocation, WaitingSettings
 
 DEFAULT_CONNECTION_LIMIT = 24
-OWNERS_LIMIT_RESERVE = 2
-"""Owners of a shard take this part of the connections: others may have to step in."""
-LIVES = 2
-"""Lives of this process whose connections a replica may still count after a start."""
+OWNERS_CONNECTION_DIVISOR = 2
+"""Owners of a shard divide its connections by their number times this factor, which leaves some
+connections for nodes that take over."""
+MAX_COUNTED_INCARNATIONS = 2
+"""Incarnations of this process whose connections a replica may count just after a restart."""
 
 
-class SharesShards(Protocol):
-    """Knows among how many nodes the requests for a shard are divided."""
+class ShardSharing(Protocol):
+    """Provides the number of nodes among which the requests for a shard are divided."""
 
     def sharing_nodes(self, shard: str, now: float) -> int:
-        """Return how many nodes usually ask a shard."""
+        """Return the number of nodes that normally send to a shard.
+
+        Parameters
+        ----------
+        shard
+            Name of the shard's service.
+        """
         ...
 
 
 class SendingQuotas:
-    """Its own parts of connections, of extra arrivals and of what cold replicas bear.
+    """Quotas of this node for connections, extra requests and requests to cold replicas.
 
     Parameters
     ----------
+    nodes
+        Number of nodes that share the limits.
     key
         This node's key in the store.
     waiting
-        Whether work waits here for the slots of replicas.
+        Determines where requests wait while the slots of replicas are in use.
     """
 
     def __init__(
@@ -46,110 +58,123 @@
         key: str,
         waiting: WaitingSettings,
     ) -> None:
-        self._cold_share = ColdShare(settings.cold_overage, settings.cold_slack, nodes, key)
+        self._cold_quota = ColdQuota(settings.cold_overage, settings.cold_slack, nodes, key)
         self._settings = settings
         self._waiting = waiting
         self._directory = directory
         self._nodes = nodes
         self._budgets: dict[str, ExtraRequestBudget] = {}
-        self._turns: dict[str, ExtraTurns] = {}
-        self._first_sent_at: float | None = None
-        self.placement: SharesShards | None = None
-        """Who asks which shard, once shards are divided among nodes."""
+        self._fairness: dict[str, ExtraRequestFairness] = {}
+        self._reduced_since: float | None = None
+        self.placement: ShardSharing | None = None
+        """Number of nodes that send to each shard; ``None``: shards are not divided among nodes."""
 
     def earn(self, service: str, now: float) -> None:
-        """Take in a request for a service: it earns extra arrivals there."""
+        """Add the extra requests that a request for a service earns."""
         self._budget(service).earn(now)
 
-    def may_arrive_again(self, call: ServiceCall, now: float) -> bool:
-        """Take one extra arrival; ``False`` if the budget or another tenant's turn forbids it."""
+    def take_extra_request(self, call: ServiceCall, now: float) -> bool:
+        """Take one extra request; return ``False`` if the budget or fairness forbids it."""
         tenant = call.exchange.tenant_name
-        nodes, pace = self._budget_part(call, now)
+        nodes, refill_share = self._budget_share(call, now)
         if not tenant:
-            return self._budget(call.service).spend(nodes, now, pace)
-        turns = self._turns.setdefault(call.service, ExtraTurns())
-        if turns.is_turn_of(tenant, now) and self._budget(call.service).spend(nodes, now, pace):
-            turns.took(tenant, now)
+            return self._budget(call.service).spend(nodes, now, refill_share)
+        fairness = self._fairness.setdefault(call.service, ExtraRequestFairness())
+        if fairness.may_take(tenant, now) and self._budget(call.service).spend(
+            nodes, now, refill_share
+        ):
+            fairness.on_taken(tenant, now)
             return True
-        turns.wanted(tenant, now)
+        fairness.on_refused(tenant, now)
         return False
 
-    def repeat_at(self, call: ServiceCall, now: float) -> float:
-        """Return when the budget will allow one extra arrival, if no request earns one before."""
-        nodes, pace = self._budget_part(call, now)
-        return self._budget(call.service).next_at(nodes, now, pace)
+    def extra_request_at(self, call: ServiceCall, now: float) -> float:
+        """Return when the budget allows one extra request at the current rate of requests."""
+        nodes, refill_share = self._budget_share(call, now)
+        return self._budget(call.service).extra_request_at(nodes, now, refill_share)
 
-    def give_back(self, service: str) -> None:
-        """Return an extra arrival that did not arrive."""
-        self._budget(service).give_back()
+    def refund(self, service: str) -> None:
+        """Return an extra request that was not delivered to a replica."""
+        self._budget(service).refund()
 
-    def too_cold(self, call: ServiceCall, now: float) -> set[str]:
-        """Return the lives of the cold replicas to which this node may send nothing more now."""
-        known = call.exchange.table.services.get(call.service)
-        per_second = 0.0 if known is None else known.cold_requests_per_second
+    def with_used_up_cold_quota(self, call: ServiceCall, now: float) -> set[str]:
+        """Return the incarnations of cold replicas for which this node's quota is used up."""
+        service_settings = call.exchange.table.services.get(call.service)
+        per_second = 0.0 if service_settings is None else service_settings.cold_requests_per_second
         if not per_second:
             return set()
         sharing = self._sharing_nodes(call, now)
         return {
             state.incarnation
             for state in self._directory.candidates(call.service, now)
-            if not self._cold_share.may_send(state, per_second, sharing, now)
+            if not self._cold_quota.may_send(state, per_second, sharing, now)
         }
 
-    def most(self, call: ServiceCall, replica: ReplicaState, now: float) -> int:
-        """Return how many requests this node may have under way at a replica."""
-        connections = self.connections(call, now)
-        if not self._waits_here(call):
-            return connections
-        return min(connections, self._filled(replica))
+    def max_in_flight(self, call: ServiceCall, replica: ReplicaState, now: float) -> int:
+        """Return the maximum number of requests in flight from this node to a replica."""
+        max_connections = self.max_connections(call, now)
+        if not self._queues_at_node(call):
+            return max_connections
+        return min(max_connections, self._max_with_surplus(replica))
 
-    def full(self, call: ServiceCall, now: float) -> set[str]:
-        """Return the lives of the replicas for which a call is to wait here, in line."""
-        if not self._waits_here(call):
+    def saturated(self, call: ServiceCall, now: float) -> set[str]:
+        """Return the incarnations of replicas for which a call must wait in this node's queue."""
+        if not self._queues_at_node(call):
             return set()
         return {
             state.incarnation
             for state in self._directory.candidates(call.service, now)
-            if len(state.in_flight) >= self._filled(state)
+            if len(state.in_flight) >= self._max_with_surplus(state)
         }
 
-    def _filled(self, replica: ReplicaState) -> int:
+    def _max_with_surplus(self, replica: ReplicaState) -> int:
         slots = replica.known_slots
         return slots + max(1, int(slots * self._waiting.surplus_ratio))
 
-    def _waits_here(self, call: ServiceCall) -> bool:
-        # A part of a merged answer has no time to wait: its replica may be free by when it arrives.
-        return self._waiting.line is LinePlace.NODE and not call.exchange.route.shards
-
-    def connections(self, call: ServiceCall, now: float) -> int:
-        """Return how many connections this node may use at a replica."""
-        if self._first_sent_at is None:
-            self._first_sent_at = now
-        known = call.exchange.table.services.get(call.service)
-        limit = DEFAULT_CONNECTION_LIMIT if known is None else known.connection_limit
-        if now - self._first_sent_at < self._settings.first_connections_seconds:
+    def _queues_at_node(self, call: ServiceCall) -> bool:
+        # Sub-requests of a merged answer have no time to wait in a queue: they are sent at once,
+        # and a slot may be free when they arrive at the replica.
+        return self._waiting.queue_location is QueueLocation.NODE and not call.exchange.route.shards
+
+    def max_connections(self, call: ServiceCall, now: float) -> int:
+        """Return the maximum number of connections from this node to a replica.
+
+        It is reduced for the first ``first_connections_seconds`` after the first call of this
+        method, because replicas may still count connections of this node's last incarnation.
+        """
+        if self._reduced_since is None:
+            self._reduced_since = now
+        service_settings = call.exchange.table.services.get(call.service)
+        limit = (
+            DEFAULT_CONNECTION_LIMIT
+            if service_settings is None
+            else service_settings.connection_limit
+        )
+        if now - self._reduced_since < self._settings.first_connections_seconds:
             if not call.is_owned:
                 return 1
-            limit //= LIVES
+            limit //= MAX_COUNTED_INCARNATIONS
         return max(1, limit // self._sharing_nodes(call, now))
 
     def _sharing_nodes(self, call: ServiceCall, now: float) -> int:
-        """Return among how many nodes the limits of a call's service are divided."""
+        """Return the number of nodes among which the limits of a call's service are divided."""
         nodes = self._nodes.get(now)
         if self.placement is None or not call.is_owned:
             return nodes
-        return min(nodes, OWNERS_LIMIT_RESERVE * self.placement.sharing_nodes(call.service, now))
+        return min(
+            nodes, OWNERS_CONNECTION_DIVISOR * self.placement.sharing_nodes(call.service, now)
+        )
 
-    def _budget_part(self, call: ServiceCall, now: float) -> tuple[float, float]:
-        """Return among how many nodes the slack is divided, and how fast this one's part grows."""
+    def _budget_share(self, call: ServiceCall, now: float) -> tuple[float, float]:
+        """Return the number of nodes that divide the slack, and this node's refill share."""
         nodes = self._nodes.get(now)
         if self.placement is None:
             return nodes, 1.0
         if call.is_owned:
             owners = self.placement.sharing_nodes(call.service, now)
-            return min(nodes, owners * OWNERS_RESERVE), 1.0
+            return min(nodes, owners * OWNERS_SLACK_DIVISOR), 1.0
         is_wide = len(call.exchange.route.shards) >= self._settings.delegate_min_shards
-        return nodes, STEP_IN_PACE if is_wide else 1.0
+        return nodes, TAKEOVER_REFILL_SHARE if is_wide else 1.0
 
     def _budget(self, service: str) -> ExtraRequestBudget:
         budget = self._budgets.get(service)
--- a/wingquay/routing/decaying_rate.py
+++ b/wingquay/routing/decaying_rate.py
@@ -1,4 +1,4 @@
-"""A rate over the recent past, forgotten exponentially."""
+"""An exponentially weighted average rate."""
 
 import math
 from dataclasses import dataclass
@@ -6,20 +6,20 @@
 
 @dataclass(slots=True)
 class DecayingRate:
-    """Amount a second, where what lies ``time_constant_seconds`` back counts 1/e."""
+    """Exponentially weighted rate: each added amount decays with ``time_constant_seconds``."""
 
     time_constant_seconds: float
-    _weight: float = 0.0
+    _amount: float = 0.0
     _at: float = 0.0
 
     def add(self, amount: float, now: float) -> None:
-        """Count ``amount`` at ``now``."""
-        self._weight = self._decayed(now) + amount
+        """Add ``amount`` at ``now``."""
+        self._amount = self._decayed(now) + amount
         self._at = now
 
     def per_second(self, now: float) -> float:
-        """Return the present rate."""
+        """Return the current rate."""
         return self._decayed(now) / self.time_constant_seconds
 
     def _decayed(self, now: float) -> float:
-        return self._weight * math.exp(-(now - self._at) / self.time_constant_seconds)
+        return self._amount * math.exp(-(now - self._at) / self.time_constant_seconds)
--- a/wingquay/routing/fair_queue.py
+++ b/wingquay/routing/fair_queue.py
@@ -1,9 +1,9 @@
-"""The order in which what waits for a slot is served.
+"""A queue with priorities and fair sharing between flows.
 
-The most urgent rank goes first. Within a rank: start-time fair queueing between flows (classes,
-tenants), first come first served within one. Under contention a flow gets service in proportion to
-its weight, whatever it sends, so one below its share is served next and none starves.
-Source: Goyal, Vin, Cheng, "Start-time Fair Queuing", SIGCOMM 1996.
+Ranks are served in order of priority. Within a rank, flows (classes or tenants) are scheduled by
+start-time fair queueing, and the items of a flow in FIFO order. Under contention, a flow receives
+service in proportion to its weight, however many items it queues, so that no flow of the rank
+starves. Source: Goyal, Vin, Cheng, "Start-time Fair Queuing", SIGCOMM 1996.
 """
 
 import math
@@ -13,22 +13,17 @@
 from typing import Generic, TypeVar
 
 from .decaying_rate import DecayingRate
-from .queue_placement import QueuePlacement, Waiter
+from .queue_placement import QueueItem, QueuePlacement
 
 SERVED_SECONDS = 0.25
-"""Time constant of the rate at which a flow was served: what callers of it see of the service just
-now, over several of its shortest promises."""
-SCANNED_ENTRIES = 8
-"""Entries of a flow that are looked at for one that can be served now."""
-MOST_IDLE_FLOWS = 256
-"""Flows without an entry that are remembered for each rank: more than callers of one service that
-matter to each other at a time."""
+"""Time constant of the rate at which a flow was served."""
+MAX_SCANNED_ENTRIES = 8
+"""Maximum number of entries of a flow that ``pop`` checks."""
+MAX_IDLE_FLOWS = 256
+"""Number of flows of a rank above which flows without entries are removed."""
 
 
-Item = TypeVar("Item", bound=Waiter)
-
-
-# Plain classes: a node loads them before it serves, and defining a dataclass takes a millisecond.
+Item = TypeVar("Item", bound=QueueItem)
 
 
 class _Entry(Generic[Item]):
@@ -41,13 +36,13 @@
 
 
 class _Flow(Generic[Item]):
-    __slots__ = ("backlog", "entries", "finish_at", "finish_tag", "served", "weight")
+    __slots__ = ("backlog", "entries", "finish_set_at", "finish_tag", "served", "weight")
 
     def __init__(self) -> None:
         self.weight = 1.0
         self.entries: deque[_Entry[Item]] = deque()
         self.finish_tag = 0.0
-        self.finish_at = 0.0
+        self.finish_set_at = 0.0
         self.backlog = 0.0
         self.served = DecayingRate(SERVED_SECONDS)
 
@@ -61,53 +56,53 @@
 
 
 class FairQueue(Generic[Item]):
-    """What waits for the slots of one shard or service.
+    """Items that wait for the slots of one shard or service.
 
     Parameters
     ----------
-    place_of
-        Tells where an item belongs.
+    placement_of
+        Returns the rank, flow, weight and cost of an item.
     memory_seconds
-        Time constant with which it is forgotten what a flow has had beyond the others; ``None``: it
-        is kept until the others have had as much.
+        Time constant with which the work done for an idle flow beyond its share is forgotten;
+        ``None``: it counts until as much has been done for the other flows.
     """
 
     def __init__(
-        self, place_of: Callable[[Item], QueuePlacement], memory_seconds: float | None = None
+        self, placement_of: Callable[[Item], QueuePlacement], memory_seconds: float | None = None
     ) -> None:
-        self._place_of = place_of
+        self._placement_of = placement_of
         self._memory_seconds = memory_seconds
         self._ranks: dict[int, _Rank[Item]] = {}
         self._length = 0
 
     def __len__(self) -> int:
-        """Return the number of waiting items, finished ones not yet dropped included."""
+        """Return the number of queued items, including finished ones that are not yet removed."""
         return self._length
 
     def push(self, item: Item, now: float = 0.0) -> None:
-        """Let ``item`` wait."""
-        place = self._place_of(item)
-        flow = self._flow_of(place)
-        start_tag = self._start_tag(place, now)
-        flow.finish_tag = start_tag + place.cost / place.weight
-        flow.finish_at = now
-        flow.entries.append(_Entry(item, place.cost, start_tag))
-        self._count_in(flow, item, place)
+        """Add an item at the end of its flow."""
+        placement = self._placement_of(item)
+        flow = self._flow_of(placement)
+        start_tag = self._start_tag(placement, now)
+        flow.finish_tag = start_tag + placement.cost / placement.weight
+        flow.finish_set_at = now
+        flow.entries.append(_Entry(item, placement.cost, start_tag))
+        self._on_added(flow, item, placement)
 
     def push_front(self, item: Item) -> None:
-        """Let ``item`` wait again, before the others of its flow (it has waited before)."""
-        place = self._place_of(item)
-        flow = self._flow_of(place)
-        tag = self._ranks[place.rank].virtual_time
-        flow.entries.appendleft(_Entry(item, place.cost, tag))
-        self._count_in(flow, item, place)
+        """Put an item back at the front of its flow."""
+        placement = self._placement_of(item)
+        flow = self._flow_of(placement)
+        tag = self._ranks[placement.rank].virtual_time
+        flow.entries.appendleft(_Entry(item, placement.cost, tag))
+        self._on_added(flow, item, placement)
 
     def charge(self, item: Item, now: float) -> None:
-        """Take in that ``item`` was served without waiting: its flow has had that."""
-        place = self._place_of(item)
-        flow = self._flow_of(place)
-        flow.finish_tag = self._start_tag(place, now) + place.cost / place.weight
-        flow.finish_at = now
+        """Charge the flow of an item that was served without being queued."""
+        placement = self._placement_of(item)
+        flow = self._flow_of(placement)
+        flow.finish_tag = self._start_tag(placement, now) + placement.cost / placement.weight
+        flow.finish_set_at = now
 
     def pop(
         self,
@@ -115,80 +110,85 @@
         now: float,
         prefers: Callable[[Item], bool] | None = None,
     ) -> Item | None:
-        """Remove and return the next item that ``accepts`` agrees to, or ``None``.
+        """Remove and return the next item that ``accepts`` returns true for, or ``None``.
+
+        Only the first ``MAX_SCANNED_ENTRIES`` items of each flow are checked. ``accepts`` may act
+        on an item, which is removed if it returns true.
 
         Parameters
         ----------
         prefers
-            Whether an item goes before those of its rank for which this does not hold.
+            Returns whether an item precedes the items of its rank for which it returns false.
         """
         for number in sorted(self._ranks):
             rank = self._ranks[number]
-            flows = [flow for flow in rank.flows.values() if self._drop_finished(flow)]
+            flows = [flow for flow in rank.flows.values() if self._remove_finished(flow)]
             flows.sort(key=lambda flow: flow.entries[0].start_tag)
-            for agrees in _passes(accepts, prefers):
+            for matches in _passes(accepts, prefers):
                 for flow in flows:
-                    entry = self._pop_from(rank, flow, agrees)
+                    entry = self._pop_from(rank, flow, matches)
                     if entry is not None:
                         flow.served.add(entry.cost, now)
                         return entry.item
         return None
 
-    def ahead_of(
+    def queued_before(
         self, item: Item, now: float, prefers: Callable[[Item], bool] | None = None
     ) -> int:
-        """Return how many items go before ``item``, whether it waits already or would from now.
+        """Return the number of items that precede ``item``, which need not be queued yet.
 
         Parameters
         ----------
         prefers
-            As in ``pop``; it is asked of each. Without it, finished ones are counted too and the
-            count is quick.
+            As in ``pop``, called for each item. Without it, the count is fast but includes
+            finished items.
         """
-        place = self._place_of(item)
-        tag = self._tag_of(item, place, now)
+        placement = self._placement_of(item)
+        tag = self._tag_of(item, placement, now)
         is_preferred = prefers is None or prefers(item)
         return sum(
-            self._ahead_in(flow, item, rank < place.rank, (not is_preferred, tag), prefers)
+            self._queued_before_in(
+                flow, item, rank < placement.rank, (not is_preferred, tag), prefers
+            )
             for rank, known in self._ranks.items()
-            if rank <= place.rank
+            if rank <= placement.rank
             for flow in known.flows.values()
             if flow.entries
         )
 
     def waiting(self) -> Iterator[Item]:
-        """Return what waits."""
+        """Iterate over the queued items that are not finished."""
         for rank in self._ranks:
             for entry in self._entries(rank):
                 if not entry.item.is_finished:
                     yield entry.item
 
-    def delay_seconds(self, place: QueuePlacement, parallelism: int, now: float) -> float:
-        """Return how long a newcomer would wait for one of ``parallelism`` slots.
+    def delay_seconds(self, placement: QueuePlacement, parallelism: int, now: float) -> float:
+        """Return how long a new item would wait for one of ``parallelism`` slots.
 
-        Its flow is served at the rate that its weight guarantees it, or at the one seen lately if
-        that is greater: other flows rarely take all that they may.
+        Its flow is served at the rate that its weight guarantees, or at its recent rate if that is
+        higher because other flows use less than their share.
         """
         if self._length == 0:
             return 0.0
-        rank = self._ranks.get(place.rank)
+        rank = self._ranks.get(placement.rank)
         flows = {} if rank is None else rank.flows
-        own = flows.get(place.flow)
+        own = flows.get(placement.flow)
         weights = sum(
-            flow.weight for name, flow in flows.items() if flow.entries and name != place.flow
+            flow.weight for name, flow in flows.items() if flow.entries and name != placement.flow
         )
-        guaranteed = max(1, parallelism) * place.weight / (place.weight + weights)
-        seen = own.served.per_second(now) if own is not None else 0.0
-        return (own.backlog if own is not None else 0.0) / max(guaranteed, seen)
+        guaranteed_rate = max(1, parallelism) * placement.weight / (placement.weight + weights)
+        recent_rate = own.served.per_second(now) if own is not None else 0.0
+        return (own.backlog if own is not None else 0.0) / max(guaranteed_rate, recent_rate)
 
-    def _tag_of(self, item: Item, place: QueuePlacement, now: float) -> float:
-        tag = self._start_tag(place, now)
+    def _tag_of(self, item: Item, placement: QueuePlacement, now: float) -> float:
+        tag = self._start_tag(placement, now)
         if not item.is_queued:
             return tag
-        entries = self._flow_of(place).entries
+        entries = self._flow_of(placement).entries
         return next((entry.start_tag for entry in entries if entry.item is item), tag)
 
-    def _ahead_in(
+    def _queued_before_in(
         self,
         flow: _Flow[Item],
         item: Item,
@@ -196,11 +196,19 @@
         key: tuple[bool, float],
         prefers: Callable[[Item], bool] | None,
     ) -> int:
-        """Return how many of a flow go before an item."""
+        """Return the number of items of a flow that precede an item.
+
+        Parameters
+        ----------
+        is_before
+            Whether the whole flow precedes the item, because its rank is more urgent.
+        key
+            Sort key of the item within its rank.
+        """
         if prefers is None:
             if is_before:
                 return len(flow.entries)
-            # Those that came before it at the same tag go first, but it is not before itself.
+            # Items with the same tag precede a new item. A queued item must not count itself.
             find = bisect_left if item.is_queued else bisect_right
             return find(flow.entries, key[1], key=lambda entry: entry.start_tag)
         others = (entry for entry in flow.entries if entry.item is not item)
@@ -214,53 +222,54 @@
         for flow in self._ranks[rank].flows.values() if rank in self._ranks else ():
             yield from flow.entries
 
-    def _flow_of(self, place: QueuePlacement) -> _Flow[Item]:
-        rank = self._ranks.setdefault(place.rank, _Rank())
-        flow = rank.flows.get(place.flow)
+    def _flow_of(self, placement: QueuePlacement) -> _Flow[Item]:
+        rank = self._ranks.setdefault(placement.rank, _Rank())
+        flow = rank.flows.get(placement.flow)
         if flow is None:
-            if len(rank.flows) > MOST_IDLE_FLOWS:
+            if len(rank.flows) > MAX_IDLE_FLOWS:
                 rank.flows = {name: flow for name, flow in rank.flows.items() if flow.entries}
             flow = _Flow()
-            rank.flows[place.flow] = flow
-        flow.weight = place.weight
+            rank.flows[placement.flow] = flow
+        flow.weight = placement.weight
         return flow
 
-    def _start_tag(self, place: QueuePlacement, now: float) -> float:
-        rank = self._ranks.get(place.rank)
+    def _start_tag(self, placement: QueuePlacement, now: float) -> float:
+        rank = self._ranks.get(placement.rank)
         if rank is None:
             return 0.0
-        flow = rank.flows.get(place.flow)
+        flow = rank.flows.get(placement.flow)
         if flow is None:
             return rank.virtual_time
-        beyond = max(0.0, flow.finish_tag - rank.virtual_time)
+        excess = max(0.0, flow.finish_tag - rank.virtual_time)
         if self._memory_seconds is not None and not flow.entries:
-            beyond *= math.exp(-(now - flow.finish_at) / self._memory_seconds)
-        return rank.virtual_time + beyond
+            excess *= math.exp(-(now - flow.finish_set_at) / self._memory_seconds)
+        return rank.virtual_time + excess
 
-    def _count_in(self, flow: _Flow[Item], item: Item, place: QueuePlacement) -> None:
-        flow.backlog += place.cost
+    def _on_added(self, flow: _Flow[Item], item: Item, placement: QueuePlacement) -> None:
+        flow.backlog += placement.cost
         item.is_queued = True
         self._length += 1
 
-    def _drop_finished(self, flow: _Flow[Item]) -> bool:
+    def _remove_finished(self, flow: _Flow[Item]) -> bool:
+        """Remove finished items at the front of a flow; return whether it has items left."""
         while flow.entries and flow.entries[0].item.is_finished:
-            self._forget(flow, flow.entries.popleft())
+            self._on_removed(flow, flow.entries.popleft())
         return bool(flow.entries)
 
     def _pop_from(
-        self, rank: _Rank[Item], flow: _Flow[Item], agrees: Callable[[Item], bool]
+        self, rank: _Rank[Item], flow: _Flow[Item], matches: Callable[[Item], bool]
     ) -> _Entry[Item] | None:
-        for position in range(min(SCANNED_ENTRIES, len(flow.entries))):
+        for position in range(min(MAX_SCANNED_ENTRIES, len(flow.entries))):
             entry = flow.entries[position]
-            if entry.item.is_finished or not agrees(entry.item):
+            if entry.item.is_finished or not matches(entry.item):
                 continue
             del flow.entries[position]
-            self._forget(flow, entry)
+            self._on_removed(flow, entry)
             rank.virtual_time = max(rank.virtual_time, entry.start_tag)
             return entry
         return None
 
-    def _forget(self, flow: _Flow[Item], entry: _Entry[Item]) -> None:
+    def _on_removed(self, flow: _Flow[Item], entry: _Entry[Item]) -> None:
         flow.backlog = max(0.0, flow.backlog - entry.cost)
         entry.item.is_queued = False
         self._length -= 1
@@ -271,7 +280,7 @@
 def _passes(
     accepts: Callable[[Item], bool], prefers: Callable[[Item], bool] | None
 ) -> tuple[Callable[[Item], bool], ...]:
-    """Return what to agree to, in the order in which it is looked for."""
+    """Return the filters for the passes over a rank: preferred items first, then the others."""
     if prefers is None:
         return (accepts,)
     return (
--- a/wingquay/routing/latency_tracker.py
+++ b/wingquay/routing/latency_tracker.py
@@ -1,6 +1,7 @@
-"""Recent latencies of one kind of sub-request, as a sliding histogram.
+"""Quantiles of recent latencies.
 
-Two HDR histograms take turns, so that quantiles speak of the last one to two periods.
+Two HDR histograms alternate. A quantile is taken from the histogram of the current period, or from
+the previous one while the current one has few samples.
 """
 
 from hdrh.histogram import HdrHistogram
@@ -10,7 +11,7 @@
 HIGHEST_MICROSECONDS = 60 * MICROSECONDS
 SIGNIFICANT_DIGITS = 2
 REFRESH_SAMPLES = 64
-"""Samples after which a cached quantile is computed anew."""
+"""Number of samples after which a cached quantile is recomputed."""
 
 
 def _new_histogram() -> HdrHistogram:
@@ -18,12 +19,12 @@
 
 
 class LatencyTracker:
-    """Quantiles of recent latencies.
+    """Records latencies and returns quantiles of the recent ones.
 
     Parameters
     ----------
     period_seconds
-        How long samples go into one histogram before the older one is emptied.
+        Time for which samples are added to one histogram before the older one is reset.
     """
 
     def __init__(self, period_seconds: float) -> None:
@@ -35,27 +36,27 @@
         self._cached: dict[float, float] = {}
 
     def record(self, latency_seconds: float, now: float) -> None:
-        """Take in one latency."""
+        """Record one latency."""
         self._rotate(now)
         self._current.record_value(self._to_microseconds(latency_seconds))
         self._since_refresh += 1
         if self._since_refresh >= REFRESH_SAMPLES:
-            self._forget_cached()
+            self._clear_cache()
 
     def quantile_seconds(self, quantile: float, min_samples: int) -> float | None:
-        """Return the latency at ``quantile`` (0 to 1), or ``None`` with too few samples."""
+        """Return the latency at ``quantile`` (0 to 1), or ``None`` if there are too few samples."""
         cached = self._cached.get(quantile)
         if cached is not None:
             return cached
-        histogram = self._fuller()
+        histogram = self._most_complete()
         if histogram.get_total_count() < min_samples:
             return None
         value: float = histogram.get_value_at_percentile(quantile * 100.0) / MICROSECONDS
         self._cached[quantile] = value
         return value
 
-    def _fuller(self) -> HdrHistogram:
-        # The current histogram is used once it has as much to say as the one before it.
+    def _most_complete(self) -> HdrHistogram:
+        # The current histogram is used once it has a quarter of the samples of the previous one.
         if self._current.get_total_count() * 4 >= self._previous.get_total_count():
             return self._current
         return self._previous
@@ -68,9 +69,9 @@
         self._period_started_at = now
         self._previous, self._current = self._current, self._previous
         self._current.reset()
-        self._forget_cached()
+        self._clear_cache()
 
-    def _forget_cached(self) -> None:
+    def _clear_cache(self) -> None:
         self._since_refresh = 0
         self._cached.clear()
 
--- a/wingquay/routing/replica_choice.py
+++ b/wingquay/routing/replica_choice.py
@@ -1,7 +1,6 @@
-"""The policy that picks a replica for a sub-request.
+"""The policy that selects a replica for a sub-request.
 
-Weighed in docs/design: random, power of two choices, least in flight, C3, Prequal. An owner sees
-all of its replicas (a few), so it compares all of them by in-flight work times recent latency
+An owner has only a few replicas, so it compares all of them by in-flight work times recent latency
 (the core of C3, NSDI 2015) instead of sampling two.
 """
 
@@ -11,21 +10,23 @@
 from ..model.identifiers import SnapshotVersion, ZoneName
 from .replica_tracker import ReplicaTracker
 
-OTHER_ZONE_PENALTY = 1.1
-"""Factor on the cost of a replica in another zone: breaks ties, does not herd."""
+OTHER_ZONE_FACTOR = 1.1
+"""Cost factor of a replica in another zone, low enough that load matters more than the zone."""
 
 
 class ReplicaChoice:
-    """Chooses among the replicas of a shard.
+    """Selects among the replicas of a shard.
 
     Parameters
     ----------
     zone
         The zone of this node.
     load_aware
-        Whether load is looked at; otherwise any free replica is taken at random.
-    slow_start, ejection
-        Whether cold replicas get less and failing ones nothing.
+        Whether to compare replicas by load; otherwise a free replica is selected at random.
+    slow_start
+        Whether cold replicas receive fewer sub-requests.
+    ejection
+        Whether failing replicas receive no sub-requests.
     """
 
     def __init__(
@@ -43,17 +44,17 @@
         self._ejection = ejection
 
     def usable(self, trackers: Sequence[ReplicaTracker], now: float) -> list[ReplicaTracker]:
-        """Return the replicas that may get work at all; ejection never leaves out the last."""
-        staying = [tracker for tracker in trackers if not tracker.leaving]
-        if all(tracker.ejected_until <= now for tracker in staying):
-            return staying
+        """Return the replicas that are not leaving or ejected; if all are ejected, return them."""
+        remaining = [tracker for tracker in trackers if not tracker.leaving]
+        if all(tracker.ejected_until <= now for tracker in remaining):
+            return remaining
         if not self._ejection:
-            return staying
-        healthy = [tracker for tracker in staying if not tracker.is_ejected(now)]
-        return healthy or staying
+            return remaining
+        healthy = [tracker for tracker in remaining if not tracker.is_ejected(now)]
+        return healthy or remaining
 
     def with_free_slot(self, usable: Sequence[ReplicaTracker], now: float) -> list[ReplicaTracker]:
-        """Return the ``usable`` replicas that may take one more sub-request now."""
+        """Return the ``usable`` replicas that may receive one more sub-request now."""
         return [
             tracker
             for tracker in usable
@@ -68,23 +69,23 @@
     ) -> ReplicaTracker | None:
         """Return the best of the ``free`` replicas for a sub-request, or ``None``.
 
-        Replicas in ``tried`` and those known not to hold ``snapshot`` are never returned.
+        Replicas in ``tried`` and those that reported not to hold ``snapshot`` are excluded.
         """
-        fitting = [
+        eligible = [
             tracker
             for tracker in free
-            if tracker.replica.replica_id not in tried and not tracker.knows_not_held(snapshot)
+            if tracker.replica.replica_id not in tried and not tracker.lacks_snapshot(snapshot)
         ]
-        if not fitting:
+        if not eligible:
             return None
-        if len(fitting) == 1:
-            return fitting[0]
+        if len(eligible) == 1:
+            return eligible[0]
         if not self._load_aware:
-            return self._random.choice(fitting)
-        return min(fitting, key=self._cost)
+            return self._random.choice(eligible)
+        return min(eligible, key=self._cost)
 
     def _cost(self, tracker: ReplicaTracker) -> tuple[float, float]:
         expected = tracker.latency_seconds * (tracker.in_flight + 1) / tracker.full_limit
         if tracker.replica.zone != self._zone:
-            expected *= OTHER_ZONE_PENALTY
+            expected *= OTHER_ZONE_FACTOR
         return (expected, self._random.random())
