--- a/tests/forwarding/crashing/test_guard.py
+++ b/tests/forwarding/crashing/test_guard.py
@@ -129,8 +129,8 @@
         one = node()
         for number in range(400):
             one.request(f"/one/{number}")
-        looked = sum(len(one.disconnect(send)) for send in list(one.sends))
-        self.assertLessEqual(looked, 6)
+        probed = sum(len(one.disconnect(send)) for send in list(one.sends))
+        self.assertLessEqual(probed, 6)
 
 
 class SequentialSendingTest(TestCase):
@@ -175,9 +175,9 @@
 
     def test_successful_probes_send_all_remaining_calls(self) -> None:
         one, _ = self.begin()
-        looked = [record for send in list(one.sends)[:3] for record in one.disconnect(send)]
+        probed = [record for send in list(one.sends)[:3] for record in one.disconnect(send)]
         before = len(one.all_sends)
-        for record in looked:
+        for record in probed:
             one.emit(ConnectionTried(record.replica_id))
         self.assertEqual(SHARDS + 1, before)
         self.assertEqual(SHARDS + 3, len(one.all_sends))
@@ -201,9 +201,9 @@
 class CrashReportTest(TestCase):
     def test_a_hold_is_reported_to_other_nodes(self) -> None:
         one = node_with_held_request()
-        news = [item for item in told(one, CrashReport) if item.held_seconds]  # type: ignore[attr-defined]
-        self.assertEqual(len(OTHERS), len(news))
-        self.assertEqual(3, len(news[0].crashes))  # type: ignore[attr-defined]
+        reports = [item for item in told(one, CrashReport) if item.held_seconds]  # type: ignore[attr-defined]
+        self.assertEqual(len(OTHERS), len(reports))
+        self.assertEqual(3, len(reports[0].crashes))  # type: ignore[attr-defined]
 
     def test_a_crash_is_not_reported_immediately(self) -> None:
         one = linked_node()
@@ -237,8 +237,8 @@
         one, two = node_with_held_request(), linked_node()
         number = two.request("/one/crash")
         (send,) = two.sends
-        (news, *_) = [item for item in told(one, CrashReport) if item.held_seconds]  # type: ignore[attr-defined]
-        two.emit(PeerReceived(OTHERS[0], news))  # type: ignore[arg-type]
+        (report, *_) = [item for item in told(one, CrashReport) if item.held_seconds]  # type: ignore[attr-defined]
+        two.emit(PeerReceived(OTHERS[0], report))  # type: ignore[arg-type]
         self.assertEqual([send.attempt_id], two.cancelled)
         self.assertIs(ForwardFailureKind.FAILED, two.replies[number].kind)  # type: ignore[union-attr]
         self.assertIsInstance(two.replies[two.request("/one/crash")], ReplyFailure)
@@ -246,9 +246,9 @@
 
     def test_a_report_is_forwarded_once(self) -> None:
         one, two = node_with_held_request(), linked_node()
-        (news, *_) = [item for item in told(one, CrashReport) if item.held_seconds]  # type: ignore[attr-defined]
+        (report, *_) = [item for item in told(one, CrashReport) if item.held_seconds]  # type: ignore[attr-defined]
         for _ in range(3):
-            two.emit(PeerReceived(OTHERS[0], news))  # type: ignore[arg-type]
+            two.emit(PeerReceived(OTHERS[0], report))  # type: ignore[arg-type]
         self.assertEqual(1, len(told(two, CrashReport)))
 
     def test_an_answer_at_one_node_clears_the_request_at_others(self) -> None:
@@ -316,16 +316,18 @@
     def test_the_node_that_starts_the_hold_writes_a_key_with_a_lease(self) -> None:
         one = node_with_held_request()
         requests = [item for item in one.actions if isinstance(item, StoreRequest)]
-        (asked,) = [item for item in requests if item.operation_id.startswith("held-request-")]
-        self.assertEqual(GrantLease(int(HOLD_SECONDS)), asked.operation)
-        one.emit(StoreResponse(asked.operation_id, LeaseState(7, HOLD_SECONDS)))
+        (lease_request,) = [
+            item for item in requests if item.operation_id.startswith("held-request-")
+        ]
+        self.assertEqual(GrantLease(int(HOLD_SECONDS)), lease_request.operation)
+        one.emit(StoreResponse(lease_request.operation_id, LeaseState(7, HOLD_SECONDS)))
         operation = one.last(StoreRequest).operation
         assert isinstance(operation, CompareAndSwap)
         self.assertEqual(HELD_PREFIX + self.held_identity(one).hex(), operation.key)
         held = parse_held(operation.value or b"")
         assert held is not None
         self.assertEqual(("/one/crash", "node-1"), (held.target, held.found_by))
-        one.emit(StoreResponse(asked.operation_id, SwapResult(True, 9)))
+        one.emit(StoreResponse(lease_request.operation_id, SwapResult(True, 9)))
         self.assertEqual(operation, one.last(StoreRequest).operation)
 
     def test_a_node_that_starts_later_rejects_the_request(self) -> None:
@@ -350,8 +352,8 @@
         one = node_with_held_request()
         value = self.stored(one, self.held_identity(one))
         one.change(values=(value,))
-        gone = one.machine._held_request_keys.missing_from(set())
-        self.assertEqual((value.key,), gone)
+        missing = one.machine._held_request_keys.missing_from(set())
+        self.assertEqual((value.key,), missing)
 
     def test_an_unreadable_key_is_logged_and_ignored(self) -> None:
         one = node()
--- a/tests/forwarding/test_suspension.py
+++ b/tests/forwarding/test_suspension.py
@@ -81,9 +81,9 @@
             one = node()
             before = one.last(StartWatch)
             suspend(one, seconds)
-            look = one.last(StartWatch)
-            self.assertIsNot(before, look)
-            self.assertEqual(0.0, look.pause_seconds)
+            watch = one.last(StartWatch)
+            self.assertIsNot(before, watch)
+            self.assertEqual(0.0, watch.pause_seconds)
 
     def test_a_suspension_counts_as_an_outage_of_the_store(self) -> None:
         one = node()
--- a/wingquay/forwarding/crashing/sequential_sending.py
+++ b/wingquay/forwarding/crashing/sequential_sending.py
@@ -29,10 +29,10 @@
     def send_remaining(self, exchange: Exchange, now: float) -> list[Action]:
         """Send all remaining calls of a request that was cleared."""
         open_calls = _open_calls(exchange)
-        waiting = [call for call in open_calls if call.is_begun]
-        fresh = [call for call in open_calls if not call.is_begun]
-        actions = self.begin_all(exchange, fresh, now) if fresh else []
-        return actions + self._starter.send_or_queue_all(waiting, now)
+        begun = [call for call in open_calls if call.is_begun]
+        not_begun = [call for call in open_calls if not call.is_begun]
+        actions = self.begin_all(exchange, not_begun, now) if not_begun else []
+        return actions + self._starter.send_or_queue_all(begun, now)
 
     def _start(self, call: ServiceCall, now: float) -> list[Action]:
         if call.is_begun:
--- a/wingquay/forwarding/exchange.py
+++ b/wingquay/forwarding/exchange.py
@@ -57,7 +57,8 @@
     outstanding_before: int = 0
     """Attempts of this node that were in flight at the replica when this one was sent."""
     was_suspended: bool = False
-    """Whether this node's machine was suspended meanwhile; a missing answer is then no evidence."""
+    """Whether this node's machine was suspended while the attempt was in flight; a missing answer
+    is then no evidence of a fault."""
     is_abandoned: bool = False
     """Whether its answer is no longer needed; it may still run for a short time."""
 
