--- a/tests/configuration/test_configuration_stateful.py
+++ b/tests/configuration/test_configuration_stateful.py
@@ -199,7 +199,7 @@
     def check_answers(self, stored: ConfigurationDocument, plan: str, exchanges: list[str]) -> None:
         """Check that what operators were told about a plan is true."""
         answers = [answer for e in exchanges if (answer := self.cluster.replies.get(e)) is not None]
-        record = stored.record_of(plan)
+        record = stored.find_record(plan)
         for answer in answers:
             if isinstance(answer, ConfirmResult):
                 assert record is not None and record.revision == answer.revision
--- a/tests/configuration/test_confirm.py
+++ b/tests/configuration/test_confirm.py
@@ -7,7 +7,7 @@
 from tests.configuration.examples import assign, price
 from tests.configuration.fleet import check_history, configured_cluster, confirm, plan_id, refused
 from wingquay.configuration import document as document_module
-from wingquay.configuration.confirmation import CONFIRM_BOUND_SECONDS
+from wingquay.configuration.confirmation import CONFIRM_TIMEOUT_SECONDS
 from wingquay.configuration.keys import history_key
 from wingquay.model.failure import Failure
 from wingquay.model.identifiers import Revision
@@ -133,7 +133,7 @@
         assert isinstance(result, Failure)
         self.assertEqual(OperatorFailureKind.NOT_KNOWN_YET, result.kind)
         took = self.cluster.reply_times[exchange] - down_since
-        self.assertLess(took, CONFIRM_BOUND_SECONDS + 5.0)
+        self.assertLess(took, CONFIRM_TIMEOUT_SECONDS + 5.0)
         self.cluster.run(90.0)
         self.assertEqual(2, confirm(self.cluster, self.second, plan).revision)
         self.assertEqual(2, self.cluster.lowest_revision())
@@ -202,7 +202,7 @@
         self.assertEqual(1, self.cluster.lowest_revision())
 
     def test_a_plan_older_than_the_records_is_refused_landed_or_not(self) -> None:
-        self.patch(document_module, "AUDIT_RECORDS_KEPT", 2)
+        self.patch(document_module, "MAX_AUDIT_RECORDS", 2)
         landed, waiting = self.propose(price("early", 4)), self.propose(price("spare", 3))
         confirm(self.cluster, self.first, landed)
         for amount in (11, 12, 13):
@@ -214,7 +214,7 @@
         self.assertEqual(5, self.first.machine.revision)
 
     def test_copies_of_revisions_no_longer_listed_are_deleted(self) -> None:
-        self.patch(document_module, "AUDIT_RECORDS_KEPT", 3)
+        self.patch(document_module, "MAX_AUDIT_RECORDS", 3)
         for amount in (11, 12, 13, 14, 15):
             confirm(self.cluster, self.first, self.propose(price("gold", amount)))
             self.cluster.run(0.1)
--- a/tests/configuration/test_document.py
+++ b/tests/configuration/test_document.py
@@ -7,7 +7,7 @@
 from tests.configuration.examples import CONFIGURATION, document, with_extra_keys
 from wingquay.configuration import document as document_module
 from wingquay.configuration.document import (
-    AUDIT_RECORDS_KEPT,
+    MAX_AUDIT_RECORDS,
     DocumentFailureKind,
     next_document,
     pack_body,
@@ -85,12 +85,12 @@
 
     def test_audit_records_are_bounded_and_the_newest_are_kept(self) -> None:
         current = document()
-        for revision in range(2, AUDIT_RECORDS_KEPT + 12):
+        for revision in range(2, MAX_AUDIT_RECORDS + 12):
             following = next_document(current, CONFIGURATION, record(revision))
             assert not isinstance(following, Failure)
             current = following
-        self.assertEqual(AUDIT_RECORDS_KEPT, len(current.audit))
-        self.assertEqual(AUDIT_RECORDS_KEPT, len(current.raw()["audit"]))
+        self.assertEqual(MAX_AUDIT_RECORDS, len(current.audit))
+        self.assertEqual(MAX_AUDIT_RECORDS, len(current.raw()["audit"]))
         self.assertEqual(current.revision, current.audit[-1].revision)
 
     def test_malformed_documents_are_refused_whole(self) -> None:
@@ -103,5 +103,5 @@
         self.assertEqual(body, unpack_body(packed))
         self.assertIsInstance(unpack_body(packed[:-3]), Failure)
         self.assertIsInstance(unpack_body(b"nothing"), Failure)
-        self.patch(document_module, "MAXIMUM_BODY_BYTES", len(body) - 1)
+        self.patch(document_module, "MAX_BODY_BYTES", len(body) - 1)
         self.assertIsInstance(unpack_body(packed), Failure)
--- a/tests/configuration/test_in_force_everywhere.py
+++ b/tests/configuration/test_in_force_everywhere.py
@@ -66,7 +66,7 @@
         self.assertTrue(self.landed_everywhere(cluster))
 
     def test_comparisons_with_random_nodes_reach_who_missed_everything_else(self) -> None:
-        for name in ("ROUNDS", "NODES_TOLD_IN_EACH_ZONE"):
+        for name in ("ANNOUNCE_ROUNDS", "NODES_NOTIFIED_PER_ZONE"):
             self.patch(dissemination_module, name, 0)
         cluster = configured_cluster(5)
         cluster.probes_on = False
@@ -123,7 +123,7 @@
 
     def test_a_broken_watch_is_made_anew_and_reads_what_it_missed(self) -> None:
         cluster = configured_cluster(10)
-        self.patch(watcher_module, "POLL_SECONDS", 1000.0)
+        self.patch(watcher_module, "POLL_INTERVAL_SECONDS", 1000.0)
         cluster.run(20.0)
         zone_b = [node for node in cluster.nodes if node.identity.zone == "cluj-b"]
         node = cluster.nodes[0]
--- a/tests/configuration/test_store_schedule.py
+++ b/tests/configuration/test_store_schedule.py
@@ -5,11 +5,11 @@
 from testtools import TestCase
 
 from wingquay.configuration.store_schedule import (
-    CROWD_REQUESTS_PER_SECOND,
-    FIRST_CEILING_SECONDS,
-    LAST_CEILING_SECONDS,
+    FLEET_REQUESTS_PER_SECOND,
+    INITIAL_CEILING_SECONDS,
+    MAX_CEILING_SECONDS,
     FullJitterBackoff,
-    takes_turn,
+    is_selected,
 )
 
 DRAWS = 400
@@ -20,14 +20,14 @@
     delays = []
     for seed in range(DRAWS):
         backoff = FullJitterBackoff(Random(seed))
-        drawn = [backoff.delay_seconds(crowd) for _ in range(failures)]
+        drawn = [backoff.next_delay_seconds(crowd) for _ in range(failures)]
         delays.append(drawn[-1])
     return max(delays)
 
 
 class FullJitterBackoffTest(TestCase):
     def test_the_ceiling_doubles_up_to_its_end(self) -> None:
-        for failures, ceiling in ((1, 0.25), (2, 0.5), (4, 2.0), (30, LAST_CEILING_SECONDS)):
+        for failures, ceiling in ((1, 0.25), (2, 0.5), (4, 2.0), (30, MAX_CEILING_SECONDS)):
             reached = longest(failures)
             self.assertLessEqual(reached, ceiling)
             self.assertGreater(reached, 0.9 * ceiling)
@@ -36,16 +36,16 @@
         crowd = 470
         backoffs = [FullJitterBackoff(Random(seed)) for seed in range(crowd)]
         for _ in range(12):
-            delays = [backoff.delay_seconds(crowd) for backoff in backoffs]
+            delays = [backoff.next_delay_seconds(crowd) for backoff in backoffs]
         rate = crowd / (sum(delays) / crowd)
-        self.assertLess(rate, 1.2 * CROWD_REQUESTS_PER_SECOND)
+        self.assertLess(rate, 1.2 * FLEET_REQUESTS_PER_SECOND)
 
     def test_success_starts_over(self) -> None:
         backoff = FullJitterBackoff(Random(1))
         for _ in range(10):
-            backoff.delay_seconds()
-        backoff.succeeded()
-        self.assertLessEqual(backoff.delay_seconds(), FIRST_CEILING_SECONDS)
+            backoff.next_delay_seconds()
+        backoff.reset()
+        self.assertLessEqual(backoff.next_delay_seconds(), INITIAL_CEILING_SECONDS)
 
 
 class TakesTurnTest(TestCase):
@@ -53,5 +53,5 @@
         random = Random(2)
         for crowd in (1, 10, 470):
             rounds = 2000
-            acting = sum(takes_turn(random, crowd, 1.0) for _ in range(crowd * rounds))
+            acting = sum(is_selected(random, crowd, 1.0) for _ in range(crowd * rounds))
             self.assertTrue(0.9 * rounds < acting < 1.1 * rounds)
--- a/wingquay/configuration/class_intents.py
+++ b/wingquay/configuration/class_intents.py
@@ -12,10 +12,10 @@
 )
 from .intent_failure import (
     IntentFailure,
-    invalid,
-    name_of,
-    replaced,
-    unknown,
+    entry_name,
+    invalid_intent,
+    replace_entry,
+    unknown_name,
 )
 
 
@@ -27,22 +27,24 @@
     if isinstance(service, Failure):
         return service
     if service.deployment != intent.deployment:
-        return invalid(
+        return invalid_intent(
             f"deployment: service {service.name!r} is not in {intent.deployment!r}; "
             f"allowed: [{service.deployment!r}]"
         )
     if configuration.priority_class(intent.class_name) is None:
         names = [entry.name for entry in configuration.classes]
-        return unknown("class_name", intent.class_name, [*names, *RESERVED_CLASS_NAMES])
+        return unknown_name("class_name", intent.class_name, [*names, *RESERVED_CLASS_NAMES])
     if intent.caller is not None and configuration.caller(intent.caller) is None:
-        return unknown("caller", intent.caller, (name_of(entry) for entry in configuration.callers))
+        return unknown_name(
+            "caller", intent.caller, (entry_name(entry) for entry in configuration.callers)
+        )
     attachment = Attachment(
         service=intent.service,
         kind=intent.kind,
         class_name=intent.class_name,
         caller=intent.caller,
     )
-    attachments = replaced(configuration.attachments, attachment, _subject)
+    attachments = replace_entry(configuration.attachments, attachment, _attachment_key)
     return configuration.model_copy(update={"attachments": attachments})
 
 
@@ -50,18 +52,18 @@
     configuration: Configuration, intent: UnassignClass
 ) -> Configuration | IntentFailure:
     """Take an attachment back."""
-    subject = (intent.service, intent.kind, intent.caller)
-    kept = tuple(entry for entry in configuration.attachments if _subject(entry) != subject)
-    if len(kept) == len(configuration.attachments):
+    key = (intent.service, intent.kind, intent.caller)
+    remaining = tuple(entry for entry in configuration.attachments if _attachment_key(entry) != key)
+    if len(remaining) == len(configuration.attachments):
         present = [f"{entry.service}/{entry.kind}" for entry in configuration.attachments]
-        return unknown("service/kind", f"{intent.service}/{intent.kind}", present)
-    return configuration.model_copy(update={"attachments": kept})
+        return unknown_name("service/kind", f"{intent.service}/{intent.kind}", present)
+    return configuration.model_copy(update={"attachments": remaining})
 
 
 def set_class(configuration: Configuration, intent: SetClass) -> Configuration | IntentFailure:
     """Create a class or change its terms."""
     if intent.name in RESERVED_CLASS_NAMES:
-        return invalid(
+        return invalid_intent(
             f"name: {intent.name!r} is reserved; allowed: any but {list(RESERVED_CLASS_NAMES)}"
         )
     entry = PriorityClass(
@@ -69,7 +71,7 @@
         price=intent.price,
         promise_seconds=intent.promise_seconds,
     )
-    classes = replaced(configuration.classes, entry, name_of)
+    classes = replace_entry(configuration.classes, entry, entry_name)
     return configuration.model_copy(update={"classes": classes})
 
 
@@ -78,7 +80,7 @@
 ) -> Configuration | IntentFailure:
     """Remove a class that nothing uses."""
     if configuration.priority_class(intent.name) is None:
-        return unknown("name", intent.name, (entry.name for entry in configuration.classes))
+        return unknown_name("name", intent.name, (entry.name for entry in configuration.classes))
     users = [
         f"{service.name}/{kind.name}"
         for service in configuration.services
@@ -91,9 +93,11 @@
         if entry.class_name == intent.name
     ]
     if users:
-        return invalid(f"name: class {intent.name!r} is still used by {users}; move these first")
-    kept = tuple(entry for entry in configuration.classes if entry.name != intent.name)
-    return configuration.model_copy(update={"classes": kept})
+        return invalid_intent(
+            f"name: class {intent.name!r} is still used by {users}; move these first"
+        )
+    remaining = tuple(entry for entry in configuration.classes if entry.name != intent.name)
+    return configuration.model_copy(update={"classes": remaining})
 
 
 def _service_with_kind(
@@ -102,11 +106,11 @@
     service = configuration.service(service_name)
     if service is None:
         names = (entry.name for entry in configuration.services)
-        return unknown("service", service_name, names)
+        return unknown_name("service", service_name, names)
     if service.kind(kind_name) is None:
-        return unknown("kind", kind_name, (kind.name for kind in service.kinds))
+        return unknown_name("kind", kind_name, (kind.name for kind in service.kinds))
     return service
 
 
-def _subject(attachment: Attachment) -> tuple[str, str, str | None]:
+def _attachment_key(attachment: Attachment) -> tuple[str, str, str | None]:
     return attachment.service, attachment.kind, attachment.caller
--- a/wingquay/configuration/configuration_finder.py
+++ b/wingquay/configuration/configuration_finder.py
@@ -3,24 +3,24 @@
 from ..ports.caller import SetReady
 from ..ports.machine import Action
 from ..ports.peer import ConfigurationFetch, SendToPeer
-from .current_key import CurrentKey, StoredDocument
+from .current_document import CurrentDocumentReader, StoredDocument
 from .dissemination import Dissemination
 from .in_force import InForceConfiguration
 from .node_view import NodeView
 from .script import Script, pause, perform
 from .store_schedule import (
-    CROWD_REQUESTS_PER_SECOND,
+    FLEET_REQUESTS_PER_SECOND,
     FullJitterBackoff,
-    takes_turn,
+    is_selected,
 )
 
-FIRST_LOOK_SECONDS = 0.5
+START_SPREAD_SECONDS = 0.5
 """The first look is spread over this time, so that a fleet that starts at once does not knock."""
 
-LOOK_PAUSE_SECONDS = 1.0
+POLL_INTERVAL_SECONDS = 1.0
 """Mean pause between looks."""
 
-PEERS_ASKED = 2
+PEERS_PER_POLL = 2
 
 
 class ConfigurationFinder:
@@ -31,49 +31,51 @@
         view: NodeView,
         in_force: InForceConfiguration,
         dissemination: Dissemination,
-        current_key: CurrentKey,
+        document_reader: CurrentDocumentReader,
     ) -> None:
         self._view = view
         self._in_force = in_force
         self._dissemination = dissemination
-        self._current_key = current_key
-        self.nothing_confirmed = False
+        self._document_reader = document_reader
+        self.store_is_empty = False
         """Whether the store itself said that it holds no configuration yet."""
 
-    def look(self) -> Script[list[Action]]:
+    def run(self) -> Script[list[Action]]:
         """Look among peers and, as few nodes at a time, in the store."""
         random = self._view.random
         backoff = FullJitterBackoff(random)
         yield from perform(SetReady(False, "no configuration is known yet"))
-        now = yield from pause(random.uniform(0.0, FIRST_LOOK_SECONDS))
+        now = yield from pause(random.uniform(0.0, START_SPREAD_SECONDS))
         store_not_before = now
         while self._in_force.document is None:
-            yield from perform(*self._ask_peers())
-            now = yield from pause(LOOK_PAUSE_SECONDS * random.uniform(0.25, 0.75))
-            crowd = self._view.node_count
-            turn = takes_turn(random, crowd, CROWD_REQUESTS_PER_SECOND * LOOK_PAUSE_SECONDS)
-            if self._in_force.document is None and now >= store_not_before and turn:
-                found = yield from self._current_key.read()
-                now = yield from self._take(found)
+            yield from perform(*self._fetch_from_peers())
+            now = yield from pause(POLL_INTERVAL_SECONDS * random.uniform(0.25, 0.75))
+            node_count = self._view.node_count
+            selected = is_selected(
+                random, node_count, FLEET_REQUESTS_PER_SECOND * POLL_INTERVAL_SECONDS
+            )
+            if self._in_force.document is None and now >= store_not_before and selected:
+                found = yield from self._document_reader.read()
+                now = yield from self._apply(found)
                 if isinstance(found, StoredDocument):
-                    backoff.succeeded()
+                    backoff.reset()
                 else:
-                    store_not_before = now + backoff.delay_seconds(crowd)
-            yield from pause(LOOK_PAUSE_SECONDS * random.uniform(0.25, 0.75))
+                    store_not_before = now + backoff.next_delay_seconds(node_count)
+            yield from pause(POLL_INTERVAL_SECONDS * random.uniform(0.25, 0.75))
         return []
 
-    def _ask_peers(self) -> list[Action]:
-        nodes = self._view.sample(self._view.peers, PEERS_ASKED)
+    def _fetch_from_peers(self) -> list[Action]:
+        nodes = self._view.sample(self._view.peers, PEERS_PER_POLL)
         return [SendToPeer(node, ConfigurationFetch(self._in_force.revision)) for node in nodes]
 
-    def _take(self, found: object) -> Script[float]:
+    def _apply(self, found: object) -> Script[float]:
         now = yield from perform()
         if not isinstance(found, StoredDocument):
             return now
         if found.modified_at == 0:
-            self.nothing_confirmed = True
+            self.store_is_empty = True
             yield from perform(SetReady(False, "no configuration has been confirmed yet"))
             return now
-        actions = self._dissemination.take(found.document, now, "store", from_store=True)
+        actions = self._dissemination.apply(found.document, now, "store", from_store=True)
         yield from perform(*actions)
         return now
--- a/wingquay/configuration/configuration_machine.py
+++ b/wingquay/configuration/configuration_machine.py
@@ -23,13 +23,13 @@
 )
 from ..ports.store import StoreResponse, WatchBroken, WatchChanged
 from .configuration_finder import ConfigurationFinder
-from .current_key import CurrentKey
+from .current_document import CurrentDocumentReader
 from .dissemination import Dissemination
 from .in_force import InForceConfiguration
 from .node_view import NodeView
 from .operator_requests import OperatorRequests
+from .revision_tracker import RevisionTracker
 from .script import ScriptRunner, ScriptTimer
-from .spread import Spread
 from .watcher import Watcher
 
 
@@ -74,22 +74,24 @@
         self._view = NodeView(identity, random, disabled)
         self._runner = ScriptRunner("configuration")
         self._in_force = InForceConfiguration(self._view)
-        self._spread = Spread(self._view)
-        self._current_key = CurrentKey()
-        self._dissemination = Dissemination(self._view, self._runner, self._in_force, self._spread)
+        self._revision_tracker = RevisionTracker(self._view)
+        self._document_reader = CurrentDocumentReader()
+        self._dissemination = Dissemination(
+            self._view, self._runner, self._in_force, self._revision_tracker
+        )
         self._finder = ConfigurationFinder(
-            self._view, self._in_force, self._dissemination, self._current_key
+            self._view, self._in_force, self._dissemination, self._document_reader
         )
         self._watcher = Watcher(
-            self._view, self._runner, self._in_force, self._dissemination, self._current_key
+            self._view, self._runner, self._in_force, self._dissemination, self._document_reader
         )
         self._operator_requests = OperatorRequests(
             self._view,
             self._runner,
             self._in_force,
-            self._spread,
+            self._revision_tracker,
             self._dissemination,
-            self._current_key,
+            self._document_reader,
             self._watcher,
         )
 
@@ -113,37 +115,37 @@
             case OperatorRequest():
                 return self._operator_requests.handle(event, now)
             case WatchChanged():
-                return self._watcher.watch_changed(event, now)
+                return self._watcher.handle_watch_changed(event, now)
             case WatchBroken():
-                return self._watcher.watch_broken(event, now)
+                return self._watcher.handle_watch_broken(event, now)
             case PeerLinkBroken():
-                return self._dissemination.link_broken(event.node_id, now)
+                return self._dissemination.handle_link_broken(event.node_id, now)
             case NewerRevisionHeard():
-                return self._dissemination.heard(event.sender, event.revision, now)
+                return self._dissemination.handle_revision(event.sender, event.revision, now)
         return self._handle_node_event(event, now)
 
     def _handle_message(self, event: PeerReceived, now: float) -> list[Action]:
         match event.message:
             case ConfigurationFetch():
-                return self._dissemination.fetch_requested(event.sender, event.message, now)
+                return self._dissemination.handle_fetch(event.sender, event.message, now)
             case ConfigurationBody():
-                return self._dissemination.body_received(event.sender, event.message, now)
+                return self._dissemination.handle_body(event.sender, event.message, now)
         return []
 
     def _handle_node_event(self, event: Event, now: float) -> list[Action]:
         match event:
             case Start():
                 return [
-                    *self._runner.start(self._finder.look(), now),
+                    *self._runner.start(self._finder.run(), now),
                     *self._dissemination.start(now),
                     *self._watcher.start(now),
                 ]
             case MembershipChanged():
-                self._view.take(event)
-                self._spread.forget_missing()
+                self._view.update(event)
+                self._revision_tracker.remove_departed()
             case LoadObserved():
                 self._view.load = event
             case StopRequested() | LeavingStarted():
                 self._view.leaving = True
-                return self._watcher.give_up(now)
+                return self._watcher.release_assignment(now)
         return []
--- a/wingquay/configuration/confirmation.py
+++ b/wingquay/configuration/confirmation.py
@@ -15,8 +15,8 @@
 from ..ports.machine import Action
 from ..ports.operator import ConfirmOutcome, ConfirmResult, OperatorFailureKind
 from ..ports.store import CompareAndSwap, StoreFailureKind, SwapResult
-from .current_key import (
-    CurrentKey,
+from .current_document import (
+    CurrentDocumentReader,
     ReadFailureKind,
     StoredDocument,
     read_revision,
@@ -28,7 +28,7 @@
 from .plan import (
     EarlierDocuments,
     document_for_confirm,
-    revisions_named,
+    restored_revisions,
 )
 from .plan_store import PlanStore
 from .script import (
@@ -42,10 +42,10 @@
 )
 from .store_schedule import FullJitterBackoff
 
-CONFIRM_BOUND_SECONDS = 5.0
+CONFIRM_TIMEOUT_SECONDS = 5.0
 """No new attempt begins after this time; one under way still ends by its own timeout."""
 
-RETRY_LAST_CEILING_SECONDS = 1.0
+RETRY_MAX_CEILING_SECONDS = 1.0
 
 OperatorFailure = Failure[OperatorFailureKind]
 """Why a confirm, a plan or a question had no result."""
@@ -83,7 +83,7 @@
     def __init__(
         self,
         command: ConfirmCommand,
-        current_key: CurrentKey,
+        document_reader: CurrentDocumentReader,
         plan_store: PlanStore,
         in_force: InForceConfiguration,
         dissemination: Dissemination,
@@ -91,7 +91,7 @@
         reads_back: bool = True,
     ) -> None:
         self._command = command
-        self._current_key = current_key
+        self._document_reader = document_reader
         self._plan_store = plan_store
         self._in_force = in_force
         self._dissemination = dissemination
@@ -105,15 +105,15 @@
 
     def run(self, now: float) -> Script[Landed | OperatorFailure]:
         """Confirm the plan once, or say why not, within a bounded time."""
-        give_up_at = now + CONFIRM_BOUND_SECONDS
+        give_up_at = now + CONFIRM_TIMEOUT_SECONDS
         while now < give_up_at:
             outcome = yield from self._attempt()
             if outcome is not None:
                 return outcome
-            now = yield from pause(self._backoff.delay_seconds())
-        return self._not_settled()
+            now = yield from pause(self._backoff.next_delay_seconds())
+        return self._timeout_failure()
 
-    def _not_settled(self) -> OperatorFailure:
+    def _timeout_failure(self) -> OperatorFailure:
         if self._uncertain_base is not None:
             return Failure(
                 OperatorFailureKind.NOT_KNOWN_YET,
@@ -126,17 +126,17 @@
 
     def _attempt(self) -> Script[Landed | OperatorFailure | None]:
         """Try once from the beginning; ``None``: the store did not settle it, try again."""
-        current = yield from self._current_key.read()
+        current = yield from self._document_reader.read()
         if not isinstance(current, StoredDocument):
             self._last_reason = current.reason
             return None
         if self._reads_back:
-            landed = self._landed(current.document, ConfirmOutcome.LANDED_BEFORE)
+            landed = self._find_landed(current.document, ConfirmOutcome.LANDED_BEFORE)
             if landed is not None:
                 return landed
         if current.document.revision < self._in_force.revision:
-            return self._store_behind(current.document)
-        yield from self._put_in_force(current.document)
+            return self._handle_stale_store(current.document)
+        yield from self._apply_stored(current.document)
         if self._uncertain_base != current.modified_at:
             # Another change stands on that base, without ours: ours can no longer take effect.
             self._uncertain_base = None
@@ -145,9 +145,9 @@
             return plan
         return (yield from self._write(plan, current))
 
-    def _put_in_force(self, document: ConfigurationDocument) -> Script[None]:
+    def _apply_stored(self, document: ConfigurationDocument) -> Script[None]:
         now = yield from perform()
-        yield from perform(*self._dissemination.take(document, now, "store", from_store=True))
+        yield from perform(*self._dissemination.apply(document, now, "store", from_store=True))
 
     def _find_plan(self, current: ConfigurationDocument) -> Script[Plan | OperatorFailure | None]:
         if self._plan is None:
@@ -157,20 +157,20 @@
                 unavailable = found.kind is OperatorFailureKind.STORE_UNAVAILABLE
                 return None if unavailable else found
             self._plan = found
-        if not _remembers_since(current, self._plan):
-            return _too_far_behind(self._plan, current)
+        if not _audit_reaches_base(current, self._plan):
+            return _base_too_old(self._plan, current)
         return self._plan
 
     def _write(
         self, plan: Plan, current: StoredDocument
     ) -> Script[Landed | OperatorFailure | None]:
-        earlier = yield from read_earlier(plan.intents, current.document)
+        earlier = yield from read_earlier_documents(plan.intents, current.document)
         if isinstance(earlier, Failure):
             self._last_reason = earlier.reason
             unavailable = earlier.kind is OperatorFailureKind.STORE_UNAVAILABLE
             return None if unavailable else earlier
-        kept_at = yield from self._keep_history(current)
-        if kept_at is None:
+        copied_at = yield from self._save_history(current)
+        if copied_at is None:
             return None
         document = document_for_confirm(
             plan,
@@ -178,13 +178,13 @@
             earlier,
             self._command.operator,
             self._command.unix_seconds,
-            kept_at,
+            copied_at,
         )
         if isinstance(document, Failure):
             return Failure(OperatorFailureKind.CONFLICT, document.reason)
         return (yield from self._swap(document, current))
 
-    def _keep_history(self, current: StoredDocument) -> Script[int | None]:
+    def _save_history(self, current: StoredDocument) -> Script[int | None]:
         """Copy the document that is about to be replaced, so that every revision is kept.
 
         Returns the store's revision of the copy (0: there is nothing to copy), or ``None`` if
@@ -196,8 +196,8 @@
         reply = yield from call_store(CompareAndSwap(key, 0, current.document.body))
         swap = reply.outcome
         if isinstance(swap, SwapResult):
-            there = swap.current.modified_at if swap.current is not None else 0
-            return swap.store_revision if swap.succeeded else there
+            existing_at = swap.current.modified_at if swap.current is not None else 0
+            return swap.store_revision if swap.succeeded else existing_at
         self._last_reason = _reason(swap)
         return None
 
@@ -208,7 +208,7 @@
         outcome = (yield from call_store(operation)).outcome
         if isinstance(outcome, SwapResult):
             if outcome.succeeded:
-                return self._landed(document, ConfirmOutcome.LANDED)
+                return self._find_landed(document, ConfirmOutcome.LANDED)
             self._last_reason = "other changes kept coming in between"
             return None
         if isinstance(outcome, Failure) and outcome.kind in _UNCERTAIN_KINDS:
@@ -217,9 +217,11 @@
         self._last_reason = _reason(outcome)
         return None
 
-    def _landed(self, document: ConfigurationDocument, outcome: ConfirmOutcome) -> Landed | None:
+    def _find_landed(
+        self, document: ConfigurationDocument, outcome: ConfirmOutcome
+    ) -> Landed | None:
         """Return the good news if the document's records name the plan."""
-        record = document.record_of(self._command.plan_id)
+        record = document.find_record(self._command.plan_id)
         if record is None:
             return None
         if self._was_uncertain:
@@ -233,7 +235,7 @@
         )
         return Landed(document, result)
 
-    def _store_behind(self, stored: ConfigurationDocument) -> OperatorFailure | None:
+    def _handle_stale_store(self, stored: ConfigurationDocument) -> OperatorFailure | None:
         self._last_reason = (
             f"the store holds revision {stored.revision}, older than revision "
             f"{self._in_force.revision} in force here: it was set back, or an out-of-date member "
@@ -244,12 +246,12 @@
         return Failure(OperatorFailureKind.CONFLICT, self._last_reason)
 
 
-def read_earlier(
+def read_earlier_documents(
     intents: tuple[Intent, ...], current: ConfigurationDocument
 ) -> Generator[Step, Resumed, EarlierDocuments | OperatorFailure]:
     """Read the revisions that ``RestoreRevision`` intents name."""
     earlier = {current.revision: current}
-    for revision in revisions_named(intents):
+    for revision in restored_revisions(intents):
         if revision in earlier:
             continue
         document = yield from read_revision(revision)
@@ -282,14 +284,14 @@
     return Failure(kinds[failure.kind], failure.reason)
 
 
-def _remembers_since(current: ConfigurationDocument, plan: Plan) -> bool:
+def _audit_reaches_base(current: ConfigurationDocument, plan: Plan) -> bool:
     """Whether the records reach back to the plan's base, so that they would name its landing."""
     if current.revision <= plan.base_revision:
         return True
     return bool(current.audit) and current.audit[0].revision <= plan.base_revision + 1
 
 
-def _too_far_behind(plan: Plan, current: ConfigurationDocument) -> OperatorFailure:
+def _base_too_old(plan: Plan, current: ConfigurationDocument) -> OperatorFailure:
     return Failure(
         OperatorFailureKind.CONFLICT,
         f"the plan was made at revision {plan.base_revision}, now is {current.revision}: "
--- a/wingquay/configuration/current_key.py
+++ b/wingquay/configuration/current_document.py
@@ -45,7 +45,7 @@
     store_revision: int
 
 
-class CurrentKey:
+class CurrentDocumentReader:
     """Reads the current document, transferring it only when it changed."""
 
     def __init__(self) -> None:
@@ -54,13 +54,13 @@
     def read(self) -> Script[StoredDocument | ReadFailure]:
         """Return what the store holds now."""
         last = self._last
-        known_at = last.modified_at if last is not None else 0
-        reply = yield from call_store(Read(CURRENT_KEY, modified_after=known_at))
+        known_modified_at = last.modified_at if last is not None else 0
+        reply = yield from call_store(Read(CURRENT_KEY, modified_after=known_modified_at))
         result = reply.outcome
         if not isinstance(result, ReadResult):
-            return unavailable(result)
+            return store_unavailable(result)
         if result.values:
-            return self.take(result.values[0], result.store_revision)
+            return self.parse(result.values[0], result.store_revision)
         if last is None:
             return StoredDocument(EMPTY_DOCUMENT, 0, result.store_revision)
         if result.store_revision < last.modified_at:
@@ -70,12 +70,12 @@
             return (yield from self.read())
         return StoredDocument(last.document, last.modified_at, result.store_revision)
 
-    def take(self, value: StoredValue, store_revision: int) -> StoredDocument | ReadFailure:
+    def parse(self, value: StoredValue, store_revision: int) -> StoredDocument | ReadFailure:
         """Interpret a value of the current key, read or handed out by a watch or a swap."""
         if self._last is not None and value.modified_at == self._last.modified_at:
             return StoredDocument(self._last.document, value.modified_at, store_revision)
-        like = self._last.document if self._last is not None else None
-        document = parse_document(value.value, like)
+        previous = self._last.document if self._last is not None else None
+        document = parse_document(value.value, previous)
         if isinstance(document, Failure):
             return Failure(ReadFailureKind.MALFORMED, document.reason)
         stored = StoredDocument(document, value.modified_at, store_revision)
@@ -89,7 +89,7 @@
     reply = yield from call_store(Read(history_key(revision)))
     result = reply.outcome
     if not isinstance(result, ReadResult):
-        return unavailable(result)
+        return store_unavailable(result)
     if not result.values:
         return Failure(ReadFailureKind.NOT_FOUND, f"revision {revision} is not kept")
     document = parse_document(result.values[0].value)
@@ -98,7 +98,7 @@
     return document
 
 
-def unavailable(outcome: object) -> ReadFailure:
+def store_unavailable(outcome: object) -> ReadFailure:
     """Return the failure that stands for a store operation that brought no result."""
     reason = outcome.reason if isinstance(outcome, Failure) else "unexpected reply"
     return Failure(ReadFailureKind.STORE_UNAVAILABLE, f"the store did not answer: {reason}")
--- a/wingquay/configuration/dissemination.py
+++ b/wingquay/configuration/dissemination.py
@@ -23,19 +23,19 @@
 from .document import ConfigurationDocument, parse_document, unpack_body
 from .in_force import InForceConfiguration
 from .node_view import NodeView
+from .revision_tracker import RevisionTracker
 from .script import Script, ScriptRunner, pause, perform
-from .spread import Spread
 
-FAN_OUT = 3
+ANNOUNCE_FAN_OUT = 3
 """Random nodes told in each round of an announcement."""
 
-ROUNDS = 3
+ANNOUNCE_ROUNDS = 3
 """Rounds of an announcement."""
 
-ROUND_PAUSE_SECONDS = 0.3
+ANNOUNCE_INTERVAL_SECONDS = 0.3
 """Mean pause between rounds."""
 
-NODES_TOLD_IN_EACH_ZONE = 2
+NODES_NOTIFIED_PER_ZONE = 2
 """Further nodes told, in every zone, by a node that has a revision from the store itself."""
 
 FETCH_TIMEOUT_SECONDS = 0.5
@@ -44,15 +44,15 @@
 FETCH_ATTEMPTS = 10
 """Nodes asked for a body before waiting to hear of it anew."""
 
-ANTI_ENTROPY_SECONDS = 20.0
+ANTI_ENTROPY_INTERVAL_SECONDS = 20.0
 """Mean pause between two comparisons of revisions with a random node."""
 
-UNREADABLE_PAUSE_SECONDS = 30.0
+UNREADABLE_BODY_PAUSE_SECONDS = 30.0
 """Pause before a revision whose body could not be read is fetched again."""
 
 
 @dataclass(slots=True)
-class _Wanted:
+class _PendingFetch:
     """A newer revision that is being fetched, and who said to have it."""
 
     revision: Revision
@@ -63,21 +63,25 @@
     """Takes new revisions into force, tells others of them and fetches what others have."""
 
     def __init__(
-        self, view: NodeView, runner: ScriptRunner, in_force: InForceConfiguration, spread: Spread
+        self,
+        view: NodeView,
+        runner: ScriptRunner,
+        in_force: InForceConfiguration,
+        revision_tracker: RevisionTracker,
     ) -> None:
         self._view = view
         self._runner = runner
         self._in_force = in_force
-        self._spread = spread
-        self._wanted: _Wanted | None = None
-        self._asked: NodeId | None = None
-        self._not_before = 0.0
+        self._revision_tracker = revision_tracker
+        self._pending_fetch: _PendingFetch | None = None
+        self._fetch_target: NodeId | None = None
+        self._fetch_not_before = 0.0
 
     def start(self, now: float) -> list[Action]:
         """Begin to compare revisions with random nodes."""
-        return self._runner.start(self._compare_now_and_then(), now)
+        return self._runner.start(self._run_anti_entropy(), now)
 
-    def take(
+    def apply(
         self, document: ConfigurationDocument, now: float, source: str, from_store: bool
     ) -> list[Action]:
         """Put ``document`` in force if it is newer, and then tell others.
@@ -92,125 +96,129 @@
         if not self._in_force.is_newer(document.revision):
             return self._in_force.apply(document, now, source)
         actions = self._in_force.apply(document, now, source)
-        if self._wanted is not None and self._wanted.revision <= document.revision:
-            self._wanted = None
-        return actions + self._runner.start(self._announce(document.revision, from_store), now)
+        if self._pending_fetch is not None and self._pending_fetch.revision <= document.revision:
+            self._pending_fetch = None
+        return actions + self._runner.start(
+            self._run_announcement(document.revision, from_store), now
+        )
 
-    def heard(self, sender: NodeIdentity, revision: Revision, now: float) -> list[Action]:
+    def handle_revision(self, sender: NodeIdentity, revision: Revision, now: float) -> list[Action]:
         """Take in that ``sender`` has ``revision``, and fetch it if it is newer."""
-        self._spread.heard(sender.node_id, revision, now)
-        if not self._in_force.is_newer(revision) or now < self._not_before:
+        self._revision_tracker.record(sender.node_id, revision, now)
+        if not self._in_force.is_newer(revision) or now < self._fetch_not_before:
             return []
         if Mechanism.PEER_DISSEMINATION in self._view.disabled:
             return []
-        wanted = self._wanted
-        if wanted is None:
-            self._wanted = _Wanted(revision, [sender])
-            return self._runner.start(self._fetch(self._wanted), now)
-        if revision > wanted.revision:
-            wanted.revision = revision
-            wanted.sources.clear()
-        if revision == wanted.revision and sender not in wanted.sources:
-            wanted.sources.append(sender)
+        pending = self._pending_fetch
+        if pending is None:
+            self._pending_fetch = _PendingFetch(revision, [sender])
+            return self._runner.start(self._fetch(self._pending_fetch), now)
+        if revision > pending.revision:
+            pending.revision = revision
+            pending.sources.clear()
+        if revision == pending.revision and sender not in pending.sources:
+            pending.sources.append(sender)
         return []
 
-    def fetch_requested(
+    def handle_fetch(
         self, sender: NodeIdentity, message: ConfigurationFetch, now: float
     ) -> list[Action]:
         """Answer a node that named its revision."""
         own = self._in_force.revision
         if message.known_revision > own:
-            return self.heard(sender, message.known_revision, now)
-        self._spread.heard(sender.node_id, message.known_revision, now)
+            return self.handle_revision(sender, message.known_revision, now)
+        self._revision_tracker.record(sender.node_id, message.known_revision, now)
         if own == 0:
             return []
         body = self._in_force.packed_body() if message.known_revision < own else b""
         return [SendToPeer(sender, ConfigurationBody(own, body))]
 
-    def body_received(
+    def handle_body(
         self, sender: NodeIdentity, message: ConfigurationBody, now: float
     ) -> list[Action]:
         """Take in a node's configuration, or (an empty body) just which one it has."""
         if not message.body or not self._in_force.is_newer(message.revision):
-            return self.heard(sender, message.revision, now)
-        self._spread.heard(sender.node_id, message.revision, now)
-        document = _unpacked(message, self._in_force.document)
+            return self.handle_revision(sender, message.revision, now)
+        self._revision_tracker.record(sender.node_id, message.revision, now)
+        document = _parse_body(message, self._in_force.document)
         if isinstance(document, str):
-            self._wanted = None
-            self._not_before = now + UNREADABLE_PAUSE_SECONDS
+            self._pending_fetch = None
+            self._fetch_not_before = now + UNREADABLE_BODY_PAUSE_SECONDS
             fields = (("sender", sender.node_id), ("reason", document))
             return [Log("configuration_body_unreadable", LogLevel.ERROR, fields)]
-        actions = self.take(document, now, f"peer {sender.node_id}", from_store=False)
+        actions = self.apply(document, now, f"peer {sender.node_id}", from_store=False)
         confirmation = ConfigurationBody(document.revision, b"")
         return [*actions, SendToPeer(sender, confirmation)]
 
-    def link_broken(self, node_id: NodeId, now: float) -> list[Action]:
+    def handle_link_broken(self, node_id: NodeId, now: float) -> list[Action]:
         """Ask another node at once if the one asked for a body cannot be reached."""
-        if self._wanted is None or self._asked != node_id:
+        if self._pending_fetch is None or self._fetch_target != node_id:
             return []
-        self._asked = None
-        return self._ask(self._wanted)
+        self._fetch_target = None
+        return self._send_fetch(self._pending_fetch)
 
-    def _fetch(self, wanted: _Wanted) -> Script[list[Action]]:
+    def _fetch(self, pending: _PendingFetch) -> Script[list[Action]]:
         """Ask one node after another until the revision is there."""
         for _ in range(FETCH_ATTEMPTS):
-            yield from perform(*self._ask(wanted))
+            yield from perform(*self._send_fetch(pending))
             yield from pause(FETCH_TIMEOUT_SECONDS * self._view.random.uniform(1.0, 1.5))
-            if self._wanted is not wanted:
+            if self._pending_fetch is not pending:
                 return []
-        self._wanted = None
+        self._pending_fetch = None
         return []
 
-    def _ask(self, wanted: _Wanted) -> list[Action]:
+    def _send_fetch(self, pending: _PendingFetch) -> list[Action]:
         """Ask the next node that said to have it, or a random one when none is left."""
-        if wanted.sources:
-            node = wanted.sources.pop(0)
+        if pending.sources:
+            node = pending.sources.pop(0)
         elif self._view.peers:
             node = self._view.random.choice(self._view.peers)
         else:
             return []
-        self._asked = node.node_id
+        self._fetch_target = node.node_id
         return [SendToPeer(node, ConfigurationFetch(self._in_force.revision))]
 
-    def _announce(self, revision: Revision, from_store: bool) -> Script[list[Action]]:
+    def _run_announcement(self, revision: Revision, from_store: bool) -> Script[list[Action]]:
         if from_store:
-            yield from perform(*self.tell(self.some_of_each_zone()))
-        for _ in range(ROUNDS):
+            yield from perform(*self.announce(self.sample_each_zone()))
+        for _ in range(ANNOUNCE_ROUNDS):
             if self._in_force.revision != revision:
                 return []
-            yield from perform(*self.tell(self._view.sample(self._view.peers, FAN_OUT)))
-            yield from pause(ROUND_PAUSE_SECONDS * self._view.random.uniform(0.5, 1.5))
+            yield from perform(
+                *self.announce(self._view.sample(self._view.peers, ANNOUNCE_FAN_OUT))
+            )
+            yield from pause(ANNOUNCE_INTERVAL_SECONDS * self._view.random.uniform(0.5, 1.5))
         return []
 
-    def some_of_each_zone(self) -> list[NodeIdentity]:
+    def sample_each_zone(self) -> list[NodeIdentity]:
         """Return a few random nodes of every zone."""
         return [
             node
             for zone in self._view.zones
-            for node in self._view.sample(self._view.zone_peers(zone), NODES_TOLD_IN_EACH_ZONE)
+            for node in self._view.sample(self._view.zone_peers(zone), NODES_NOTIFIED_PER_ZONE)
         ]
 
-    def tell(self, nodes: list[NodeIdentity]) -> list[Action]:
+    def announce(self, nodes: list[NodeIdentity]) -> list[Action]:
         """Name this node's revision to ``nodes``; they answer with theirs."""
         if Mechanism.PEER_DISSEMINATION in self._view.disabled:
             return []
         announcement = ConfigurationFetch(self._in_force.revision)
         return [SendToPeer(node, announcement) for node in nodes]
 
-    def _compare_now_and_then(self) -> Script[list[Action]]:
+    def _run_anti_entropy(self) -> Script[list[Action]]:
         while True:
-            yield from pause(ANTI_ENTROPY_SECONDS * self._view.random.uniform(0.5, 1.5))
-            yield from perform(*self.tell(self._view.sample(self._view.peers, 1)))
+            yield from pause(ANTI_ENTROPY_INTERVAL_SECONDS * self._view.random.uniform(0.5, 1.5))
+            yield from perform(*self.announce(self._view.sample(self._view.peers, 1)))
 
 
-def _unpacked(
-    message: ConfigurationBody, like: ConfigurationDocument | None
+def _parse_body(
+    message: ConfigurationBody, previous: ConfigurationDocument | None
 ) -> ConfigurationDocument | str:
     """Return the document in a message, or why it cannot be believed."""
     body = unpack_body(message.body)
     if isinstance(body, Failure):
         return body.reason
-    document = parse_document(body, like)
+    document = parse_document(body, previous)
     if isinstance(document, Failure):
         return document.reason
     if document.revision != message.revision:
--- a/wingquay/configuration/document.py
+++ b/wingquay/configuration/document.py
@@ -19,10 +19,10 @@
 from ..model.failure import Failure
 from ..model.identifiers import Revision
 
-AUDIT_RECORDS_KEPT = 64
+MAX_AUDIT_RECORDS = 64
 """Confirms listed in the document; as many earlier revisions are kept in the store."""
 
-MAXIMUM_BODY_BYTES = 32 * 1024 * 1024
+MAX_BODY_BYTES = 32 * 1024 * 1024
 """A document larger than this, unpacked, is not believed."""
 
 Json = dict[str, Any]
@@ -50,7 +50,7 @@
         """The revision of the configuration."""
         return self.configuration.revision
 
-    def record_of(self, confirm_id: str) -> AuditRecord | None:
+    def find_record(self, confirm_id: str) -> AuditRecord | None:
         """Return the record of the confirm called ``confirm_id``, if it is among those kept."""
         return next((entry for entry in self.audit if entry.confirm_id == confirm_id), None)
 
@@ -67,7 +67,7 @@
 
 
 def parse_document(
-    body: bytes, like: ConfigurationDocument | None = None
+    body: bytes, previous: ConfigurationDocument | None = None
 ) -> ConfigurationDocument | Failure[DocumentFailureKind]:
     """Read a document; a whole one or none.
 
@@ -79,7 +79,7 @@
     """
     try:
         raw = orjson.loads(body)
-        configuration = Configuration.model_validate(_with_known_services(raw, like))
+        configuration = Configuration.model_validate(_reuse_services(raw, previous))
         audit = tuple(AuditRecord.model_validate(entry) for entry in raw.get("audit", ()))
     except (ValueError, ValidationError, TypeError, AttributeError) as error:
         reason = f"configuration document: {str(error)[:300]}"
@@ -87,13 +87,15 @@
     return ConfigurationDocument(configuration, audit, body)
 
 
-def _with_known_services(raw: Json, like: ConfigurationDocument | None) -> Json:
-    if like is None or not isinstance(raw.get("services"), list):
+def _reuse_services(raw: Json, previous: ConfigurationDocument | None) -> Json:
+    if previous is None or not isinstance(raw.get("services"), list):
         return raw
-    before = like.raw().get("services", ())
-    known = like.configuration.services
+    previous_services = previous.raw().get("services", ())
+    known_services = previous.configuration.services
     reused = [
-        known[index] if index < len(known) and entry == before[index] else entry
+        known_services[index]
+        if index < len(known_services) and entry == previous_services[index]
+        else entry
         for index, entry in enumerate(raw["services"])
     ]
     return {**raw, "services": reused}
@@ -130,10 +132,10 @@
         raw = keep_unknown_keys(raw, earlier.raw())
     if "oldest_writer" in base_raw:
         raw["oldest_writer"] = oldest_writer
-    audit = [*base_raw.get("audit", ()), record.model_dump(mode="json")][-AUDIT_RECORDS_KEPT:]
+    audit = [*base_raw.get("audit", ()), record.model_dump(mode="json")][-MAX_AUDIT_RECORDS:]
     raw["audit"] = audit
     body = orjson.dumps(raw)
-    records = (*base.audit, record)[-AUDIT_RECORDS_KEPT:]
+    records = (*base.audit, record)[-MAX_AUDIT_RECORDS:]
     return ConfigurationDocument(confirmed, records, body)
 
 
@@ -158,11 +160,11 @@
         return written
     if isinstance(written, dict) and isinstance(earlier, dict):
         unknown = {key: value for key, value in earlier.items() if key not in written}
-        known = {
+        known_services = {
             key: keep_unknown_keys(value, earlier[key]) if key in earlier else value
             for key, value in written.items()
         }
-        return {**known, **unknown}
+        return {**known_services, **unknown}
     if isinstance(written, list) and isinstance(earlier, list):
         by_identity = {entry_identity(entry): entry for entry in earlier}
         by_identity.pop(None, None)
@@ -179,12 +181,12 @@
 
 
 def unpack_body(packed: bytes) -> bytes | Failure[DocumentFailureKind]:
-    """Undo ``pack_body``, refusing what would grow beyond ``MAXIMUM_BODY_BYTES``."""
-    unpacker = zlib.decompressobj()
+    """Undo ``pack_body``, refusing what would grow beyond ``MAX_BODY_BYTES``."""
+    decompressor = zlib.decompressobj()
     try:
-        body = unpacker.decompress(packed, MAXIMUM_BODY_BYTES)
+        body = decompressor.decompress(packed, MAX_BODY_BYTES)
     except zlib.error as error:
         return Failure(DocumentFailureKind.MALFORMED, f"configuration body: {error}")
-    if not unpacker.eof:
+    if not decompressor.eof:
         return Failure(DocumentFailureKind.MALFORMED, "configuration body: cut off or too large")
     return body
--- a/wingquay/configuration/effects.py
+++ b/wingquay/configuration/effects.py
@@ -26,7 +26,7 @@
     return (*direct, *indirect)
 
 
-def terms_of(configuration: Configuration, subject: Subject) -> ClassTerms | None:
+def class_terms(configuration: Configuration, subject: Subject) -> ClassTerms | None:
     """Return the class that serves ``subject``, or ``None`` if there is no such kind."""
     service_name, kind_name, caller = subject
     service = configuration.service(service_name)
@@ -66,7 +66,7 @@
 def _direct_effect(
     before: Configuration, after: Configuration, subject: Subject
 ) -> ClassEffect | None:
-    old, new = terms_of(before, subject), terms_of(after, subject)
+    old, new = class_terms(before, subject), class_terms(after, subject)
     if old == new:
         return None
     service, kind, caller = subject
@@ -77,11 +77,11 @@
         before=old,
         after=new,
         direction=_direction(old, new),
-        because=f"class {_described(old)} -> {_described(new)}",
+        because=f"class {_describe_terms(old)} -> {_describe_terms(new)}",
     )
 
 
-def _described(terms: ClassTerms | None) -> str:
+def _describe_terms(terms: ClassTerms | None) -> str:
     if terms is None:
         return "none"
     return f"{terms.class_name} (price {terms.price:g}, promise {terms.promise_seconds:g} s)"
@@ -92,44 +92,44 @@
         return EffectDirection.GAINS
     if new is None:
         return EffectDirection.LOSES
-    sooner = new.price > old.price or new.promise_seconds < old.promise_seconds
-    later = new.price < old.price or new.promise_seconds > old.promise_seconds
-    if sooner and later:
+    better = new.price > old.price or new.promise_seconds < old.promise_seconds
+    worse = new.price < old.price or new.promise_seconds > old.promise_seconds
+    if better and worse:
         return EffectDirection.MIXED
-    return EffectDirection.LOSES if later else EffectDirection.GAINS
+    return EffectDirection.LOSES if worse else EffectDirection.GAINS
 
 
 def _indirect_effect(
     after: Configuration, subject: Subject, direct: list[ClassEffect]
 ) -> ClassEffect | None:
     """Tell whether a kind that keeps its class is overtaken, or overtakes, in its service."""
-    terms = terms_of(after, subject)
+    terms = class_terms(after, subject)
     service, kind, caller = subject
     if terms is None:
         return None
-    rivals = [effect for effect in direct if effect.service == service and effect.kind != kind]
-    passed_by = [
+    changed = [effect for effect in direct if effect.service == service and effect.kind != kind]
+    overtaken_by = [
         effect.kind
-        for effect in rivals
+        for effect in changed
         if _price(effect.before) <= terms.price < _price(effect.after)
     ]
-    passing = [
+    overtakes = [
         effect.kind
-        for effect in rivals
+        for effect in changed
         if _price(effect.after) <= terms.price < _price(effect.before)
     ]
-    if not passed_by and not passing:
+    if not overtaken_by and not overtakes:
         return None
-    parts = [f"{name} is now served before it" for name in passed_by]
-    parts += [f"{name} is no longer served before it" for name in passing]
-    direction = EffectDirection.MIXED if passed_by and passing else EffectDirection.LOSES
+    parts = [f"{name} is now served before it" for name in overtaken_by]
+    parts += [f"{name} is no longer served before it" for name in overtakes]
+    direction = EffectDirection.MIXED if overtaken_by and overtakes else EffectDirection.LOSES
     return ClassEffect(
         service=service,
         kind=kind,
         caller=caller,
         before=terms,
         after=terms,
-        direction=direction if passed_by else EffectDirection.GAINS,
+        direction=direction if overtaken_by else EffectDirection.GAINS,
         because="; ".join(dict.fromkeys(parts)),
     )
 
--- a/wingquay/configuration/in_force.py
+++ b/wingquay/configuration/in_force.py
@@ -48,7 +48,7 @@
             Where it came from, for the log.
         """
         if not self.is_newer(document.revision):
-            return self._compare(document)
+            return self._report_fork(document)
         first = self.document is None
         self.document = document
         self.since = now
@@ -62,7 +62,7 @@
             actions.append(SetReady(True, "a configuration is in force"))
         return actions
 
-    def _compare(self, document: ConfigurationDocument) -> list[Action]:
+    def _report_fork(self, document: ConfigurationDocument) -> list[Action]:
         """Report two documents of one revision: only a store set back by hand can do that."""
         present = self.document
         if present is None or document.revision != present.revision:
--- a/wingquay/configuration/intent_failure.py
+++ b/wingquay/configuration/intent_failure.py
@@ -18,22 +18,22 @@
 Entry = TypeVar("Entry")
 
 
-def invalid(reason: str) -> IntentFailure:
+def invalid_intent(reason: str) -> IntentFailure:
     """Return the failure; ``reason`` names field, value and what is allowed."""
     return Failure(IntentFailureKind.INVALID, reason)
 
 
-def unknown(field: str, value: str, allowed: Iterable[str]) -> IntentFailure:
+def unknown_name(field: str, value: str, allowed: Iterable[str]) -> IntentFailure:
     """Return the failure for a name that does not exist."""
-    return invalid(f"{field}: {value!r} does not exist; allowed: {sorted(allowed)}")
+    return invalid_intent(f"{field}: {value!r} does not exist; allowed: {sorted(allowed)}")
 
 
-def name_of(entry: object) -> str:
+def entry_name(entry: object) -> str:
     """Return the name by which an entry is known among its neighbours."""
     return str(getattr(entry, "name"))  # noqa: B009
 
 
-def replaced(
+def replace_entry(
     entries: tuple[Entry, ...], entry: Entry, identity: Callable[[Entry], object]
 ) -> tuple[Entry, ...]:
     """Return ``entries`` with ``entry`` in the place of its namesake, else at the end."""
--- a/wingquay/configuration/intents.py
+++ b/wingquay/configuration/intents.py
@@ -32,10 +32,10 @@
 )
 from .intent_failure import (
     IntentFailure,
-    invalid,
-    name_of,
-    replaced,
-    unknown,
+    entry_name,
+    invalid_intent,
+    replace_entry,
+    unknown_name,
 )
 
 History = Mapping[Revision, Configuration]
@@ -68,25 +68,25 @@
         The failure's reason names the field, the value and what is allowed.
     """
     if not intents:
-        return invalid("intents: give at least one")
+        return invalid_intent("intents: give at least one")
     resolved: list[Intent] = []
     for number, intent in enumerate(intents, start=1):
-        exact = _resolve(configuration, intent)
-        if isinstance(exact, Failure):
-            return invalid(f"intent {number} ({intent.intent}): {exact.reason}")
-        outcome = _apply(configuration, exact, history or {})
+        resolved_intent = _resolve(configuration, intent)
+        if isinstance(resolved_intent, Failure):
+            return invalid_intent(f"intent {number} ({intent.intent}): {resolved_intent.reason}")
+        outcome = _apply(configuration, resolved_intent, history or {})
         if isinstance(outcome, Failure):
-            return invalid(f"intent {number} ({intent.intent}): {outcome.reason}")
+            return invalid_intent(f"intent {number} ({intent.intent}): {outcome.reason}")
         configuration = outcome
-        resolved.append(exact)
+        resolved.append(resolved_intent)
     # The entries were checked one by one when they were made; what is left is how they fit.
     errors = reference_errors(configuration)
     if errors:
-        return invalid("; ".join(errors))
+        return invalid_intent("; ".join(errors))
     return AppliedIntents(configuration, tuple(resolved))
 
 
-def class_order(entry: PriorityClass) -> tuple[float, float, str]:
+def class_sort_key(entry: PriorityClass) -> tuple[float, float, str]:
     """Return the key by which classes are ordered, lowest first."""
     return entry.price, -entry.promise_seconds, entry.name
 
@@ -94,9 +94,11 @@
 def _resolve(configuration: Configuration, intent: Intent) -> Intent | IntentFailure:
     if not isinstance(intent, AssignClass) or intent.class_name not in RESERVED_CLASS_NAMES:
         return intent
-    ordered = sorted(configuration.classes, key=class_order)
+    ordered = sorted(configuration.classes, key=class_sort_key)
     if not ordered:
-        return invalid(f"class_name: {intent.class_name!r} stands for no class; none exists yet")
+        return invalid_intent(
+            f"class_name: {intent.class_name!r} stands for no class; none exists yet"
+        )
     chosen = {TOP_CLASS: ordered[-1], LOWEST_CLASS: ordered[0]}[intent.class_name]
     return intent.model_copy(update={"class_name": chosen.name})
 
@@ -118,21 +120,21 @@
         case SetClass():
             return set_class(configuration, intent)
         case SetService() | SetCaller() | SetDeployment():
-            return _set_whole(configuration, intent)
+            return _replace_whole(configuration, intent)
 
 
-def _set_whole(
+def _replace_whole(
     configuration: Configuration, intent: SetService | SetCaller | SetDeployment
 ) -> Configuration:
     match intent:
         case SetService():
-            services = replaced(configuration.services, intent.service, name_of)
+            services = replace_entry(configuration.services, intent.service, entry_name)
             return configuration.model_copy(update={"services": services})
         case SetCaller():
-            callers = replaced(configuration.callers, intent.caller, name_of)
+            callers = replace_entry(configuration.callers, intent.caller, entry_name)
             return configuration.model_copy(update={"callers": callers})
         case SetDeployment():
-            deployments = replaced(configuration.deployments, intent.deployment, name_of)
+            deployments = replace_entry(configuration.deployments, intent.deployment, entry_name)
             return configuration.model_copy(update={"deployments": deployments})
 
 
@@ -152,9 +154,9 @@
     service = configuration.service(intent.service)
     if service is None:
         names = (entry.name for entry in configuration.services)
-        return unknown("service", intent.service, names)
+        return unknown_name("service", intent.service, names)
     changed = service.model_copy(update={"shards": intent.shards})
-    services = replaced(configuration.services, changed, name_of)
+    services = replace_entry(configuration.services, changed, entry_name)
     return configuration.model_copy(update={"services": services})
 
 
@@ -162,7 +164,7 @@
     configuration: Configuration, intent: RemoveService
 ) -> Configuration | IntentFailure:
     if configuration.service(intent.name) is None:
-        return unknown("name", intent.name, (entry.name for entry in configuration.services))
+        return unknown_name("name", intent.name, (entry.name for entry in configuration.services))
     callers = tuple(
         caller.model_copy(
             update={"services": tuple(name for name in caller.services if name != intent.name)}
@@ -182,7 +184,7 @@
     configuration: Configuration, intent: RemoveCaller
 ) -> Configuration | IntentFailure:
     if configuration.caller(intent.name) is None:
-        return unknown("name", intent.name, (entry.name for entry in configuration.callers))
+        return unknown_name("name", intent.name, (entry.name for entry in configuration.callers))
     return configuration.model_copy(
         update={
             "callers": tuple(e for e in configuration.callers if e.name != intent.name),
@@ -196,7 +198,7 @@
 ) -> Configuration | IntentFailure:
     earlier = history.get(intent.revision)
     if earlier is None:
-        return invalid(
+        return invalid_intent(
             f"revision: {intent.revision} is not kept; allowed: those that "
             "`wingquay configuration history` lists"
         )
--- a/wingquay/configuration/node_view.py
+++ b/wingquay/configuration/node_view.py
@@ -34,8 +34,8 @@
         self.available: tuple[NodeIdentity, ...] = (identity,)
         self.leaving_nodes: tuple[NodeIdentity, ...] = ()
         self._peers: tuple[NodeIdentity, ...] = ()
-        self._zones: dict[ZoneName, tuple[NodeIdentity, ...]] = {}
-        self._known: dict[NodeId, NodeIdentity] = {}
+        self._peers_by_zone: dict[ZoneName, tuple[NodeIdentity, ...]] = {}
+        self._peers_by_id: dict[NodeId, NodeIdentity] = {}
 
     @property
     def peers(self) -> tuple[NodeIdentity, ...]:
@@ -55,27 +55,27 @@
     @property
     def zones(self) -> tuple[ZoneName, ...]:
         """The zones with available nodes, in order; this node's own among them."""
-        return tuple(sorted({self.identity.zone, *self._zones}))
+        return tuple(sorted({self.identity.zone, *self._peers_by_zone}))
 
     def zone_peers(self, zone: ZoneName) -> tuple[NodeIdentity, ...]:
         """Return the other available nodes of a zone."""
-        return self._zones.get(zone, ())
+        return self._peers_by_zone.get(zone, ())
 
     def peer(self, node_id: NodeId) -> NodeIdentity | None:
         """Return the other available node with that id, if there is one."""
-        return self._known.get(node_id)
+        return self._peers_by_id.get(node_id)
 
-    def take(self, change: MembershipChanged) -> None:
+    def update(self, change: MembershipChanged) -> None:
         """Take in the nodes that membership now believes in."""
         own = self.identity.node_id
         self.available = change.available
         self.leaving_nodes = change.leaving
         self._peers = tuple(node for node in change.available if node.node_id != own)
-        self._known = {node.node_id: node for node in self._peers}
+        self._peers_by_id = {node.node_id: node for node in self._peers}
         zones: dict[ZoneName, list[NodeIdentity]] = {}
         for node in self._peers:
             zones.setdefault(node.zone, []).append(node)
-        self._zones = {zone: tuple(nodes) for zone, nodes in zones.items()}
+        self._peers_by_zone = {zone: tuple(nodes) for zone, nodes in zones.items()}
 
     def sample(self, nodes: tuple[NodeIdentity, ...], count: int) -> list[NodeIdentity]:
         """Return up to ``count`` of ``nodes`` at random, none twice."""
--- a/wingquay/configuration/operator_requests.py
+++ b/wingquay/configuration/operator_requests.py
@@ -28,34 +28,34 @@
     ConfirmCommand,
     Landed,
     delete_unlisted_history,
-    read_earlier,
+    read_earlier_documents,
 )
-from .current_key import CurrentKey, StoredDocument
+from .current_document import CurrentDocumentReader, StoredDocument
 from .dissemination import Dissemination
 from .in_force import InForceConfiguration
 from .node_view import NodeView
 from .plan import Proposal, make_plan
 from .plan_store import PlanStore
 from .revision_reader import (
-    NOT_FRESH_WARNING,
+    STALE_REVISION_WARNING,
     CommandResult,
     RevisionReader,
 )
+from .revision_tracker import RevisionTracker
 from .script import Script, ScriptRunner, pause, perform
-from .spread import Spread
 from .status import StatusReporter
 from .store_schedule import FullJitterBackoff
 from .watcher import Watcher
 
-STATUS_WAIT_SECONDS = 0.3
+STATUS_TIMEOUT_SECONDS = 0.3
 """How long a status waits for nodes of each zone to name their revision."""
 
-STATUS_CHECK_SECONDS = 0.01
+STATUS_CHECK_INTERVAL_SECONDS = 0.01
 """How often it looks whether all have."""
 
-RETRY_LAST_CEILING_SECONDS = 1.0
+RETRY_MAX_CEILING_SECONDS = 1.0
 
-STORE_SILENT_PLAN_WARNING = (
+STORE_UNAVAILABLE_PLAN_WARNING = (
     "the store does not answer: the plan is based on revision {revision}, the last known here"
 )
 
@@ -68,21 +68,23 @@
         view: NodeView,
         runner: ScriptRunner,
         in_force: InForceConfiguration,
-        spread: Spread,
+        revision_tracker: RevisionTracker,
         dissemination: Dissemination,
-        current_key: CurrentKey,
+        document_reader: CurrentDocumentReader,
         watcher: Watcher,
     ) -> None:
         self._view = view
         self._runner = runner
         self._in_force = in_force
-        self._spread = spread
+        self._revision_tracker = revision_tracker
         self._dissemination = dissemination
-        self._current_key = current_key
+        self._document_reader = document_reader
         self._watcher = watcher
         self._plan_store = PlanStore()
-        self._revisions = RevisionReader(in_force, dissemination, current_key, runner.store_health)
-        self._status = StatusReporter(view, in_force, spread, runner.store_health)
+        self._revisions = RevisionReader(
+            in_force, dissemination, document_reader, runner.store_health
+        )
+        self._status = StatusReporter(view, in_force, revision_tracker, runner.store_health)
 
     def handle(self, request: OperatorRequest, now: float) -> list[Action]:
         """Begin to carry out a command."""
@@ -117,13 +119,13 @@
 
     def _show_status(self, now: float) -> Script[CommandResult]:
         """Ask a few nodes of each zone for their revision, and wait for them a little."""
-        asked = self._dissemination.some_of_each_zone()
-        yield from perform(*self._dissemination.tell(asked))
+        contacted = self._dissemination.sample_each_zone()
+        yield from perform(*self._dissemination.announce(contacted))
         later = now
-        while later < now + STATUS_WAIT_SECONDS:
-            if all(self._spread.heard_since(node.node_id, now) for node in asked):
+        while later < now + STATUS_TIMEOUT_SECONDS:
+            if all(self._revision_tracker.received_since(node.node_id, now) for node in contacted):
                 break
-            later = yield from pause(STATUS_CHECK_SECONDS)
+            later = yield from pause(STATUS_CHECK_INTERVAL_SECONDS)
         return self._status.report(later, self._watcher.holds_assignment)
 
     def _run_on_plans(
@@ -144,8 +146,8 @@
             return base
         warnings: tuple[str, ...] = ()
         if self._runner.store_health.reachable is False:
-            warnings = (STORE_SILENT_PLAN_WARNING.format(revision=base.revision),)
-        earlier = yield from read_earlier(command.intents, base)
+            warnings = (STORE_UNAVAILABLE_PLAN_WARNING.format(revision=base.revision),)
+        earlier = yield from read_earlier_documents(command.intents, base)
         if isinstance(earlier, Failure):
             return earlier
         proposal = Proposal(
@@ -167,11 +169,11 @@
         self, request: OperatorRequest, command: ConfirmPlan, now: float
     ) -> Script[CommandResult]:
         backoff = FullJitterBackoff(
-            self._view.random, last_ceiling_seconds=RETRY_LAST_CEILING_SECONDS
+            self._view.random, max_ceiling_seconds=RETRY_MAX_CEILING_SECONDS
         )
         confirmation = Confirmation(
             ConfirmCommand(command.plan_id, request.operator, request.unix_seconds),
-            self._current_key,
+            self._document_reader,
             self._plan_store,
             self._in_force,
             self._dissemination,
@@ -183,11 +185,11 @@
             return outcome
         landed_at = yield from perform()
         if outcome.result.outcome is ConfirmOutcome.LANDED:
-            self._spread.landed(outcome.result.revision, landed_at)
-            cleaning = delete_unlisted_history(outcome.document)
-            yield from perform(*self._runner.start(cleaning, landed_at))
-        taken = self._dissemination.take(outcome.document, landed_at, "confirm", from_store=True)
-        yield from perform(*taken)
+            self._revision_tracker.record_confirm(outcome.result.revision, landed_at)
+            deletion = delete_unlisted_history(outcome.document)
+            yield from perform(*self._runner.start(deletion, landed_at))
+        actions = self._dissemination.apply(outcome.document, landed_at, "confirm", from_store=True)
+        yield from perform(*actions)
         return outcome.result
 
     def _list_plans(self, request: OperatorRequest) -> Script[CommandResult]:
@@ -206,16 +208,16 @@
             for plan in found.plans
             if plan.plan_id not in landed_ids
         )
-        warnings = () if found.complete else (NOT_FRESH_WARNING,)
+        warnings = () if found.complete else (STALE_REVISION_WARNING,)
         return PlanListResult(plans=plans, warnings=warnings)
 
     def _discard(self, command: DiscardPlan) -> Script[CommandResult]:
         failure = yield from self._plan_store.discard(command.plan_id)
         if failure is not None:
             return failure
-        current = yield from self._current_key.read()
+        current = yield from self._document_reader.read()
         if isinstance(current, StoredDocument):
-            record = current.document.record_of(command.plan_id)
+            record = current.document.find_record(command.plan_id)
             if record is not None:
                 reason = f"the plan had already taken effect as revision {record.revision}"
                 return Failure(OperatorFailureKind.CONFLICT, reason)
--- a/wingquay/configuration/plan.py
+++ b/wingquay/configuration/plan.py
@@ -17,12 +17,12 @@
 )
 from .effects import class_effects
 from .intents import apply_intents
-from .outlook import promise_outlook
+from .promise_forecast import forecast_promises
 
 PLAN_LIFETIME_SECONDS = 900
 """How long a plan can be confirmed."""
 
-MAXIMUM_DIFF_LINES = 200
+MAX_DIFF_LINES = 200
 """Lines of a diff that a plan carries; the digest covers them all."""
 
 AUDIT_SUMMARY_LINES = 5
@@ -75,7 +75,7 @@
         return change_digest(self.diff, self.effects)
 
 
-def revisions_named(intents: Sequence[Intent]) -> tuple[Revision, ...]:
+def restored_revisions(intents: Sequence[Intent]) -> tuple[Revision, ...]:
     """Return the earlier revisions that the intents need, in order, each once."""
     named = [intent.revision for intent in intents if isinstance(intent, RestoreRevision)]
     return tuple(dict.fromkeys(named))
@@ -91,12 +91,12 @@
         confirmed_by=proposal.operator,
         confirmed_unix_seconds=proposal.unix_seconds,
     )
-    change = _change(base, proposal.intents, proposal.earlier, record)
+    change = _compute_change(base, proposal.intents, proposal.earlier, record)
     if isinstance(change, Failure):
         return change
     if not change.diff:
         return Failure(PlanFailureKind.INVALID, "the intents change nothing")
-    outlook = promise_outlook(
+    outlook = forecast_promises(
         base.configuration, change.document.configuration, change.effects, proposal.load
     )
     return Plan(
@@ -105,8 +105,8 @@
         operator=proposal.operator,
         intents=proposal.intents,
         resolved_intents=change.resolved,
-        diff=tuple(change.diff[:MAXIMUM_DIFF_LINES]),
-        diff_omitted=max(0, len(change.diff) - MAXIMUM_DIFF_LINES),
+        diff=tuple(change.diff[:MAX_DIFF_LINES]),
+        diff_omitted=max(0, len(change.diff) - MAX_DIFF_LINES),
         change_digest=change.digest,
         effects=change.effects,
         outlook=outlook,
@@ -139,17 +139,17 @@
         summary=plan.diff[:AUDIT_SUMMARY_LINES],
         replaced_kept_at=replaced_kept_at,
     )
-    change = _change(current, plan.intents, earlier, record)
+    change = _compute_change(current, plan.intents, earlier, record)
     if isinstance(change, Failure):
-        return Failure(PlanFailureKind.CONFLICT, _moved_on(plan, current, change.reason))
+        return Failure(PlanFailureKind.CONFLICT, _conflict_reason(plan, current, change.reason))
     if change.resolved != plan.resolved_intents or change.digest != plan.change_digest:
         shown = "; ".join(change.diff[:AUDIT_SUMMARY_LINES]) or "nothing"
-        reason = _moved_on(plan, current, f"the same intents would now change: {shown}")
+        reason = _conflict_reason(plan, current, f"the same intents would now change: {shown}")
         return Failure(PlanFailureKind.CONFLICT, reason)
     return change.document
 
 
-def _change(
+def _compute_change(
     base: ConfigurationDocument,
     intents: tuple[Intent, ...],
     earlier: EarlierDocuments,
@@ -159,7 +159,7 @@
     applied = apply_intents(base.configuration, intents, history)
     if isinstance(applied, Failure):
         return Failure(PlanFailureKind.INVALID, applied.reason)
-    restored = [earlier[revision] for revision in reversed(revisions_named(intents))]
+    restored = [earlier[revision] for revision in reversed(restored_revisions(intents))]
     document = next_document(base, applied.configuration, record, restored)
     if isinstance(document, Failure):
         return Failure(PlanFailureKind.INVALID, document.reason)
@@ -171,7 +171,7 @@
     )
 
 
-def _moved_on(plan: Plan, current: ConfigurationDocument, detail: str) -> str:
+def _conflict_reason(plan: Plan, current: ConfigurationDocument, detail: str) -> str:
     since = [entry for entry in current.audit if entry.revision > plan.base_revision]
     changes = [
         f"revision {entry.revision} by {entry.confirmed_by}: {'; '.join(entry.summary)}"
--- a/wingquay/configuration/plan_store.py
+++ b/wingquay/configuration/plan_store.py
@@ -25,19 +25,19 @@
 from .plan import PLAN_LIFETIME_SECONDS
 from .script import Script, call_store, perform
 
-MAXIMUM_PLANS_IN_MEMORY = 200
+MAX_LOCAL_PLANS = 200
 """Plans that a node keeps while the store does not answer; the oldest go first."""
 
-ONLY_HERE_WARNING = (
+LOCAL_ONLY_WARNING = (
     "the store does not answer: this plan is kept on this node only, "
     "and cannot be confirmed until the store answers"
 )
 
-PlanFailure = Failure[OperatorFailureKind]
+PlanStoreFailure = Failure[OperatorFailureKind]
 
 
 @dataclass(frozen=True, slots=True)
-class HeldPlan:
+class LocalPlan:
     """A plan and when it expires on this node's clock (``None``: by its lease in the store)."""
 
     plan: Plan
@@ -56,7 +56,7 @@
     """Saves, finds and discards plans."""
 
     def __init__(self) -> None:
-        self._only_here: dict[str, HeldPlan] = {}
+        self._local_plans: dict[str, LocalPlan] = {}
 
     def save(self, plan: Plan) -> Script[Plan]:
         """Keep ``plan``; the plan returned bears a warning if only this node has it."""
@@ -69,26 +69,26 @@
                 return plan
             yield from call_store(RevokeLease(lease.lease_id))
         now = yield from perform()
-        warned = plan.model_copy(update={"warnings": (*plan.warnings, ONLY_HERE_WARNING)})
-        self._keep_here(HeldPlan(warned, now + PLAN_LIFETIME_SECONDS), now)
-        return warned
+        local_plan = plan.model_copy(update={"warnings": (*plan.warnings, LOCAL_ONLY_WARNING)})
+        self._save_locally(LocalPlan(local_plan, now + PLAN_LIFETIME_SECONDS), now)
+        return local_plan
 
-    def find(self, plan_id: str) -> Script[Plan | PlanFailure]:
+    def find(self, plan_id: str) -> Script[Plan | PlanStoreFailure]:
         """Return a plan that can still be confirmed."""
         reply = yield from call_store(Read(plan_key(plan_id)))
         result = reply.outcome
-        held = self._held_here(plan_id, reply.now)
+        local = self._find_local(plan_id, reply.now)
         if isinstance(result, ReadResult) and result.values:
-            return _parsed(result.values[0])
-        if held is not None:
-            return held
+            return _parse_plan(result.values[0])
+        if local is not None:
+            return local
         if not isinstance(result, ReadResult):
             reason = result.reason if isinstance(result, Failure) else "unexpected reply"
             return Failure(
                 OperatorFailureKind.STORE_UNAVAILABLE,
                 f"plan {plan_id!r} is not on this node and the store does not answer: {reason}",
             )
-        if plan_id in self._only_here:
+        if plan_id in self._local_plans:
             return Failure(OperatorFailureKind.EXPIRED, f"plan {plan_id!r} has expired")
         return Failure(
             OperatorFailureKind.NOT_FOUND,
@@ -100,22 +100,22 @@
         reply = yield from call_store(Read(PLANS_PREFIX, prefix=True))
         result = reply.outcome
         stored = result.values if isinstance(result, ReadResult) else ()
-        parsed = (_parsed(value) for value in stored)
+        parsed = (_parse_plan(value) for value in stored)
         plans = {plan.plan_id: plan for plan in parsed if isinstance(plan, Plan)}
-        for plan_id in tuple(self._only_here):
-            held = self._held_here(plan_id, reply.now)
-            if held is not None:
-                plans.setdefault(plan_id, held)
+        for plan_id in tuple(self._local_plans):
+            local = self._find_local(plan_id, reply.now)
+            if local is not None:
+                plans.setdefault(plan_id, local)
         ordered = sorted(plans.values(), key=lambda plan: (plan.created_unix_seconds, plan.plan_id))
         return PlanList(tuple(ordered), isinstance(result, ReadResult))
 
-    def discard(self, plan_id: str) -> Script[PlanFailure | None]:
+    def discard(self, plan_id: str) -> Script[PlanStoreFailure | None]:
         """Forget a plan; ``None`` if it is gone."""
-        here = self._only_here.pop(plan_id, None)
+        local = self._local_plans.pop(plan_id, None)
         key = plan_key(plan_id)
         found = (yield from call_store(Read(key))).outcome
         if isinstance(found, ReadResult) and not found.values:
-            if here is not None:
+            if local is not None:
                 return None
             reason = f"plan {plan_id!r} has expired, was discarded or never was"
             return Failure(OperatorFailureKind.NOT_FOUND, reason)
@@ -124,26 +124,26 @@
             swap = (yield from call_store(operation)).outcome
             if isinstance(swap, SwapResult):
                 return None
-        if here is not None:
+        if local is not None:
             return None
         return Failure(
             OperatorFailureKind.STORE_UNAVAILABLE,
             f"the store does not answer: plan {plan_id!r} may still be confirmed; discard it again",
         )
 
-    def _held_here(self, plan_id: str, now: float) -> Plan | None:
-        held = self._only_here.get(plan_id)
-        if held is None or (held.expires_at is not None and held.expires_at <= now):
+    def _find_local(self, plan_id: str, now: float) -> Plan | None:
+        local = self._local_plans.get(plan_id)
+        if local is None or (local.expires_at is not None and local.expires_at <= now):
             return None
-        return held.plan
+        return local.plan
 
-    def _keep_here(self, held: HeldPlan, now: float) -> None:
-        self._only_here[held.plan.plan_id] = held
-        while len(self._only_here) > MAXIMUM_PLANS_IN_MEMORY:
-            self._only_here.pop(next(iter(self._only_here)))
+    def _save_locally(self, local: LocalPlan, now: float) -> None:
+        self._local_plans[local.plan.plan_id] = local
+        while len(self._local_plans) > MAX_LOCAL_PLANS:
+            self._local_plans.pop(next(iter(self._local_plans)))
 
 
-def _parsed(value: StoredValue) -> Plan | PlanFailure:
+def _parse_plan(value: StoredValue) -> Plan | PlanStoreFailure:
     try:
         return Plan.model_validate_json(value.value)
     except ValidationError as error:
--- a/wingquay/configuration/revision_reader.py
+++ b/wingquay/configuration/revision_reader.py
@@ -12,14 +12,14 @@
     ShowHistory,
 )
 from .confirmation import OperatorFailure, operator_failure
-from .current_key import CurrentKey, StoredDocument, read_revision
+from .current_document import CurrentDocumentReader, StoredDocument, read_revision
 from .diff import document_diff
 from .dissemination import Dissemination
 from .document import EMPTY_DOCUMENT, ConfigurationDocument
 from .in_force import InForceConfiguration
 from .script import Script, StoreHealth, perform
 
-NOT_FRESH_WARNING = "the store does not answer: this is the last revision known to this node"
+STALE_REVISION_WARNING = "the store does not answer: this is the last revision known to this node"
 
 CommandResult = OperatorMessage | OperatorFailure
 
@@ -31,12 +31,12 @@
         self,
         in_force: InForceConfiguration,
         dissemination: Dissemination,
-        current_key: CurrentKey,
+        document_reader: CurrentDocumentReader,
         store_health: StoreHealth,
     ) -> None:
         self._in_force = in_force
         self._dissemination = dissemination
-        self._current_key = current_key
+        self._document_reader = document_reader
         self._store_health = store_health
 
     def run(
@@ -50,33 +50,33 @@
                 document = yield from self.newest()
                 if isinstance(document, Failure):
                     return document
-                return HistoryResult(records=document.audit, warnings=self.freshness())
+                return HistoryResult(records=document.audit, warnings=self.staleness_warnings())
             case DiffConfigurations():
                 return (yield from self._diff(command))
 
     def newest(self) -> Script[ConfigurationDocument | OperatorFailure]:
         """Return what the store holds, or what is in force when that is newer or all there is."""
-        stored = yield from self._current_key.read()
+        stored = yield from self._document_reader.read()
         if isinstance(stored, StoredDocument):
             now = yield from perform()
             document = stored.document
-            taken = self._dissemination.take(document, now, "store", from_store=True)
-            yield from perform(*taken)
+            actions = self._dissemination.apply(document, now, "store", from_store=True)
+            yield from perform(*actions)
             if document.revision >= self._in_force.revision:
                 return document
         if self._in_force.document is not None:
             return self._in_force.document
         return operator_failure(stored) if isinstance(stored, Failure) else EMPTY_DOCUMENT
 
-    def freshness(self) -> tuple[str, ...]:
+    def staleness_warnings(self) -> tuple[str, ...]:
         """Return the warning that goes with ``newest`` while the store does not answer."""
-        return (NOT_FRESH_WARNING,) if self._store_health.reachable is False else ()
+        return (STALE_REVISION_WARNING,) if self._store_health.reachable is False else ()
 
     def _show(self, command: ShowConfiguration) -> Script[CommandResult]:
         warnings: tuple[str, ...] = ()
         if command.revision is None:
             found = yield from self.newest()
-            warnings = self.freshness()
+            warnings = self.staleness_warnings()
         else:
             found = yield from self._revision(command.revision)
         if isinstance(found, Failure):
--- /dev/null
+++ b/wingquay/configuration/revision_tracker.py
@@ -0,0 +1,86 @@
+"""What this node has heard of the revisions that other nodes have in force."""
+
+from dataclasses import dataclass
+
+from ..model.identifiers import NodeId, Revision, ZoneName
+from .node_view import NodeView
+
+NODES_REQUIRED_PER_ZONE = 2
+"""Nodes of a zone that must have said so before a revision counts as in force there."""
+
+
+@dataclass(frozen=True, slots=True)
+class ZoneRevisions:
+    """A zone's revisions as far as heard.
+
+    ``in_force_seconds``: from the confirm on this node until the first nodes of the zone
+    (``NODES_REQUIRED_PER_ZONE``) said that they have the revision.
+    """
+
+    nodes: int
+    nodes_reported: int
+    lowest: Revision | None
+    highest: Revision | None
+    in_force_seconds: float | None
+
+
+class RevisionTracker:
+    """Remembers the last revision heard of each node, and when a confirmed one arrived there."""
+
+    def __init__(self, view: NodeView) -> None:
+        self._view = view
+        self._revisions: dict[NodeId, Revision] = {}
+        self._received_at: dict[NodeId, float] = {}
+        self._confirmed_revision = Revision(0)
+        self._confirmed_at = 0.0
+        self._arrived_at: dict[NodeId, float] = {}
+
+    def record_confirm(self, revision: Revision, now: float) -> None:
+        """Note that a confirm on this node made ``revision``."""
+        self._confirmed_revision = revision
+        self._confirmed_at = now
+        self._arrived_at = {self._view.identity.node_id: now}
+
+    def record(self, node_id: NodeId, revision: Revision, now: float) -> None:
+        """Note that a node said which revision it has."""
+        self._revisions[node_id] = max(revision, self._revisions.get(node_id, revision))
+        self._received_at[node_id] = now
+        if self._confirmed_revision and revision >= self._confirmed_revision:
+            self._arrived_at.setdefault(node_id, now)
+
+    def remove_departed(self) -> None:
+        """Forget the nodes that membership no longer knows."""
+        members = {node.node_id for node in (*self._view.available, *self._view.leaving_nodes)}
+        self._revisions = {node: seen for node, seen in self._revisions.items() if node in members}
+        self._received_at = {node: at for node, at in self._received_at.items() if node in members}
+
+    def received_since(self, node_id: NodeId, at: float) -> bool:
+        """Whether a node said its revision after ``at``."""
+        return self._received_at.get(node_id, at) > at
+
+    def get_revision(self, node_id: NodeId) -> Revision | None:
+        """Return the last revision heard of a node."""
+        return self._revisions.get(node_id)
+
+    def get_zone(self, zone: ZoneName, own_revision: Revision) -> ZoneRevisions:
+        """Return what is known of a zone; this node's own revision counts in its zone."""
+        nodes = [node.node_id for node in self._view.zone_peers(zone)]
+        reported = [self._revisions[node] for node in nodes if node in self._revisions]
+        own = self._view.identity
+        if own.zone == zone:
+            nodes.append(own.node_id)
+            reported.append(own_revision)
+        return ZoneRevisions(
+            nodes=len(nodes),
+            nodes_reported=len(reported),
+            lowest=min(reported, default=None),
+            highest=max(reported, default=None),
+            in_force_seconds=self._in_force_seconds(nodes, own_revision),
+        )
+
+    def _in_force_seconds(self, nodes: list[NodeId], own_revision: Revision) -> float | None:
+        arrivals = sorted(self._arrived_at[node] for node in nodes if node in self._arrived_at)
+        needed = min(NODES_REQUIRED_PER_ZONE, len(nodes))
+        if own_revision != self._confirmed_revision or not needed or len(arrivals) < needed:
+            return None
+        return arrivals[needed - 1] - self._confirmed_at
--- a/wingquay/configuration/script.py
+++ b/wingquay/configuration/script.py
@@ -100,7 +100,7 @@
         """Whether the last operation was answered; ``None`` before the first."""
         self.last_reply_at: float | None = None
 
-    def note(self, outcome: StoreOutcome, now: float) -> None:
+    def record(self, outcome: StoreOutcome, now: float) -> None:
         """Take in the outcome of an operation."""
         self.reachable = not isinstance(outcome, Failure)
         if self.reachable:
@@ -118,10 +118,10 @@
 
     def __init__(self, operation_prefix: str) -> None:
         self.store_health = StoreHealth()
-        self._prefix = operation_prefix
-        self._number = 0
+        self._operation_prefix = operation_prefix
+        self._last_number = 0
         self._waiting_for_store: dict[str, Script[list[Action]]] = {}
-        self._pausing: dict[int, Script[list[Action]]] = {}
+        self._paused: dict[int, Script[list[Action]]] = {}
 
     def start(self, script: Script[list[Action]], now: float) -> list[Action]:
         """Begin a script; the actions that it returns at its end are handed out too."""
@@ -130,12 +130,12 @@
     def handle(self, event: StoreResponse | ScriptTimer, now: float) -> list[Action]:
         """Resume the script that waits for ``event``; others' events are ignored."""
         if isinstance(event, ScriptTimer):
-            pausing = self._pausing.pop(event.number, None)
-            return [] if pausing is None else self._advance(pausing, Resumed(now), now)
+            paused = self._paused.pop(event.number, None)
+            return [] if paused is None else self._advance(paused, Resumed(now), now)
         waiting = self._waiting_for_store.pop(event.operation_id, None)
         if waiting is None:
             return []
-        self.store_health.note(event.result, now)
+        self.store_health.record(event.result, now)
         return self._advance(waiting, Resumed(now, event.result), now)
 
     def _advance(
@@ -155,11 +155,11 @@
     def _wait(
         self, script: Script[list[Action]], step: CallStore | Pause, now: float
     ) -> list[Action]:
-        self._number += 1
+        self._last_number += 1
         if isinstance(step, Pause):
-            self._pausing[self._number] = script
-            return [Schedule(now + step.seconds, ScriptTimer(self._number))]
-        operation_id = f"{self._prefix}-{self._number}"
+            self._paused[self._last_number] = script
+            return [Schedule(now + step.seconds, ScriptTimer(self._last_number))]
+        operation_id = f"{self._operation_prefix}-{self._last_number}"
         self._waiting_for_store[operation_id] = script
         name = type(step.operation).__name__
         return [
--- a/wingquay/configuration/status.py
+++ b/wingquay/configuration/status.py
@@ -5,14 +5,14 @@
 from ..ports.peer import NodeIdentity, NodeState
 from .in_force import InForceConfiguration
 from .node_view import NodeView
+from .revision_tracker import RevisionTracker
 from .script import StoreHealth
-from .spread import Spread
 
-BEHIND_WARNING = "zone {zone}: a node was last heard with revision {lowest}, behind {own}"
-STORE_WARNING = (
+ZONE_BEHIND_WARNING = "zone {zone}: a node was last heard with revision {lowest}, behind {own}"
+STORE_UNAVAILABLE_WARNING = (
     "the store does not answer: confirms are refused; queries go on under the revision in force"
 )
-NOTHING_WARNING = "no configuration is in force on this node: it answers no queries"
+NO_CONFIGURATION_WARNING = "no configuration is in force on this node: it answers no queries"
 
 
 class StatusReporter:
@@ -22,12 +22,12 @@
         self,
         view: NodeView,
         in_force: InForceConfiguration,
-        spread: Spread,
+        revision_tracker: RevisionTracker,
         store_health: StoreHealth,
     ) -> None:
         self._view = view
         self._in_force = in_force
-        self._spread = spread
+        self._revision_tracker = revision_tracker
         self._store_health = store_health
 
     def report(self, now: float, watcher: bool) -> StatusResult:
@@ -51,14 +51,14 @@
         )
 
     def _zone(self, zone: ZoneName) -> ZoneStatus:
-        spread = self._spread.zone(zone, self._in_force.revision)
+        zone_revisions = self._revision_tracker.get_zone(zone, self._in_force.revision)
         return ZoneStatus(
             zone=zone,
-            nodes=spread.nodes,
-            nodes_heard=spread.nodes_heard,
-            lowest_revision=spread.lowest,
-            highest_revision=spread.highest,
-            in_force_seconds=spread.in_force_seconds,
+            nodes=zone_revisions.nodes,
+            nodes_heard=zone_revisions.nodes_reported,
+            lowest_revision=zone_revisions.lowest,
+            highest_revision=zone_revisions.highest,
+            in_force_seconds=zone_revisions.in_force_seconds,
         )
 
     def _nodes(self) -> tuple[NodeStatus, ...]:
@@ -74,23 +74,23 @@
             zone=node.zone,
             address=f"{node.host}:{node.port}",
             state=state.value,
-            revision=self._revision_of(node.node_id),
+            revision=self._get_revision(node.node_id),
         )
 
-    def _revision_of(self, node_id: NodeId) -> Revision | None:
+    def _get_revision(self, node_id: NodeId) -> Revision | None:
         if node_id == self._view.identity.node_id:
             return self._in_force.revision
-        return self._spread.revision_of(node_id)
+        return self._revision_tracker.get_revision(node_id)
 
     def _warnings(self, zones: tuple[ZoneStatus, ...]) -> tuple[str, ...]:
         own = self._in_force.revision
         warnings = [
-            BEHIND_WARNING.format(zone=zone.zone, lowest=zone.lowest_revision, own=own)
+            ZONE_BEHIND_WARNING.format(zone=zone.zone, lowest=zone.lowest_revision, own=own)
             for zone in zones
             if zone.lowest_revision is not None and zone.lowest_revision < own
         ]
         if self._store_health.reachable is False:
-            warnings.append(STORE_WARNING)
+            warnings.append(STORE_UNAVAILABLE_WARNING)
         if self._in_force.document is None:
-            warnings.append(NOTHING_WARNING)
+            warnings.append(NO_CONFIGURATION_WARNING)
         return tuple(warnings)
--- a/wingquay/configuration/store_schedule.py
+++ b/wingquay/configuration/store_schedule.py
@@ -5,13 +5,13 @@
 
 from random import Random
 
-FIRST_CEILING_SECONDS = 0.25
+INITIAL_CEILING_SECONDS = 0.25
 """Upper end of the first delay after a failure."""
 
-LAST_CEILING_SECONDS = 10.0
+MAX_CEILING_SECONDS = 10.0
 """Upper end of the delays of a node alone, however many failures came before."""
 
-CROWD_REQUESTS_PER_SECOND = 10.0
+FLEET_REQUESTS_PER_SECOND = 10.0
 """What all nodes together should ask of a store that fails."""
 
 
@@ -22,40 +22,40 @@
     ----------
     random
         Seeded source.
-    first_ceiling_seconds, last_ceiling_seconds
+    initial_ceiling_seconds, max_ceiling_seconds
         Where the ceiling starts and where it stops.
     """
 
     def __init__(
         self,
         random: Random,
-        first_ceiling_seconds: float = FIRST_CEILING_SECONDS,
-        last_ceiling_seconds: float = LAST_CEILING_SECONDS,
+        initial_ceiling_seconds: float = INITIAL_CEILING_SECONDS,
+        max_ceiling_seconds: float = MAX_CEILING_SECONDS,
     ) -> None:
         self._random = random
-        self._first = first_ceiling_seconds
-        self._last = last_ceiling_seconds
-        self._ceiling = first_ceiling_seconds
+        self._initial = initial_ceiling_seconds
+        self._max = max_ceiling_seconds
+        self._ceiling = initial_ceiling_seconds
 
-    def succeeded(self) -> None:
+    def reset(self) -> None:
         """Start over with short delays."""
-        self._ceiling = self._first
+        self._ceiling = self._initial
 
-    def delay_seconds(self, crowd: int = 1) -> float:
+    def next_delay_seconds(self, node_count: int = 1) -> float:
         """Return the delay after one more failure.
 
         Parameters
         ----------
         crowd
             How many nodes may be failing likewise; the ceiling may grow until they together
-            stay under ``CROWD_REQUESTS_PER_SECOND``.
+            stay under ``FLEET_REQUESTS_PER_SECOND``.
         """
         ceiling = self._ceiling
-        last = max(self._last, 2 * crowd / CROWD_REQUESTS_PER_SECOND)
-        self._ceiling = min(last, 2 * ceiling)
+        max_ceiling = max(self._max, 2 * node_count / FLEET_REQUESTS_PER_SECOND)
+        self._ceiling = min(max_ceiling, 2 * ceiling)
         return self._random.uniform(0.0, ceiling)
 
 
-def takes_turn(random: Random, crowd: int, expected_turns: float) -> bool:
-    """Decide whether this node acts, so that about ``expected_turns`` of ``crowd`` nodes do."""
-    return random.random() * max(1, crowd) < expected_turns
+def is_selected(random: Random, node_count: int, expected_nodes: float) -> bool:
+    """Decide whether this node acts, so that about ``expected_nodes`` of ``crowd`` nodes do."""
+    return random.random() * max(1, node_count) < expected_nodes
