--- a/wingquay/configuration/class_intents.py
+++ b/wingquay/configuration/class_intents.py
@@ -1,4 +1,4 @@
-"""Applies the intents about priority classes and which requests they serve."""
+"""Applies the intents that change priority classes and their assignment to request kinds."""
 
 from ..model.configuration import Attachment, Configuration, PriorityClass, Service
 from ..model.failure import Failure
@@ -22,7 +22,7 @@
 def assign_class(
     configuration: Configuration, intent: AssignClass
 ) -> Configuration | IntentFailure:
-    """Attach a kind to a class, in the place of an earlier attachment."""
+    """Assign a request kind to a class, replacing an earlier assignment of the kind."""
     service = _service_with_kind(configuration, intent.service, intent.kind)
     if isinstance(service, Failure):
         return service
@@ -51,7 +51,7 @@
 def unassign_class(
     configuration: Configuration, intent: UnassignClass
 ) -> Configuration | IntentFailure:
-    """Take an attachment back."""
+    """Remove the assignment of a request kind to a class."""
     key = (intent.service, intent.kind, intent.caller)
     remaining = tuple(entry for entry in configuration.attachments if _attachment_key(entry) != key)
     if len(remaining) == len(configuration.attachments):
@@ -61,7 +61,7 @@
 
 
 def set_class(configuration: Configuration, intent: SetClass) -> Configuration | IntentFailure:
-    """Create a class or change its terms."""
+    """Create a class, or change its price and promise."""
     if intent.name in RESERVED_CLASS_NAMES:
         return invalid_intent(
             f"name: {intent.name!r} is reserved; allowed: any but {list(RESERVED_CLASS_NAMES)}"
@@ -78,7 +78,7 @@
 def remove_class(
     configuration: Configuration, intent: RemoveClass
 ) -> Configuration | IntentFailure:
-    """Remove a class that nothing uses."""
+    """Remove a class; fail while a request kind or an assignment uses it."""
     if configuration.priority_class(intent.name) is None:
         return unknown_name("name", intent.name, (entry.name for entry in configuration.classes))
     users = [
@@ -94,7 +94,7 @@
     ]
     if users:
         return invalid_intent(
-            f"name: class {intent.name!r} is still used by {users}; move these first"
+            f"name: class {intent.name!r} is still used by {users}; reassign these first"
         )
     remaining = tuple(entry for entry in configuration.classes if entry.name != intent.name)
     return configuration.model_copy(update={"classes": remaining})
--- a/wingquay/configuration/configuration_finder.py
+++ b/wingquay/configuration/configuration_finder.py
@@ -1,4 +1,4 @@
-"""Finds the configuration when a node starts: from any peer, else from the store."""
+"""Obtains the configuration when a node starts, from a peer or from the store."""
 
 from ..ports.caller import SetReady
 from ..ports.machine import Action
@@ -15,16 +15,21 @@
 )
 
 START_SPREAD_SECONDS = 0.5
-"""The first look is spread over this time, so that a fleet that starts at once does not knock."""
+"""The first poll is delayed at random by up to this time, to spread nodes that start together."""
 
 POLL_INTERVAL_SECONDS = 1.0
-"""Mean pause between looks."""
+"""Mean time between polls."""
 
 PEERS_PER_POLL = 2
+"""Random peers that each poll sends a fetch to."""
 
 
 class ConfigurationFinder:
-    """Looks for a configuration until there is one; meanwhile the node is not ready."""
+    """Polls peers and the store until a configuration is in force.
+
+    The node is not ready until then. In each interval only a random subset of the nodes reads
+    the store, so that all nodes together stay within ``FLEET_REQUESTS_PER_SECOND``.
+    """
 
     def __init__(
         self,
@@ -38,13 +43,13 @@
         self._dissemination = dissemination
         self._document_reader = document_reader
         self.store_is_empty = False
-        """Whether the store itself said that it holds no configuration yet."""
+        """Whether the store has replied that it holds no configuration yet."""
 
     def run(self) -> Script[list[Action]]:
-        """Look among peers and, as few nodes at a time, in the store."""
+        """Poll peers, and the store if this node is selected, until a configuration is in force."""
         random = self._view.random
         backoff = FullJitterBackoff(random)
-        yield from perform(SetReady(False, "no configuration is known yet"))
+        yield from perform(SetReady(False, "no configuration received yet"))
         now = yield from pause(random.uniform(0.0, START_SPREAD_SECONDS))
         store_not_before = now
         while self._in_force.document is None:
--- a/wingquay/configuration/configuration_machine.py
+++ b/wingquay/configuration/configuration_machine.py
@@ -1,4 +1,4 @@
-"""The configuration machine: keeps the highest confirmed revision in force on its node."""
+"""The state machine that keeps the newest confirmed configuration in force on a node."""
 
 from random import Random
 from typing import ClassVar
@@ -34,16 +34,20 @@
 
 
 class ConfigurationMachine:
-    """Handles everything about the operators' configuration on one node.
+    """Handles the events that concern the operators' configuration on one node.
+
+    It obtains the configuration at start, receives new revisions from peers and from the store's
+    watch, and carries out operators' commands.
 
     Parameters
     ----------
     identity
-        The node itself.
+        Identity of this node.
     random
-        Seeded source; of the plan ids too, so seed it well in production.
+        Random number generator. Plan ids are drawn from it too, so its seed must be
+        unpredictable in production.
     disabled
-        Mechanisms that are taken out, for tests only.
+        Mechanisms that are switched off, for tests only.
     """
 
     EVENTS: ClassVar[tuple[type[Event], ...]] = (
@@ -102,11 +106,11 @@
 
     @property
     def holds_watcher_assignment(self) -> bool:
-        """Whether this node believes to hold one of its zone's watcher assignments."""
+        """Whether this node holds one of its zone's watcher assignments, as far as it can tell."""
         return self._watcher.holds_assignment
 
     def handle(self, event: Event, now: float) -> list[Action]:
-        """Take in ``event``; events that do not concern the configuration change nothing."""
+        """Handle ``event`` and return the resulting actions; unrelated events are ignored."""
         match event:
             case StoreResponse() | ScriptTimer():
                 return self._runner.handle(event, now)
--- a/wingquay/configuration/confirmation.py
+++ b/wingquay/configuration/confirmation.py
@@ -1,8 +1,8 @@
-"""Confirms a plan: one compare-and-swap that carries the plan's id, and its read-back.
+"""Confirms a plan with a compare-and-swap, and reads the result back after a lost reply.
 
-The swap demands the store's revision that was read, so that of all swaps on one base at most one
-takes effect; trying the same swap again after a lost reply is therefore safe. The id inside the
-document tells a later reader, here or on another node, that the plan has landed.
+The swap succeeds only if the key still has the store revision that was read. At most one swap
+per base therefore takes effect, and it is safe to repeat a swap whose reply was lost. The
+document records the plan's id, so that any node can find out later that the plan has landed.
 """
 
 from collections.abc import Generator
@@ -43,20 +43,21 @@
 from .store_schedule import FullJitterBackoff
 
 CONFIRM_TIMEOUT_SECONDS = 5.0
-"""No new attempt begins after this time; one under way still ends by its own timeout."""
+"""No attempt starts after this time; an attempt in progress ends by the timeouts of its calls."""
 
 RETRY_MAX_CEILING_SECONDS = 1.0
+"""Longest delay between two attempts."""
 
 OperatorFailure = Failure[OperatorFailureKind]
-"""Why a confirm, a plan or a question had no result."""
+"""Why an operator's command failed."""
 
 _UNCERTAIN_KINDS = frozenset({StoreFailureKind.LOST_REPLY, StoreFailureKind.MALFORMED})
-"""Failures of a swap after which it may have taken effect."""
+"""Failures after which a swap may or may not have taken effect."""
 
 
 @dataclass(frozen=True, slots=True)
 class ConfirmCommand:
-    """Who confirms which plan; ``unix_seconds`` is written into the audit record."""
+    """Which plan to confirm, for whom, and the wall-clock time for the audit record."""
 
     plan_id: str
     operator: OperatorName
@@ -65,19 +66,19 @@
 
 @dataclass(frozen=True, slots=True)
 class Landed:
-    """The plan has taken effect; ``document`` is what stands now."""
+    """The plan has taken effect; ``document`` is the newest document that contains it."""
 
     document: ConfigurationDocument
     result: ConfirmResult
 
 
 class Confirmation:
-    """One operator's confirm, from the first read to its outcome.
+    """Carries out one confirm, from the first read of the store to the outcome.
 
     Parameters
     ----------
     reads_back
-        Whether to look first if the plan has already landed; left out in tests only.
+        Whether to check first if the plan has already landed; false in tests only.
     """
 
     def __init__(
@@ -99,12 +100,12 @@
         self._reads_back = reads_back
         self._plan: Plan | None = None
         self._uncertain_base: int | None = None
-        """Where the swap whose reply was lost started from, while it may still take effect."""
+        """Store revision expected by a swap of unknown outcome; ``None`` if there is none."""
         self._was_uncertain = False
         self._last_reason = "no attempt was made"
 
     def run(self, now: float) -> Script[Landed | OperatorFailure]:
-        """Confirm the plan once, or say why not, within a bounded time."""
+        """Confirm the plan, retrying for at most ``CONFIRM_TIMEOUT_SECONDS``."""
         give_up_at = now + CONFIRM_TIMEOUT_SECONDS
         while now < give_up_at:
             outcome = yield from self._attempt()
@@ -117,15 +118,15 @@
         if self._uncertain_base is not None:
             return Failure(
                 OperatorFailureKind.NOT_KNOWN_YET,
-                "the change was sent to the store, the reply was lost and the store has not told "
-                f"since: confirm plan {self._command.plan_id!r} again to learn whether it took "
+                "the change was sent to the store, the reply was lost and reading it back failed: "
+                f"confirm plan {self._command.plan_id!r} again to find out whether it took "
                 "effect; it cannot take effect twice",
             )
         reason = f"the store does not answer, nothing was changed: {self._last_reason}"
         return Failure(OperatorFailureKind.STORE_UNAVAILABLE, reason)
 
     def _attempt(self) -> Script[Landed | OperatorFailure | None]:
-        """Try once from the beginning; ``None``: the store did not settle it, try again."""
+        """Run one attempt from the start; return ``None`` if it has to be repeated."""
         current = yield from self._document_reader.read()
         if not isinstance(current, StoredDocument):
             self._last_reason = current.reason
@@ -138,7 +139,7 @@
             return self._handle_stale_store(current.document)
         yield from self._apply_stored(current.document)
         if self._uncertain_base != current.modified_at:
-            # Another change stands on that base, without ours: ours can no longer take effect.
+            # Another change has replaced that base, so the earlier swap can no longer succeed.
             self._uncertain_base = None
         plan = yield from self._find_plan(current.document)
         if not isinstance(plan, Plan):
@@ -185,9 +186,9 @@
         return (yield from self._swap(document, current))
 
     def _save_history(self, current: StoredDocument) -> Script[int | None]:
-        """Copy the document that is about to be replaced, so that every revision is kept.
+        """Copy the document that is about to be replaced to the history.
 
-        Returns the store's revision of the copy (0: there is nothing to copy), or ``None`` if
+        Returns the store's revision of the copy, 0 if there is nothing to copy, or ``None`` if
         the store did not answer.
         """
         if current.modified_at == 0:
@@ -209,7 +210,7 @@
         if isinstance(outcome, SwapResult):
             if outcome.succeeded:
                 return self._find_landed(document, ConfirmOutcome.LANDED)
-            self._last_reason = "other changes kept coming in between"
+            self._last_reason = "other changes were confirmed at the same time"
             return None
         if isinstance(outcome, Failure) and outcome.kind in _UNCERTAIN_KINDS:
             self._uncertain_base = current.modified_at
@@ -220,7 +221,7 @@
     def _find_landed(
         self, document: ConfigurationDocument, outcome: ConfirmOutcome
     ) -> Landed | None:
-        """Return the good news if the document's records name the plan."""
+        """Return the result if the document's audit records contain the plan, else ``None``."""
         record = document.find_record(self._command.plan_id)
         if record is None:
             return None
@@ -238,8 +239,8 @@
     def _handle_stale_store(self, stored: ConfigurationDocument) -> OperatorFailure | None:
         self._last_reason = (
             f"the store holds revision {stored.revision}, older than revision "
-            f"{self._in_force.revision} in force here: it was set back, or an out-of-date member "
-            "answered. Nothing was changed; see docs/OPERATIONS.md, 'The store was set back'"
+            f"{self._in_force.revision} in force on this node: it was set back, or an outdated "
+            "member answered. Nothing was changed; see docs/OPERATIONS.md, 'The store was set back'"
         )
         if self._uncertain_base is not None:
             return None
@@ -249,7 +250,7 @@
 def read_earlier_documents(
     intents: tuple[Intent, ...], current: ConfigurationDocument
 ) -> Generator[Step, Resumed, EarlierDocuments | OperatorFailure]:
-    """Read the revisions that ``RestoreRevision`` intents name."""
+    """Return the current document and those that ``RestoreRevision`` intents refer to."""
     earlier = {current.revision: current}
     for revision in restored_revisions(intents):
         if revision in earlier:
@@ -262,10 +263,10 @@
 
 
 def delete_unlisted_history(document: ConfigurationDocument) -> Script[list[Action]]:
-    """Delete the copy of the revision that has just dropped out of the document's records.
+    """Delete the history copy of the revision that no longer fits into the audit records.
 
-    Done once after each confirm and not tried again: what a lost request leaves behind is one
-    copy that nobody reads.
+    Called once after each confirm and not retried: a lost request leaves one unused copy in the
+    store.
     """
     oldest = document.audit[0]
     if oldest.replaced_kept_at:
@@ -275,7 +276,7 @@
 
 
 def operator_failure(failure: Failure[ReadFailureKind]) -> OperatorFailure:
-    """Turn a failed read into what operators are told."""
+    """Convert a failed read into the failure that operators receive."""
     kinds = {
         ReadFailureKind.STORE_UNAVAILABLE: OperatorFailureKind.STORE_UNAVAILABLE,
         ReadFailureKind.NOT_FOUND: OperatorFailureKind.NOT_FOUND,
@@ -285,7 +286,7 @@
 
 
 def _audit_reaches_base(current: ConfigurationDocument, plan: Plan) -> bool:
-    """Whether the records reach back to the plan's base, so that they would name its landing."""
+    """Whether the audit records go back to the plan's base, so that they show if it has landed."""
     if current.revision <= plan.base_revision:
         return True
     return bool(current.audit) and current.audit[0].revision <= plan.base_revision + 1
@@ -294,8 +295,8 @@
 def _base_too_old(plan: Plan, current: ConfigurationDocument) -> OperatorFailure:
     return Failure(
         OperatorFailureKind.CONFLICT,
-        f"the plan was made at revision {plan.base_revision}, now is {current.revision}: "
-        "too many changes since to tell what it would do; make a new plan",
+        f"the plan was made at revision {plan.base_revision}, the current revision is "
+        f"{current.revision}: too many changes since to determine its effect; make a new plan",
     )
 
 
--- a/wingquay/configuration/current_document.py
+++ b/wingquay/configuration/current_document.py
@@ -1,4 +1,4 @@
-"""Reads the confirmed document from the store."""
+"""Reads confirmed configuration documents from the store."""
 
 from dataclasses import dataclass
 from enum import Enum
@@ -28,16 +28,16 @@
 
 @dataclass(frozen=True, slots=True)
 class StoredDocument:
-    """What the store holds under the current key.
+    """The document that the store holds under ``CURRENT_KEY``.
 
     Parameters
     ----------
     document
         ``EMPTY_DOCUMENT`` if nothing has been confirmed yet.
     modified_at
-        The store's revision of the write; 0 if there was none.
+        Store revision at which the document was written; 0 if nothing was written yet.
     store_revision
-        The store's revision when it was read.
+        Store revision at the time of the read.
     """
 
     document: ConfigurationDocument
@@ -46,13 +46,16 @@
 
 
 class CurrentDocumentReader:
-    """Reads the current document, transferring it only when it changed."""
+    """Reads the current document from the store.
+
+    It caches the last document, so that the store sends the document only if it has changed.
+    """
 
     def __init__(self) -> None:
         self._last: StoredDocument | None = None
 
     def read(self) -> Script[StoredDocument | ReadFailure]:
-        """Return what the store holds now."""
+        """Return the document that the store holds now."""
         last = self._last
         known_modified_at = last.modified_at if last is not None else 0
         reply = yield from call_store(Read(CURRENT_KEY, modified_after=known_modified_at))
@@ -64,14 +67,14 @@
         if last is None:
             return StoredDocument(EMPTY_DOCUMENT, 0, result.store_revision)
         if result.store_revision < last.modified_at:
-            # The store counts from an earlier point than we have seen: it lost its data, or an
-            # out-of-date member answered. Look again without leaving anything out.
+            # The store's revision went back: it lost its data, or an outdated member answered.
+            # Read again without the cache.
             self._last = None
             return (yield from self.read())
         return StoredDocument(last.document, last.modified_at, result.store_revision)
 
     def parse(self, value: StoredValue, store_revision: int) -> StoredDocument | ReadFailure:
-        """Interpret a value of the current key, read or handed out by a watch or a swap."""
+        """Parse a value of ``CURRENT_KEY`` that came from a read, a watch or a swap."""
         if self._last is not None and value.modified_at == self._last.modified_at:
             return StoredDocument(self._last.document, value.modified_at, store_revision)
         previous = self._last.document if self._last is not None else None
@@ -85,13 +88,13 @@
 
 
 def read_revision(revision: Revision) -> Script[ConfigurationDocument | ReadFailure]:
-    """Return an earlier revision as the store keeps it."""
+    """Read an earlier revision from the store's history."""
     reply = yield from call_store(Read(history_key(revision)))
     result = reply.outcome
     if not isinstance(result, ReadResult):
         return store_unavailable(result)
     if not result.values:
-        return Failure(ReadFailureKind.NOT_FOUND, f"revision {revision} is not kept")
+        return Failure(ReadFailureKind.NOT_FOUND, f"revision {revision} is not in the history")
     document = parse_document(result.values[0].value)
     if isinstance(document, Failure):
         return Failure(ReadFailureKind.MALFORMED, document.reason)
@@ -99,6 +102,6 @@
 
 
 def store_unavailable(outcome: object) -> ReadFailure:
-    """Return the failure that stands for a store operation that brought no result."""
+    """Return the failure for a store operation that had no result."""
     reason = outcome.reason if isinstance(outcome, Failure) else "unexpected reply"
     return Failure(ReadFailureKind.STORE_UNAVAILABLE, f"the store did not answer: {reason}")
--- a/wingquay/configuration/diff.py
+++ b/wingquay/configuration/diff.py
@@ -1,8 +1,7 @@
 """Readable differences between two configuration documents.
 
-Every key that differs has its place in a line, also keys that this version does not know: a
-plan is rebased only if its diff stays the same, so nothing may be left out. The order of list
-entries carries no meaning and is not compared.
+The diff lists every key that differs, including keys unknown to this version, because a plan is
+rebased only if its diff stays the same. The order of list entries is not compared.
 """
 
 import hashlib
@@ -33,7 +32,7 @@
 
 
 def change_digest(diff: Sequence[str], effects: Sequence[ClassEffect]) -> str:
-    """Return the SHA-256 (hexadecimal) of everything that a plan shows as its change."""
+    """Return the SHA-256 (hexadecimal) of the diff lines and effects of a plan."""
     shown = [*diff, *(effect.model_dump_json() for effect in effects)]
     return hashlib.sha256("\n".join(shown).encode()).hexdigest()
 
@@ -54,7 +53,7 @@
 
 
 def _is_nested(*values: Any) -> bool:
-    """Whether the values are lists of entries that can be told apart."""
+    """Whether all values are lists (or ``None``) whose entries have an identity."""
     entries = [entry for value in values if isinstance(value, list) for entry in value]
     known = all(value is None or isinstance(value, list) for value in values)
     return known and bool(entries) and all(entry_identity(entry) is not None for entry in entries)
--- a/wingquay/configuration/dissemination.py
+++ b/wingquay/configuration/dissemination.py
@@ -1,11 +1,13 @@
-"""Spreads a new revision from node to node.
-
-A node that learns a revision announces it to a few random nodes, and again twice a little later.
-The announcement is a ``ConfigurationFetch`` that names the sender's revision: a receiver that
-has a newer one answers with the body, one that has an older one fetches it, one that has the
-same says so with an empty body. So a body crosses the network about once a node, and the sender
-hears who has it. Source: "Epidemic Algorithms for Replicated Database Maintenance" (Demers and
-others, 1987), rumor mongering with anti-entropy behind it.
+"""Disseminates a new revision from node to node.
+
+A node that gets a new revision announces it to a few random nodes in several rounds. The
+announcement is a ``ConfigurationFetch`` with the sender's revision. A receiver with a newer
+revision replies with its body, a receiver with an older one fetches the body, and a receiver with
+the same one replies with an empty body. Each node thus receives the body about once, and the
+sender finds out which nodes have it. Nodes also compare revisions with random nodes periodically.
+
+Source: "Epidemic Algorithms for Replicated Database Maintenance" (Demers and others, 1987),
+rumor mongering backed by anti-entropy.
 """
 
 from dataclasses import dataclass
@@ -27,40 +29,40 @@
 from .script import Script, ScriptRunner, pause, perform
 
 ANNOUNCE_FAN_OUT = 3
-"""Random nodes told in each round of an announcement."""
+"""Random nodes that each round of an announcement goes to."""
 
 ANNOUNCE_ROUNDS = 3
 """Rounds of an announcement."""
 
 ANNOUNCE_INTERVAL_SECONDS = 0.3
-"""Mean pause between rounds."""
+"""Mean time between rounds."""
 
 NODES_NOTIFIED_PER_ZONE = 2
-"""Further nodes told, in every zone, by a node that has a revision from the store itself."""
+"""Further nodes of every zone that a node notifies of a revision that it got from the store."""
 
 FETCH_TIMEOUT_SECONDS = 0.5
-"""Pause before another node is asked for a body."""
+"""Time without a body after which it is fetched from another node."""
 
 FETCH_ATTEMPTS = 10
-"""Nodes asked for a body before waiting to hear of it anew."""
+"""Attempts to fetch a body; after these the node waits for the next announcement."""
 
 ANTI_ENTROPY_INTERVAL_SECONDS = 20.0
-"""Mean pause between two comparisons of revisions with a random node."""
+"""Mean time between comparisons of revisions with a random node."""
 
 UNREADABLE_BODY_PAUSE_SECONDS = 30.0
-"""Pause before a revision whose body could not be read is fetched again."""
+"""Time without fetches after a body that could not be parsed."""
 
 
 @dataclass(slots=True)
 class _PendingFetch:
-    """A newer revision that is being fetched, and who said to have it."""
+    """A newer revision that is being fetched, and nodes that have it and were not contacted yet."""
 
     revision: Revision
     sources: list[NodeIdentity]
 
 
 class Dissemination:
-    """Takes new revisions into force, tells others of them and fetches what others have."""
+    """Puts new revisions in force, announces them to peers and fetches newer ones from peers."""
 
     def __init__(
         self,
@@ -78,20 +80,20 @@
         self._fetch_not_before = 0.0
 
     def start(self, now: float) -> list[Action]:
-        """Begin to compare revisions with random nodes."""
+        """Start the periodic comparison of revisions with random nodes."""
         return self._runner.start(self._run_anti_entropy(), now)
 
     def apply(
         self, document: ConfigurationDocument, now: float, source: str, from_store: bool
     ) -> list[Action]:
-        """Put ``document`` in force if it is newer, and then tell others.
+        """Put ``document`` in force and announce it, if it is newer.
 
         Parameters
         ----------
         source
-            Where it came from, for the log.
+            Origin of the document, for the log.
         from_store
-            Whether this node has it from the store: then every zone is told.
+            Whether the document came from the store; if so, nodes of every zone are notified.
         """
         if not self._in_force.is_newer(document.revision):
             return self._in_force.apply(document, now, source)
@@ -103,7 +105,7 @@
         )
 
     def handle_revision(self, sender: NodeIdentity, revision: Revision, now: float) -> list[Action]:
-        """Take in that ``sender`` has ``revision``, and fetch it if it is newer."""
+        """Record that ``sender`` has ``revision``, and fetch it if it is newer."""
         self._revision_tracker.record(sender.node_id, revision, now)
         if not self._in_force.is_newer(revision) or now < self._fetch_not_before:
             return []
@@ -123,7 +125,7 @@
     def handle_fetch(
         self, sender: NodeIdentity, message: ConfigurationFetch, now: float
     ) -> list[Action]:
-        """Answer a node that named its revision."""
+        """Reply to a node that announced its revision."""
         own = self._in_force.revision
         if message.known_revision > own:
             return self.handle_revision(sender, message.known_revision, now)
@@ -136,7 +138,7 @@
     def handle_body(
         self, sender: NodeIdentity, message: ConfigurationBody, now: float
     ) -> list[Action]:
-        """Take in a node's configuration, or (an empty body) just which one it has."""
+        """Apply a node's configuration, or only record its revision if the body is empty."""
         if not message.body or not self._in_force.is_newer(message.revision):
             return self.handle_revision(sender, message.revision, now)
         self._revision_tracker.record(sender.node_id, message.revision, now)
@@ -151,14 +153,14 @@
         return [*actions, SendToPeer(sender, confirmation)]
 
     def handle_link_broken(self, node_id: NodeId, now: float) -> list[Action]:
-        """Ask another node at once if the one asked for a body cannot be reached."""
+        """Fetch from another node at once if the connection to the contacted one broke."""
         if self._pending_fetch is None or self._fetch_target != node_id:
             return []
         self._fetch_target = None
         return self._send_fetch(self._pending_fetch)
 
     def _fetch(self, pending: _PendingFetch) -> Script[list[Action]]:
-        """Ask one node after another until the revision is there."""
+        """Fetch from one node after another until the revision is in force."""
         for _ in range(FETCH_ATTEMPTS):
             yield from perform(*self._send_fetch(pending))
             yield from pause(FETCH_TIMEOUT_SECONDS * self._view.random.uniform(1.0, 1.5))
@@ -168,7 +170,7 @@
         return []
 
     def _send_fetch(self, pending: _PendingFetch) -> list[Action]:
-        """Ask the next node that said to have it, or a random one when none is left."""
+        """Send a fetch to the next node that has the revision, else to a random node."""
         if pending.sources:
             node = pending.sources.pop(0)
         elif self._view.peers:
@@ -191,7 +193,7 @@
         return []
 
     def sample_each_zone(self) -> list[NodeIdentity]:
-        """Return a few random nodes of every zone."""
+        """Return up to ``NODES_NOTIFIED_PER_ZONE`` random nodes of each zone."""
         return [
             node
             for zone in self._view.zones
@@ -199,7 +201,7 @@
         ]
 
     def announce(self, nodes: list[NodeIdentity]) -> list[Action]:
-        """Name this node's revision to ``nodes``; they answer with theirs."""
+        """Send this node's revision to ``nodes``, which reply with theirs."""
         if Mechanism.PEER_DISSEMINATION in self._view.disabled:
             return []
         announcement = ConfigurationFetch(self._in_force.revision)
@@ -214,7 +216,7 @@
 def _parse_body(
     message: ConfigurationBody, previous: ConfigurationDocument | None
 ) -> ConfigurationDocument | str:
-    """Return the document in a message, or why it cannot be believed."""
+    """Return the document in a message, or the reason why it is invalid."""
     body = unpack_body(message.body)
     if isinstance(body, Failure):
         return body.reason
@@ -222,5 +224,5 @@
     if isinstance(document, Failure):
         return document.reason
     if document.revision != message.revision:
-        return f"the body is of revision {document.revision}, not {message.revision}"
+        return f"the body has revision {document.revision}, expected {message.revision}"
     return document
--- a/wingquay/configuration/document.py
+++ b/wingquay/configuration/document.py
@@ -1,8 +1,8 @@
 """The configuration as it is stored and sent: a JSON document with its audit records.
 
-The document is the configuration's JSON object with one more key, ``audit``. Keys that this
-version does not know are kept when it writes, so that an older node beside a newer one drops
-nothing (docs/design/configuration.md, "Schema versions").
+The document is the configuration's JSON object with the additional key ``audit``. Keys that are
+unknown to this version are preserved on writes, so that an older node drops nothing that a newer
+one wrote (docs/design/configuration.md, "Schema versions").
 """
 
 import zlib
@@ -20,10 +20,10 @@
 from ..model.identifiers import Revision
 
 MAX_AUDIT_RECORDS = 64
-"""Confirms listed in the document; as many earlier revisions are kept in the store."""
+"""Audit records in a document; the store's history holds as many earlier revisions."""
 
 MAX_BODY_BYTES = 32 * 1024 * 1024
-"""A document larger than this, unpacked, is not believed."""
+"""Size limit of an uncompressed document; larger ones are refused."""
 
 Json = dict[str, Any]
 
@@ -39,7 +39,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ConfigurationDocument:
-    """A confirmed revision with the records of the confirms that led to it, newest last."""
+    """A confirmed configuration with the audit records of its confirms, oldest first."""
 
     configuration: Configuration
     audit: tuple[AuditRecord, ...]
@@ -51,11 +51,11 @@
         return self.configuration.revision
 
     def find_record(self, confirm_id: str) -> AuditRecord | None:
-        """Return the record of the confirm called ``confirm_id``, if it is among those kept."""
+        """Return the audit record of the confirm ``confirm_id``, or ``None`` if not listed."""
         return next((entry for entry in self.audit if entry.confirm_id == confirm_id), None)
 
     def raw(self) -> Json:
-        """Return the document's JSON object, with the keys that this version does not know."""
+        """Return the document's JSON object, including keys unknown to this version."""
         parsed: Json = orjson.loads(self.body)
         return parsed
 
@@ -63,19 +63,19 @@
 EMPTY_DOCUMENT = ConfigurationDocument(
     Configuration(), (), orjson.dumps(Configuration().model_dump(mode="json"))
 )
-"""What stands before anything has been confirmed: revision 0."""
+"""Revision 0, the document before the first confirm."""
 
 
 def parse_document(
     body: bytes, previous: ConfigurationDocument | None = None
 ) -> ConfigurationDocument | Failure[DocumentFailureKind]:
-    """Read a document; a whole one or none.
+    """Parse and validate a document.
 
     Parameters
     ----------
-    like
-        A document that has been read: services that are the same in both are taken from it,
-        which spares most of the time that a large configuration takes.
+    previous
+        A parsed document whose unchanged services are reused instead of being validated again,
+        which makes parsing a large configuration faster.
     """
     try:
         raw = orjson.loads(body)
@@ -112,13 +112,13 @@
     Parameters
     ----------
     restored
-        Earlier documents that the configuration was taken from: what this version does not
-        know is taken from these too, instead of from ``base``.
+        Earlier documents that the configuration was restored from. Unknown keys are copied from
+        these instead of from ``base``.
     """
     base_raw = base.raw()
     oldest_writer = base_raw.get("oldest_writer", SCHEMA_VERSION)
     if oldest_writer > SCHEMA_VERSION:
-        reason = f"only nodes of schema version {oldest_writer} or later may change this"
+        reason = f"only nodes of schema version {oldest_writer} or later may write this document"
         return Failure(DocumentFailureKind.NEWER_WRITER_NEEDED, reason)
     confirmed = configuration.model_copy(
         update={
@@ -140,7 +140,7 @@
 
 
 def entry_identity(entry: object) -> tuple[str, ...] | None:
-    """Return what tells an entry of a list from its neighbours, or ``None`` if nothing does."""
+    """Return the values that identify a list entry, or ``None`` if it has no identity."""
     if not isinstance(entry, dict):
         return None
     for keys in _IDENTITY_KEYS:
@@ -152,9 +152,8 @@
 def keep_unknown_keys(written: Any, earlier: Any) -> Any:
     """Return ``written`` with the keys that only ``earlier`` has, at every depth.
 
-    This version writes every key that it knows, so a key that only the earlier document has is
-    one that it does not know. Entries of lists are matched by their identity; what a removed
-    entry held goes with it.
+    This version writes every key that it knows, so a key found only in the earlier document is
+    unknown to it. List entries are matched by identity. The keys of a removed entry are dropped.
     """
     if written == earlier:
         return written
@@ -181,12 +180,12 @@
 
 
 def unpack_body(packed: bytes) -> bytes | Failure[DocumentFailureKind]:
-    """Undo ``pack_body``, refusing what would grow beyond ``MAX_BODY_BYTES``."""
+    """Decompress a packed document; fail if it exceeds ``MAX_BODY_BYTES``."""
     decompressor = zlib.decompressobj()
     try:
         body = decompressor.decompress(packed, MAX_BODY_BYTES)
     except zlib.error as error:
         return Failure(DocumentFailureKind.MALFORMED, f"configuration body: {error}")
     if not decompressor.eof:
-        return Failure(DocumentFailureKind.MALFORMED, "configuration body: cut off or too large")
+        return Failure(DocumentFailureKind.MALFORMED, "configuration body: truncated or too large")
     return body
--- a/wingquay/configuration/effects.py
+++ b/wingquay/configuration/effects.py
@@ -1,15 +1,15 @@
-"""Who gains and who loses by a change of configuration."""
+"""Computes which request kinds gain or lose priority by a change of configuration."""
 
 from ..model.configuration import Configuration, RequestKind, Service
 from ..model.identifiers import CallerName, RequestKindName, ServiceName
 from ..model.plan import ClassEffect, ClassTerms, EffectDirection
 
 Subject = tuple[ServiceName, RequestKindName, CallerName | None]
-"""A request kind, for one caller or (``None``) for all that have no assignment of their own."""
+"""A request kind of one caller, or (``None``) of all callers without their own assignment."""
 
 
 def class_effects(before: Configuration, after: Configuration) -> tuple[ClassEffect, ...]:
-    """Return the kinds whose class or its terms change, then those that these overtake."""
+    """Return the kinds whose class or class terms change, then the kinds affected by these."""
     subjects = _subjects(before, after)
     direct = [
         effect
@@ -27,7 +27,7 @@
 
 
 def class_terms(configuration: Configuration, subject: Subject) -> ClassTerms | None:
-    """Return the class that serves ``subject``, or ``None`` if there is no such kind."""
+    """Return the terms of the class that serves ``subject``, or ``None`` if there is none."""
     service_name, kind_name, caller = subject
     service = configuration.service(service_name)
     kind = service.kind(kind_name) if service is not None else None
@@ -43,7 +43,7 @@
 
 
 def _subjects(before: Configuration, after: Configuration) -> list[Subject]:
-    """Return every subject of either configuration, once, in their order."""
+    """Return the subjects of both configurations, in order and without duplicates."""
     subjects: dict[Subject, None] = {}
     for configuration in (before, after):
         for service in configuration.services:
@@ -102,7 +102,7 @@
 def _indirect_effect(
     after: Configuration, subject: Subject, direct: list[ClassEffect]
 ) -> ClassEffect | None:
-    """Tell whether a kind that keeps its class is overtaken, or overtakes, in its service."""
+    """Return the effect on a kind that keeps its class but changes its rank in the service."""
     terms = class_terms(after, subject)
     service, kind, caller = subject
     if terms is None:
--- a/wingquay/configuration/in_force.py
+++ b/wingquay/configuration/in_force.py
@@ -1,4 +1,4 @@
-"""The configuration in force on this node: it only ever moves to a greater revision."""
+"""The configuration in force on this node; its revision only increases."""
 
 from ..model.identifiers import Revision
 from ..model.mechanisms import Mechanism
@@ -12,13 +12,13 @@
 
 
 class InForceConfiguration:
-    """Keeps the highest confirmed revision that this node has seen."""
+    """Holds the highest confirmed revision that this node has received."""
 
     def __init__(self, view: NodeView) -> None:
         self._view = view
         self.document: ConfigurationDocument | None = None
         self.since: float | None = None
-        """When the revision came into force on this node (seconds of ``now``)."""
+        """Time at which the revision came into force on this node; ``None`` before the first."""
         self._packed: bytes | None = None
 
     @property
@@ -27,7 +27,7 @@
         return self.document.revision if self.document is not None else NO_REVISION
 
     def is_newer(self, revision: Revision) -> bool:
-        """Whether ``revision`` may replace what is in force: only a greater one ever may."""
+        """Whether ``revision`` may replace the one in force, which only a greater one may."""
         if Mechanism.REVISION_MONOTONIC in self._view.disabled:
             return revision != self.revision
         return revision > self.revision
@@ -40,12 +40,12 @@
         return self._packed
 
     def apply(self, document: ConfigurationDocument, now: float, source: str) -> list[Action]:
-        """Put ``document`` in force if it is newer than what is; else do nothing.
+        """Put ``document`` in force if it is newer; else only report conflicting documents.
 
         Parameters
         ----------
         source
-            Where it came from, for the log.
+            Origin of the document, for the log.
         """
         if not self.is_newer(document.revision):
             return self._report_fork(document)
@@ -63,7 +63,7 @@
         return actions
 
     def _report_fork(self, document: ConfigurationDocument) -> list[Action]:
-        """Report two documents of one revision: only a store set back by hand can do that."""
+        """Report a different document of the same revision, left by a manual reset of the store."""
         present = self.document
         if present is None or document.revision != present.revision:
             return []
--- a/wingquay/configuration/intent_failure.py
+++ b/wingquay/configuration/intent_failure.py
@@ -1,4 +1,4 @@
-"""What the application of intents has in common: its failure, and entries known by name."""
+"""Shared by the functions that apply intents: failures and lookups of named entries."""
 
 from collections.abc import Callable, Iterable
 from enum import Enum
@@ -19,7 +19,7 @@
 
 
 def invalid_intent(reason: str) -> IntentFailure:
-    """Return the failure; ``reason`` names field, value and what is allowed."""
+    """Return a failure; ``reason`` states the field, its value and the allowed values."""
     return Failure(IntentFailureKind.INVALID, reason)
 
 
@@ -29,14 +29,14 @@
 
 
 def entry_name(entry: object) -> str:
-    """Return the name by which an entry is known among its neighbours."""
+    """Return the name that identifies an entry in its list."""
     return str(getattr(entry, "name"))  # noqa: B009
 
 
 def replace_entry(
     entries: tuple[Entry, ...], entry: Entry, identity: Callable[[Entry], object]
 ) -> tuple[Entry, ...]:
-    """Return ``entries`` with ``entry`` in the place of its namesake, else at the end."""
+    """Return ``entries`` with ``entry`` in place of the one with its identity, else appended."""
     if all(identity(present) != identity(entry) for present in entries):
         return (*entries, entry)
     return tuple(entry if identity(present) == identity(entry) else present for present in entries)
--- a/wingquay/configuration/intents.py
+++ b/wingquay/configuration/intents.py
@@ -39,12 +39,12 @@
 )
 
 History = Mapping[Revision, Configuration]
-"""Earlier revisions that ``RestoreRevision`` may name."""
+"""Earlier revisions that ``RestoreRevision`` intents may refer to."""
 
 
 @dataclass(frozen=True, slots=True)
 class AppliedIntents:
-    """The configuration that intents lead to, and the intents as they were resolved."""
+    """The configuration that results from intents, and the intents with resolved class names."""
 
     configuration: Configuration
     resolved: tuple[Intent, ...]
@@ -55,17 +55,17 @@
     intents: Sequence[Intent],
     history: History | None = None,
 ) -> AppliedIntents | IntentFailure:
-    """Apply ``intents`` in order and check the result whole.
+    """Apply ``intents`` in order and validate the resulting configuration.
 
     Parameters
     ----------
     history
-        The revisions that ``RestoreRevision`` intents name.
+        The revisions that ``RestoreRevision`` intents refer to.
 
     Returns
     -------
     AppliedIntents or Failure
-        The failure's reason names the field, the value and what is allowed.
+        The failure's reason states the field, its value and the allowed values.
     """
     if not intents:
         return invalid_intent("intents: give at least one")
@@ -79,7 +79,7 @@
             return invalid_intent(f"intent {number} ({intent.intent}): {outcome.reason}")
         configuration = outcome
         resolved.append(resolved_intent)
-    # The entries were checked one by one when they were made; what is left is how they fit.
+    # Each entry was validated on its own; this validates the references between them.
     errors = reference_errors(configuration)
     if errors:
         return invalid_intent("; ".join(errors))
@@ -87,7 +87,7 @@
 
 
 def class_sort_key(entry: PriorityClass) -> tuple[float, float, str]:
-    """Return the key by which classes are ordered, lowest first."""
+    """Return the key that sorts classes from lowest to highest priority."""
     return entry.price, -entry.promise_seconds, entry.name
 
 
@@ -97,7 +97,7 @@
     ordered = sorted(configuration.classes, key=class_sort_key)
     if not ordered:
         return invalid_intent(
-            f"class_name: {intent.class_name!r} stands for no class; none exists yet"
+            f"class_name: {intent.class_name!r} cannot be resolved: no class exists yet"
         )
     chosen = {TOP_CLASS: ordered[-1], LOWEST_CLASS: ordered[0]}[intent.class_name]
     return intent.model_copy(update={"class_name": chosen.name})
@@ -199,7 +199,7 @@
     earlier = history.get(intent.revision)
     if earlier is None:
         return invalid_intent(
-            f"revision: {intent.revision} is not kept; allowed: those that "
+            f"revision: {intent.revision} is not in the history; allowed: those that "
             "`wingquay configuration history` lists"
         )
     return earlier.model_copy(
--- a/wingquay/configuration/keys.py
+++ b/wingquay/configuration/keys.py
@@ -1,4 +1,4 @@
-"""Where things lie in the platform's key-value store."""
+"""Keys of the configuration in the platform's key-value store."""
 
 from ..model.identifiers import Revision, ZoneName
 
@@ -11,20 +11,20 @@
 
 
 def history_key(revision: Revision) -> str:
-    """Return where a revision is kept once a later one stands."""
+    """Return the key of a revision that a later one has replaced."""
     return f"{_HISTORY_PREFIX}{revision:012d}"
 
 
 def plan_key(plan_id: str) -> str:
-    """Return where a plan waits for its confirm."""
+    """Return the key of an unconfirmed plan."""
     return f"{PLANS_PREFIX}{plan_id}"
 
 
 def assignments_prefix(zone: ZoneName) -> str:
-    """Return what the keys of a zone's watcher assignments begin with."""
+    """Return the common prefix of the keys of a zone's watcher assignments."""
     return f"{_WATCHERS_PREFIX}{zone}/"
 
 
 def assignment_key(zone: ZoneName, assignment: int) -> str:
-    """Return the key whose holder watches the store for its zone."""
+    """Return the key of a watcher assignment, whose holder watches the store for its zone."""
     return f"{assignments_prefix(zone)}{assignment}"
--- a/wingquay/configuration/node_view.py
+++ b/wingquay/configuration/node_view.py
@@ -1,4 +1,4 @@
-"""What the parts of the configuration machine know in common about their node and its peers."""
+"""State of the node and its peers that the parts of the configuration machine share."""
 
 from random import Random
 
@@ -9,14 +9,14 @@
 
 
 class NodeView:
-    """The node, the nodes that it can ask, and the load it sees.
+    """The node's identity and load, and the available nodes by zone.
 
     Parameters
     ----------
     random
-        Seeded source.
+        Random number generator.
     disabled
-        Mechanisms that are taken out, for tests only.
+        Mechanisms that are switched off, for tests only.
     """
 
     def __init__(
@@ -30,7 +30,7 @@
         self.random = random
         self.load = LoadObserved()
         self.leaving = False
-        """Whether this node's planned stop has begun."""
+        """Whether this node has begun its planned stop."""
         self.available: tuple[NodeIdentity, ...] = (identity,)
         self.leaving_nodes: tuple[NodeIdentity, ...] = ()
         self._peers: tuple[NodeIdentity, ...] = ()
@@ -44,17 +44,17 @@
 
     @property
     def node_count(self) -> int:
-        """The available nodes, this one included."""
+        """Number of available nodes, including this one."""
         return len(self._peers) + 1
 
     @property
     def zone_node_count(self) -> int:
-        """The available nodes of this node's zone, itself included."""
+        """Number of available nodes in this node's zone, including this one."""
         return len(self.zone_peers(self.identity.zone)) + 1
 
     @property
     def zones(self) -> tuple[ZoneName, ...]:
-        """The zones with available nodes, in order; this node's own among them."""
+        """The zones with available nodes, sorted by name; includes this node's zone."""
         return tuple(sorted({self.identity.zone, *self._peers_by_zone}))
 
     def zone_peers(self, zone: ZoneName) -> tuple[NodeIdentity, ...]:
@@ -62,11 +62,11 @@
         return self._peers_by_zone.get(zone, ())
 
     def peer(self, node_id: NodeId) -> NodeIdentity | None:
-        """Return the other available node with that id, if there is one."""
+        """Return the other available node with this id, or ``None``."""
         return self._peers_by_id.get(node_id)
 
     def update(self, change: MembershipChanged) -> None:
-        """Take in the nodes that membership now believes in."""
+        """Update the available and leaving nodes from the membership."""
         own = self.identity.node_id
         self.available = change.available
         self.leaving_nodes = change.leaving
@@ -78,5 +78,5 @@
         self._peers_by_zone = {zone: tuple(nodes) for zone, nodes in zones.items()}
 
     def sample(self, nodes: tuple[NodeIdentity, ...], count: int) -> list[NodeIdentity]:
-        """Return up to ``count`` of ``nodes`` at random, none twice."""
+        """Return up to ``count`` distinct random ``nodes``."""
         return self.random.sample(nodes, min(count, len(nodes)))
--- a/wingquay/configuration/operator_requests.py
+++ b/wingquay/configuration/operator_requests.py
@@ -1,4 +1,4 @@
-"""Carries out operators' commands, one script for each."""
+"""Carries out operators' commands, each as one script."""
 
 from ..model.failure import Failure
 from ..model.mechanisms import Mechanism
@@ -48,22 +48,23 @@
 from .watcher import Watcher
 
 STATUS_TIMEOUT_SECONDS = 0.3
-"""How long a status waits for nodes of each zone to name their revision."""
+"""Longest time that a status command waits for nodes of each zone to report their revision."""
 
 STATUS_CHECK_INTERVAL_SECONDS = 0.01
-"""How often it looks whether all have."""
+"""Time between checks whether all contacted nodes have reported."""
 
 RETRY_MAX_CEILING_SECONDS = 1.0
+"""Longest delay between two attempts of a confirm."""
 
 STORE_UNAVAILABLE_PLAN_WARNING = (
-    "the store does not answer: the plan is based on revision {revision}, the last known here"
+    "the store does not answer: the plan is based on revision {revision}, the newest on this node"
 )
 
 
 class OperatorRequests:
-    """Turns commands into scripts whose result is the reply."""
+    """Runs a script for each command and replies with its result."""
 
-    def __init__(  # noqa: PLR0913 - the desk is where the parts meet
+    def __init__(  # noqa: PLR0913 - needs all parts of the machine
         self,
         view: NodeView,
         runner: ScriptRunner,
@@ -87,7 +88,7 @@
         self._status = StatusReporter(view, in_force, revision_tracker, runner.store_health)
 
     def handle(self, request: OperatorRequest, now: float) -> list[Action]:
-        """Begin to carry out a command."""
+        """Start the script of a command."""
         return self._runner.start(self._reply(request, now), now)
 
     def _reply(self, request: OperatorRequest, now: float) -> Script[list[Action]]:
@@ -118,7 +119,7 @@
         return Failure(OperatorFailureKind.INVALID, reason)
 
     def _show_status(self, now: float) -> Script[CommandResult]:
-        """Ask a few nodes of each zone for their revision, and wait for them a little."""
+        """Query a few nodes of each zone and wait up to ``STATUS_TIMEOUT_SECONDS`` for replies."""
         contacted = self._dissemination.sample_each_zone()
         yield from perform(*self._dissemination.announce(contacted))
         later = now
@@ -219,7 +220,7 @@
         if isinstance(current, StoredDocument):
             record = current.document.find_record(command.plan_id)
             if record is not None:
-                reason = f"the plan had already taken effect as revision {record.revision}"
+                reason = f"the plan has already taken effect as revision {record.revision}"
                 return Failure(OperatorFailureKind.CONFLICT, reason)
         return DiscardResult(plan_id=command.plan_id)
 
--- a/wingquay/configuration/plan.py
+++ b/wingquay/configuration/plan.py
@@ -1,4 +1,4 @@
-"""Makes plans from intents, and applies a plan to the revision it meets at its confirm."""
+"""Makes plans from intents, and applies a plan to the current revision when it is confirmed."""
 
 from collections.abc import Mapping, Sequence
 from dataclasses import dataclass
@@ -20,18 +20,20 @@
 from .promise_forecast import forecast_promises
 
 PLAN_LIFETIME_SECONDS = 900
-"""How long a plan can be confirmed."""
+"""Time for which a plan can be confirmed."""
 
 MAX_DIFF_LINES = 200
-"""Lines of a diff that a plan carries; the digest covers them all."""
+"""Lines of the diff that a plan includes; its digest covers all lines."""
 
 AUDIT_SUMMARY_LINES = 5
+"""Lines of the diff that an audit record includes."""
 
 EarlierDocuments = Mapping[Revision, ConfigurationDocument]
+"""Documents that ``RestoreRevision`` intents refer to, by revision."""
 
 
 class PlanFailureKind(Enum):
-    """Why there is no plan, or why a plan cannot be confirmed."""
+    """Why a plan cannot be made or confirmed."""
 
     INVALID = "invalid"
     CONFLICT = "conflict"
@@ -42,16 +44,16 @@
 
 @dataclass(frozen=True, slots=True)
 class Proposal:
-    """Everything a plan is made from, besides the base document.
+    """The input of a plan besides the base document.
 
     Parameters
     ----------
     earlier
-        The documents that ``RestoreRevision`` intents name.
+        The documents that ``RestoreRevision`` intents refer to.
     load
-        The load now seen by this node.
+        The load that this node observes.
     unix_seconds
-        Wall-clock time, written into the plan for people.
+        Wall-clock time, shown to operators as the plan's creation time.
     """
 
     plan_id: str
@@ -76,13 +78,13 @@
 
 
 def restored_revisions(intents: Sequence[Intent]) -> tuple[Revision, ...]:
-    """Return the earlier revisions that the intents need, in order, each once."""
+    """Return the revisions that ``RestoreRevision`` intents refer to, without duplicates."""
     named = [intent.revision for intent in intents if isinstance(intent, RestoreRevision)]
     return tuple(dict.fromkeys(named))
 
 
 def make_plan(base: ConfigurationDocument, proposal: Proposal) -> Plan | PlanFailure:
-    """Return what the proposal's intents would change at ``base``."""
+    """Return the plan that applies the proposal's intents to ``base``."""
     record = AuditRecord(
         revision=Revision(base.revision + 1),
         confirm_id=proposal.plan_id,
@@ -124,10 +126,10 @@
     unix_seconds: float,
     replaced_kept_at: int = 0,
 ) -> ConfigurationDocument | PlanFailure:
-    """Return the document to write when ``plan`` is confirmed while ``current`` stands.
+    """Return the document that confirming ``plan`` writes as the successor of ``current``.
 
-    On another revision than the plan's base this is a rebase, allowed only if the intents
-    resolve to the same and the change with its effects is exactly what the plan showed.
+    If ``current`` is not the plan's base, the plan is rebased. This is allowed only if the intents
+    resolve to the same values, and the diff and effects are exactly those that the plan showed.
     """
     record = AuditRecord(
         revision=Revision(current.revision + 1),
@@ -179,8 +181,8 @@
     ]
     moved = " | ".join(changes) or "nothing"
     return (
-        f"the plan was made at revision {plan.base_revision}, now is {current.revision}; "
-        f"changed since: {moved}; {detail}; make a new plan"
+        f"the plan was made at revision {plan.base_revision}, the current revision is "
+        f"{current.revision}; changed since: {moved}; {detail}; make a new plan"
     )
 
 
@@ -191,12 +193,16 @@
         if entry.verdict in bad:
             verdict = entry.verdict.value.replace("_", " ")
             warnings.append(
-                f"{entry.service}/{entry.kind}: promise of {entry.promise_seconds:g} s looks "
+                f"{entry.service}/{entry.kind}: promise of {entry.promise_seconds:g} s is probably "
                 f"{verdict}: {entry.reason}"
             )
     for service in change.document.configuration.services:
         if any(not shard.replicas for shard in service.shards):
-            warnings.append(f"{service.name}: a shard without replicas cannot be answered")
+            warnings.append(
+                f"{service.name}: a shard has no replicas, so its requests cannot be answered"
+            )
         if not service.shards:
-            warnings.append(f"{service.name}: without shards no request can be answered")
+            warnings.append(
+                f"{service.name}: the service has no shards, so no request can be answered"
+            )
     return warnings
--- a/wingquay/configuration/plan_store.py
+++ b/wingquay/configuration/plan_store.py
@@ -1,7 +1,7 @@
-"""Keeps plans until they are confirmed, discarded or expire.
+"""Stores plans until they are confirmed, discarded or expire.
 
-A plan lies in the store under a lease, so that any node can confirm it and it expires by itself.
-While the store does not answer, a plan is kept on the node that made it alone.
+A plan is written to the store with a lease, so that any node can confirm it and it expires
+automatically. While the store does not answer, a plan is kept only on the node that made it.
 """
 
 from dataclasses import dataclass
@@ -26,7 +26,7 @@
 from .script import Script, call_store, perform
 
 MAX_LOCAL_PLANS = 200
-"""Plans that a node keeps while the store does not answer; the oldest go first."""
+"""Limit of plans that a node keeps locally; the oldest are dropped first."""
 
 LOCAL_ONLY_WARNING = (
     "the store does not answer: this plan is kept on this node only, "
@@ -38,7 +38,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LocalPlan:
-    """A plan and when it expires on this node's clock (``None``: by its lease in the store)."""
+    """A plan that only this node has, and the time at which it expires (``None``: never)."""
 
     plan: Plan
     expires_at: float | None = None
@@ -46,20 +46,20 @@
 
 @dataclass(frozen=True, slots=True)
 class PlanList:
-    """The plans found, and whether the store had its say."""
+    """The plans that were found; ``complete`` is false if the store did not answer."""
 
     plans: tuple[Plan, ...]
     complete: bool
 
 
 class PlanStore:
-    """Saves, finds and discards plans."""
+    """Saves, finds and discards plans, in the store or else locally on this node."""
 
     def __init__(self) -> None:
         self._local_plans: dict[str, LocalPlan] = {}
 
     def save(self, plan: Plan) -> Script[Plan]:
-        """Keep ``plan``; the plan returned bears a warning if only this node has it."""
+        """Save ``plan`` and return it, with an added warning if it is saved only on this node."""
         lease = (yield from call_store(GrantLease(PLAN_LIFETIME_SECONDS))).outcome
         if isinstance(lease, LeaseState):
             value = plan.model_dump_json().encode()
@@ -74,7 +74,7 @@
         return local_plan
 
     def find(self, plan_id: str) -> Script[Plan | PlanStoreFailure]:
-        """Return a plan that can still be confirmed."""
+        """Return the plan with this id if it can still be confirmed."""
         reply = yield from call_store(Read(plan_key(plan_id)))
         result = reply.outcome
         local = self._find_local(plan_id, reply.now)
@@ -92,11 +92,11 @@
             return Failure(OperatorFailureKind.EXPIRED, f"plan {plan_id!r} has expired")
         return Failure(
             OperatorFailureKind.NOT_FOUND,
-            f"plan {plan_id!r} has expired, was discarded or never was; make a new plan",
+            f"plan {plan_id!r} has expired, was discarded or never existed; make a new plan",
         )
 
     def list(self) -> Script[PlanList]:
-        """Return all plans that can still be confirmed, the oldest first."""
+        """Return all plans that can still be confirmed, oldest first."""
         reply = yield from call_store(Read(PLANS_PREFIX, prefix=True))
         result = reply.outcome
         stored = result.values if isinstance(result, ReadResult) else ()
@@ -110,14 +110,14 @@
         return PlanList(tuple(ordered), isinstance(result, ReadResult))
 
     def discard(self, plan_id: str) -> Script[PlanStoreFailure | None]:
-        """Forget a plan; ``None`` if it is gone."""
+        """Delete a plan; return ``None`` on success."""
         local = self._local_plans.pop(plan_id, None)
         key = plan_key(plan_id)
         found = (yield from call_store(Read(key))).outcome
         if isinstance(found, ReadResult) and not found.values:
             if local is not None:
                 return None
-            reason = f"plan {plan_id!r} has expired, was discarded or never was"
+            reason = f"plan {plan_id!r} has expired, was discarded or never existed"
             return Failure(OperatorFailureKind.NOT_FOUND, reason)
         if isinstance(found, ReadResult):
             operation = CompareAndSwap(key, found.values[0].modified_at, None)
@@ -147,5 +147,5 @@
     try:
         return Plan.model_validate_json(value.value)
     except ValidationError as error:
-        reason = f"the plan cannot be read by this node's version: {str(error)[:200]}"
+        reason = f"this node's version cannot parse the plan: {str(error)[:200]}"
         return Failure(OperatorFailureKind.INVALID, reason)
--- a/wingquay/configuration/promise_forecast.py
+++ b/wingquay/configuration/promise_forecast.py
@@ -1,4 +1,4 @@
-"""Whether promises still look keepable under a changed configuration, at the load now seen."""
+"""Forecasts whether promises can be kept under a changed configuration at the current load."""
 
 from collections.abc import Iterable
 
@@ -7,9 +7,10 @@
 from ..ports.internal import KindLoad, LoadObserved
 
 AT_RISK_UTILIZATION = 0.8
-"""Queues grow quickly above this share of busy slots."""
+"""Share of busy slots (0 to 1) above which queues grow quickly."""
 
 FULL_UTILIZATION = 1.0
+"""Share of busy slots from which the service cannot keep up with its requests."""
 
 
 def forecast_promises(
@@ -18,12 +19,12 @@
     effects: Iterable[ClassEffect],
     load: LoadObserved,
 ) -> tuple[PromiseOutlook, ...]:
-    """Return the outlook for each kind that is touched, itself or through its service's slots.
+    """Return the forecast for each kind whose class or whose service's slots change.
 
     Parameters
     ----------
     load
-        What this node sees now; a node sees only a part of the load.
+        The load that this node observes, which is only a part of the total.
     """
     affected = dict.fromkeys((effect.service, effect.kind) for effect in effects)
     for service in after.services:
@@ -35,7 +36,7 @@
 
 
 def count_slots(service: Service) -> int:
-    """Return the number of requests that the service's replicas can run at once."""
+    """Return the number of requests that the service's replicas can process concurrently."""
     return sum(replica.slots for shard in service.shards for replica in shard.replicas)
 
 
@@ -73,7 +74,7 @@
 def _expected_utilization(
     earlier: Service | None, service: Service, load: LoadObserved
 ) -> float | None:
-    """Scale the utilization now seen to the slots that there will be."""
+    """Scale the observed utilization to the new number of slots; ``None`` if unknown."""
     observed = next((s.utilization for s in load.services if s.service == service.name), None)
     slots = count_slots(service)
     if observed is None or earlier is None or slots == 0:
@@ -85,10 +86,10 @@
     promise_seconds: float, observed: KindLoad | None, utilization: float | None
 ) -> tuple[OutlookVerdict, str]:
     if utilization is not None and utilization >= FULL_UTILIZATION:
-        reason = f"slots would be {utilization:.0%} busy: more work than they can do"
+        reason = f"slots would be {utilization:.0%} busy: the load exceeds their capacity"
         return OutlookVerdict.NOT_KEEPABLE, reason
     if observed is None:
-        return OutlookVerdict.NOT_KNOWN, "this node has seen no requests of this kind lately"
+        return OutlookVerdict.NOT_KNOWN, "this node has no recent requests of this kind"
     if observed.p50_seconds > promise_seconds:
         reason = f"half of the requests now take longer than {observed.p50_seconds:.3g} s"
         return OutlookVerdict.NOT_KEEPABLE, reason
--- a/wingquay/configuration/revision_reader.py
+++ b/wingquay/configuration/revision_reader.py
@@ -1,4 +1,4 @@
-"""Answers operators' questions about revisions: what stands, what stood, what differs."""
+"""Carries out operators' read commands: show a revision, the history or a diff."""
 
 from ..model.failure import Failure
 from ..model.identifiers import Revision
@@ -19,13 +19,13 @@
 from .in_force import InForceConfiguration
 from .script import Script, StoreHealth, perform
 
-STALE_REVISION_WARNING = "the store does not answer: this is the last revision known to this node"
+STALE_REVISION_WARNING = "the store does not answer: this is the newest revision on this node"
 
 CommandResult = OperatorMessage | OperatorFailure
 
 
 class RevisionReader:
-    """Finds revisions in the store, or in force when the store does not answer."""
+    """Reads revisions from the store, or uses the one in force if the store does not answer."""
 
     def __init__(
         self,
@@ -42,7 +42,7 @@
     def run(
         self, command: ShowConfiguration | ShowHistory | DiffConfigurations
     ) -> Script[CommandResult]:
-        """Carry out a command that only reads."""
+        """Carry out a read command."""
         match command:
             case ShowConfiguration():
                 return (yield from self._show(command))
@@ -55,7 +55,7 @@
                 return (yield from self._diff(command))
 
     def newest(self) -> Script[ConfigurationDocument | OperatorFailure]:
-        """Return what the store holds, or what is in force when that is newer or all there is."""
+        """Return the document in the store, or the one in force if newer or the store is down."""
         stored = yield from self._document_reader.read()
         if isinstance(stored, StoredDocument):
             now = yield from perform()
@@ -69,7 +69,7 @@
         return operator_failure(stored) if isinstance(stored, Failure) else EMPTY_DOCUMENT
 
     def staleness_warnings(self) -> tuple[str, ...]:
-        """Return the warning that goes with ``newest`` while the store does not answer."""
+        """Return the warning to add to results of ``newest`` while the store does not answer."""
         return (STALE_REVISION_WARNING,) if self._store_health.reachable is False else ()
 
     def _show(self, command: ShowConfiguration) -> Script[CommandResult]:
@@ -87,7 +87,7 @@
         )
 
     def _revision(self, revision: Revision) -> Script[ConfigurationDocument | OperatorFailure]:
-        """Return one revision: the newest, or an earlier one from the store's history."""
+        """Return one revision, which may be the newest or one in the store's history."""
         newest = yield from self.newest()
         if not isinstance(newest, Failure) and newest.revision == revision:
             return newest
--- a/wingquay/configuration/revision_tracker.py
+++ b/wingquay/configuration/revision_tracker.py
@@ -1,4 +1,4 @@
-"""What this node has heard of the revisions that other nodes have in force."""
+"""Tracks the revisions that other nodes report to have in force."""
 
 from dataclasses import dataclass
 
@@ -6,15 +6,16 @@
 from .node_view import NodeView
 
 NODES_REQUIRED_PER_ZONE = 2
-"""Nodes of a zone that must have said so before a revision counts as in force there."""
+"""Nodes of a zone that must report a revision before it counts as in force in the zone."""
 
 
 @dataclass(frozen=True, slots=True)
 class ZoneRevisions:
-    """A zone's revisions as far as heard.
+    """The revisions that the nodes of a zone have reported.
 
-    ``in_force_seconds``: from the confirm on this node until the first nodes of the zone
-    (``NODES_REQUIRED_PER_ZONE``) said that they have the revision.
+    ``in_force_seconds`` is the time from the confirm on this node until
+    ``NODES_REQUIRED_PER_ZONE`` nodes of the zone reported the revision; ``None`` if the revision
+    was not confirmed on this node or too few nodes have reported it.
     """
 
     nodes: int
@@ -25,7 +26,7 @@
 
 
 class RevisionTracker:
-    """Remembers the last revision heard of each node, and when a confirmed one arrived there."""
+    """Stores the revision that each node reported, and when it reported the confirmed one."""
 
     def __init__(self, view: NodeView) -> None:
         self._view = view
@@ -36,34 +37,34 @@
         self._arrived_at: dict[NodeId, float] = {}
 
     def record_confirm(self, revision: Revision, now: float) -> None:
-        """Note that a confirm on this node made ``revision``."""
+        """Record that a confirm on this node created ``revision``."""
         self._confirmed_revision = revision
         self._confirmed_at = now
         self._arrived_at = {self._view.identity.node_id: now}
 
     def record(self, node_id: NodeId, revision: Revision, now: float) -> None:
-        """Note that a node said which revision it has."""
+        """Record the revision that a node reported."""
         self._revisions[node_id] = max(revision, self._revisions.get(node_id, revision))
         self._received_at[node_id] = now
         if self._confirmed_revision and revision >= self._confirmed_revision:
             self._arrived_at.setdefault(node_id, now)
 
     def remove_departed(self) -> None:
-        """Forget the nodes that membership no longer knows."""
+        """Remove the nodes that are no longer members."""
         members = {node.node_id for node in (*self._view.available, *self._view.leaving_nodes)}
         self._revisions = {node: seen for node, seen in self._revisions.items() if node in members}
         self._received_at = {node: at for node, at in self._received_at.items() if node in members}
 
     def received_since(self, node_id: NodeId, at: float) -> bool:
-        """Whether a node said its revision after ``at``."""
+        """Whether a node has reported its revision after ``at``."""
         return self._received_at.get(node_id, at) > at
 
     def get_revision(self, node_id: NodeId) -> Revision | None:
-        """Return the last revision heard of a node."""
+        """Return the highest revision that a node reported, or ``None``."""
         return self._revisions.get(node_id)
 
     def get_zone(self, zone: ZoneName, own_revision: Revision) -> ZoneRevisions:
-        """Return what is known of a zone; this node's own revision counts in its zone."""
+        """Return the revisions of a zone; in this node's zone they include ``own_revision``."""
         nodes = [node.node_id for node in self._view.zone_peers(zone)]
         reported = [self._revisions[node] for node in nodes if node in self._revisions]
         own = self._view.identity
--- a/wingquay/configuration/script.py
+++ b/wingquay/configuration/script.py
@@ -1,8 +1,7 @@
-"""Runs procedures that wait: for a reply of the store, for time to pass.
+"""Runs scripts: procedures that wait for replies of the store or for time to pass.
 
-A script is a generator. It yields a step, is resumed when the step is done, and so reads from
-top to bottom although many events pass meanwhile. It does no I/O and reads no clock: the runner
-turns its steps into actions and resumes it with the events that answer them.
+A script is a generator that yields steps. The runner turns each step into actions and resumes the
+script with the event that completes the step. A script does no I/O and reads no clock.
 """
 
 from collections.abc import Generator
@@ -24,21 +23,21 @@
 
 @dataclass(frozen=True, slots=True)
 class CallStore:
-    """Step: perform an operation and wait for its outcome."""
+    """Step: send an operation to the store and wait for its outcome."""
 
     operation: StoreOperation
 
 
 @dataclass(frozen=True, slots=True)
 class Pause:
-    """Step: wait."""
+    """Step: wait for ``seconds``."""
 
     seconds: float
 
 
 @dataclass(frozen=True, slots=True)
 class Perform:
-    """Step: hand out actions and go on at once."""
+    """Step: emit actions and continue without waiting."""
 
     actions: tuple[Action, ...]
 
@@ -48,7 +47,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Resumed:
-    """What a script is resumed with: the time, and the store's outcome if it asked for one."""
+    """Value sent to a script on resumption; ``outcome`` is set only after ``CallStore``."""
 
     now: float
     outcome: StoreOutcome | None = None
@@ -56,64 +55,66 @@
 
 Value = TypeVar("Value")
 Script = Generator[Step, Resumed, Value]
+"""A procedure that returns ``Value``."""
 
 
 @dataclass(frozen=True, slots=True)
 class StoreReply:
-    """The outcome of a store operation and when it came."""
+    """The outcome of a store operation and the time of its arrival."""
 
     now: float
     outcome: StoreOutcome
 
 
 def call_store(operation: StoreOperation) -> Script[StoreReply]:
-    """Perform ``operation`` and return its outcome."""
+    """Send ``operation`` to the store and return its outcome."""
     resumed = yield CallStore(operation)
     assert resumed.outcome is not None
     return StoreReply(resumed.now, resumed.outcome)
 
 
 def pause(seconds: float) -> Script[float]:
-    """Wait and return the time then."""
+    """Wait for ``seconds`` and return the time afterwards."""
     resumed = yield Pause(seconds)
     return resumed.now
 
 
 def perform(*actions: Action) -> Script[float]:
-    """Hand out actions at once and return the time."""
+    """Emit actions and return the current time."""
     resumed = yield Perform(actions)
     return resumed.now
 
 
 @dataclass(frozen=True, slots=True)
 class ScriptTimer(Event):
-    """A pause of the configuration machine's script ``number`` is over."""
+    """The pause ``number`` of a script of the configuration machine is over."""
 
     number: int
 
 
 class StoreHealth:
-    """What the replies say of the store."""
+    """Availability of the store as observed from its replies."""
 
     def __init__(self) -> None:
         self.reachable: bool | None = None
-        """Whether the last operation was answered; ``None`` before the first."""
+        """Whether the last operation succeeded; ``None`` before the first."""
         self.last_reply_at: float | None = None
+        """Time of the last successful operation; ``None`` before the first."""
 
     def record(self, outcome: StoreOutcome, now: float) -> None:
-        """Take in the outcome of an operation."""
+        """Record the outcome of an operation."""
         self.reachable = not isinstance(outcome, Failure)
         if self.reachable:
             self.last_reply_at = now
 
 
 class ScriptRunner:
-    """Runs scripts, each to its end, interleaved by the events they wait for.
+    """Runs scripts concurrently; each is resumed by the events that it waits for.
 
     Parameters
     ----------
     operation_prefix
-        Begins the ids of this runner's store operations, which are unique on the node.
+        Prefix of the ids of this runner's store operations, unique among the node's runners.
     """
 
     def __init__(self, operation_prefix: str) -> None:
@@ -124,11 +125,11 @@
         self._paused: dict[int, Script[list[Action]]] = {}
 
     def start(self, script: Script[list[Action]], now: float) -> list[Action]:
-        """Begin a script; the actions that it returns at its end are handed out too."""
+        """Run a script up to its first wait and return the actions emitted so far."""
         return self._advance(script, None, now)
 
     def handle(self, event: StoreResponse | ScriptTimer, now: float) -> list[Action]:
-        """Resume the script that waits for ``event``; others' events are ignored."""
+        """Resume the script that waits for ``event``; ignore events of other runners."""
         if isinstance(event, ScriptTimer):
             paused = self._paused.pop(event.number, None)
             return [] if paused is None else self._advance(paused, Resumed(now), now)
--- a/wingquay/configuration/status.py
+++ b/wingquay/configuration/status.py
@@ -1,4 +1,4 @@
-"""Puts together what a node knows, for ``wingquay status``."""
+"""Assembles the status that ``wingquay status`` shows."""
 
 from ..model.identifiers import NodeId, Revision, ZoneName
 from ..ports.operator import NodeStatus, StatusResult, ZoneStatus
@@ -8,15 +8,15 @@
 from .revision_tracker import RevisionTracker
 from .script import StoreHealth
 
-ZONE_BEHIND_WARNING = "zone {zone}: a node was last heard with revision {lowest}, behind {own}"
+ZONE_BEHIND_WARNING = "zone {zone}: a node last reported revision {lowest}, older than {own}"
 STORE_UNAVAILABLE_WARNING = (
-    "the store does not answer: confirms are refused; queries go on under the revision in force"
+    "the store does not answer: confirms are refused; queries still use the revision in force"
 )
 NO_CONFIGURATION_WARNING = "no configuration is in force on this node: it answers no queries"
 
 
 class StatusReporter:
-    """Answers ``ShowStatus``."""
+    """Builds the result of ``ShowStatus``."""
 
     def __init__(
         self,
@@ -31,7 +31,7 @@
         self._store_health = store_health
 
     def report(self, now: float, watcher: bool) -> StatusResult:
-        """Return what is known now; ``watcher``: whether this node holds a watcher assignment."""
+        """Return the current status; ``watcher``: whether this node holds a watcher assignment."""
         document = self._in_force.document
         since = self._in_force.since
         last_reply = self._store_health.last_reply_at
--- a/wingquay/configuration/store_schedule.py
+++ b/wingquay/configuration/store_schedule.py
@@ -1,4 +1,4 @@
-"""When the store is asked: back-off with jitter, and how a crowd of nodes shares its rate limit.
+"""Scheduling of requests to the store: backoff with jitter, and a rate limit for all nodes.
 
 Source: "Exponential Backoff and Jitter" (Brooker, AWS Architecture Blog, 2015), full jitter.
 """
@@ -6,24 +6,24 @@
 from random import Random
 
 INITIAL_CEILING_SECONDS = 0.25
-"""Upper end of the first delay after a failure."""
+"""Upper bound of the first delay after a failure."""
 
 MAX_CEILING_SECONDS = 10.0
-"""Upper end of the delays of a node alone, however many failures came before."""
+"""Upper bound of all delays of a single node."""
 
 FLEET_REQUESTS_PER_SECOND = 10.0
-"""What all nodes together should ask of a store that fails."""
+"""Rate limit for the requests of all nodes together to a store that fails."""
 
 
 class FullJitterBackoff:
-    """Delays after failures: uniform between zero and a ceiling that doubles each time.
+    """Delays after failures, uniform between zero and a ceiling that doubles on each failure.
 
     Parameters
     ----------
     random
-        Seeded source.
+        Random number generator.
     initial_ceiling_seconds, max_ceiling_seconds
-        Where the ceiling starts and where it stops.
+        Initial and maximum value of the ceiling.
     """
 
     def __init__(
@@ -38,17 +38,17 @@
         self._ceiling = initial_ceiling_seconds
 
     def reset(self) -> None:
-        """Start over with short delays."""
+        """Return to the initial ceiling after a success."""
         self._ceiling = self._initial
 
     def next_delay_seconds(self, node_count: int = 1) -> float:
-        """Return the delay after one more failure.
+        """Return the delay after another failure.
 
         Parameters
         ----------
-        crowd
-            How many nodes may be failing likewise; the ceiling may grow until they together
-            stay under ``FLEET_REQUESTS_PER_SECOND``.
+        node_count
+            Number of nodes that may retry at the same time. The ceiling may exceed the maximum
+            to keep their total rate below ``FLEET_REQUESTS_PER_SECOND``.
         """
         ceiling = self._ceiling
         max_ceiling = max(self._max, 2 * node_count / FLEET_REQUESTS_PER_SECOND)
@@ -57,5 +57,5 @@
 
 
 def is_selected(random: Random, node_count: int, expected_nodes: float) -> bool:
-    """Decide whether this node acts, so that about ``expected_nodes`` of ``crowd`` nodes do."""
+    """Select this node at random, so that on average ``expected_nodes`` nodes are selected."""
     return random.random() * max(1, node_count) < expected_nodes
--- a/wingquay/configuration/watcher.py
+++ b/wingquay/configuration/watcher.py
@@ -1,9 +1,9 @@
-"""Holds one of the zone's watcher assignments, and while holding it watches the store.
+"""Acquires one of the zone's watcher assignments and watches the store while holding it.
 
-An assignment is a key written with a lease. A holder may have been paused past its lease and not
-know: so it counts the lease from the moment it *asked* for it, by its own clock, and looks at that
-before every step. What it passes on carries the revision, which is the fencing token: nobody
-goes back to a smaller one, whoever sends it.
+An assignment is a key written with a lease. A holder may be suspended until its lease has
+expired, so it measures the lease on its own clock from the time of the request and checks it
+before each step. The revision serves as the fencing token of what it passes on: no node goes back
+to a lower revision.
 """
 
 import json
@@ -33,44 +33,45 @@
 from .store_schedule import FullJitterBackoff, is_selected
 
 ASSIGNMENTS_PER_ZONE = 2
+"""Nodes of each zone that watch the store."""
 
 LEASE_SECONDS = 10
 """Time to live of an assignment's lease."""
 
 LEASE_SAFETY_MARGIN_SECONDS = 1.0
-"""A holder stops acting this long before its lease may lapse: clocks do not run alike."""
+"""Time before the expiry of its lease at which a holder stops acting, for clock drift."""
 
 RENEWAL_INTERVAL_SECONDS = 3.0
-"""Pause between renewals of the lease."""
+"""Time between renewals of the lease."""
 
 ASSIGNMENT_CHECK_INTERVAL_SECONDS = 2.5
-"""Mean pause between looks at a zone's assignments, by all nodes of the zone together."""
+"""Mean time between reads of a zone's assignments by all nodes of the zone together."""
 
 STABLE_WATCH_SECONDS = 10.0
-"""A watch that lasted so long shows that the store is well again."""
+"""Duration of a watch after which the backoff between watches is reset."""
 
 POLL_INTERVAL_SECONDS = 10.0
-"""Mean pause between reads that notice what the watch skipped."""
+"""Mean time between reads that detect revisions skipped by the watch."""
 
 
 @dataclass(slots=True)
 class _HeldAssignment:
-    """One time of holding an assignment."""
+    """An assignment that this node holds, with its lease and its watch."""
 
     assignment: int
     lease_id: int
     fencing_token: int
-    """The store's revision of the write that took the assignment."""
+    """Store revision of the write that acquired the assignment."""
     lease_valid_until: float
     watch_id: str
     backoff: FullJitterBackoff
-    """Between the watches of the tenure, so that one that breaks at once is not hurried."""
+    """Delays between watches, so that watches that break at once are not restarted too fast."""
     watching: bool = False
     watching_since: float = 0.0
 
 
 class Watcher:
-    """Takes a vacant assignment of the zone, watches while holding it, and gives it up cleanly."""
+    """Acquires a vacant assignment of the zone, watches the store and releases the assignment."""
 
     def __init__(
         self,
@@ -89,29 +90,29 @@
 
     @property
     def holds_assignment(self) -> bool:
-        """Whether the node believes to hold an assignment; acting on it checks the lease first."""
+        """Whether this node holds an assignment; its lease may have expired unnoticed."""
         return self._held is not None
 
     def start(self, now: float) -> list[Action]:
-        """Begin to look for a vacant assignment now and then."""
+        """Start the periodic search for a vacant assignment."""
         return self._runner.start(self._acquire_assignments(), now)
 
     def release_assignment(self, now: float) -> list[Action]:
-        """Give the assignment back at once (a planned stop), so that another node takes it."""
+        """Release the assignment on a planned stop, so that another node can acquire it at once."""
         held = self._held
         if held is None:
             return []
-        return self._end_assignment(held, "given up") + self._runner.start(
+        return self._end_assignment(held, "released") + self._runner.start(
             _revoke(held.lease_id), now
         )
 
     def handle_watch_changed(self, event: WatchChanged, now: float) -> list[Action]:
-        """Take in what the watch saw, if the assignment is still held."""
+        """Apply the documents that the watch reported, if the assignment is still held."""
         held = self._held
         if held is None or event.watch_id != held.watch_id:
             return []
         if not self._holds(held, now):
-            return self._end_assignment(held, "lease lapsed")
+            return self._end_assignment(held, "lease expired")
         actions: list[Action] = []
         for value in event.changed:
             if value.key == CURRENT_KEY:
@@ -121,7 +122,7 @@
         return actions
 
     def handle_watch_broken(self, event: WatchBroken, now: float) -> list[Action]:
-        """Read and watch anew after a pause: what happened meanwhile may have been missed."""
+        """Read the document and restart the watch after a delay; changes may have been missed."""
         held = self._held
         if held is None or event.watch_id != held.watch_id:
             return []
@@ -131,7 +132,7 @@
         return self._runner.start(self._watch(held, restarted=True), now)
 
     def _holds(self, held: _HeldAssignment, now: float) -> bool:
-        """Whether the tenure has not ended and its lease cannot have lapsed yet."""
+        """Whether the assignment is still held and its lease cannot have expired yet."""
         return self._held is held and now < held.lease_valid_until - LEASE_SAFETY_MARGIN_SECONDS
 
     def _end_assignment(self, held: _HeldAssignment, reason: str) -> list[Action]:
@@ -168,7 +169,7 @@
         return []
 
     def _try_acquire(self) -> Script[bool]:
-        """Take a vacant assignment if there is one; return whether the store answered."""
+        """Acquire a vacant assignment if there is one; return whether the store answered."""
         zone = self._view.identity.zone
         seen = (yield from call_store(Read(assignments_prefix(zone), prefix=True))).outcome
         if not isinstance(seen, ReadResult):
@@ -195,8 +196,8 @@
         reply = yield from call_store(operation)
         swap = reply.outcome
         if not isinstance(swap, SwapResult) or not swap.succeeded or self._view.leaving:
-            # After a lost reply the assignment may be ours: ending the lease vacates it for
-            # certain.
+            # The write may have succeeded although its reply was lost. Revoking the lease
+            # releases the assignment in any case.
             yield from call_store(RevokeLease(lease.lease_id))
             return isinstance(swap, SwapResult)
         held = _HeldAssignment(
@@ -216,31 +217,31 @@
         return True
 
     def _renew_lease(self, held: _HeldAssignment) -> Script[list[Action]]:
-        """Renew the lease until the tenure ends."""
+        """Renew the lease until the assignment ends."""
         while True:
             now = yield from pause(RENEWAL_INTERVAL_SECONDS * self._view.random.uniform(0.8, 1.0))
             if not self._holds(held, now):
-                return self._end_assignment(held, "lease lapsed")
+                return self._end_assignment(held, "lease expired")
             reply = yield from call_store(KeepLeaseAlive(held.lease_id))
             state = reply.outcome
             if not isinstance(state, LeaseState):
                 continue
             if state.time_to_live_seconds <= 0:
-                return self._end_assignment(held, "lease lapsed in the store")
+                return self._end_assignment(held, "lease expired in the store")
             held.lease_valid_until = now + min(LEASE_SECONDS, state.time_to_live_seconds)
 
     def _watch(self, held: _HeldAssignment, restarted: bool = False) -> Script[list[Action]]:
-        """Read, then watch from just after what was read."""
+        """Read the document, then watch from the store revision after the read."""
         if restarted:
             yield from pause(held.backoff.next_delay_seconds())
         while True:
             now = yield from perform()
             if not self._holds(held, now):
-                return self._end_assignment(held, "lease lapsed")
+                return self._end_assignment(held, "lease expired")
             found = yield from self._document_reader.read()
             now = yield from perform()
             if not self._holds(held, now):
-                return self._end_assignment(held, "lease lapsed")
+                return self._end_assignment(held, "lease expired")
             if isinstance(found, StoredDocument):
                 break
             yield from pause(held.backoff.next_delay_seconds())
@@ -254,16 +255,16 @@
         return [*self._apply(found, now), watch]
 
     def _poll(self, held: _HeldAssignment) -> Script[list[Action]]:
-        """Look again now and then: a watch may skip revisions without breaking."""
+        """Read the document periodically, since a watch may skip revisions without breaking."""
         while True:
             now = yield from pause(POLL_INTERVAL_SECONDS * self._view.random.uniform(0.5, 1.5))
             if not self._holds(held, now):
-                return self._end_assignment(held, "lease lapsed")
+                return self._end_assignment(held, "lease expired")
             before = self._in_force.revision
             found = yield from self._document_reader.read()
             now = yield from perform()
             if not self._holds(held, now):
-                return self._end_assignment(held, "lease lapsed")
+                return self._end_assignment(held, "lease expired")
             if not isinstance(found, StoredDocument):
                 continue
             if found.document.revision > max(before, self._in_force.revision):
