--- a/wingquay/configuration/operator_requests.py
+++ b/wingquay/configuration/operator_requests.py
@@ -186,7 +186,7 @@
             return outcome
         landed_at = yield from perform()
         if outcome.result.outcome is ConfirmOutcome.LANDED:
-            self._revision_tracker.record_confirm(outcome.result.revision, landed_at)
+            self._revision_tracker.record_landed(outcome.result.revision, landed_at)
             deletion = delete_unlisted_history(outcome.document)
             yield from perform(*self._runner.start(deletion, landed_at))
         actions = self._dissemination.apply(outcome.document, landed_at, "confirm", from_store=True)
--- a/wingquay/configuration/revision_tracker.py
+++ b/wingquay/configuration/revision_tracker.py
@@ -32,28 +32,28 @@
         self._view = view
         self._revisions: dict[NodeId, Revision] = {}
         self._received_at: dict[NodeId, float] = {}
-        self._confirmed_revision = Revision(0)
-        self._confirmed_at = 0.0
+        self._landed_revision = Revision(0)
+        self._landed_at = 0.0
         self._arrived_at: dict[NodeId, float] = {}
 
-    def record_confirm(self, revision: Revision, now: float) -> None:
+    def record_landed(self, revision: Revision, now: float) -> None:
         """Record that a confirm on this node created ``revision``."""
-        self._confirmed_revision = revision
-        self._confirmed_at = now
+        self._landed_revision = revision
+        self._landed_at = now
         self._arrived_at = {self._view.identity.node_id: now}
 
     def record(self, node_id: NodeId, revision: Revision, now: float) -> None:
         """Record the revision that a node reported."""
         self._revisions[node_id] = max(revision, self._revisions.get(node_id, revision))
         self._received_at[node_id] = now
-        if self._confirmed_revision and revision >= self._confirmed_revision:
+        if self._landed_revision and revision >= self._landed_revision:
             self._arrived_at.setdefault(node_id, now)
 
     def remove_departed(self) -> None:
         """Remove the nodes that are no longer members."""
-        members = {node.node_id for node in (*self._view.available, *self._view.leaving_nodes)}
-        self._revisions = {node: seen for node, seen in self._revisions.items() if node in members}
-        self._received_at = {node: at for node, at in self._received_at.items() if node in members}
+        known = {node.node_id for node in (*self._view.available, *self._view.leaving_nodes)}
+        self._revisions = {node: seen for node, seen in self._revisions.items() if node in known}
+        self._received_at = {node: at for node, at in self._received_at.items() if node in known}
 
     def received_since(self, node_id: NodeId, at: float) -> bool:
         """Whether a node has reported its revision after ``at``."""
@@ -82,6 +82,6 @@
     def _in_force_seconds(self, nodes: list[NodeId], own_revision: Revision) -> float | None:
         arrivals = sorted(self._arrived_at[node] for node in nodes if node in self._arrived_at)
         needed = min(NODES_REQUIRED_PER_ZONE, len(nodes))
-        if own_revision != self._confirmed_revision or not needed or len(arrivals) < needed:
+        if own_revision != self._landed_revision or not needed or len(arrivals) < needed:
             return None
-        return arrivals[needed - 1] - self._confirmed_at
+        return arrivals[needed - 1] - self._landed_at
