--- a/wingquay/configuration/revision_tracker.py
+++ b/wingquay/configuration/revision_tracker.py
@@ -37,7 +37,7 @@
         self._arrived_at: dict[NodeId, float] = {}
 
     def record_landed(self, revision: Revision, now: float) -> None:
-        """Record that a confirm on this node created ``revision``."""
+        """Note that a confirm on this node made ``revision``."""
         self._landed_revision = revision
         self._landed_at = now
         self._arrived_at = {self._view.identity.node_id: now}
@@ -59,7 +59,7 @@
         """Whether a node has reported its revision after ``at``."""
         return self._received_at.get(node_id, at) > at
 
-    def get_revision(self, node_id: NodeId) -> Revision | None:
+    def revision_of(self, node_id: NodeId) -> Revision | None:
         """Return the highest revision that a node reported, or ``None``."""
         return self._revisions.get(node_id)
 
--- a/wingquay/configuration/status.py
+++ b/wingquay/configuration/status.py
@@ -74,13 +74,13 @@
             zone=node.zone,
             address=f"{node.host}:{node.port}",
             state=state.value,
-            revision=self._get_revision(node.node_id),
+            revision=self._revision_of(node.node_id),
         )
 
-    def _get_revision(self, node_id: NodeId) -> Revision | None:
+    def _revision_of(self, node_id: NodeId) -> Revision | None:
         if node_id == self._view.identity.node_id:
             return self._in_force.revision
-        return self._revision_tracker.get_revision(node_id)
+        return self._revision_tracker.revision_of(node_id)
 
     def _warnings(self, zones: tuple[ZoneStatus, ...]) -> tuple[str, ...]:
         own = self._in_force.revision
