--- a/tests/configuration/examples.py
+++ b/tests/configuration/examples.py
@@ -1,4 +1,4 @@
-"""A small configuration in the manner of ro-nord, for tests of the configuration package."""
+"""Example configuration, documents and intents for tests of the configuration package."""
 
 import json
 
@@ -66,7 +66,7 @@
     confirm_id: str = "first",
     base: ConfigurationDocument = EMPTY_DOCUMENT,
 ) -> ConfigurationDocument:
-    """Return the document that a confirm of ``configuration`` would have written."""
+    """Return the document that a confirm of ``configuration`` writes."""
     record = AuditRecord(
         revision=Revision(revision),
         confirm_id=confirm_id,
@@ -81,7 +81,7 @@
 
 
 def with_extra_keys(plain: ConfigurationDocument) -> ConfigurationDocument:
-    """Return the document as a newer version might have written it."""
+    """Return the document with additional keys, as a newer version may write it."""
     raw = plain.raw()
     raw["schema_version"] = 2
     raw["quotas"] = [{"name": "q1"}]
@@ -93,7 +93,7 @@
 
 
 def assign(kind: str = "outage-ping", class_name: str = "top") -> AssignClass:
-    """Return the brief's own example of an intent."""
+    """Return an intent that assigns a request kind to a class."""
     return AssignClass.model_validate(
         {
             "service": "coverage-lookup",
@@ -105,7 +105,7 @@
 
 
 def price(name: str, amount: float) -> SetClass:
-    """Return an intent that sets a class's price and leaves its promise."""
+    """Return an intent that sets the price of a class and keeps its promise."""
     entry = CONFIGURATION.priority_class(ClassName(name))
     promise = entry.promise_seconds if entry is not None else 1.0
     return SetClass(name=name, price=amount, promise_seconds=promise)
--- a/tests/configuration/fleet.py
+++ b/tests/configuration/fleet.py
@@ -1,4 +1,4 @@
-"""A founded fleet of hollow nodes, and what every test of it must hold."""
+"""A simulated fleet with a confirmed configuration, and a check of its history of revisions."""
 
 from pydantic import TypeAdapter
 
@@ -20,8 +20,8 @@
 SIZES = {"cluj-a": 3, "cluj-b": 3}
 
 
-def founding_intents() -> tuple[Intent, ...]:
-    """Return the intents that lead from nothing to ``CONFIGURATION``."""
+def initial_intents() -> tuple[Intent, ...]:
+    """Return the intents that create ``CONFIGURATION`` from the empty configuration."""
     raw = CONFIGURATION.model_dump(mode="json")
     intents = [
         *({"intent": "set_deployment", "deployment": entry} for entry in raw["deployments"]),
@@ -32,17 +32,17 @@
     return TypeAdapter(tuple[Intent, ...]).validate_python(intents)
 
 
-def plan_id(
+def propose_plan(
     cluster: ConfigurationCluster, node: HollowNode, *intents: Intent, operator: str = "ana"
 ) -> str:
-    """Propose intents that must make a plan."""
+    """Propose intents, assert that they make a plan, and return its id."""
     result = cluster.ask(node, ProposePlan(intents=intents), operator)
     assert isinstance(result, PlanResult), result
     return result.plan.plan_id
 
 
 def confirm(cluster: ConfigurationCluster, node: HollowNode, plan: str) -> ConfirmResult:
-    """Confirm a plan that must land."""
+    """Confirm a plan, assert that it lands, and return the result."""
     result = cluster.ask(node, ConfirmPlan(plan_id=plan))
     assert isinstance(result, ConfirmResult), result
     return result
@@ -51,7 +51,7 @@
 def refused(
     cluster: ConfigurationCluster, node: HollowNode, command: OperatorMessage
 ) -> Failure[OperatorFailureKind]:
-    """Send a command that must be refused."""
+    """Send a command, assert that it is refused, and return the failure."""
     result = cluster.ask(node, command)
     assert isinstance(result, Failure), result
     return result
@@ -62,23 +62,25 @@
     sizes: dict[str, int] | None = None,
     settings: StoreSettings | None = None,
 ) -> ConfigurationCluster:
-    """Return a fleet in which revision 1 is in force everywhere and the assignments are taken."""
+    """Return a fleet with revision 1 in force on all nodes and all watcher assignments held."""
     cluster = ConfigurationCluster(seed, sizes or SIZES, settings)
     cluster.run(5.0)
     first = cluster.nodes[0]
-    confirm(cluster, first, plan_id(cluster, first, *founding_intents()))
+    confirm(cluster, first, propose_plan(cluster, first, *initial_intents()))
     assert cluster.run_until(lambda: cluster.lowest_revision() == 1, 10.0)
     cluster.run(20.0)
     return cluster
 
 
 def check_history(cluster: ConfigurationCluster) -> None:
-    """Check what must hold whatever happened: no node went back, no revision is ambiguous."""
+    """Check that no revision decreased or has two documents, and that no plan landed twice."""
     confirms: dict[int, str] = {}
     for node in cluster.all_starts:
         revisions = [revision for _, revision, _ in node.revisions]
-        assert revisions == sorted(set(revisions)), f"went back: {revisions}"
+        assert revisions == sorted(set(revisions)), f"revision decreased: {revisions}"
         for _, revision, confirm_id in node.revisions:
-            assert confirms.setdefault(revision, confirm_id) == confirm_id, "two of one revision"
+            assert confirms.setdefault(revision, confirm_id) == confirm_id, (
+                "two documents of the same revision"
+            )
     landed = list(confirms.values())
     assert len(landed) == len(set(landed)), "a plan took effect twice"
--- a/tests/configuration/test_configuration_stateful.py
+++ b/tests/configuration/test_configuration_stateful.py
@@ -1,8 +1,8 @@
-"""Stateful fuzzing of intents and confirms under faults, against a simple oracle.
+"""Stateful fuzzing of intents and confirms under faults, checked by a simple oracle.
 
-The oracle knows what each plan showed and what each confirm was answered. From the store's
-documents it checks that every revision differs from the one before by exactly what its plan
-showed, that no plan took effect twice, and that none did that was refused everywhere.
+The oracle records the diff of each plan and the reply to each confirm. From the store's documents
+it checks that each revision differs from the previous one by exactly the diff of its plan, that
+no plan took effect twice, and that no plan took effect whose confirms all failed.
 """
 
 from hypothesis import HealthCheck, Phase, settings
@@ -58,7 +58,7 @@
 
 
 def stored_documents(cluster: ConfigurationCluster) -> list[ConfigurationDocument]:
-    """Return every revision that the store holds, from the empty one on."""
+    """Return all revisions in the store in order, starting with the empty document."""
     entries = cluster.store.state.read(prefix_span("wingquay/configuration/history/"))
     values = [entry.value for entry in entries]
     values += [entry.value for entry in cluster.store.state.read(prefix_span(CURRENT_KEY))]
@@ -71,12 +71,12 @@
 
 
 class ConfigurationFuzz(RuleBasedStateMachine):
-    """Operators and faults, in any order."""
+    """Commands of operators and faults of store, nodes and network, in any order."""
 
     plans = Bundle("plans")
 
     @initialize(seed=st.integers(0, 10_000), lost_share=st.sampled_from((0.0, 0.1, 0.3)))
-    def found(self, seed: int, lost_share: float) -> None:
+    def configure(self, seed: int, lost_share: float) -> None:
         self.cluster = configured_cluster(seed, settings=StoreSettings(rate_per_second=100.0))
         self.cluster.store.faults = type(self.cluster.store.faults)(lost_share, self.cluster.random)
         self.shown: dict[str, tuple[str, ...]] = {}
@@ -197,7 +197,7 @@
             self.check_answers(stored, plan, exchanges)
 
     def check_answers(self, stored: ConfigurationDocument, plan: str, exchanges: list[str]) -> None:
-        """Check that what operators were told about a plan is true."""
+        """Check the replies to confirms of a plan against the stored audit records."""
         answers = [answer for e in exchanges if (answer := self.cluster.replies.get(e)) is not None]
         record = stored.find_record(plan)
         for answer in answers:
@@ -211,7 +211,7 @@
 
 
 class ConfigurationFuzzTest(TestCase):
-    """Runs the fuzzing with a bounded number of histories."""
+    """Runs the state machine with a limited number of histories."""
 
     def test_operators_and_faults_in_any_order(self) -> None:
         run_state_machine_as_test(
@@ -221,7 +221,7 @@
                 stateful_step_count=30,
                 deadline=None,
                 derandomize=True,
-                # The first failing history is reported as it is: shrinking one takes minutes.
+                # Skips shrinking, which takes minutes.
                 phases=(Phase.generate,),
                 suppress_health_check=list(HealthCheck),
             ),
--- a/tests/configuration/test_confirm.py
+++ b/tests/configuration/test_confirm.py
@@ -1,11 +1,17 @@
-"""Confirms: racing operators, lost replies, a store that is down."""
+"""Confirms with concurrent operators, lost replies and an unavailable store."""
 
 from random import Random
 
 from testtools import TestCase
 
 from tests.configuration.examples import assign, price
-from tests.configuration.fleet import check_history, configured_cluster, confirm, plan_id, refused
+from tests.configuration.fleet import (
+    check_history,
+    configured_cluster,
+    confirm,
+    propose_plan,
+    refused,
+)
 from wingquay.configuration import document as document_module
 from wingquay.configuration.confirmation import CONFIRM_TIMEOUT_SECONDS
 from wingquay.configuration.keys import history_key
@@ -40,13 +46,13 @@
 
 
 def stored_keys(cluster: ConfigurationCluster, prefix: str) -> list[str]:
-    """Return the keys that the store holds."""
+    """Return the keys in the store with this prefix."""
     entries = cluster.store.state.read(prefix_span(prefix))
     return [entry.key.decode() for entry in entries]
 
 
 class ConfirmTest(TestCase):
-    """A plan takes effect once, or it is said why not."""
+    """A plan takes effect exactly once, or the confirm fails with a reason."""
 
     def setUp(self) -> None:
         super().setUp()
@@ -55,22 +61,22 @@
         self.addCleanup(check_history, self.cluster)
 
     def propose(self, *intents: object) -> str:
-        return plan_id(self.cluster, self.first, *intents)
+        return propose_plan(self.cluster, self.first, *intents)
 
-    def test_another_node_confirms_and_a_second_confirm_changes_nothing(self) -> None:
+    def test_other_node_confirms_and_second_confirm_has_no_effect(self) -> None:
         plan = self.propose(assign())
         landed = confirm(self.cluster, self.second, plan)
         self.assertEqual((2, ConfirmOutcome.LANDED), (landed.revision, landed.outcome))
         again = confirm(self.cluster, self.first, plan)
         self.assertEqual((2, ConfirmOutcome.LANDED_BEFORE), (again.revision, again.outcome))
 
-    def test_a_confirm_after_later_changes_still_says_that_it_landed(self) -> None:
+    def test_repeated_confirm_after_later_changes_returns_the_landed_revision(self) -> None:
         plan = self.propose(assign())
         confirm(self.cluster, self.first, plan)
         confirm(self.cluster, self.second, self.propose(price("spare", 3)))
         self.assertEqual(2, confirm(self.cluster, self.second, plan).revision)
 
-    def test_two_nodes_that_confirm_at_once_apply_it_once(self) -> None:
+    def test_concurrent_confirms_apply_a_plan_once(self) -> None:
         plan = self.propose(assign())
         exchanges = [
             self.cluster.command(node, ConfirmPlan(plan_id=plan)) for node in self.cluster.nodes
@@ -80,11 +86,11 @@
         self.assertEqual({2}, {r.revision for r in results if isinstance(r, ConfirmResult)})
         self.assertEqual(2, self.cluster.lowest_revision())
 
-    def test_of_racing_operators_the_second_is_told_what_changed(self) -> None:
-        mine, theirs = self.propose(price("gold", 11)), self.propose(price("gold", 12))
+    def test_conflicting_confirm_fails_with_the_other_change(self) -> None:
+        first_plan, second_plan = self.propose(price("gold", 11)), self.propose(price("gold", 12))
         exchanges = [
-            self.cluster.command(self.first, ConfirmPlan(plan_id=mine), "ana"),
-            self.cluster.command(self.second, ConfirmPlan(plan_id=theirs), "bogdan"),
+            self.cluster.command(self.first, ConfirmPlan(plan_id=first_plan), "ana"),
+            self.cluster.command(self.second, ConfirmPlan(plan_id=second_plan), "bogdan"),
         ]
         self.cluster.run(10.0)
         results = [self.cluster.replies[exchange] for exchange in exchanges]
@@ -93,17 +99,17 @@
         self.assertIn("~ class gold: price 10.0 -> 1", refusals[0].reason)
         self.assertEqual(2, self.cluster.lowest_revision())
 
-    def test_changes_that_do_not_touch_each_other_both_land(self) -> None:
-        mine, theirs = self.propose(price("spare", 3)), self.propose(price("gold", 12))
-        confirm(self.cluster, self.first, mine)
-        rebased = confirm(self.cluster, self.second, theirs)
+    def test_independent_changes_both_land(self) -> None:
+        first_plan, second_plan = self.propose(price("spare", 3)), self.propose(price("gold", 12))
+        confirm(self.cluster, self.first, first_plan)
+        rebased = confirm(self.cluster, self.second, second_plan)
         self.assertEqual((3, True), (rebased.revision, rebased.rebased))
 
-    def swap_under_way(self, plan: str) -> str:
-        """Confirm up to the moment when the swap has been sent and not yet taken effect."""
+    def start_swap(self, plan: str) -> str:
+        """Confirm a plan and stop after its swap was sent, before it takes effect."""
         swaps = self.cluster.counts["store_CompareAndSwap"]
         exchange = self.cluster.command(self.first, ConfirmPlan(plan_id=plan))
-        # The first swap copies the base to the history, the second is the change itself.
+        # The first swap copies the base to the history; the second writes the change.
         under_way = self.cluster.run_until(
             lambda: self.cluster.counts["store_CompareAndSwap"] == swaps + 2, 1.0, 0.0001
         )
@@ -111,10 +117,10 @@
         self.assertNotIn(exchange, self.cluster.replies)
         return exchange
 
-    def test_a_lost_reply_is_read_back_and_not_applied_twice(self) -> None:
+    def test_lost_reply_is_read_back_and_not_applied_twice(self) -> None:
         plan = self.propose(assign())
-        exchange = self.swap_under_way(plan)
-        # The reply is drawn when the swap takes effect, half way.
+        exchange = self.start_swap(plan)
+        # The simulated store decides on losing a reply when the swap takes effect.
         self.cluster.store.faults.replies_to_lose = 1
         self.cluster.run(10.0)
         self.assertEqual(0, self.cluster.store.faults.replies_to_lose)
@@ -123,9 +129,9 @@
         self.assertEqual((2, ConfirmOutcome.LANDED), (result.revision, result.outcome))
         self.assertEqual(2, self.cluster.lowest_revision())
 
-    def test_an_outcome_that_cannot_be_learnt_is_said_so_and_asked_later(self) -> None:
+    def test_unknown_outcome_is_reported_and_a_later_confirm_returns_it(self) -> None:
         plan = self.propose(assign())
-        exchange = self.swap_under_way(plan)
+        exchange = self.start_swap(plan)
         down_since = self.cluster.now
         self.cluster.store.refuse_until(down_since + 60.0, self.cluster.now)
         self.cluster.run_until(lambda: exchange in self.cluster.replies, 30.0)
@@ -138,7 +144,7 @@
         self.assertEqual(2, confirm(self.cluster, self.second, plan).revision)
         self.assertEqual(2, self.cluster.lowest_revision())
 
-    def test_a_store_that_is_down_is_said_so_and_nothing_changes(self) -> None:
+    def test_confirm_fails_without_change_while_the_store_is_down(self) -> None:
         plan = self.propose(assign())
         self.cluster.store.refuse_until(self.cluster.now + 60.0, self.cluster.now)
         refusal = refused(self.cluster, self.first, ConfirmPlan(plan_id=plan))
@@ -148,7 +154,7 @@
         self.assertEqual(1, self.cluster.lowest_revision())
         self.assertEqual(2, confirm(self.cluster, self.first, plan).revision)
 
-    def test_a_plan_made_while_the_store_is_down_warns_and_lands_later(self) -> None:
+    def test_plan_made_while_the_store_is_down_has_a_warning_and_lands_later(self) -> None:
         self.cluster.store.refuse_until(self.cluster.now + 30.0, self.cluster.now)
         result = self.cluster.ask(self.first, ProposePlan(intents=(assign(),)))
         assert isinstance(result, PlanResult)
@@ -158,7 +164,7 @@
         self.assertEqual(OperatorFailureKind.NOT_FOUND, elsewhere.kind)
         self.assertEqual(2, confirm(self.cluster, self.first, result.plan.plan_id).revision)
 
-    def test_a_store_that_was_set_back_is_not_followed(self) -> None:
+    def test_older_revision_in_a_reset_store_is_ignored(self) -> None:
         confirm(self.cluster, self.first, self.propose(assign()))
         plan = self.propose(price("spare", 3))
         current = self.cluster.store.state.read(prefix_span("wingquay/configuration/current"))[0]
@@ -170,8 +176,8 @@
         self.cluster.run(30.0)
         self.assertEqual(2, self.cluster.lowest_revision())
 
-    def test_a_store_that_lost_everything_is_not_followed(self) -> None:
-        # The node remembers what it read last, and may leave it out when it reads again.
+    def test_empty_store_after_data_loss_is_ignored(self) -> None:
+        # Makes the node cache the current document.
         self.assertIsInstance(self.cluster.ask(self.first, ShowHistory()), HistoryResult)
         self.cluster.store = StoreModel(StoreSettings(), Random(3))
         self.cluster.run(1.0)
@@ -182,12 +188,12 @@
         self.assertEqual(1, self.cluster.lowest_revision())
 
     def set_stored(self, key: str, value: bytes, modified_at: int) -> None:
-        """Write into the store by hand."""
+        """Write to the store directly."""
         operation = CompareAndSwap(key, modified_at, value)
         self.cluster.store.submit("by hand", operation, self.cluster.now)
         self.cluster.store.forget("by hand")
 
-    def test_an_expired_or_discarded_plan_is_refused(self) -> None:
+    def test_expired_or_discarded_plan_is_refused(self) -> None:
         old, unwanted = self.propose(assign()), self.propose(price("spare", 3))
         discarded = self.cluster.ask(self.second, DiscardPlan(plan_id=unwanted))
         self.assertIsInstance(discarded, DiscardResult)
@@ -201,7 +207,7 @@
             self.assertEqual(OperatorFailureKind.NOT_FOUND, refusal.kind)
         self.assertEqual(1, self.cluster.lowest_revision())
 
-    def test_a_plan_older_than_the_records_is_refused_landed_or_not(self) -> None:
+    def test_plan_older_than_the_audit_records_is_refused(self) -> None:
         self.patch(document_module, "MAX_AUDIT_RECORDS", 2)
         landed, waiting = self.propose(price("early", 4)), self.propose(price("spare", 3))
         confirm(self.cluster, self.first, landed)
@@ -213,7 +219,7 @@
             self.assertIn("too many changes", refusal.reason)
         self.assertEqual(5, self.first.machine.revision)
 
-    def test_copies_of_revisions_no_longer_listed_are_deleted(self) -> None:
+    def test_copies_of_unlisted_revisions_are_deleted(self) -> None:
         self.patch(document_module, "MAX_AUDIT_RECORDS", 3)
         for amount in (11, 12, 13, 14, 15):
             confirm(self.cluster, self.first, self.propose(price("gold", amount)))
@@ -230,13 +236,13 @@
         refusal = refused(self.cluster, self.first, ProposePlan(intents=(present,)))
         self.assertIn("change nothing", refusal.reason)
 
-    def test_discarding_what_has_landed_says_so(self) -> None:
+    def test_discard_of_a_landed_plan_is_refused(self) -> None:
         plan = self.propose(assign())
         confirm(self.cluster, self.first, plan)
         refusal = refused(self.cluster, self.second, DiscardPlan(plan_id=plan))
         self.assertIn("already taken effect as revision 2", refusal.reason)
 
-    def test_a_plan_kept_on_its_node_alone_expires_too(self) -> None:
+    def test_plan_kept_only_on_its_node_expires(self) -> None:
         self.cluster.store.refuse_until(self.cluster.now + 30.0, self.cluster.now)
         result = self.cluster.ask(self.first, ProposePlan(intents=(assign(),)))
         assert isinstance(result, PlanResult)
@@ -244,7 +250,7 @@
         refusal = refused(self.cluster, self.first, ConfirmPlan(plan_id=result.plan.plan_id))
         self.assertEqual(OperatorFailureKind.EXPIRED, refusal.kind)
 
-    def test_going_back_is_a_change_like_any_other(self) -> None:
+    def test_restore_creates_a_new_revision(self) -> None:
         confirm(self.cluster, self.first, self.propose(price("gold", 11)))
         confirm(self.cluster, self.first, self.propose(price("silver", 6)))
         plan = self.propose(RestoreRevision(revision=Revision(1)))
@@ -261,7 +267,7 @@
         assert isinstance(earlier, ConfigurationResult)
         self.assertEqual(2, earlier.configuration.revision)
 
-    def test_status_tells_the_revision_of_each_zone_and_how_long_it_took(self) -> None:
+    def test_status_shows_revision_and_propagation_time_of_each_zone(self) -> None:
         confirm(self.cluster, self.first, self.propose(assign()))
         self.cluster.run(1.0)
         status = self.cluster.ask(self.first, ShowStatus())
--- a/tests/configuration/test_document.py
+++ b/tests/configuration/test_document.py
@@ -1,4 +1,4 @@
-"""The stored document: schema versions, packing, malformed bytes."""
+"""The stored document: schema versions, compression, malformed input."""
 
 import json
 
@@ -20,7 +20,7 @@
 
 
 def record(revision: int) -> AuditRecord:
-    """Return a record of a confirm that made ``revision``."""
+    """Return the audit record of a confirm that created ``revision``."""
     return AuditRecord(
         revision=Revision(revision),
         confirm_id=f"confirm-{revision}",
@@ -34,11 +34,11 @@
 class DocumentTest(TestCase):
     """``ConfigurationDocument``."""
 
-    def test_what_is_written_reads_back_the_same(self) -> None:
+    def test_written_document_parses_to_the_same(self) -> None:
         written = document()
         self.assertEqual(written, parse_document(written.body))
 
-    def test_reading_with_a_like_document_gives_the_same(self) -> None:
+    def test_parsing_with_a_previous_document_gives_the_same(self) -> None:
         before = document()
         service = CONFIGURATION.services[0]
         fewer = service.model_copy(update={"shards": service.shards[:1]})
@@ -51,7 +51,7 @@
         assert not isinstance(unchanged, Failure)
         self.assertIs(before.configuration.services[0], unchanged.configuration.services[0])
 
-    def test_an_older_writer_keeps_what_it_does_not_know(self) -> None:
+    def test_older_writer_preserves_unknown_keys(self) -> None:
         newer = with_extra_keys(document())
         rewritten = next_document(newer, CONFIGURATION, record(2))
         assert not isinstance(rewritten, Failure)
@@ -64,26 +64,26 @@
         self.assertEqual(2, raw["schema_version"])
         self.assertEqual(2, raw["revision"])
 
-    def test_unknown_keys_follow_their_entry_when_entries_move(self) -> None:
+    def test_unknown_keys_stay_with_reordered_entries(self) -> None:
         newer = with_extra_keys(document())
         service = CONFIGURATION.services[0]
-        turned = service.model_copy(update={"shards": tuple(reversed(service.shards))})
-        configuration = CONFIGURATION.model_copy(update={"services": (turned,)})
+        reordered = service.model_copy(update={"shards": tuple(reversed(service.shards))})
+        configuration = CONFIGURATION.model_copy(update={"services": (reordered,)})
         rewritten = next_document(newer, configuration, record(2))
         assert not isinstance(rewritten, Failure)
         shards = rewritten.raw()["services"][0]["shards"]
         self.assertEqual(3, shards[1]["replicas"][1]["weight"])
 
-    def test_a_document_may_demand_a_newer_writer(self) -> None:
+    def test_document_that_requires_a_newer_writer_is_not_written(self) -> None:
         raw = document().raw()
         raw["oldest_writer"] = 2
-        demanding = parse_document(json.dumps(raw).encode())
-        assert not isinstance(demanding, Failure)
-        refused = next_document(demanding, CONFIGURATION, record(2))
+        restricted = parse_document(json.dumps(raw).encode())
+        assert not isinstance(restricted, Failure)
+        refused = next_document(restricted, CONFIGURATION, record(2))
         assert isinstance(refused, Failure)
         self.assertEqual(DocumentFailureKind.NEWER_WRITER_NEEDED, refused.kind)
 
-    def test_audit_records_are_bounded_and_the_newest_are_kept(self) -> None:
+    def test_audit_records_are_limited_to_the_newest(self) -> None:
         current = document()
         for revision in range(2, MAX_AUDIT_RECORDS + 12):
             following = next_document(current, CONFIGURATION, record(revision))
@@ -93,11 +93,11 @@
         self.assertEqual(MAX_AUDIT_RECORDS, len(current.raw()["audit"]))
         self.assertEqual(current.revision, current.audit[-1].revision)
 
-    def test_malformed_documents_are_refused_whole(self) -> None:
+    def test_malformed_documents_are_refused(self) -> None:
         for body in (b"", b"[]", b"{", b'{"revision": "x"}', b'{"audit": [1]}', b"\xff"):
             self.assertIsInstance(parse_document(body), Failure)
 
-    def test_packing_is_undone_and_cut_or_huge_bodies_are_refused(self) -> None:
+    def test_packed_body_unpacks_and_truncated_or_oversized_bodies_are_refused(self) -> None:
         body = document().body
         packed = pack_body(body)
         self.assertEqual(body, unpack_body(packed))
--- a/tests/configuration/test_plan.py
+++ b/tests/configuration/test_plan.py
@@ -1,4 +1,4 @@
-"""Plans: what they show, and when they may be rebased."""
+"""Contents of plans, and the conditions under which they may be rebased."""
 
 from testtools import TestCase
 
@@ -29,27 +29,29 @@
 
 
 def load(p50: float, p99: float, utilization: float) -> LoadObserved:
-    """Return a load under which outage-ping has these latencies (seconds)."""
+    """Return a load in which outage-ping has these latencies in seconds."""
     kind = KindLoad(SERVICE, RequestKindName("outage-ping"), 10.0, p50, p99)
     return LoadObserved((kind,), (ServiceLoad(SERVICE, utilization),))
 
 
-def planned(
+def make_test_plan(
     base: ConfigurationDocument,
     *intents: Intent,
     plan_id: str = "plan",
-    seen: LoadObserved | None = None,
+    observed: LoadObserved | None = None,
     earlier: dict[Revision, ConfigurationDocument] | None = None,
 ) -> Plan:
-    """Return the plan of intents that can be applied."""
-    proposal = Proposal(plan_id, OPERATOR, intents, earlier or {}, seen or LoadObserved(), 100.0)
+    """Make a plan from intents and assert that it succeeds."""
+    proposal = Proposal(
+        plan_id, OPERATOR, intents, earlier or {}, observed or LoadObserved(), 100.0
+    )
     plan = make_plan(base, proposal)
     assert isinstance(plan, Plan), plan
     return plan
 
 
-def confirmed(plan: Plan, current: ConfigurationDocument) -> ConfigurationDocument:
-    """Return the document that a confirm which is allowed leads to."""
+def confirm(plan: Plan, current: ConfigurationDocument) -> ConfigurationDocument:
+    """Confirm a plan and assert that it is accepted."""
     written = document_for_confirm(plan, current, {}, OTHER_OPERATOR, 200.0)
     assert isinstance(written, ConfigurationDocument), written
     return written
@@ -58,8 +60,8 @@
 class PlanTest(TestCase):
     """``make_plan``."""
 
-    def test_it_shows_the_change_and_who_gains_and_loses(self) -> None:
-        plan = planned(document(), assign())
+    def test_plan_shows_the_diff_and_the_effects_on_request_kinds(self) -> None:
+        plan = make_test_plan(document(), assign())
         expected = (
             "+ assignment coverage-lookup/outage-ping: "
             "service coverage-lookup, kind outage-ping, class_name gold"
@@ -71,25 +73,25 @@
             directions,
         )
 
-    def test_the_outlook_rests_on_the_load_seen(self) -> None:
+    def test_outlook_depends_on_the_observed_load(self) -> None:
         verdicts = {
             OutlookVerdict.KEEPABLE: load(0.01, 0.1, 0.5),
             OutlookVerdict.AT_RISK: load(0.1, 0.3, 0.5),
             OutlookVerdict.NOT_KEEPABLE: load(0.3, 0.5, 0.5),
         }
-        for verdict, seen in verdicts.items():
-            plan = planned(document(), assign(), seen=seen)
+        for verdict, observed in verdicts.items():
+            plan = make_test_plan(document(), assign(), observed=observed)
             self.assertEqual(verdict, plan.outlook[0].verdict)
             self.assertEqual(verdict is not OutlookVerdict.KEEPABLE, bool(plan.warnings))
 
-    def test_taking_slots_away_is_warned_of(self) -> None:
+    def test_plan_that_removes_slots_is_not_keepable(self) -> None:
         fewer = SetShards(service=SERVICE, shards=(CONFIGURATION.services[0].shards[1],))
-        plan = planned(document(), fewer, seen=load(0.01, 0.1, 0.5))
+        plan = make_test_plan(document(), fewer, observed=load(0.01, 0.1, 0.5))
         outlook = {entry.kind: entry for entry in plan.outlook}["outage-ping"]
         self.assertEqual(OutlookVerdict.NOT_KEEPABLE, outlook.verdict)
         self.assertEqual(1.5, outlook.expected_utilization)
 
-    def test_intents_that_change_nothing_are_refused(self) -> None:
+    def test_intents_without_effect_are_refused(self) -> None:
         proposal = Proposal("p", OPERATOR, (price("gold", 10),), {}, LoadObserved(), 0.0)
         self.assertIsInstance(make_plan(document(), proposal), Failure)
 
@@ -97,8 +99,8 @@
 class ConfirmDocumentTest(TestCase):
     """``document_for_confirm``."""
 
-    def test_it_names_who_confirmed_what(self) -> None:
-        written = confirmed(planned(document(), assign()), document())
+    def test_audit_record_names_the_operators_and_the_change(self) -> None:
+        written = confirm(make_test_plan(document(), assign()), document())
         self.assertEqual(2, written.revision)
         record = written.audit[-1]
         self.assertEqual((OPERATOR, OTHER_OPERATOR), (record.proposed_by, record.confirmed_by))
@@ -107,43 +109,45 @@
         ))  # fmt: skip
         self.assertIn("gold", record.summary[0])
 
-    def test_it_is_rebased_when_the_change_stays_what_was_shown(self) -> None:
-        first = planned(document(), assign())
-        second = planned(document(), price("spare", 3), plan_id="second")
-        both = confirmed(second, confirmed(first, document()))
+    def test_plan_is_rebased_if_its_change_stays_the_same(self) -> None:
+        first = make_test_plan(document(), assign())
+        second = make_test_plan(document(), price("spare", 3), plan_id="second")
+        both = confirm(second, confirm(first, document()))
         self.assertEqual(3, both.revision)
         self.assertIsNotNone(both.configuration.priority_class("spare"))
         self.assertEqual(1, len(both.configuration.attachments))
 
     def refused(self, plan: Plan, current: ConfigurationDocument) -> str:
-        """Confirm a plan that must be refused, and return why."""
+        """Confirm a plan, assert that it is refused, and return the reason."""
         written = document_for_confirm(plan, current, {}, OPERATOR, 200.0)
         assert isinstance(written, Failure), written
         self.assertEqual(PlanFailureKind.CONFLICT, written.kind)
         return written.reason
 
-    def test_it_is_refused_when_top_has_become_another_class(self) -> None:
-        plan = planned(document(), assign())
-        moved = confirmed(planned(document(), price("platinum", 30), plan_id="x"), document())
-        self.assertIn("revision 2 by bogdan: + class platinum", self.refused(plan, moved))
+    def test_confirm_is_refused_if_top_resolves_to_another_class(self) -> None:
+        plan = make_test_plan(document(), assign())
+        changed = confirm(
+            make_test_plan(document(), price("platinum", 30), plan_id="x"), document()
+        )
+        self.assertIn("revision 2 by bogdan: + class platinum", self.refused(plan, changed))
 
-    def test_it_is_refused_when_the_class_means_something_else(self) -> None:
-        plan = planned(document(), assign(class_name="gold"))
-        moved = confirmed(planned(document(), price("gold", 11), plan_id="x"), document())
-        self.assertIn("price 10.0 -> 11.0", self.refused(plan, moved))
+    def test_confirm_is_refused_if_the_terms_of_the_class_changed(self) -> None:
+        plan = make_test_plan(document(), assign(class_name="gold"))
+        changed = confirm(make_test_plan(document(), price("gold", 11), plan_id="x"), document())
+        self.assertIn("price 10.0 -> 11.0", self.refused(plan, changed))
 
-    def test_it_is_refused_when_it_would_undo_the_other_change(self) -> None:
-        plan = planned(document(), price("gold", 11))
+    def test_confirm_is_refused_if_it_would_undo_another_change(self) -> None:
+        plan = make_test_plan(document(), price("gold", 11))
         other = price("gold", 10).model_copy(update={"promise_seconds": 0.1})
-        moved = confirmed(planned(document(), other, plan_id="x"), document())
-        self.assertIn("promise_seconds", self.refused(plan, moved))
+        changed = confirm(make_test_plan(document(), other, plan_id="x"), document())
+        self.assertIn("promise_seconds", self.refused(plan, changed))
 
-    def test_restoring_is_never_rebased_over_another_change(self) -> None:
-        second = confirmed(planned(document(), price("gold", 11)), document())
+    def test_restore_is_not_rebased_over_another_change(self) -> None:
+        second = confirm(make_test_plan(document(), price("gold", 11)), document())
         earlier = {Revision(1): document()}
-        restore = planned(second, RestoreRevision(revision=Revision(1)), earlier=earlier)
-        moved = confirmed(planned(second, price("silver", 6), plan_id="x"), second)
-        result = document_for_confirm(restore, moved, earlier, OPERATOR, 200.0)
+        restore = make_test_plan(second, RestoreRevision(revision=Revision(1)), earlier=earlier)
+        changed = confirm(make_test_plan(second, price("silver", 6), plan_id="x"), second)
+        result = document_for_confirm(restore, changed, earlier, OPERATOR, 200.0)
         assert isinstance(result, Failure)
         self.assertEqual(PlanFailureKind.CONFLICT, result.kind)
 
@@ -151,7 +155,7 @@
 class DiffTest(TestCase):
     """``document_diff``."""
 
-    def test_nothing_differs_from_itself_and_keys_not_known_are_seen(self) -> None:
+    def test_diff_is_empty_for_equal_documents_and_includes_unknown_keys(self) -> None:
         plain = document()
         self.assertEqual([], document_diff(plain, plain))
         lines = document_diff(plain, with_extra_keys(plain))
--- a/tests/configuration/test_store_schedule.py
+++ b/tests/configuration/test_store_schedule.py
@@ -1,4 +1,4 @@
-"""Back-off with full jitter, and turns among a crowd."""
+"""Backoff with full jitter, and random selection among many nodes."""
 
 from random import Random
 
@@ -15,32 +15,32 @@
 DRAWS = 400
 
 
-def longest(failures: int, crowd: int = 1) -> float:
-    """Return the longest of many delays after so many failures in a row."""
+def max_delay(failures: int, node_count: int = 1) -> float:
+    """Return the maximum of ``DRAWS`` delays after ``failures`` consecutive failures."""
     delays = []
     for seed in range(DRAWS):
         backoff = FullJitterBackoff(Random(seed))
-        drawn = [backoff.next_delay_seconds(crowd) for _ in range(failures)]
+        drawn = [backoff.next_delay_seconds(node_count) for _ in range(failures)]
         delays.append(drawn[-1])
     return max(delays)
 
 
 class FullJitterBackoffTest(TestCase):
-    def test_the_ceiling_doubles_up_to_its_end(self) -> None:
+    def test_ceiling_doubles_up_to_its_maximum(self) -> None:
         for failures, ceiling in ((1, 0.25), (2, 0.5), (4, 2.0), (30, MAX_CEILING_SECONDS)):
-            reached = longest(failures)
+            reached = max_delay(failures)
             self.assertLessEqual(reached, ceiling)
             self.assertGreater(reached, 0.9 * ceiling)
 
-    def test_a_crowd_stays_under_its_rate_however_long_the_store_fails(self) -> None:
-        crowd = 470
-        backoffs = [FullJitterBackoff(Random(seed)) for seed in range(crowd)]
+    def test_many_nodes_stay_below_the_rate_limit_while_the_store_fails(self) -> None:
+        node_count = 470
+        backoffs = [FullJitterBackoff(Random(seed)) for seed in range(node_count)]
         for _ in range(12):
-            delays = [backoff.next_delay_seconds(crowd) for backoff in backoffs]
-        rate = crowd / (sum(delays) / crowd)
+            delays = [backoff.next_delay_seconds(node_count) for backoff in backoffs]
+        rate = node_count / (sum(delays) / node_count)
         self.assertLess(rate, 1.2 * FLEET_REQUESTS_PER_SECOND)
 
-    def test_success_starts_over(self) -> None:
+    def test_reset_restores_the_initial_ceiling(self) -> None:
         backoff = FullJitterBackoff(Random(1))
         for _ in range(10):
             backoff.next_delay_seconds()
@@ -48,10 +48,10 @@
         self.assertLessEqual(backoff.next_delay_seconds(), INITIAL_CEILING_SECONDS)
 
 
-class TakesTurnTest(TestCase):
-    def test_about_as_many_act_as_wanted_whatever_the_crowd(self) -> None:
+class IsSelectedTest(TestCase):
+    def test_number_of_selected_nodes_does_not_depend_on_node_count(self) -> None:
         random = Random(2)
-        for crowd in (1, 10, 470):
+        for node_count in (1, 10, 470):
             rounds = 2000
-            acting = sum(is_selected(random, crowd, 1.0) for _ in range(crowd * rounds))
+            acting = sum(is_selected(random, node_count, 1.0) for _ in range(node_count * rounds))
             self.assertTrue(0.9 * rounds < acting < 1.1 * rounds)
--- a/wingquay/configuration/operator_requests.py
+++ b/wingquay/configuration/operator_requests.py
@@ -124,7 +124,7 @@
         yield from perform(*self._dissemination.announce(contacted))
         later = now
         while later < now + STATUS_TIMEOUT_SECONDS:
-            if all(self._revision_tracker.received_since(node.node_id, now) for node in contacted):
+            if all(self._revision_tracker.reported_since(node.node_id, now) for node in contacted):
                 break
             later = yield from pause(STATUS_CHECK_INTERVAL_SECONDS)
         return self._status.report(later, self._watcher.holds_assignment)
--- a/wingquay/configuration/revision_tracker.py
+++ b/wingquay/configuration/revision_tracker.py
@@ -26,12 +26,12 @@
 
 
 class RevisionTracker:
-    """Stores the revision that each node reported, and when it reported the confirmed one."""
+    """Stores the revision of each node, and when it reported the one last confirmed here."""
 
     def __init__(self, view: NodeView) -> None:
         self._view = view
         self._revisions: dict[NodeId, Revision] = {}
-        self._received_at: dict[NodeId, float] = {}
+        self._reported_at: dict[NodeId, float] = {}
         self._landed_revision = Revision(0)
         self._landed_at = 0.0
         self._arrived_at: dict[NodeId, float] = {}
@@ -45,7 +45,7 @@
     def record(self, node_id: NodeId, revision: Revision, now: float) -> None:
         """Record the revision that a node reported."""
         self._revisions[node_id] = max(revision, self._revisions.get(node_id, revision))
-        self._received_at[node_id] = now
+        self._reported_at[node_id] = now
         if self._landed_revision and revision >= self._landed_revision:
             self._arrived_at.setdefault(node_id, now)
 
@@ -53,11 +53,11 @@
         """Remove the nodes that are no longer members."""
         known = {node.node_id for node in (*self._view.available, *self._view.leaving_nodes)}
         self._revisions = {node: seen for node, seen in self._revisions.items() if node in known}
-        self._received_at = {node: at for node, at in self._received_at.items() if node in known}
+        self._reported_at = {node: at for node, at in self._reported_at.items() if node in known}
 
-    def received_since(self, node_id: NodeId, at: float) -> bool:
+    def reported_since(self, node_id: NodeId, at: float) -> bool:
         """Whether a node has reported its revision after ``at``."""
-        return self._received_at.get(node_id, at) > at
+        return self._reported_at.get(node_id, at) > at
 
     def revision_of(self, node_id: NodeId) -> Revision | None:
         """Return the highest revision that a node reported, or ``None``."""
