--- a/wingquay/configuration/confirmation.py
+++ b/wingquay/configuration/confirmation.py
@@ -43,7 +43,7 @@
 from .store_schedule import FullJitterBackoff
 
 CONFIRM_TIMEOUT_SECONDS = 5.0
-"""No attempt starts after this time; an attempt in progress ends by the timeouts of its calls."""
+"""Time after which no attempt starts; one in progress may still finish."""
 
 RETRY_MAX_CEILING_SECONDS = 1.0
 """Longest delay between two attempts."""
@@ -66,7 +66,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Landed:
-    """The plan has taken effect; ``document`` is the newest document that contains it."""
+    """The plan has taken effect; ``document`` is the document that was written or read back."""
 
     document: ConfigurationDocument
     result: ConfirmResult
--- a/wingquay/configuration/diff.py
+++ b/wingquay/configuration/diff.py
@@ -28,7 +28,7 @@
 
 def document_diff(before: ConfigurationDocument, after: ConfigurationDocument) -> list[str]:
     """Return one line for each entry added (``+``), removed (``-``) or changed (``~``)."""
-    return _entry_lines("configuration", _compared(before), _compared(after))
+    return _entry_lines("configuration", _compared_fields(before), _compared_fields(after))
 
 
 def change_digest(diff: Sequence[str], effects: Sequence[ClassEffect]) -> str:
@@ -37,7 +37,7 @@
     return hashlib.sha256("\n".join(shown).encode()).hexdigest()
 
 
-def _compared(document: ConfigurationDocument) -> Json:
+def _compared_fields(document: ConfigurationDocument) -> Json:
     return {key: value for key, value in document.raw().items() if key not in _NOT_COMPARED}
 
 
@@ -46,9 +46,9 @@
     keys = [*left, *(key for key in right if key not in left)]
     nested = [key for key in keys if _is_nested(left.get(key), right.get(key))]
     plain = [key for key in keys if key not in nested]
-    lines = _own_lines(label, before, after, plain)
+    lines = _field_lines(label, before, after, plain)
     for key in nested:
-        lines += _list_lines(label, key, left.get(key) or [], right.get(key) or [])
+        lines += _nested_lines(label, key, left.get(key) or [], right.get(key) or [])
     return lines
 
 
@@ -59,33 +59,35 @@
     return known and bool(entries) and all(entry_identity(entry) is not None for entry in entries)
 
 
-def _own_lines(
+def _field_lines(
     label: str, before: Json | None, after: Json | None, keys: Iterable[str]
 ) -> list[str]:
     if before is None and after is not None:
-        return [f"+ {label}: {_values(after, keys)}"]
+        return [f"+ {label}: {_format_fields(after, keys)}"]
     if after is None and before is not None:
-        return [f"- {label}: {_values(before, keys)}"]
+        return [f"- {label}: {_format_fields(before, keys)}"]
     left, right = before or {}, after or {}
     changes = [
-        f"{key} {_text(left.get(key))} -> {_text(right.get(key))}"
+        f"{key} {_format_value(left.get(key))} -> {_format_value(right.get(key))}"
         for key in keys
         if left.get(key) != right.get(key)
     ]
     return [f"~ {label}: {', '.join(changes)}"] if changes else []
 
 
-def _values(entry: Json, keys: Iterable[str]) -> str:
-    return ", ".join(f"{key} {_text(entry[key])}" for key in keys if entry.get(key) is not None)
+def _format_fields(entry: Json, keys: Iterable[str]) -> str:
+    return ", ".join(
+        f"{key} {_format_value(entry[key])}" for key in keys if entry.get(key) is not None
+    )
 
 
-def _text(value: Any) -> str:
+def _format_value(value: Any) -> str:
     if value is None:
         return "none"
     return value if isinstance(value, str) and value else json.dumps(value, sort_keys=True)
 
 
-def _list_lines(label: str, key: str, before: list[Json], after: list[Json]) -> list[str]:
+def _nested_lines(label: str, key: str, before: list[Json], after: list[Json]) -> list[str]:
     left = {entry_identity(entry): entry for entry in before}
     right = {entry_identity(entry): entry for entry in after}
     identities = [*left, *(identity for identity in right if identity not in left)]
--- a/wingquay/configuration/document.py
+++ b/wingquay/configuration/document.py
@@ -159,11 +159,11 @@
         return written
     if isinstance(written, dict) and isinstance(earlier, dict):
         unknown = {key: value for key, value in earlier.items() if key not in written}
-        known_services = {
+        known_keys = {
             key: keep_unknown_keys(value, earlier[key]) if key in earlier else value
             for key, value in written.items()
         }
-        return {**known_services, **unknown}
+        return {**known_keys, **unknown}
     if isinstance(written, list) and isinstance(earlier, list):
         by_identity = {entry_identity(entry): entry for entry in earlier}
         by_identity.pop(None, None)
--- a/wingquay/configuration/in_force.py
+++ b/wingquay/configuration/in_force.py
@@ -27,7 +27,7 @@
         return self.document.revision if self.document is not None else NO_REVISION
 
     def is_newer(self, revision: Revision) -> bool:
-        """Whether ``revision`` may replace the one in force, which only a greater one may."""
+        """Whether ``revision`` may replace the one in force; only a greater one may."""
         if Mechanism.REVISION_MONOTONIC in self._view.disabled:
             return revision != self.revision
         return revision > self.revision
--- a/wingquay/configuration/node_view.py
+++ b/wingquay/configuration/node_view.py
@@ -78,5 +78,5 @@
         self._peers_by_zone = {zone: tuple(nodes) for zone, nodes in zones.items()}
 
     def sample(self, nodes: tuple[NodeIdentity, ...], count: int) -> list[NodeIdentity]:
-        """Return up to ``count`` distinct random ``nodes``."""
+        """Return up to ``count`` random elements of ``nodes``, without duplicates."""
         return self.random.sample(nodes, min(count, len(nodes)))
--- a/wingquay/configuration/plan.py
+++ b/wingquay/configuration/plan.py
@@ -67,6 +67,8 @@
 
 @dataclass(frozen=True, slots=True)
 class _Change:
+    """The result of applying intents to a base document."""
+
     document: ConfigurationDocument
     resolved: tuple[Intent, ...]
     diff: list[str]
@@ -179,10 +181,10 @@
         f"revision {entry.revision} by {entry.confirmed_by}: {'; '.join(entry.summary)}"
         for entry in since
     ]
-    moved = " | ".join(changes) or "nothing"
+    summary = " | ".join(changes) or "nothing"
     return (
         f"the plan was made at revision {plan.base_revision}, the current revision is "
-        f"{current.revision}; changed since: {moved}; {detail}; make a new plan"
+        f"{current.revision}; changed since: {summary}; {detail}; make a new plan"
     )
 
 
--- a/wingquay/configuration/revision_tracker.py
+++ b/wingquay/configuration/revision_tracker.py
@@ -11,11 +11,10 @@
 
 @dataclass(frozen=True, slots=True)
 class ZoneRevisions:
-    """The revisions that the nodes of a zone have reported.
+    """The revisions of a zone's ``nodes``, of which ``nodes_reported`` have reported theirs.
 
-    ``in_force_seconds`` is the time from the confirm on this node until
-    ``NODES_REQUIRED_PER_ZONE`` nodes of the zone reported the revision; ``None`` if the revision
-    was not confirmed on this node or too few nodes have reported it.
+    ``in_force_seconds``: from the confirm on this node until ``NODES_REQUIRED_PER_ZONE`` nodes of
+    the zone reported the revision; ``None`` before that or if it was confirmed on another node.
     """
 
     nodes: int
--- a/wingquay/configuration/script.py
+++ b/wingquay/configuration/script.py
@@ -55,7 +55,7 @@
 
 Value = TypeVar("Value")
 Script = Generator[Step, Resumed, Value]
-"""A procedure that returns ``Value``."""
+"""A generator that yields steps and finally returns ``Value``."""
 
 
 @dataclass(frozen=True, slots=True)
--- a/wingquay/configuration/watcher.py
+++ b/wingquay/configuration/watcher.py
@@ -2,8 +2,8 @@
 
 An assignment is a key written with a lease. A holder may be suspended until its lease has
 expired, so it measures the lease on its own clock from the time of the request and checks it
-before each step. The revision serves as the fencing token of what it passes on: no node goes back
-to a lower revision.
+before each step. A message that it sends too late is harmless, because nodes ignore revisions
+lower than the one in force.
 """
 
 import json
@@ -39,13 +39,13 @@
 """Time to live of an assignment's lease."""
 
 LEASE_SAFETY_MARGIN_SECONDS = 1.0
-"""Time before the expiry of its lease at which a holder stops acting, for clock drift."""
+"""A holder stops acting this long before its lease expires, to allow for clock drift."""
 
 RENEWAL_INTERVAL_SECONDS = 3.0
 """Time between renewals of the lease."""
 
 ASSIGNMENT_CHECK_INTERVAL_SECONDS = 2.5
-"""Mean time between reads of a zone's assignments by all nodes of the zone together."""
+"""Mean time between reads of a zone's assignments, counted over all nodes of the zone."""
 
 STABLE_WATCH_SECONDS = 10.0
 """Duration of a watch after which the backoff between watches is reset."""
