--- a/wingquay/configuration/configuration_machine.py
+++ b/wingquay/configuration/configuration_machine.py
@@ -9,7 +9,7 @@
     LeavingStarted,
     LoadObserved,
     MembershipChanged,
-    NewerRevisionHeard,
+    NewerRevisionReported,
 )
 from ..ports.machine import Action, Event, Start, StopRequested
 from ..ports.operator import OperatorRequest
@@ -58,7 +58,7 @@
         WatchChanged,
         WatchBroken,
         PeerLinkBroken,
-        NewerRevisionHeard,
+        NewerRevisionReported,
         MembershipChanged,
         LoadObserved,
         StopRequested,
@@ -124,7 +124,7 @@
                 return self._watcher.handle_watch_broken(event, now)
             case PeerLinkBroken():
                 return self._dissemination.handle_link_broken(event.node_id, now)
-            case NewerRevisionHeard():
+            case NewerRevisionReported():
                 return self._dissemination.handle_revision(event.sender, event.revision, now)
         return self._handle_node_event(event, now)
 
--- a/wingquay/configuration/promise_forecast.py
+++ b/wingquay/configuration/promise_forecast.py
@@ -3,7 +3,7 @@
 from collections.abc import Iterable
 
 from ..model.configuration import Configuration, Service
-from ..model.plan import ClassEffect, OutlookVerdict, PromiseOutlook
+from ..model.plan import ClassEffect, ForecastVerdict, PromiseForecast
 from ..ports.internal import KindLoad, LoadObserved
 
 AT_RISK_UTILIZATION = 0.8
@@ -18,7 +18,7 @@
     after: Configuration,
     effects: Iterable[ClassEffect],
     load: LoadObserved,
-) -> tuple[PromiseOutlook, ...]:
+) -> tuple[PromiseForecast, ...]:
     """Return the forecast for each kind whose class or whose service's slots change.
 
     Parameters
@@ -31,8 +31,8 @@
         earlier = before.service(service.name)
         if earlier is not None and count_slots(earlier) != count_slots(service):
             affected.update(dict.fromkeys((service.name, kind.name) for kind in service.kinds))
-    outlooks = (_forecast_kind(before, after, service, kind, load) for service, kind in affected)
-    return tuple(outlook for outlook in outlooks if outlook is not None)
+    forecasts = (_forecast_kind(before, after, service, kind, load) for service, kind in affected)
+    return tuple(forecast for forecast in forecasts if forecast is not None)
 
 
 def count_slots(service: Service) -> int:
@@ -46,7 +46,7 @@
     service_name: str,
     kind_name: str,
     load: LoadObserved,
-) -> PromiseOutlook | None:
+) -> PromiseForecast | None:
     service = after.service(service_name)
     kind = service.kind(kind_name) if service is not None else None
     if service is None or kind is None:
@@ -60,7 +60,7 @@
     )
     utilization = _expected_utilization(before.service(service_name), service, load)
     verdict, reason = _verdict(entry.promise_seconds, observed, utilization)
-    return PromiseOutlook(
+    return PromiseForecast(
         service=service.name,
         kind=kind.name,
         promise_seconds=entry.promise_seconds,
@@ -84,21 +84,21 @@
 
 def _verdict(
     promise_seconds: float, observed: KindLoad | None, utilization: float | None
-) -> tuple[OutlookVerdict, str]:
+) -> tuple[ForecastVerdict, str]:
     if utilization is not None and utilization >= FULL_UTILIZATION:
         reason = f"slots would be {utilization:.0%} busy: the load exceeds their capacity"
-        return OutlookVerdict.NOT_KEEPABLE, reason
+        return ForecastVerdict.NOT_KEEPABLE, reason
     if observed is None:
-        return OutlookVerdict.NOT_KNOWN, "this node has no recent requests of this kind"
+        return ForecastVerdict.NOT_KNOWN, "this node has no recent requests of this kind"
     if observed.p50_seconds > promise_seconds:
         reason = f"half of the requests now take longer than {observed.p50_seconds:.3g} s"
-        return OutlookVerdict.NOT_KEEPABLE, reason
+        return ForecastVerdict.NOT_KEEPABLE, reason
     if observed.p99_seconds > promise_seconds:
         reason = f"one request in 100 now takes longer than {observed.p99_seconds:.3g} s"
-        return OutlookVerdict.AT_RISK, reason
+        return ForecastVerdict.AT_RISK, reason
     if utilization is not None and utilization >= AT_RISK_UTILIZATION:
-        return OutlookVerdict.AT_RISK, f"slots would be {utilization:.0%} busy"
+        return ForecastVerdict.AT_RISK, f"slots would be {utilization:.0%} busy"
     return (
-        OutlookVerdict.KEEPABLE,
+        ForecastVerdict.KEEPABLE,
         f"99 requests in 100 now take under {observed.p99_seconds:.3g} s",
     )
