--- a/wingquay/configuration/promise_forecast.py
+++ b/wingquay/configuration/promise_forecast.py
@@ -83,22 +83,22 @@
 
 
 def _verdict(
-    promise_seconds: float, observed: KindLoad | None, utilization: float | None
+    promise_seconds: float, seen: KindLoad | None, utilization: float | None
 ) -> tuple[ForecastVerdict, str]:
     if utilization is not None and utilization >= FULL_UTILIZATION:
         reason = f"slots would be {utilization:.0%} busy: the load exceeds their capacity"
         return ForecastVerdict.NOT_KEEPABLE, reason
-    if observed is None:
+    if seen is None:
         return ForecastVerdict.NOT_KNOWN, "this node has no recent requests of this kind"
-    if observed.p50_seconds > promise_seconds:
-        reason = f"half of the requests now take longer than {observed.p50_seconds:.3g} s"
+    if seen.p50_seconds > promise_seconds:
+        reason = f"half of the requests now take longer than {seen.p50_seconds:.3g} s"
         return ForecastVerdict.NOT_KEEPABLE, reason
-    if observed.p99_seconds > promise_seconds:
-        reason = f"one request in 100 now takes longer than {observed.p99_seconds:.3g} s"
+    if seen.p99_seconds > promise_seconds:
+        reason = f"one request in 100 now takes longer than {seen.p99_seconds:.3g} s"
         return ForecastVerdict.AT_RISK, reason
     if utilization is not None and utilization >= AT_RISK_UTILIZATION:
         return ForecastVerdict.AT_RISK, f"slots would be {utilization:.0%} busy"
     return (
         ForecastVerdict.KEEPABLE,
-        f"99 requests in 100 now take under {observed.p99_seconds:.3g} s",
+        f"99 requests in 100 now take under {seen.p99_seconds:.3g} s",
     )
