--- a/tests/configuration/test_configuration_stateful.py
+++ b/tests/configuration/test_configuration_stateful.py
@@ -79,7 +79,7 @@
     def configure(self, seed: int, lost_share: float) -> None:
         self.cluster = configured_cluster(seed, settings=StoreSettings(rate_per_second=100.0))
         self.cluster.store.faults = type(self.cluster.store.faults)(lost_share, self.cluster.random)
-        self.shown: dict[str, tuple[str, ...]] = {}
+        self.plan_diffs: dict[str, tuple[str, ...]] = {}
         self.confirms: dict[str, list[str]] = {}
 
     def node(self, index: int) -> HollowNode:
@@ -93,7 +93,7 @@
         result = self.cluster.replies.get(exchange)
         if not isinstance(result, PlanResult):
             return None
-        self.shown[result.plan.plan_id] = result.plan.diff
+        self.plan_diffs[result.plan.plan_id] = result.plan.diff
         return result.plan.plan_id
 
     @rule(plan=plans, index=NODES, wait=st.sampled_from((0.0, 0.005, 0.013, 0.02, 1.0)))
@@ -168,12 +168,12 @@
         self.cluster.message_loss = 0.0
 
     @invariant()
-    def no_node_went_back_and_no_revision_is_ambiguous(self) -> None:
+    def history_is_consistent(self) -> None:
         if hasattr(self, "cluster"):
             check_history(self.cluster)
 
     @invariant()
-    def every_revision_is_what_its_plan_showed(self) -> None:
+    def every_revision_matches_the_diff_of_its_plan(self) -> None:
         if not hasattr(self, "cluster"):
             return
         documents = stored_documents(self.cluster)
@@ -181,33 +181,33 @@
         assert numbers == list(range(len(documents))), f"revisions are missing: {numbers}"
         for before, after in zip(documents[1:], documents[2:], strict=False):
             confirm_id = after.configuration.confirm_id
-            assert tuple(document_diff(before, after)) == self.shown[confirm_id]
+            assert tuple(document_diff(before, after)) == self.plan_diffs[confirm_id]
 
     def teardown(self) -> None:
         if not hasattr(self, "cluster"):
             return
         self.heal()
         self.cluster.run(SETTLING_SECONDS)
-        self.every_revision_is_what_its_plan_showed()
+        self.every_revision_matches_the_diff_of_its_plan()
         check_history(self.cluster)
         stored = stored_documents(self.cluster)[-1]
         revisions = {node.machine.revision for node in self.cluster.nodes}
         assert revisions == {stored.revision}, f"{revisions} instead of {stored.revision}"
         for plan, exchanges in self.confirms.items():
-            self.check_answers(stored, plan, exchanges)
+            self.check_replies(stored, plan, exchanges)
 
-    def check_answers(self, stored: ConfigurationDocument, plan: str, exchanges: list[str]) -> None:
+    def check_replies(self, stored: ConfigurationDocument, plan: str, exchanges: list[str]) -> None:
         """Check the replies to confirms of a plan against the stored audit records."""
-        answers = [answer for e in exchanges if (answer := self.cluster.replies.get(e)) is not None]
+        replies = [reply for e in exchanges if (reply := self.cluster.replies.get(e)) is not None]
         record = stored.find_record(plan)
-        for answer in answers:
-            if isinstance(answer, ConfirmResult):
-                assert record is not None and record.revision == answer.revision
-        kinds = {answer.kind for answer in answers if isinstance(answer, Failure)}
-        certain = len(answers) == len(exchanges)
+        for reply in replies:
+            if isinstance(reply, ConfirmResult):
+                assert record is not None and record.revision == reply.revision
+        kinds = {reply.kind for reply in replies if isinstance(reply, Failure)}
+        certain = len(replies) == len(exchanges)
         if certain and len(kinds) and OperatorFailureKind.NOT_KNOWN_YET not in kinds:
-            said_landed = any(isinstance(answer, ConfirmResult) for answer in answers)
-            assert said_landed == (record is not None), f"{plan}: {answers}"
+            reported_landed = any(isinstance(reply, ConfirmResult) for reply in replies)
+            assert reported_landed == (record is not None), f"{plan}: {replies}"
 
 
 class ConfigurationFuzzTest(TestCase):
--- a/tests/configuration/test_in_force_everywhere.py
+++ b/tests/configuration/test_in_force_everywhere.py
@@ -33,11 +33,11 @@
     ]
 
 
-class InForceTest(TestCase):
+class DisseminationTest(TestCase):
     """Dissemination of a revision from a confirm to every node."""
 
-    def in_force_everywhere(self, cluster: ConfigurationCluster, revision: int = 2) -> bool:
-        """Return whether all nodes have ``revision`` within ``IN_FORCE_SECONDS``."""
+    def reaches_every_node(self, cluster: ConfigurationCluster, revision: int = 2) -> bool:
+        """Run the cluster; return whether all nodes get ``revision`` in ``IN_FORCE_SECONDS``."""
         reached = cluster.run_until(lambda: cluster.lowest_revision() == revision, IN_FORCE_SECONDS)
         check_history(cluster)
         return reached
@@ -46,7 +46,7 @@
         cluster = configured_cluster(3, {"cluj-a": 12, "cluj-b": 12, "dej": 12})
         node = cluster.nodes[5]
         confirm(cluster, node, propose_plan(cluster, node, assign()))
-        self.assertTrue(self.in_force_everywhere(cluster))
+        self.assertTrue(self.reaches_every_node(cluster))
 
     def test_revision_reaches_every_node_despite_message_loss(self) -> None:
         cluster = configured_cluster(4, {"cluj-a": 12, "cluj-b": 12})
@@ -54,7 +54,7 @@
         plan = propose_plan(cluster, node, assign())
         cluster.message_loss = 0.33
         confirm(cluster, node, plan)
-        self.assertTrue(self.in_force_everywhere(cluster))
+        self.assertTrue(self.reaches_every_node(cluster))
 
     def test_announcements_alone_reach_every_node(self) -> None:
         cluster = configured_cluster(5, {"cluj-a": 12, "cluj-b": 12})
@@ -63,7 +63,7 @@
             node.store_cut = True
         node = cluster.nodes[0]
         confirm(cluster, node, propose_plan(cluster, node, assign()))
-        self.assertTrue(self.in_force_everywhere(cluster))
+        self.assertTrue(self.reaches_every_node(cluster))
 
     def test_anti_entropy_alone_reaches_every_node(self) -> None:
         for name in ("ANNOUNCE_ROUNDS", "NODES_NOTIFIED_PER_ZONE"):
@@ -86,7 +86,7 @@
         cluster.command(node, ConfirmPlan(plan_id=plan))
         cluster.run_until(lambda: cluster.counts["store_CompareAndSwap"] == swaps + 2, 1.0, 0.0001)
         cluster.restart(node)
-        self.assertTrue(self.in_force_everywhere(cluster))
+        self.assertTrue(self.reaches_every_node(cluster))
 
     def test_partitioned_zone_keeps_its_revision_and_catches_up(self) -> None:
         cluster = configured_cluster(7)
@@ -99,7 +99,7 @@
         revisions = {n.identity.zone: n.machine.revision for n in cluster.nodes}
         self.assertEqual({"cluj-a": 2, "cluj-b": 1}, revisions)
         cluster.heal()
-        self.assertTrue(self.in_force_everywhere(cluster))
+        self.assertTrue(self.reaches_every_node(cluster))
 
     def test_zone_without_the_store_gets_the_revision_from_another_zone(self) -> None:
         cluster = configured_cluster(8)
@@ -107,7 +107,7 @@
             node.store_cut = node.identity.zone == "cluj-b"
         node = cluster.nodes[0]
         confirm(cluster, node, propose_plan(cluster, node, assign()))
-        self.assertTrue(self.in_force_everywhere(cluster))
+        self.assertTrue(self.reaches_every_node(cluster))
 
     def test_polling_detects_a_change_skipped_by_the_watch(self) -> None:
         cluster = configured_cluster(9)
@@ -139,19 +139,19 @@
         cluster = configured_cluster(11)
         node, other = cluster.nodes[0], cluster.nodes[1]
         confirm(cluster, node, propose_plan(cluster, node, assign()))
-        self.assertTrue(self.in_force_everywhere(cluster))
+        self.assertTrue(self.reaches_every_node(cluster))
         stale = document(revision=1)
-        false = document(revision=3)
+        wrong_revision = document(revision=3)
         for revision, body in (
             (1, stale.body),
-            (7, false.body),
+            (7, wrong_revision.body),
             (8, b"not a document"),
         ):
             message = ConfigurationBody(Revision(revision), pack_body(body))
             node.machine.handle(PeerReceived(other.identity, message), cluster.now)
             self.assertEqual(2, node.machine.revision)
-        cut = ConfigurationBody(Revision(9), pack_body(false.body)[:-9])
-        node.machine.handle(PeerReceived(other.identity, cut), cluster.now)
+        truncated = ConfigurationBody(Revision(9), pack_body(wrong_revision.body)[:-9])
+        node.machine.handle(PeerReceived(other.identity, truncated), cluster.now)
         self.assertEqual(2, node.machine.revision)
 
     def test_different_documents_of_one_revision_are_reported(self) -> None:
