--- a/wingquay/configuration/configuration_machine.py
+++ b/wingquay/configuration/configuration_machine.py
@@ -1,4 +1,4 @@
-"""The configuration machine: keeps the highest confirmed revision in force on its node."""
+"""The state machine that keeps the newest confirmed configuration in force on a node."""
 
 from random import Random
 from typing import ClassVar
@@ -23,27 +23,31 @@
 )
 from ..ports.store import StoreResponse, WatchBroken, WatchChanged
 from .configuration_finder import ConfigurationFinder
-from .current_key import CurrentKey
+from .current_document import CurrentDocumentReader
 from .dissemination import Dissemination
 from .in_force import InForceConfiguration
 from .node_view import NodeView
 from .operator_requests import OperatorRequests
+from .revision_tracker import RevisionTracker
 from .script import ScriptRunner, ScriptTimer
-from .spread import Spread
 from .watcher import Watcher
 
 
 class ConfigurationMachine:
-    """Handles everything about the operators' configuration on one node.
+    """Handles the events that concern the operators' configuration on one node.
+
+    It obtains the configuration at start, receives new revisions from peers and from the store's
+    watch, and carries out operators' commands.
 
     Parameters
     ----------
     identity
-        The node itself.
+        Identity of this node.
     random
-        Seeded source; of the plan ids too, so seed it well in production.
+        Random number generator. Plan ids are drawn from it too, so its seed must be
+        unpredictable in production.
     disabled
-        Mechanisms that are taken out, for tests only.
+        Mechanisms that are switched off, for tests only.
     """
 
     EVENTS: ClassVar[tuple[type[Event], ...]] = (
@@ -74,22 +78,24 @@
         self._view = NodeView(identity, random, disabled)
         self._runner = ScriptRunner("configuration")
         self._in_force = InForceConfiguration(self._view)
-        self._spread = Spread(self._view)
-        self._current_key = CurrentKey()
-        self._dissemination = Dissemination(self._view, self._runner, self._in_force, self._spread)
+        self._revision_tracker = RevisionTracker(self._view)
+        self._document_reader = CurrentDocumentReader()
+        self._dissemination = Dissemination(
+            self._view, self._runner, self._in_force, self._revision_tracker
+        )
         self._finder = ConfigurationFinder(
-            self._view, self._in_force, self._dissemination, self._current_key
+            self._view, self._in_force, self._dissemination, self._document_reader
         )
         self._watcher = Watcher(
-            self._view, self._runner, self._in_force, self._dissemination, self._current_key
+            self._view, self._runner, self._in_force, self._dissemination, self._document_reader
         )
         self._operator_requests = OperatorRequests(
             self._view,
             self._runner,
             self._in_force,
-            self._spread,
+            self._revision_tracker,
             self._dissemination,
-            self._current_key,
+            self._document_reader,
             self._watcher,
         )
 
@@ -100,11 +106,11 @@
 
     @property
     def holds_watcher_assignment(self) -> bool:
-        """Whether this node believes to hold one of its zone's watcher assignments."""
+        """Whether this node holds one of its zone's watcher assignments, as far as it can tell."""
         return self._watcher.holds_assignment
 
     def handle(self, event: Event, now: float) -> list[Action]:
-        """Take in ``event``; events that do not concern the configuration change nothing."""
+        """Handle ``event`` and return the resulting actions; unrelated events are ignored."""
         match event:
             case StoreResponse() | ScriptTimer():
                 return self._runner.handle(event, now)
@@ -113,37 +119,37 @@
             case OperatorRequest():
                 return self._operator_requests.handle(event, now)
             case WatchChanged():
-                return self._watcher.watch_changed(event, now)
+                return self._watcher.handle_watch_changed(event, now)
             case WatchBroken():
-                return self._watcher.watch_broken(event, now)
+                return self._watcher.handle_watch_broken(event, now)
             case PeerLinkBroken():
-                return self._dissemination.link_broken(event.node_id, now)
+                return self._dissemination.handle_link_broken(event.node_id, now)
             case NewerRevisionReported():
-                return self._dissemination.heard(event.sender, event.revision, now)
+                return self._dissemination.handle_revision(event.sender, event.revision, now)
         return self._handle_node_event(event, now)
 
     def _handle_message(self, event: PeerReceived, now: float) -> list[Action]:
         match event.message:
             case ConfigurationFetch():
-                return self._dissemination.fetch_requested(event.sender, event.message, now)
+                return self._dissemination.handle_fetch(event.sender, event.message, now)
             case ConfigurationBody():
-                return self._dissemination.body_received(event.sender, event.message, now)
+                return self._dissemination.handle_body(event.sender, event.message, now)
         return []
 
     def _handle_node_event(self, event: Event, now: float) -> list[Action]:
         match event:
             case Start():
                 return [
-                    *self._runner.start(self._finder.look(), now),
+                    *self._runner.start(self._finder.run(), now),
                     *self._dissemination.start(now),
                     *self._watcher.start(now),
                 ]
             case MembershipChanged():
-                self._view.take(event)
-                self._spread.forget_missing()
+                self._view.update(event)
+                self._revision_tracker.remove_departed()
             case LoadObserved():
                 self._view.load = event
             case StopRequested() | LeavingStarted():
                 self._view.leaving = True
-                return self._watcher.give_up(now)
+                return self._watcher.release_assignment(now)
         return []
--- a/wingquay/configuration/plan.py
+++ b/wingquay/configuration/plan.py
@@ -1,4 +1,4 @@
-"""Makes plans from intents, and applies a plan to the revision it meets at its confirm."""
+"""Makes plans from intents, and applies a plan to the current revision when it is confirmed."""
 
 from collections.abc import Mapping, Sequence
 from dataclasses import dataclass
@@ -17,21 +17,23 @@
 )
 from .effects import class_effects
 from .intents import apply_intents
-from .outlook import promise_outlook
+from .promise_forecast import forecast_promises
 
 PLAN_LIFETIME_SECONDS = 900
-"""How long a plan can be confirmed."""
+"""Time for which a plan can be confirmed."""
 
-MAXIMUM_DIFF_LINES = 200
-"""Lines of a diff that a plan carries; the digest covers them all."""
+MAX_DIFF_LINES = 200
+"""Lines of the diff that a plan includes; its digest covers all lines."""
 
 AUDIT_SUMMARY_LINES = 5
+"""Lines of the diff that an audit record includes."""
 
 EarlierDocuments = Mapping[Revision, ConfigurationDocument]
+"""Documents that ``RestoreRevision`` intents refer to, by revision."""
 
 
 class PlanFailureKind(Enum):
-    """Why there is no plan, or why a plan cannot be confirmed."""
+    """Why a plan cannot be made or confirmed."""
 
     INVALID = "invalid"
     CONFLICT = "conflict"
@@ -42,16 +44,16 @@
 
 @dataclass(frozen=True, slots=True)
 class Proposal:
-    """Everything a plan is made from, besides the base document.
+    """The input of a plan besides the base document.
 
     Parameters
     ----------
     earlier
-        The documents that ``RestoreRevision`` intents name.
+        The documents that ``RestoreRevision`` intents refer to.
     load
-        The load now seen by this node.
+        The load that this node observes.
     unix_seconds
-        Wall-clock time, written into the plan for people.
+        Wall-clock time, shown to operators as the plan's creation time.
     """
 
     plan_id: str
@@ -65,6 +67,8 @@
 
 @dataclass(frozen=True, slots=True)
 class _Change:
+    """The result of applying intents to a base document."""
+
     document: ConfigurationDocument
     resolved: tuple[Intent, ...]
     diff: list[str]
@@ -75,14 +79,14 @@
         return change_digest(self.diff, self.effects)
 
 
-def revisions_named(intents: Sequence[Intent]) -> tuple[Revision, ...]:
-    """Return the earlier revisions that the intents need, in order, each once."""
+def restored_revisions(intents: Sequence[Intent]) -> tuple[Revision, ...]:
+    """Return the revisions that ``RestoreRevision`` intents refer to, without duplicates."""
     named = [intent.revision for intent in intents if isinstance(intent, RestoreRevision)]
     return tuple(dict.fromkeys(named))
 
 
 def make_plan(base: ConfigurationDocument, proposal: Proposal) -> Plan | PlanFailure:
-    """Return what the proposal's intents would change at ``base``."""
+    """Return the plan that applies the proposal's intents to ``base``."""
     record = AuditRecord(
         revision=Revision(base.revision + 1),
         confirm_id=proposal.plan_id,
@@ -91,12 +95,12 @@
         confirmed_by=proposal.operator,
         confirmed_unix_seconds=proposal.unix_seconds,
     )
-    change = _change(base, proposal.intents, proposal.earlier, record)
+    change = _compute_change(base, proposal.intents, proposal.earlier, record)
     if isinstance(change, Failure):
         return change
     if not change.diff:
         return Failure(PlanFailureKind.INVALID, "the intents change nothing")
-    outlook = promise_outlook(
+    outlook = forecast_promises(
         base.configuration, change.document.configuration, change.effects, proposal.load
     )
     return Plan(
@@ -105,8 +109,8 @@
         operator=proposal.operator,
         intents=proposal.intents,
         resolved_intents=change.resolved,
-        diff=tuple(change.diff[:MAXIMUM_DIFF_LINES]),
-        diff_omitted=max(0, len(change.diff) - MAXIMUM_DIFF_LINES),
+        diff=tuple(change.diff[:MAX_DIFF_LINES]),
+        diff_omitted=max(0, len(change.diff) - MAX_DIFF_LINES),
         change_digest=change.digest,
         effects=change.effects,
         outlook=outlook,
@@ -124,10 +128,10 @@
     unix_seconds: float,
     replaced_kept_at: int = 0,
 ) -> ConfigurationDocument | PlanFailure:
-    """Return the document to write when ``plan`` is confirmed while ``current`` stands.
+    """Return the document that confirming ``plan`` writes as the successor of ``current``.
 
-    On another revision than the plan's base this is a rebase, allowed only if the intents
-    resolve to the same and the change with its effects is exactly what the plan showed.
+    If ``current`` is not the plan's base, the plan is rebased. This is allowed only if the intents
+    resolve to the same values, and the diff and effects are exactly those that the plan showed.
     """
     record = AuditRecord(
         revision=Revision(current.revision + 1),
@@ -139,17 +143,17 @@
         summary=plan.diff[:AUDIT_SUMMARY_LINES],
         replaced_kept_at=replaced_kept_at,
     )
-    change = _change(current, plan.intents, earlier, record)
+    change = _compute_change(current, plan.intents, earlier, record)
     if isinstance(change, Failure):
-        return Failure(PlanFailureKind.CONFLICT, _moved_on(plan, current, change.reason))
+        return Failure(PlanFailureKind.CONFLICT, _conflict_reason(plan, current, change.reason))
     if change.resolved != plan.resolved_intents or change.digest != plan.change_digest:
         shown = "; ".join(change.diff[:AUDIT_SUMMARY_LINES]) or "nothing"
-        reason = _moved_on(plan, current, f"the same intents would now change: {shown}")
+        reason = _conflict_reason(plan, current, f"the same intents would now change: {shown}")
         return Failure(PlanFailureKind.CONFLICT, reason)
     return change.document
 
 
-def _change(
+def _compute_change(
     base: ConfigurationDocument,
     intents: tuple[Intent, ...],
     earlier: EarlierDocuments,
@@ -159,7 +163,7 @@
     applied = apply_intents(base.configuration, intents, history)
     if isinstance(applied, Failure):
         return Failure(PlanFailureKind.INVALID, applied.reason)
-    restored = [earlier[revision] for revision in reversed(revisions_named(intents))]
+    restored = [earlier[revision] for revision in reversed(restored_revisions(intents))]
     document = next_document(base, applied.configuration, record, restored)
     if isinstance(document, Failure):
         return Failure(PlanFailureKind.INVALID, document.reason)
@@ -171,16 +175,16 @@
     )
 
 
-def _moved_on(plan: Plan, current: ConfigurationDocument, detail: str) -> str:
+def _conflict_reason(plan: Plan, current: ConfigurationDocument, detail: str) -> str:
     since = [entry for entry in current.audit if entry.revision > plan.base_revision]
     changes = [
         f"revision {entry.revision} by {entry.confirmed_by}: {'; '.join(entry.summary)}"
         for entry in since
     ]
-    moved = " | ".join(changes) or "nothing"
+    summary = " | ".join(changes) or "nothing"
     return (
-        f"the plan was made at revision {plan.base_revision}, now is {current.revision}; "
-        f"changed since: {moved}; {detail}; make a new plan"
+        f"the plan was made at revision {plan.base_revision}, the current revision is "
+        f"{current.revision}; changed since: {summary}; {detail}; make a new plan"
     )
 
 
@@ -191,12 +195,16 @@
         if entry.verdict in bad:
             verdict = entry.verdict.value.replace("_", " ")
             warnings.append(
-                f"{entry.service}/{entry.kind}: promise of {entry.promise_seconds:g} s looks "
+                f"{entry.service}/{entry.kind}: promise of {entry.promise_seconds:g} s is probably "
                 f"{verdict}: {entry.reason}"
             )
     for service in change.document.configuration.services:
         if any(not shard.replicas for shard in service.shards):
-            warnings.append(f"{service.name}: a shard without replicas cannot be answered")
+            warnings.append(
+                f"{service.name}: a shard has no replicas, so its requests cannot be answered"
+            )
         if not service.shards:
-            warnings.append(f"{service.name}: without shards no request can be answered")
+            warnings.append(
+                f"{service.name}: the service has no shards, so no request can be answered"
+            )
     return warnings
--- a/wingquay/configuration/revision_reader.py
+++ b/wingquay/configuration/revision_reader.py
@@ -1,4 +1,4 @@
-"""Answers operators' questions about revisions: what stands, what stood, what differs."""
+"""Carries out operators' read commands: show a revision, the history or a diff."""
 
 from ..model.failure import Failure
 from ..model.identifiers import Revision
@@ -12,37 +12,37 @@
     ShowHistory,
 )
 from .confirmation import OperatorFailure, operator_failure
-from .current_key import CurrentKey, StoredDocument, read_revision
+from .current_document import CurrentDocumentReader, StoredDocument, read_revision
 from .diff import document_diff
 from .dissemination import Dissemination
 from .document import EMPTY_DOCUMENT, ConfigurationDocument
 from .in_force import InForceConfiguration
 from .script import Script, StoreHealth, perform
 
-NOT_FRESH_WARNING = "the store does not answer: this is the last revision known to this node"
+STALE_REVISION_WARNING = "the store does not answer: this is the newest revision on this node"
 
 CommandResult = OperatorMessage | OperatorFailure
 
 
 class RevisionReader:
-    """Finds revisions in the store, or in force when the store does not answer."""
+    """Reads revisions from the store, or uses the one in force if the store does not answer."""
 
     def __init__(
         self,
         in_force: InForceConfiguration,
         dissemination: Dissemination,
-        current_key: CurrentKey,
+        document_reader: CurrentDocumentReader,
         store_health: StoreHealth,
     ) -> None:
         self._in_force = in_force
         self._dissemination = dissemination
-        self._current_key = current_key
+        self._document_reader = document_reader
         self._store_health = store_health
 
     def run(
         self, command: ShowConfiguration | ShowHistory | DiffConfigurations
     ) -> Script[CommandResult]:
-        """Carry out a command that only reads."""
+        """Carry out a read command."""
         match command:
             case ShowConfiguration():
                 return (yield from self._show(command))
@@ -50,33 +50,33 @@
                 document = yield from self.newest()
                 if isinstance(document, Failure):
                     return document
-                return HistoryResult(records=document.audit, warnings=self.freshness())
+                return HistoryResult(records=document.audit, warnings=self.staleness_warnings())
             case DiffConfigurations():
                 return (yield from self._diff(command))
 
     def newest(self) -> Script[ConfigurationDocument | OperatorFailure]:
-        """Return what the store holds, or what is in force when that is newer or all there is."""
-        stored = yield from self._current_key.read()
+        """Return the document in the store, or the one in force if newer or the store is down."""
+        stored = yield from self._document_reader.read()
         if isinstance(stored, StoredDocument):
             now = yield from perform()
             document = stored.document
-            taken = self._dissemination.take(document, now, "store", from_store=True)
-            yield from perform(*taken)
+            actions = self._dissemination.apply(document, now, "store", from_store=True)
+            yield from perform(*actions)
             if document.revision >= self._in_force.revision:
                 return document
         if self._in_force.document is not None:
             return self._in_force.document
         return operator_failure(stored) if isinstance(stored, Failure) else EMPTY_DOCUMENT
 
-    def freshness(self) -> tuple[str, ...]:
-        """Return the warning that goes with ``newest`` while the store does not answer."""
-        return (NOT_FRESH_WARNING,) if self._store_health.reachable is False else ()
+    def staleness_warnings(self) -> tuple[str, ...]:
+        """Return the warning to add to results of ``newest`` while the store does not answer."""
+        return (STALE_REVISION_WARNING,) if self._store_health.reachable is False else ()
 
     def _show(self, command: ShowConfiguration) -> Script[CommandResult]:
         warnings: tuple[str, ...] = ()
         if command.revision is None:
             found = yield from self.newest()
-            warnings = self.freshness()
+            warnings = self.staleness_warnings()
         else:
             found = yield from self._revision(command.revision)
         if isinstance(found, Failure):
@@ -87,7 +87,7 @@
         )
 
     def _revision(self, revision: Revision) -> Script[ConfigurationDocument | OperatorFailure]:
-        """Return one revision: the newest, or an earlier one from the store's history."""
+        """Return one revision, which may be the newest or one in the store's history."""
         newest = yield from self.newest()
         if not isinstance(newest, Failure) and newest.revision == revision:
             return newest
