--- a/tests/forwarding/crashing/test_suspects.py
+++ b/tests/forwarding/crashing/test_suspects.py
@@ -11,7 +11,7 @@
     CLEARED_SECONDS,
     FORGET_SECONDS,
     HOLD_SECONDS,
-    MOST_HOLD_SECONDS,
+    MAX_HOLD_SECONDS,
     MOST_SUSPECTS,
     Suspects,
     SuspicionLevel,
@@ -94,7 +94,7 @@
         self.assertEqual(SuspicionLevel.HELD, self.verdict(over_at - 0.1))
         self.assertEqual(SuspicionLevel.SUSPECT, self.verdict(over_at))
         self.suspects.add(IDENTITY, [end("again", over_at + 1.0)], over_at + 2.0)
-        self.assertEqual(MOST_HOLD_SECONDS, self.suspects.held_seconds(IDENTITY, over_at + 2.0))
+        self.assertEqual(MAX_HOLD_SECONDS, self.suspects.held_seconds(IDENTITY, over_at + 2.0))
 
     def test_a_lifted_hold_ends_at_once(self) -> None:
         self.suspects.add(IDENTITY, ends_in_row(3), 3.0)
--- a/tests/forwarding/readiness/test_starting.py
+++ b/tests/forwarding/readiness/test_starting.py
@@ -3,7 +3,7 @@
 from testtools import TestCase
 
 from tests.forwarding.one_node import OneNode, replica, sharded_route, single_route, table
-from wingquay.forwarding.readiness.node_readiness import START_MOST_SECONDS
+from wingquay.forwarding.readiness.node_readiness import MAX_START_WAIT_SECONDS
 from wingquay.ports.forwarding import SetForwarding
 from wingquay.ports.machine import Exit, StopRequested
 
@@ -25,14 +25,14 @@
         node = OneNode()
         node.start(table(1, *ROUTES), *RECORDS[:1])
         self.assertFalse(self.is_ready(node))
-        node.advance(START_MOST_SECONDS / 2)
+        node.advance(MAX_START_WAIT_SECONDS / 2)
         node.change(*RECORDS[1:], replica("r", "one"))
         self.assertTrue(self.is_ready(node))
 
     def test_it_waits_no_longer_for_replicas_that_are_absent(self) -> None:
         node = OneNode()
         node.start(table(1, *ROUTES), *RECORDS[:1])
-        node.advance(START_MOST_SECONDS)
+        node.advance(MAX_START_WAIT_SECONDS)
         self.assertTrue(self.is_ready(node))
 
     def test_later_losses_of_replicas_do_not_count_as_a_start(self) -> None:
--- a/tests/forwarding/readiness/test_stateful.py
+++ b/tests/forwarding/readiness/test_stateful.py
@@ -16,7 +16,7 @@
 ZONES = ("a", "b", "c", "d")
 NODES = 2
 SHARDS = 4
-LEAST_SHARE = 0.85
+MIN_ANSWERABLE_SHARE = 0.85
 SETTLE_SECONDS = 5.0
 """Time after which every node has decided on a change, its least time away included."""
 
@@ -34,7 +34,7 @@
 
     @initialize(copies=st.integers(2, 3))
     def start(self, copies: int) -> None:
-        route = sharded_route(SHARDS, least_share=LEAST_SHARE)
+        route = sharded_route(SHARDS, least_share=MIN_ANSWERABLE_SHARE)
         records = spread_replicas(route.shards, ZONES, copies)
         self.fleet = ZoneFleet(ZONES, NODES, table(1, route), records)
         self.fleet.start()
@@ -139,7 +139,7 @@
             for record in self.fleet.records
             if self.fleet.failure_to(node, record) is None
         }
-        return float(len(held) / SHARDS >= LEAST_SHARE)
+        return float(len(held) / SHARDS >= MIN_ANSWERABLE_SHARE)
 
 
 CutHistoryTest = CutHistory.TestCase
--- a/tests/forwarding/test_configuration_proof.py
+++ b/tests/forwarding/test_configuration_proof.py
@@ -69,14 +69,14 @@
     def test_it_is_proven_until_the_bound_less_the_reserve(self) -> None:
         proof = TimedProof(BOUND_SECONDS, lambda now: now + 1.0)
         self.assertFalse(proof.is_proven(100.0))
-        proof.prove(100.0, 100.0)
+        proof.extend(100.0, 100.0)
         expected = [(100.0, True), (104.89, True), (104.91, False), (200.0, False)]
         self.assertEqual(expected, [(now, proof.is_proven(now)) for now, _ in expected])
 
     def test_only_a_later_moment_that_has_been_proves_more(self) -> None:
         proof = TimedProof(BOUND_SECONDS, lambda now: now + 1.0)
         tried = [(10.0, 10.0), (9.0, 11.0), (12.0, 11.0), (10.5, 11.0)]
-        self.assertEqual([True, False, False, True], [proof.prove(*item) for item in tried])
+        self.assertEqual([True, False, False, True], [proof.extend(*item) for item in tried])
         self.assertEqual(10.5, proof.proven_as_of)
 
     def test_a_rejected_caller_comes_back_when_the_next_answer_may_come(self) -> None:
@@ -95,10 +95,10 @@
             for way in ProofPollMode:
                 looks = proof_poll_times_within(bound_seconds, way, look, 0.8)
                 tries = looks.timeout_seconds + look.first_backoff_seconds
-                self.assertTrue(0.0 < looks.own_seconds + tries < bound_seconds - 0.1, looks)
+                self.assertTrue(0.0 < looks.own_poll_seconds + tries < bound_seconds - 0.1, looks)
                 # What the node which looks for others tells comes before their own looks are due.
                 period = max(looks.hold_seconds, looks.shared_poll_interval_seconds)
-                self.assertTrue(looks.hold_seconds + period < looks.own_seconds, looks)
+                self.assertTrue(looks.hold_seconds + period < looks.own_poll_seconds, looks)
 
 
 class OneNodeTest(TestCase):
@@ -158,7 +158,7 @@
         for _ in range(40):
             node.advance(0.1)
             news = StoreNews(node.store_revision, node.store_revision)
-            node.machine._follower.absorb(news, USUAL_GATHER_SECONDS, node.now)
+            node.machine._follower.apply_update(news, USUAL_GATHER_SECONDS, node.now)
         self.assertTrue(node.machine._follower.next_answer_at(100.0) < 100.0 + 3.2)
         node.advance(1.0)
         self.assertFalse(proven(node))
--- a/tests/forwarding/test_look_times.py
+++ b/tests/forwarding/test_look_times.py
@@ -5,7 +5,7 @@
 from tests.forwarding.one_node import OneNode, replica, single_route, table
 from wingquay.forwarding.knowledge.poll_times import (
     CONTACT_RESERVE_SECONDS,
-    HELD_ANSWER_SECONDS,
+    LONG_POLL_ANSWER_SECONDS,
     poll_interval_within,
     poll_times_within,
 )
@@ -26,20 +26,22 @@
         for contact_seconds in (1.0, 1.5, 2.0, 3.0, 4.0, 5.0, 6.0, 60.0):
             look = poll_times_within(contact_seconds)
             most_seconds = contact_seconds - CONTACT_RESERVE_SECONDS + 1e-9
-            held_seconds = look.held_timeout_seconds + look.first_backoff_seconds
+            held_seconds = look.long_poll_timeout_seconds + look.first_backoff_seconds
             self.assertLessEqual(held_seconds, most_seconds, contact_seconds)
-            plain_seconds = look.timeout_seconds + look.most_backoff_seconds
+            plain_seconds = look.timeout_seconds + look.max_backoff_seconds
             self.assertLessEqual(plain_seconds, most_seconds, contact_seconds)
             self.assertGreater(look.timeout_seconds, 0.2)
-            self.assertGreaterEqual(look.most_backoff_seconds, look.first_backoff_seconds)
+            self.assertGreaterEqual(look.max_backoff_seconds, look.first_backoff_seconds)
             self.assertGreaterEqual(look.hold_seconds, 0.0)
 
     def test_times_of_usual_deployments(self) -> None:
         for contact_seconds, hold_seconds in ((4.0, 2.45), (5.0, 3.0), (6.0, 3.0)):
             look = poll_times_within(contact_seconds)
             self.assertAlmostEqual(hold_seconds, look.hold_seconds)
-            self.assertAlmostEqual(hold_seconds + HELD_ANSWER_SECONDS, look.held_timeout_seconds)
-            self.assertEqual((1.5, 2.0), (look.timeout_seconds, look.most_backoff_seconds))
+            self.assertAlmostEqual(
+                hold_seconds + LONG_POLL_ANSWER_SECONDS, look.long_poll_timeout_seconds
+            )
+            self.assertEqual((1.5, 2.0), (look.timeout_seconds, look.max_backoff_seconds))
 
 
 class LostLookTest(TestCase):
--- a/tests/forwarding/test_node_groups.py
+++ b/tests/forwarding/test_node_groups.py
@@ -53,7 +53,7 @@
         by_zone = groups.usable_by_zone(0.0)
         found = {zone: [node.name for node in nodes] for zone, nodes in by_zone.items()}
         self.assertEqual({"a": ["n00", "n01", "n02"], "b": ["far"]}, found)
-        self.assertEqual((4, 2), (groups.size, groups.zones))
+        self.assertEqual((4, 2), (groups.node_count, groups.zone_count))
 
     def test_a_node_that_failed_is_passed_over_longer_each_time_and_then_tried_again(self) -> None:
         groups = groups_of("n00", NAMES[:5])
--- a/tests/forwarding/test_presence.py
+++ b/tests/forwarding/test_presence.py
@@ -86,13 +86,13 @@
         self.assertEqual(CompareAndSwap("nodes/n", 3, b"1", 7), self.asked())
 
     def test_a_key_of_the_last_life_that_says_the_same_goes_on_under_its_lease(self) -> None:
-        self.presence.learn(StoredValue("nodes/n", b"1", 3, 2))
+        self.presence.set_stored(StoredValue("nodes/n", b"1", 3, 2))
         self.assertEqual(KeepLeaseAlive(2), self.asked())
         self.answer(LeaseState(2, 15.0))
         self.assertEqual(KeepLeaseAlive(2), self.asked())
 
     def test_a_lease_of_the_last_life_that_lapsed_is_followed_by_a_new_one(self) -> None:
-        self.presence.learn(StoredValue("nodes/n", b"1", 3, 2))
+        self.presence.set_stored(StoredValue("nodes/n", b"1", 3, 2))
         self.asked()
         self.answer(LeaseState(2, 0.0))
         self.assertIsInstance(self.asked(), GrantLease)
@@ -103,7 +103,7 @@
         for standing in (StoredValue("nodes/n", b"2", 3, 2), StoredValue("nodes/n", b"1", 3, 0)):
             self.presence = Presence("nodes/n", SETTINGS, random.Random(1))
             self.due = self._timer(self.presence.handle(Start(), 0.0))
-            self.presence.learn(standing)
+            self.presence.set_stored(standing)
             self.assertIsInstance(self.asked(), GrantLease)
             self.answer(LeaseState(7, 15.0))
             self.assertEqual(CompareAndSwap("nodes/n", 3, b"1", 7), self.asked())
--- a/tests/forwarding/test_proof_asking.py
+++ b/tests/forwarding/test_proof_asking.py
@@ -8,11 +8,11 @@
 from tests.forwarding.one_node import OneNode, replica
 from tests.forwarding.test_configuration_proof import strict, tenants_table
 from wingquay.forwarding.knowledge.proof_requests import (
-    ASK_LIFE_SECONDS,
-    ASK_SECONDS,
-    MOST_ASKING_NODES,
-    HeardAsks,
-    ProofAsks,
+    MAX_REQUESTING_NODES,
+    REQUEST_INTERVAL_SECONDS,
+    REQUEST_VALID_SECONDS,
+    ReceivedProofRequests,
+    SentProofRequests,
 )
 from wingquay.ports.machine import Action
 from wingquay.ports.peer_link import (
@@ -48,32 +48,36 @@
 
 class AskTest(TestCase):
     def test_a_node_is_asked_again_after_a_while_and_when_its_link_broke(self) -> None:
-        asks = ProofAsks(FIRST_NUMBER)
+        asks = SentProofRequests(FIRST_NUMBER)
         first = (ASKED.node_id, FIRST_NUMBER + 1)
-        self.assertEqual([first], asks_in(asks.ask([ASKED], 0.0)))
-        self.assertEqual([], asks.ask([ASKED], ASK_SECONDS - 0.1))
+        self.assertEqual([first], asks_in(asks.send_requests([ASKED], 0.0)))
+        self.assertEqual([], asks.send_requests([ASKED], REQUEST_INTERVAL_SECONDS - 0.1))
         asks.link_broken(ASKED.node_id)
         second = (ASKED.node_id, FIRST_NUMBER + 2)
-        self.assertEqual([second], asks_in(asks.ask([ASKED], ASK_SECONDS - 0.1)))
+        self.assertEqual(
+            [second], asks_in(asks.send_requests([ASKED], REQUEST_INTERVAL_SECONDS - 0.1))
+        )
         third = (ASKED.node_id, FIRST_NUMBER + 3)
-        self.assertEqual([third], asks_in(asks.ask([ASKED], 2.0 * ASK_SECONDS)))
+        self.assertEqual(
+            [third], asks_in(asks.send_requests([ASKED], 2.0 * REQUEST_INTERVAL_SECONDS))
+        )
 
     def test_a_node_that_tells_news_but_no_proof_is_asked_again(self) -> None:
-        asks = ProofAsks(FIRST_NUMBER)
-        self.assertEqual(1, len(asks.news_from(ASKED, 0.0)))
-        self.assertEqual([], asks.news_from(ASKED, 2.9))
-        self.assertEqual(1, len(asks.news_from(ASKED, 3.0)))
+        asks = SentProofRequests(FIRST_NUMBER)
+        self.assertEqual(1, len(asks.handle_update_from(ASKED, 0.0)))
+        self.assertEqual([], asks.handle_update_from(ASKED, 2.9))
+        self.assertEqual(1, len(asks.handle_update_from(ASKED, 3.0)))
         asks.proven_as_of(ASKED, ProofGiven(FIRST_NUMBER + 2, 1.0, 1), 4.0)
-        self.assertEqual([], asks.news_from(ASKED, ASK_SECONDS))
+        self.assertEqual([], asks.handle_update_from(ASKED, REQUEST_INTERVAL_SECONDS))
 
     def test_only_an_ask_of_this_life_that_still_counts_is_answered(self) -> None:
-        asks = ProofAsks(FIRST_NUMBER)
-        asks.ask([ASKED], 100.0)
+        asks = SentProofRequests(FIRST_NUMBER)
+        asks.send_requests([ASKED], 100.0)
         for number, now, expected in (
             (FIRST_NUMBER + 1, 103.0, 102.5),
             (FIRST_NUMBER, 103.0, None),
             (FIRST_NUMBER + 2, 103.0, None),
-            (FIRST_NUMBER + 1, 100.1 + ASK_LIFE_SECONDS, None),
+            (FIRST_NUMBER + 1, 100.1 + REQUEST_VALID_SECONDS, None),
         ):
             given_proof = ProofGiven(number, 2.5, 1)
             self.assertEqual(expected, asks.proven_as_of(ASKED, given_proof, now))
@@ -92,28 +96,28 @@
 
 class AnswerTest(TestCase):
     def test_each_look_is_told_with_the_time_since_the_latest_ask(self) -> None:
-        heard = HeardAsks()
-        heard.heard(ASKED, AskProof(1), 10.0)
+        heard = ReceivedProofRequests()
+        heard.record(ASKED, AskProof(1), 10.0)
         self.assertEqual([ProofGiven(1, 2.0, 7)], answers_in(heard.answers(12.0, 7, 13.0)))
         self.assertEqual([ProofGiven(1, 5.0, 8)], answers_in(heard.answers(15.0, 8, 15.1)))
-        heard.heard(ASKED, AskProof(2), 16.0)
+        heard.record(ASKED, AskProof(2), 16.0)
         self.assertEqual([ProofGiven(2, -0.5, 9)], answers_in(heard.answers(15.5, 9, 16.1)))
 
     def test_asks_lapse_and_end_with_their_link(self) -> None:
-        heard = HeardAsks()
-        heard.heard(ASKED, AskProof(1), 10.0)
+        heard = ReceivedProofRequests()
+        heard.record(ASKED, AskProof(1), 10.0)
         heard.link_broken(ASKED.node_id)
         self.assertEqual([], heard.answers(11.0, 7, 11.0))
-        heard.heard(ASKED, AskProof(2), 12.0)
-        late = 12.1 + ASK_LIFE_SECONDS
+        heard.record(ASKED, AskProof(2), 12.0)
+        late = 12.1 + REQUEST_VALID_SECONDS
         self.assertEqual([], heard.answers(late, 7, late))
 
     def test_so_many_nodes_are_told_and_no_more(self) -> None:
-        heard = HeardAsks()
-        for number in range(MOST_ASKING_NODES + 5):
+        heard = ReceivedProofRequests()
+        for number in range(MAX_REQUESTING_NODES + 5):
             node = NodeIdentity(f"n{number}", "", "a", "10.0.0.1", number)
-            heard.heard(node, AskProof(number), 1.0)
-        self.assertEqual(MOST_ASKING_NODES, len(heard.answers(2.0, 1, 2.0)))
+            heard.record(node, AskProof(number), 1.0)
+        self.assertEqual(MAX_REQUESTING_NODES, len(heard.answers(2.0, 1, 2.0)))
 
     @given(sent=SECONDS, way=SECONDS, begun=SECONDS, answered=SECONDS, back=SECONDS, ahead=SECONDS)
     def test_no_delay_makes_a_proof_younger_than_the_look(
@@ -121,9 +125,9 @@
     ) -> None:
         """The true times are those of one clock; the other node's is ahead of it."""
         received = sent + way
-        asks, heard = ProofAsks(FIRST_NUMBER), HeardAsks()
-        asks.ask([ASKED], sent)
-        heard.heard(ASKED, AskProof(FIRST_NUMBER + 1), received + ahead)
+        asks, heard = SentProofRequests(FIRST_NUMBER), ReceivedProofRequests()
+        asks.send_requests([ASKED], sent)
+        heard.record(ASKED, AskProof(FIRST_NUMBER + 1), received + ahead)
         told_at = max(received, begun) + answered
         for message in answers_in(heard.answers(begun + ahead, 1, told_at + ahead)):
             as_of = asks.proven_as_of(ASKED, message, told_at + back)
--- a/wingquay/forwarding/knowledge/configuration_proof.py
+++ b/wingquay/forwarding/knowledge/configuration_proof.py
@@ -12,7 +12,7 @@
 """Time before the bound from which on requests with keys are rejected. Callers must not run past
 the bound by the clocks of other machines: two that run apart by 200 parts in a million for the
 lifetime of an ask, a minute, differ by 0.012 s; the rest is for a turn of the event loop."""
-LEAST_RETRY_SECONDS = 0.05
+MIN_RETRY_SECONDS = 0.05
 """Earliest time at which a rejected caller is asked back: sooner it would be rejected again."""
 
 
@@ -49,7 +49,7 @@
         """The moment up to which everything that the store acknowledged is known."""
         return self._proven_as_of
 
-    def prove(self, as_of: float, now: float) -> bool:
+    def extend(self, as_of: float, now: float) -> bool:
         """Take in that everything is known that was acknowledged before a moment.
 
         Returns
@@ -69,4 +69,4 @@
 
     def retry_after_seconds(self, now: float) -> float:
         """Return after which time the node may know again."""
-        return max(self._next_answer_at(now) - now, LEAST_RETRY_SECONDS)
+        return max(self._next_answer_at(now) - now, MIN_RETRY_SECONDS)
--- a/wingquay/forwarding/knowledge/follower_settings.py
+++ b/wingquay/forwarding/knowledge/follower_settings.py
@@ -33,9 +33,9 @@
     look
         How long a look may take and the pause after one that was lost. Calls that are refused are
         priced, too.
-    hurried_backoff_seconds
+    urgent_backoff_seconds
         Most pause while news are waited for.
-    unknown_backoff_seconds
+    initial_backoff_seconds
         Most pause as long as nothing at all is known: a node cannot serve before.
     proving
         The bound for keys that are taken away, and the looks that keep it; ``None``: no bound is
@@ -46,8 +46,8 @@
     poll_interval_seconds: float = 1.3
     shared_poll_interval_seconds: float = 0.8
     poll_times: PollTimes = poll_times_within(DEFAULT_CONTACT_SECONDS)
-    hurried_backoff_seconds: float = 1.0
-    unknown_backoff_seconds: float = 0.2
+    urgent_backoff_seconds: float = 1.0
+    initial_backoff_seconds: float = 0.2
     proof_poll_times: ProofPollTimes | None = None
 
 
@@ -65,7 +65,7 @@
         The store could not be reached.
     on_look
         A look of its own showed changes: what was known before, and what is now.
-    tells_others
+    shares_updates
         Whether other nodes are told what this one reads.
     is_first
         Whether this node is the first to look of those that tell each other what they read.
@@ -75,8 +75,8 @@
 
     on_listing: Callable[[tuple[StoredValue, ...], float], list[Action]]
     on_changes: Callable[[tuple[StoredValue, ...], tuple[str, ...], float], list[Action]]
-    on_trouble: Callable[[float], None]
-    on_look: Callable[[StoreNews, float], list[Action]]
-    tells_others: Callable[[], bool]
-    is_first: Callable[[], bool]
-    is_enough: Callable[[], bool]
+    on_failure: Callable[[float], None]
+    on_poll: Callable[[StoreNews, float], list[Action]]
+    shares_updates: Callable[[], bool]
+    is_first_in_group: Callable[[], bool]
+    is_sufficient: Callable[[], bool]
--- a/wingquay/forwarding/knowledge/node_groups.py
+++ b/wingquay/forwarding/knowledge/node_groups.py
@@ -66,7 +66,7 @@
         return self._fan_out
 
     @property
-    def size(self) -> int:
+    def node_count(self) -> int:
         """The number of nodes that have said where they can be reached."""
         return len(self._members)
 
@@ -76,7 +76,7 @@
         return [GroupNode(name, member.record) for name, member in self._members.items()]
 
     @property
-    def zones(self) -> int:
+    def zone_count(self) -> int:
         """The number of zones that have such nodes."""
         return len({member.record.identity.zone for member in self._members.values()})
 
@@ -126,7 +126,7 @@
         """
         for name in [name for name, item in self._departed.items() if item.node_id == node_id]:
             del self._departed[name]
-        self._tell(node_id, now)
+        self._record_zone_failure(node_id, now)
         for member in self._members.values():
             if member.record.identity.node_id == node_id and now >= member.suspect_until:
                 settings = self._settings
@@ -138,7 +138,7 @@
                 self._valid_until = min(self._valid_until, member.suspect_until)
                 self._changed()
 
-    def _tell(self, node_id: str, now: float) -> None:
+    def _record_zone_failure(self, node_id: str, now: float) -> None:
         """Take a node of another zone for a sign that the zone is out of reach.
 
         Nodes of the own zone are none: they start anew every day, and all would look into it.
@@ -191,16 +191,16 @@
         A node whose key is gone from the store while its link stands is told as well: the store may
         have taken the key from a node that it turns away, and that one needs the news most.
         """
-        names = [name for name in self._news_names() if name != self._name]
+        names = [name for name in self._update_group_names() if name != self._name]
         present = [self._members[name].record.identity for name in names]
         return present + [item for item in self._departed.values() if item not in present]
 
     def rank(self) -> int:
         """Return this node's place among those that tell each other of the store."""
-        names = self._news_names()
+        names = self._update_group_names()
         return names.index(self._name) if self._name in names else 0
 
-    def _news_names(self) -> list[str]:
+    def _update_group_names(self) -> list[str]:
         """Return the names of the group, or of all nodes while the group is small."""
         names = self._group_names()
         if len(names) >= self._settings.update_group_min_nodes or self._name not in self._members:
--- a/wingquay/forwarding/knowledge/node_membership.py
+++ b/wingquay/forwarding/knowledge/node_membership.py
@@ -18,9 +18,9 @@
 """Time between two looks whether the link to other nodes is open."""
 TABLE_WAIT_SECONDS = 0.03
 """Time between two looks whether a configuration tells how wide routes are."""
-MOST_TABLE_WAITS = 50
+MAX_TABLE_WAITS = 50
 """Looks after which the node's key is written all the same: a node counts without the link, too."""
-MOST_LINK_WAITS = 7
+MAX_LINK_WAITS = 7
 """Looks after which the node's key is written without an address."""
 
 
@@ -77,7 +77,7 @@
         """Take in the store's answer."""
         if self._presence.handles(event):
             return self._presence.handle(event, now)
-        return self._setup.answered(event.result)
+        return self._setup.handle_result(event.result)
 
     def handle_presence_due(
         self, event: PresenceDue, table: RoutingTable | None, now: float
@@ -88,20 +88,20 @@
         which requests replicas end, also while the store is away.
         """
         is_open = self._groups is not None
-        if table is None and self._table_waits < MOST_TABLE_WAITS:
+        if table is None and self._table_waits < MAX_TABLE_WAITS:
             self._table_waits += 1
             return [Schedule(now + TABLE_WAIT_SECONDS, event)]
         if table is None:
             return self._without_link(event, now)
-        if self._is_early and not self._setup.is_wanted_early(table):
+        if self._is_early and not self._setup.needs_early_link(table):
             settings = self._settings
             return self._later(settings.join_delay_seconds, event, now)
         if is_open:
             return self._presence.handle(event, now)
         self._link_waits += 1
-        if self._link_waits > MOST_LINK_WAITS:
+        if self._link_waits > MAX_LINK_WAITS:
             return self._presence.handle(event, now)
-        return [*self._setup.step(), Schedule(now + LINK_WAIT_SECONDS, event)]
+        return [*self._setup.request_link(), Schedule(now + LINK_WAIT_SECONDS, event)]
 
     def _without_link(self, event: PresenceDue, now: float) -> list[Action]:
         """Write the key of a node without a configuration, which other nodes cannot reach yet."""
@@ -167,7 +167,7 @@
 
     def set_cluster_key(self, cluster_key: bytes) -> None:
         """Take in the key that stands in the store."""
-        self._setup.learn(cluster_key)
+        self._setup.set_cluster_key(cluster_key)
 
     def put(self, item: StoredValue) -> None:
         """Take in the key of a node."""
@@ -176,7 +176,7 @@
         record = self._formats.parse_node(item.value)
         self._records[name] = record
         if name == self._name:
-            self._presence.learn(item)
+            self._presence.set_stored(item)
         if self._groups is not None and name != self._name:
             self._groups.put(name, record)
 
--- a/wingquay/forwarding/knowledge/peer_setup.py
+++ b/wingquay/forwarding/knowledge/peer_setup.py
@@ -38,21 +38,21 @@
         self._key_name = key_name
         self._candidate = candidate
         self._cluster_key: bytes | None = None
-        self._is_asked = False
+        self._is_requested = False
         self._operations = 0
 
     @property
-    def is_asked(self) -> bool:
+    def is_requested(self) -> bool:
         """Whether the link has been asked for."""
-        return self._is_asked
+        return self._is_requested
 
-    def is_wanted_early(self, table: RoutingTable) -> bool:
+    def needs_early_link(self, table: RoutingTable) -> bool:
         """Whether requests need other nodes: for most of their shards, or for a tenant's limit."""
         if table.tenants is not None and table.tenants.is_limited:
             return True
         return widest_route(table) >= self._settings.delegate_min_shards
 
-    def learn(self, cluster_key: bytes) -> None:
+    def set_cluster_key(self, cluster_key: bytes) -> None:
         """Take in the key that stands in the store."""
         self._cluster_key = cluster_key
 
@@ -60,18 +60,18 @@
         """Whether the answer is to one of this machine's requests."""
         return event.operation_id.startswith(OPERATION_PREFIX)
 
-    def step(self) -> list[Action]:
+    def request_link(self) -> list[Action]:
         """Ask for the link, or for the key first."""
-        if self._is_asked:
+        if self._is_requested:
             return []
         if self._cluster_key is not None:
-            self._is_asked = True
+            self._is_requested = True
             return [OpenPeerLink(self._cluster_key)]
         self._operations += 1
         operation = CompareAndSwap(self._key_name, 0, self._candidate)
         return [StoreRequest(self._operation_id, operation, TIMEOUT_SECONDS)]
 
-    def answered(self, result: StoreResult | Failure[StoreFailureKind]) -> list[Action]:
+    def handle_result(self, result: StoreResult | Failure[StoreFailureKind]) -> list[Action]:
         """Take in the store's answer."""
         if not isinstance(result, SwapResult):
             return []
@@ -79,7 +79,7 @@
             self._cluster_key = self._candidate
         elif result.current is not None:
             self._cluster_key = result.current.value
-        return self.step() if self._cluster_key is not None else []
+        return self.request_link() if self._cluster_key is not None else []
 
     @property
     def _operation_id(self) -> str:
--- a/wingquay/forwarding/knowledge/poll_times.py
+++ b/wingquay/forwarding/knowledge/poll_times.py
@@ -2,9 +2,9 @@
 
 from ...model.value import value
 
-GATHER_RESERVE_SECONDS = 1.7
+POLL_RESERVE_SECONDS = 1.7
 """Time left for a look that fails once, its answer, and requests on their way."""
-LEAST_GATHER_RATIO = 0.4
+MIN_POLL_INTERVAL_RATIO = 0.4
 
 
 def poll_interval_within(bound_seconds: float) -> float:
@@ -15,14 +15,14 @@
     bound_seconds
         Time after the store took a change at which every node must have followed it.
     """
-    return max(bound_seconds - GATHER_RESERVE_SECONDS, bound_seconds * LEAST_GATHER_RATIO)
+    return max(bound_seconds - POLL_RESERVE_SECONDS, bound_seconds * MIN_POLL_INTERVAL_RATIO)
 
 
-RETURN_SECONDS = 2.0
+REWRITE_SECONDS = 2.0
 """Time after the store's return in which entries that lapsed meanwhile are written again."""
-LOOK_SECONDS = 0.3
+POLL_SECONDS = 0.3
 """Time for the look that shows them."""
-DRAIN_RESERVE_SECONDS = 0.5
+IN_FLIGHT_RESERVE_SECONDS = 0.5
 """Time left for requests that are on their way to a replica that counts as gone."""
 
 
@@ -39,26 +39,26 @@
     drain_seconds
         Time after which a replica that the store says is leaving must get nothing more.
     """
-    back_seconds = RETURN_SECONDS + gather_seconds + LOOK_SECONDS
-    return max(min(back_seconds, drain_seconds - DRAIN_RESERVE_SECONDS), 0.0)
+    back_seconds = REWRITE_SECONDS + gather_seconds + POLL_SECONDS
+    return max(min(back_seconds, drain_seconds - IN_FLIGHT_RESERVE_SECONDS), 0.0)
 
 
 DEFAULT_CONTACT_SECONDS = 4.0
 """Time after the store's return at which bounds hold again, where the platform states none."""
 CONTACT_RESERVE_SECONDS = 0.4
 """Time left, once the look after an outage begins, for its answer and requests on their way."""
-MOST_HOLD_SECONDS = 3.0
+MAX_HOLD_SECONDS = 3.0
 """Held for longer, looks are fewer calls, and one that is lost is noticed later."""
-HELD_ANSWER_SECONDS = 1.0
+LONG_POLL_ANSWER_SECONDS = 1.0
 """Time for the answer to a held look to arrive: a store that is 200 times slower than usual takes
 0.8 s, and looks that count as lost while it answers would have it seem out of reach."""
-MOST_ANSWER_SECONDS = 1.5
+MAX_ANSWER_SECONDS = 1.5
 """Time for the answer to a look that the store does not hold."""
-MOST_ANSWER_SHARE = 0.45
+MAX_ANSWER_SHARE = 0.45
 """Share of the time after an outage that a look which is lost in it may take."""
 FIRST_BACKOFF_SECONDS = 0.15
 """A look that was cut off by chance is made again soon."""
-MOST_BACKOFF_SECONDS = 2.0
+MAX_BACKOFF_SECONDS = 2.0
 """In an outage looks are priced and tell nothing."""
 
 
@@ -70,19 +70,19 @@
     ----------
     hold_seconds
         How long the store may hold a look on which nothing has changed.
-    held_timeout_seconds
+    long_poll_timeout_seconds
         Time after which such a look counts as lost.
     timeout_seconds
         Time after which a look that is answered at once, or a reading of everything, does.
-    first_backoff_seconds, most_backoff_seconds
+    first_backoff_seconds, max_backoff_seconds
         Pause after the first lost look, doubled each time up to the second figure.
     """
 
     hold_seconds: float
-    held_timeout_seconds: float
+    long_poll_timeout_seconds: float
     timeout_seconds: float
     first_backoff_seconds: float
-    most_backoff_seconds: float
+    max_backoff_seconds: float
 
 
 def poll_times_within(contact_seconds: float) -> PollTimes:
@@ -100,14 +100,14 @@
     """
     within_seconds = max(contact_seconds - CONTACT_RESERVE_SECONDS, contact_seconds / 2.0)
     first_backoff_seconds = min(FIRST_BACKOFF_SECONDS, within_seconds / 4.0)
-    timeout_seconds = min(MOST_ANSWER_SECONDS, within_seconds * MOST_ANSWER_SHARE)
-    held_timeout_seconds = min(
-        MOST_HOLD_SECONDS + HELD_ANSWER_SECONDS, within_seconds - first_backoff_seconds
+    timeout_seconds = min(MAX_ANSWER_SECONDS, within_seconds * MAX_ANSWER_SHARE)
+    long_poll_timeout_seconds = min(
+        MAX_HOLD_SECONDS + LONG_POLL_ANSWER_SECONDS, within_seconds - first_backoff_seconds
     )
     return PollTimes(
-        max(held_timeout_seconds - HELD_ANSWER_SECONDS, 0.0),
-        held_timeout_seconds,
+        max(long_poll_timeout_seconds - LONG_POLL_ANSWER_SECONDS, 0.0),
+        long_poll_timeout_seconds,
         timeout_seconds,
         first_backoff_seconds,
-        min(MOST_BACKOFF_SECONDS, within_seconds - timeout_seconds),
+        min(MAX_BACKOFF_SECONDS, within_seconds - timeout_seconds),
     )
--- a/wingquay/forwarding/knowledge/presence.py
+++ b/wingquay/forwarding/knowledge/presence.py
@@ -66,13 +66,13 @@
         self._expected_revision = 0
         self._is_written = False
         self._value = NO_ADDRESS
-        self._standing: StoredValue | None = None
+        self._stored: StoredValue | None = None
         """The key as the last life of this node has left it."""
-        self._asked_at = float("-inf")
-        self._lease_asked_at = float("-inf")
+        self._sent_at = float("-inf")
+        self._lease_sent_at = float("-inf")
         """When the lease's present time was asked for."""
         self._listed_until = float("-inf")
-        self._has_stood = False
+        self._reused_key = False
 
     def set_value(self, value: bytes) -> None:
         """Say something else of this node, from the next writing of the key on."""
@@ -91,24 +91,24 @@
     @property
     def reused_key(self) -> bool:
         """Whether the key stood there before this life and was renewed, not written."""
-        return self._has_stood
+        return self._reused_key
 
-    def learn(self, standing: StoredValue) -> None:
+    def set_stored(self, stored: StoredValue) -> None:
         """Take in the key as it stands in the store, before this life has written it.
 
         If it says what this life says as well, its lease is renewed instead of another one: a tenth
         of a call in place of three.
         """
         if self._lease_id is None:
-            self._standing = standing
-            self._expected_revision = standing.modified_at
+            self._stored = stored
+            self._expected_revision = stored.modified_at
 
     def handle(self, event: Event, now: float) -> list[Action]:
         """Take in an event of the store or a timer."""
         if isinstance(event, Start):
             return self._after(self._settings.join_wide_delay_seconds, now)
         if isinstance(event, PresenceDue) and event.step == self._step:
-            self._asked_at = now
+            self._sent_at = now
             return [self._request(self._next_operation())]
         if isinstance(event, StoreResponse) and event.operation_id == self._operation_id:
             return self._done(event.result, now)
@@ -123,28 +123,28 @@
         return f"{OPERATION_PREFIX}{self._step}"
 
     def _next_operation(self) -> StoreOperation:
-        if self._lease_id is None and self._can_go_on():
-            assert self._standing is not None
-            self._lease_id = self._standing.lease_id
+        if self._lease_id is None and self._can_reuse_stored():
+            assert self._stored is not None
+            self._lease_id = self._stored.lease_id
             self._is_written = True
-            self._has_stood = True
+            self._reused_key = True
         if self._lease_id is None:
             return GrantLease(int(self._settings.presence_lease_seconds))
         if not self._is_written:
             return CompareAndSwap(self._key, self._expected_revision, self._value, self._lease_id)
         return KeepLeaseAlive(self._lease_id)
 
-    def _can_go_on(self) -> bool:
+    def _can_reuse_stored(self) -> bool:
         """Whether the last life's key stands there and says what this life says."""
-        standing = self._standing
-        return standing is not None and standing.lease_id > 0 and standing.value == self._value
+        stored = self._stored
+        return stored is not None and stored.lease_id > 0 and stored.value == self._value
 
     def _request(self, operation: StoreOperation) -> StoreRequest:
         return StoreRequest(self._operation_id, operation, TIMEOUT_SECONDS)
 
     def _done(self, result: StoreResult | Failure[StoreFailureKind], now: float) -> list[Action]:
         if isinstance(result, LeaseState):
-            return self._lease_told(result, now)
+            return self._lease_answered(result, now)
         if isinstance(result, SwapResult):
             return self._swapped(result, now)
         # The lease may be gone, or the key written: a new lease settles both.
@@ -152,25 +152,25 @@
             self._lease_id = None
         return self._after(self._settings.presence_retry_seconds, now)
 
-    def _lease_told(self, lease: LeaseState, now: float) -> list[Action]:
+    def _lease_answered(self, lease: LeaseState, now: float) -> list[Action]:
         if not lease.time_to_live_seconds:
             self._lease_id = None
-            self._standing = None
+            self._stored = None
             self._is_written = False
-            self._has_stood = False
+            self._reused_key = False
             return self._after(0.0, now)
         if self._lease_id is None:
             self._lease_id = lease.lease_id
-            self._lease_asked_at = self._asked_at
+            self._lease_sent_at = self._sent_at
             return self._after(0.0, now)
-        self._lease_asked_at = self._asked_at
-        self._listed_until = self._lease_asked_at + self._settings.presence_lease_seconds
+        self._lease_sent_at = self._sent_at
+        self._listed_until = self._lease_sent_at + self._settings.presence_lease_seconds
         return self._after(self._settings.presence_lease_seconds * RENEWAL_SHARE, now)
 
     def _swapped(self, result: SwapResult, now: float) -> list[Action]:
         if result.succeeded:
             self._is_written = True
-            self._listed_until = self._lease_asked_at + self._settings.presence_lease_seconds
+            self._listed_until = self._lease_sent_at + self._settings.presence_lease_seconds
             return self._after(self._settings.presence_lease_seconds * RENEWAL_SHARE, now)
         current = result.current
         self._expected_revision = 0 if current is None else current.modified_at
@@ -194,8 +194,8 @@
     def __init__(self, settings: ForwardingSettings) -> None:
         self._settings = settings
         self._names: set[str] = set()
-        self._greatest = 0
-        self._greatest_at = float("-inf")
+        self._max_count = 0
+        self._max_count_at = float("-inf")
 
     def put(self, name: str) -> None:
         """Take in a node's key."""
@@ -222,10 +222,10 @@
     def get(self, now: float) -> int:
         """Return the greatest recent number of nodes."""
         present = len(self._names)
-        is_old = now - self._greatest_at > self._settings.node_count_memory_seconds
-        if present >= self._greatest or is_old:
-            self._greatest = present
-            self._greatest_at = now
+        is_old = now - self._max_count_at > self._settings.node_count_memory_seconds
+        if present >= self._max_count or is_old:
+            self._max_count = present
+            self._max_count_at = now
         # Nodes that have just started have no key yet.
-        fewest = self._settings.min_nodes if present else self._settings.max_nodes
-        return max(self._greatest, fewest)
+        min_count = self._settings.min_nodes if present else self._settings.max_nodes
+        return max(self._max_count, min_count)
--- a/wingquay/forwarding/knowledge/proof_manager.py
+++ b/wingquay/forwarding/knowledge/proof_manager.py
@@ -7,8 +7,8 @@
 from ...ports.peer_link import NodeIdentity, PeerLinkBroken, SendToPeer
 from ...ports.proof_messages import AskProof, ProofGiven
 from .configuration_proof import AlwaysProven, TimedProof
-from .proof_poll_times import MOST_RANK_SECONDS, ProofPollTimes
-from .proof_requests import HeardAsks, ProofAsks
+from .proof_poll_times import MAX_RANK_SECONDS, ProofPollTimes
+from .proof_requests import ReceivedProofRequests, SentProofRequests
 
 LATE_REASON = "no look was answered and nobody told of one"
 
@@ -41,8 +41,8 @@
         self._looks = looks
         self._rank_seconds = rank_seconds
         self._timed = None if looks is None else TimedProof(looks.bound_seconds, next_answer_at)
-        self._asks = ProofAsks(first_number)
-        self._heard = HeardAsks()
+        self._asks = SentProofRequests(first_number)
+        self._heard = ReceivedProofRequests()
         self._has_tenants = False
         self._lost_at: float | None = None
         """When it was noticed that the configuration is not proven; ``None``: it is."""
@@ -54,7 +54,7 @@
         return self._timed or AlwaysProven()
 
     @property
-    def looks(self) -> ProofPollTimes | None:
+    def poll_times(self) -> ProofPollTimes | None:
         """The looks that keep the bound; ``None``: there is nothing to prove."""
         return self._looks if self._has_tenants else None
 
@@ -62,14 +62,16 @@
         """Take in a configuration."""
         self._has_tenants = table.tenants is not None
 
-    def look_by(self) -> float:
+    def poll_deadline(self) -> float:
         """Return when this node's own look must have begun, so that it may fail once."""
-        if self._timed is None or self.looks is None:
+        if self._timed is None or self.poll_times is None:
             return float("inf")
-        rank_seconds = min(self._rank_seconds(), MOST_RANK_SECONDS)
-        return self._timed.proven_as_of + self.looks.own_seconds + rank_seconds
+        rank_seconds = min(self._rank_seconds(), MAX_RANK_SECONDS)
+        return self._timed.proven_as_of + self.poll_times.own_poll_seconds + rank_seconds
 
-    def looked(self, begun_at: float | None, store_revision: int, now: float) -> list[Action]:
+    def poll_answered(
+        self, begun_at: float | None, store_revision: int, now: float
+    ) -> list[Action]:
         """Take in that a look of this node was answered.
 
         Parameters
@@ -96,27 +98,27 @@
         listeners
             Returns the nodes that tell each other what they read.
         """
-        if self.looks is None:
+        if self.poll_times is None:
             return []
-        return [*self.check(now), *self._asks.ask(listeners(), now)]
+        return [*self.check(now), *self._asks.send_requests(listeners(), now)]
 
     def handle_update_from(self, sender: NodeIdentity, now: float) -> list[Action]:
         """Take in that another node has told what it has read."""
-        return [] if self.looks is None else self._asks.news_from(sender, now)
+        return [] if self.poll_times is None else self._asks.handle_update_from(sender, now)
 
-    def asked(
+    def handle_request(
         self, sender: NodeIdentity, ask: AskProof, known_revision: int | None, now: float
     ) -> list[Action]:
         """Take in that another node asks, and tell it at once what is proven here."""
         if self._timed is None:
             return []
-        self._heard.heard(sender, ask, now)
+        self._heard.record(sender, ask, now)
         if known_revision is None or not self._timed.is_proven(now):
             return []
         held_seconds = self._timed.proven_as_of - now
         return [SendToPeer(sender, ProofGiven(ask.number, held_seconds, known_revision))]
 
-    def given(
+    def handle_proof(
         self, sender: NodeIdentity, given: ProofGiven, known_revision: int | None, now: float
     ) -> list[Action]:
         """Take in what another node's look proves, if all that it has told is known."""
@@ -138,17 +140,17 @@
 
     def _prove(self, timed: TimedProof, as_of: float, now: float) -> list[Action]:
         age_seconds = now - timed.proven_as_of
-        if not timed.prove(as_of, now):
+        if not timed.extend(as_of, now):
             return []
         lines = self.check(now)
         self._reason = LATE_REASON
-        if self.looks is None or age_seconds == float("inf"):
+        if self.poll_times is None or age_seconds == float("inf"):
             return lines
         return [*lines, Observe("configuration_proof_age_seconds", age_seconds)]
 
     def check(self, now: float) -> list[Action]:
         """Tell if the configuration has ceased to be proven, or is so again."""
-        if self._timed is None or self.looks is None:
+        if self._timed is None or self.poll_times is None:
             return []
         if self._timed.is_proven(now):
             return self._back(now)
--- a/wingquay/forwarding/knowledge/proof_requests.py
+++ b/wingquay/forwarding/knowledge/proof_requests.py
@@ -14,26 +14,26 @@
 from ...ports.peer_link import NodeIdentity, SendToPeer
 from ...ports.proof_messages import AskProof, ProofGiven
 
-ASK_SECONDS = 25.0
+REQUEST_INTERVAL_SECONDS = 25.0
 """Time after which a node asks the others anew: an ask that was lost costs looks until then."""
-UNANSWERED_SECONDS = 3.0
+REPEAT_SECONDS = 3.0
 """Time after which a node that tells news, but no proof with them, is asked anew."""
-ASK_LIFE_SECONDS = 60.0
+REQUEST_VALID_SECONDS = 60.0
 """Time for which an ask counts: the clocks of two machines may run apart meanwhile by a tenth of
 the reserve before the bound."""
-MOST_ASKING_NODES = 64
+MAX_REQUESTING_NODES = 64
 """Nodes that are told; a group of the size to design for has 27."""
 
 
 @dataclass(slots=True)
-class _Asked:
+class _PeerState:
     """When another node was asked last, and when it last gave a proof."""
 
     asked_at: float
     given_at: float = float("-inf")
 
 
-class ProofAsks:
+class SentProofRequests:
     """The asks of this node, and what their answers prove.
 
     Parameters
@@ -45,9 +45,9 @@
     def __init__(self, first_number: int) -> None:
         self._number = first_number
         self._sent_at: dict[int, float] = {}
-        self._asked: dict[str, _Asked] = {}
+        self._asked: dict[str, _PeerState] = {}
 
-    def ask(self, nodes: Collection[NodeIdentity], now: float) -> list[Action]:
+    def send_requests(self, nodes: Collection[NodeIdentity], now: float) -> list[Action]:
         """Ask the nodes that were not asked for a while."""
         due = [node for node in nodes if self._is_due(node, now)]
         self._forget_old(now)
@@ -56,18 +56,18 @@
         self._number += 1
         self._sent_at[self._number] = now
         for node in due:
-            self._asked[node.node_id] = _Asked(now)
+            self._asked[node.node_id] = _PeerState(now)
         return [SendToPeer(node, AskProof(self._number)) for node in due]
 
-    def news_from(self, node: NodeIdentity, now: float) -> list[Action]:
+    def handle_update_from(self, node: NodeIdentity, now: float) -> list[Action]:
         """Ask a node that tells what it has read, if it has never heard that it is asked."""
         asked = self._asked.get(node.node_id)
         if asked is not None:
             is_heard = asked.given_at >= asked.asked_at
-            if is_heard or now - asked.asked_at < UNANSWERED_SECONDS:
+            if is_heard or now - asked.asked_at < REPEAT_SECONDS:
                 return []
             del self._asked[node.node_id]
-        return self.ask([node], now)
+        return self.send_requests([node], now)
 
     def proven_as_of(self, sender: NodeIdentity, given: ProofGiven, now: float) -> float | None:
         """Return the moment after which the look began that an answer tells of.
@@ -75,7 +75,7 @@
         ``None``: it answers no ask of this life that still counts.
         """
         sent_at = self._sent_at.get(given.number)
-        if sent_at is None or now - sent_at > ASK_LIFE_SECONDS:
+        if sent_at is None or now - sent_at > REQUEST_VALID_SECONDS:
             return None
         asked = self._asked.get(sender.node_id)
         if asked is not None:
@@ -88,19 +88,21 @@
 
     def _is_due(self, node: NodeIdentity, now: float) -> bool:
         asked = self._asked.get(node.node_id)
-        return asked is None or now - asked.asked_at >= ASK_SECONDS
+        return asked is None or now - asked.asked_at >= REQUEST_INTERVAL_SECONDS
 
     def _forget_old(self, now: float) -> None:
-        for number in [key for key, at in self._sent_at.items() if now - at > ASK_LIFE_SECONDS]:
+        for number in [
+            key for key, at in self._sent_at.items() if now - at > REQUEST_VALID_SECONDS
+        ]:
             del self._sent_at[number]
         for name in [
-            key for key, item in self._asked.items() if now - item.asked_at > ASK_LIFE_SECONDS
+            key for key, item in self._asked.items() if now - item.asked_at > REQUEST_VALID_SECONDS
         ]:
             del self._asked[name]
 
 
 @value
-class _HeardAsk:
+class _ReceivedRequest:
     """The latest ask of another node, and when it came."""
 
     node: NodeIdentity
@@ -108,21 +110,21 @@
     received_at: float
 
 
-class HeardAsks:
+class ReceivedProofRequests:
     """The asks of other nodes, which this node answers after each look of its own."""
 
     def __init__(self) -> None:
-        self._asks: dict[str, _HeardAsk] = {}
+        self._asks: dict[str, _ReceivedRequest] = {}
 
-    def heard(self, sender: NodeIdentity, ask: AskProof, now: float) -> None:
+    def record(self, sender: NodeIdentity, ask: AskProof, now: float) -> None:
         """Take in that a node asks."""
-        if sender.node_id in self._asks or len(self._asks) < MOST_ASKING_NODES:
-            self._asks[sender.node_id] = _HeardAsk(sender, ask.number, now)
+        if sender.node_id in self._asks or len(self._asks) < MAX_REQUESTING_NODES:
+            self._asks[sender.node_id] = _ReceivedRequest(sender, ask.number, now)
 
     def answers(self, begun_at: float, store_revision: int, now: float) -> list[Action]:
         """Return what the nodes that ask are told of a look which was begun at a moment."""
         for node_id, ask in list(self._asks.items()):
-            if now - ask.received_at > ASK_LIFE_SECONDS:
+            if now - ask.received_at > REQUEST_VALID_SECONDS:
                 del self._asks[node_id]
         return [
             SendToPeer(ask.node, ProofGiven(ask.number, begun_at - ask.received_at, store_revision))
--- a/wingquay/forwarding/knowledge/store_copy.py
+++ b/wingquay/forwarding/knowledge/store_copy.py
@@ -27,13 +27,13 @@
             return None
         return ReadResult(tuple(self._items.values()), self._revision)
 
-    def list_anew(self, values: tuple[StoredValue, ...], revision: int) -> None:
+    def replace_all(self, values: tuple[StoredValue, ...], revision: int) -> None:
         """Take in everything that is there."""
         self._is_listed = True
         self._revision = revision
         self._items = {item.key: item for item in values}
 
-    def change(
+    def apply(
         self, changed: tuple[StoredValue, ...], deleted: tuple[str, ...], revision: int
     ) -> None:
         """Take in what has changed up to a revision."""
@@ -42,6 +42,6 @@
         for key in deleted:
             self._items.pop(key, None)
 
-    def forget_revision(self) -> None:
+    def invalidate_revision(self) -> None:
         """Take in that the store no longer tells what has changed since."""
         self._revision = None
--- a/wingquay/forwarding/knowledge/store_follower.py
+++ b/wingquay/forwarding/knowledge/store_follower.py
@@ -50,16 +50,16 @@
         self._reads = 0
         self._watches = 0
         self._keeper = keeper or ProofManager(None, lambda: 0.0, self.next_answer_at)
-        self._pace = PollSchedule(settings, hooks, self._keeper)
+        self._schedule = PollSchedule(settings, hooks, self._keeper)
         self._copy = StoreCopy()
         self._is_watching = False
-        self._watch_gather_seconds = settings.poll_interval_seconds
+        self._watch_interval_seconds = settings.poll_interval_seconds
         """The pace of the watch under way."""
         self._watch_hold_seconds = 0.0
         """How long the store may hold its looks."""
-        self._looked_at = float("-inf")
+        self._answered_at = float("-inf")
         """When the store last told what there is."""
-        self._look_at = 0.0
+        self._poll_at = 0.0
         """When the next look begins; one that has begun is not put off."""
 
     def handle(self, event: Event, now: float) -> list[Action]:
@@ -71,11 +71,11 @@
         if isinstance(event, WatchBroken):
             return self._broken(event, now)
         if isinstance(event, PeerSnapshot):
-            return self._peer_told(event, now)
+            return self._apply_peer_snapshot(event, now)
         if isinstance(event, Start):
-            return self._look(now)
+            return self._poll(now)
         if isinstance(event, FollowRetryDue) and event.watch_id == self._operation_id:
-            return self._look(now)
+            return self._poll(now)
         return []
 
     def snapshot(self) -> ReadResult | None:
@@ -85,15 +85,15 @@
     def set_poll_interval(self, seconds: float | None, now: float) -> list[Action]:
         """Look at the store at another pace; ``None``: the usual one."""
         wanted = self._settings.poll_interval_seconds if seconds is None else seconds
-        if wanted == self._pace.gather_seconds:
+        if wanted == self._schedule.gather_seconds:
             return []
-        self._pace.gather_seconds = wanted
-        if not self._is_watching or now >= self._look_at:
+        self._schedule.gather_seconds = wanted
+        if not self._is_watching or now >= self._poll_at:
             # A look that has begun tells every change at once; the next one keeps the new pace.
             return []
         return [StopWatch(self._watch_id), *self._watch(now, self._pause_seconds(now))]
 
-    def absorb(self, news: StoreNews, pause_seconds: float, now: float) -> list[Action]:
+    def apply_update(self, news: StoreNews, pause_seconds: float, now: float) -> list[Action]:
         """Take in what another node has read; put the own look off.
 
         News that begin after what is known here, or end before it, are passed over: the own look
@@ -108,20 +108,20 @@
         if not self._copy.is_listed or seen is None:
             return []
         if news.from_revision > seen:
-            return [self._passed_over(news, seen, now)]
+            return [self._skipped_update_log(news, seen, now)]
         if seen > news.store_revision:
             return []
-        self._pace.heard()
-        self._copy.change(news.changed, news.deleted, news.store_revision)
+        self._schedule.update_received()
+        self._copy.apply(news.changed, news.deleted, news.store_revision)
         actions = self._hooks.on_changes(news.changed, news.deleted, now)
-        return actions + self.put_off(pause_seconds, now)
+        return actions + self.postpone_poll(pause_seconds, now)
 
-    def put_off(self, pause_seconds: float, now: float) -> list[Action]:
+    def postpone_poll(self, pause_seconds: float, now: float) -> list[Action]:
         """Look so much later, unless a look is wanted or has begun."""
-        pause_seconds = min(pause_seconds, self._pace.most_pause_seconds(now))
-        if not self._is_watching or self._pace.is_hurried or now >= self._look_at:
+        pause_seconds = min(pause_seconds, self._schedule.max_pause_seconds(now))
+        if not self._is_watching or self._schedule.is_urgent or now >= self._poll_at:
             return []
-        if now + pause_seconds <= self._look_at:
+        if now + pause_seconds <= self._poll_at:
             return []
         return [StopWatch(self._watch_id), *self._watch(now, pause_seconds)]
 
@@ -133,10 +133,10 @@
 
     def next_answer_at(self, now: float) -> float:
         """Return when the store may answer the look that is due or under way."""
-        answer_at = self._look_at + self._watch_hold_seconds + USUAL_ANSWER_SECONDS
+        answer_at = self._poll_at + self._watch_hold_seconds + USUAL_ANSWER_SECONDS
         if now < answer_at:
             return answer_at
-        lost_at = self._look_at + self._pace.timeout_seconds(self._watch_hold_seconds)
+        lost_at = self._poll_at + self._schedule.timeout_seconds(self._watch_hold_seconds)
         return lost_at + self._settings.poll_times.first_backoff_seconds + USUAL_ANSWER_SECONDS
 
     @property
@@ -145,7 +145,7 @@
         return self._copy.revision
 
     @property
-    def usual_gather_seconds(self) -> float:
+    def usual_poll_interval_seconds(self) -> float:
         """The time between two looks when nothing is missing."""
         return self._settings.poll_interval_seconds
 
@@ -157,26 +157,26 @@
     def _watch_id(self) -> str:
         return f"follow-{self._watches}"
 
-    def _look(self, now: float) -> list[Action]:
+    def _poll(self, now: float) -> list[Action]:
         if self._copy.revision is not None:
             return self._watch(now)
         self._reads += 1
-        self._look_at = now
+        self._poll_at = now
         operation = Read(self._settings.prefix, prefix=True, may_lag_at_first=True)
         timeout = self._settings.poll_times.timeout_seconds
         return [StoreRequest(self._operation_id, operation, timeout)]
 
     def _pause_seconds(self, now: float) -> float:
         """Return the time until the next look is due at the present pace."""
-        return max(0.0, self._looked_at + self._pace.seconds - now)
+        return max(0.0, self._answered_at + self._schedule.interval_seconds - now)
 
     def _watch(self, now: float, pause_seconds: float = 0.0) -> list[Action]:
         revision = self._copy.revision
         assert revision is not None
-        self._watch_gather_seconds = self._pace.seconds
-        self._watch_hold_seconds = self._pace.hold_seconds
-        pause_seconds = min(pause_seconds, self._pace.most_pause_seconds(now))
-        self._look_at = now + pause_seconds
+        self._watch_interval_seconds = self._schedule.interval_seconds
+        self._watch_hold_seconds = self._schedule.hold_seconds
+        pause_seconds = min(pause_seconds, self._schedule.max_pause_seconds(now))
+        self._poll_at = now + pause_seconds
         self._watches += 1
         self._is_watching = True
         return [
@@ -184,10 +184,10 @@
                 self._watch_id,
                 self._settings.prefix,
                 revision,
-                self._watch_gather_seconds,
+                self._watch_interval_seconds,
                 pause_seconds,
                 self._watch_hold_seconds,
-                self._pace.timeout_seconds(self._watch_hold_seconds),
+                self._schedule.timeout_seconds(self._watch_hold_seconds),
             )
         ]
 
@@ -198,11 +198,11 @@
         if not isinstance(result, ReadResult):
             reason = result.reason if isinstance(result, Failure) else "unexpected result"
             return self._failed(reason, now)
-        self._pace.failures = 0
-        self._looked_at = now
+        self._schedule.failed_polls = 0
+        self._answered_at = now
         return self._listed(result.values, result.store_revision, now, result.begun_at)
 
-    def _peer_told(self, event: PeerSnapshot, now: float) -> list[Action]:
+    def _apply_peer_snapshot(self, event: PeerSnapshot, now: float) -> list[Action]:
         """Begin with what another node knows; the store's own word follows by the watch."""
         if self._copy.is_listed:
             return []
@@ -219,10 +219,10 @@
         now: float,
         begun_at: float | None = None,
     ) -> list[Action]:
-        self._copy.list_anew(values, store_revision)
+        self._copy.replace_all(values, store_revision)
         actions = self._hooks.on_listing(values, now)
-        actions += self._keeper.looked(begun_at, store_revision, now)
-        pause_seconds = self._pause_seconds(now) if self._hooks.is_enough() else 0.0
+        actions += self._keeper.poll_answered(begun_at, store_revision, now)
+        pause_seconds = self._pause_seconds(now) if self._hooks.is_sufficient() else 0.0
         return actions + self._watch(now, pause_seconds)
 
     def _changed(self, event: WatchChanged, now: float) -> list[Action]:
@@ -230,19 +230,19 @@
             return []
         before = self._copy.revision
         assert before is not None
-        self._pace.failures = 0
-        self._looked_at = now
-        look_due_at = self._look_at
+        self._schedule.failed_polls = 0
+        self._answered_at = now
+        look_due_at = self._poll_at
         # An answer that was cut is followed up at once: that look has begun already.
-        self._look_at = now if event.may_have_more else now + self._pace.seconds
+        self._poll_at = now if event.may_have_more else now + self._schedule.interval_seconds
         # What an answer holds that was cut is not all that was there when the look began.
         begun_at = None if event.may_have_more else event.begun_at
         if event.store_revision < before:
             # News of another node have told all of it since this look began, and more.
-            return self._keeper.looked(begun_at, event.store_revision, now)
-        self._copy.change(event.changed, event.deleted, event.store_revision)
+            return self._keeper.poll_answered(begun_at, event.store_revision, now)
+        self._copy.apply(event.changed, event.deleted, event.store_revision)
         actions = self._hooks.on_changes(event.changed, event.deleted, now)
-        told_proofs = self._keeper.looked(begun_at, event.store_revision, now)
+        told_proofs = self._keeper.poll_answered(begun_at, event.store_revision, now)
         news = StoreNews(
             before,
             event.store_revision,
@@ -251,13 +251,17 @@
             self._age_seconds(look_due_at, now),
             event.may_have_more,
         )
-        actions += [*self._hooks.on_look(news, now), *told_proofs]
-        self._pace.looked()
-        is_same_pace = self._watch_gather_seconds == self._pace.seconds
-        is_same_place = self._watch_hold_seconds == self._pace.hold_seconds
+        actions += [*self._hooks.on_poll(news, now), *told_proofs]
+        self._schedule.poll_answered()
+        is_same_pace = self._watch_interval_seconds == self._schedule.interval_seconds
+        is_same_place = self._watch_hold_seconds == self._schedule.hold_seconds
         if event.may_have_more or (is_same_pace and is_same_place):
             return actions
-        return [*actions, StopWatch(self._watch_id), *self._watch(now, self._pace.seconds)]
+        return [
+            *actions,
+            StopWatch(self._watch_id),
+            *self._watch(now, self._schedule.interval_seconds),
+        ]
 
     def _age_seconds(self, look_due_at: float, now: float) -> float:
         """Return how old an answer may be; that of a held look may be as new as it is late."""
@@ -268,47 +272,47 @@
             return []
         self._is_watching = False
         if event.history_lost:
-            self._copy.forget_revision()
+            self._copy.invalidate_revision()
             line = Log("store_history_lost", LogLevel.WARNING, (("reason", event.reason),))
-            return [line, *self._look(now)]
+            return [line, *self._poll(now)]
         return self._failed(event.reason, now)
 
     def _failed(self, reason: str, now: float) -> list[Action]:
-        self._hooks.on_trouble(now)
+        self._hooks.on_failure(now)
         self._keeper.poll_failed(reason)
         is_listed = self._copy.is_listed
-        due_at = now + self._pace.backoff_seconds(is_listed)
+        due_at = now + self._schedule.backoff_seconds(is_listed)
         asking: list[Action] = [] if is_listed else [AskPeers()]
-        self._pace.failures += 1
+        self._schedule.failed_polls += 1
         fields = (
             ("reason", reason),
-            ("failures", self._pace.failures),
-            ("waited_ms", _milliseconds(now - self._look_at)),
+            ("failures", self._schedule.failed_polls),
+            ("waited_ms", _milliseconds(now - self._poll_at)),
             ("silent_ms", self._silent_ms(now)),
             ("pause_ms", _milliseconds(due_at - now)),
         )
-        self._look_at = due_at
+        self._poll_at = due_at
         return [
             Log("store_unreachable", LogLevel.WARNING, fields),
             *asking,
             Schedule(due_at, FollowRetryDue(self._operation_id)),
         ]
 
-    def _passed_over(self, news: StoreNews, seen_revision: int, now: float) -> Log:
+    def _skipped_update_log(self, news: StoreNews, seen_revision: int, now: float) -> Log:
         """Return the line that tells of news with a gap before them."""
         fields = (
             ("known_revision", seen_revision),
             ("from_revision", news.from_revision),
-            ("failures", self._pace.failures),
+            ("failures", self._schedule.failed_polls),
             ("silent_ms", self._silent_ms(now)),
         )
         return Log("store_news_passed_over", LogLevel.INFO, fields)
 
     def _silent_ms(self, now: float) -> int:
         """Return for how long the store itself has told nothing; -1: it never did."""
-        if self._looked_at == float("-inf"):
+        if self._answered_at == float("-inf"):
             return -1
-        return _milliseconds(now - self._looked_at)
+        return _milliseconds(now - self._answered_at)
 
 
 def _milliseconds(seconds: float) -> int:
--- a/wingquay/forwarding/knowledge/update_exchange.py
+++ b/wingquay/forwarding/knowledge/update_exchange.py
@@ -75,7 +75,7 @@
         pause_seconds = self._usual_pause_seconds - taken_seconds
         if news.may_have_more or taken_seconds >= self._settings.max_update_age_seconds:
             pause_seconds = 0.0
-        actions = self._follower.absorb(news, pause_seconds, now)
+        actions = self._follower.apply_update(news, pause_seconds, now)
         is_put_off = any(isinstance(action, StartWatch) for action in actions)
         side = "look_put_off" if is_put_off else "heard"
         return [*actions, Count("store_news_total", labels=(("side", side),))]
@@ -86,10 +86,10 @@
         """Take in that another node asks, or what its look proves; then put the own look off."""
         known_revision = self._follower.known_revision
         if isinstance(message, AskProof):
-            return self._keeper.asked(sender, message, known_revision, now)
-        actions = self._keeper.given(sender, message, known_revision, now)
+            return self._keeper.handle_request(sender, message, known_revision, now)
+        actions = self._keeper.handle_proof(sender, message, known_revision, now)
         pause_seconds = self._usual_pause_seconds - self._keeper.age_seconds(now)
-        return [*actions, *self._follower.put_off(pause_seconds, now)]
+        return [*actions, *self._follower.postpone_poll(pause_seconds, now)]
 
     @property
     def _usual_pause_seconds(self) -> float:
@@ -98,4 +98,4 @@
         Each node looks a little later than the one before it in its group.
         """
         rank_seconds = self._settings.poll_rank_delay_seconds * self._members.rank()
-        return self._follower.usual_gather_seconds + rank_seconds
+        return self._follower.usual_poll_interval_seconds + rank_seconds
--- a/wingquay/forwarding/peers/shard_placement.py
+++ b/wingquay/forwarding/peers/shard_placement.py
@@ -137,8 +137,8 @@
     def _teams(self, now: float) -> int:
         """Return how many sets of owners the requests of all nodes need."""
         shards = self._groups.fan_out
-        zones = max(1, self._groups.zones)
-        requests_per_second = self._rate.per_second(now) * self._groups.size
+        zones = max(1, self._groups.zone_count)
+        requests_per_second = self._rate.per_second(now) * self._groups.node_count
         coding = requests_per_second * CODING_SECONDS * shards / zones
         owners = max(1.0, math.sqrt(shards) / zones)
         return max(1, math.ceil(coding / (owners * OWNER_LOAD)))
--- a/wingquay/forwarding/readiness/decision.py
+++ b/wingquay/forwarding/readiness/decision.py
@@ -4,19 +4,19 @@
 
 from ...model.value import value
 
-LEAST_SHARE = 0.9
+MIN_ANSWERABLE_SHARE = 0.9
 """Share of what callers ask that a node must be able to answer. Elsewhere callers are answered in
 full, at the price of the way there and of a new connection, a few milliseconds: one request in ten
 that is refused costs callers more. All nodes of a cut zone must come to the same, and each has seen
 some twenty requests only, so the threshold is far from usual mixes of what is asked."""
-LEAST_OTHER_ZONES = 2
+MIN_OTHER_ZONES = 2
 """Other zones that must be out of reach for a zone to leave. A single one may itself be down, or
 the two may have lost each other: callers of both would then find nobody."""
-LEAST_GAIN = 0.1
+MIN_SHARE_GAIN = 0.1
 """Share by which others must be able to answer more: otherwise moving gains callers nothing."""
 
 
-class Why(Enum):
+class DecisionReason(Enum):
     """Why a node takes callers, or does not."""
 
     IN_REACH = "other_zones_in_reach"
@@ -33,10 +33,10 @@
     @property
     def is_to_leave(self) -> bool:
         """Whether the node should take no callers."""
-        return self in (Why.ZONE_CUT_OFF, Why.NODE_CUT_OFF)
+        return self in (DecisionReason.ZONE_CUT_OFF, DecisionReason.NODE_CUT_OFF)
 
 
-class OwnSide(Enum):
+class OwnZoneStatus(Enum):
     """What a node finds of its own zone."""
 
     IN_REACH = "in_reach"
@@ -48,7 +48,7 @@
 
 
 @value
-class Situation:
+class DecisionInputs:
     """What a node knows when it decides.
 
     Parameters
@@ -71,39 +71,39 @@
 
     other_zones: tuple[str, ...]
     zones_out: tuple[str, ...]
-    own_side: OwnSide
+    own_side: OwnZoneStatus
     contradicted_by: str
     share_here: float
     share_elsewhere: float
     is_last_zone: bool
 
 
-def judge(situation: Situation) -> Why:
+def judge(situation: DecisionInputs) -> DecisionReason:
     """Return whether the node should take callers, by its reason.
 
     It leaves only for a trouble of its own side: every other zone is out of reach, nobody near it
     reaches one, and those zones hold more of what callers ask than it does.
     """
     if not situation.other_zones:
-        return Why.ONE_ZONE
+        return DecisionReason.ONE_ZONE
     if len(situation.zones_out) < len(situation.other_zones):
-        return Why.IN_REACH
+        return DecisionReason.IN_REACH
     if situation.contradicted_by:
-        return Why.NEIGHBOURS_REACH
-    if situation.share_here >= LEAST_SHARE:
-        return Why.HOLDS_ENOUGH
-    if situation.share_elsewhere < situation.share_here + LEAST_GAIN:
-        return Why.NO_GAIN
+        return DecisionReason.NEIGHBOURS_REACH
+    if situation.share_here >= MIN_ANSWERABLE_SHARE:
+        return DecisionReason.HOLDS_ENOUGH
+    if situation.share_elsewhere < situation.share_here + MIN_SHARE_GAIN:
+        return DecisionReason.NO_GAIN
     return _where_the_cut_is(situation)
 
 
-def _where_the_cut_is(situation: Situation) -> Why:
+def _where_the_cut_is(situation: DecisionInputs) -> DecisionReason:
     """Return whether this node or its zone has lost the others, or others may have been lost."""
     match situation.own_side:
-        case OwnSide.SILENT:
-            return Why.NODE_CUT_OFF
-        case OwnSide.UNKNOWN:
-            return Why.UNKNOWN
-    if len(situation.other_zones) < LEAST_OTHER_ZONES:
-        return Why.FEW_ZONES
-    return Why.LAST_ZONE if situation.is_last_zone else Why.ZONE_CUT_OFF
+        case OwnZoneStatus.SILENT:
+            return DecisionReason.NODE_CUT_OFF
+        case OwnZoneStatus.UNKNOWN:
+            return DecisionReason.UNKNOWN
+    if len(situation.other_zones) < MIN_OTHER_ZONES:
+        return DecisionReason.FEW_ZONES
+    return DecisionReason.LAST_ZONE if situation.is_last_zone else DecisionReason.ZONE_CUT_OFF
--- a/wingquay/forwarding/readiness/departure.py
+++ b/wingquay/forwarding/readiness/departure.py
@@ -2,16 +2,16 @@
 
 from enum import Enum
 
-LEAST_AWAY_SECONDS = 2.0
+MIN_AWAY_SECONDS = 2.0
 """Least time away. The platform asks each second and counts two misses in a row, so that a shorter
 time away would move nobody."""
-MOST_LEAST_AWAY_SECONDS = 4.0
+MAX_MIN_AWAY_SECONDS = 4.0
 """Where it has grown to at most: callers of a zone that is whole again wait no longer for it."""
-LEAST_IN_SECONDS = 1.0
+MIN_READY_SECONDS = 1.0
 """Least time between a return and the next leave: callers that came back move once at most."""
 FLAPPING_SECONDS = 10.0
 """A node that leaves again within this time of its return stays away twice as long."""
-MOST_AWAY_SECONDS = 10.0
+MAX_AWAY_SECONDS = 10.0
 """Time away after which a node takes callers for a while whatever it knows: if all zones were away
 by a trouble that no rule foresaw, callers would find nobody."""
 LAST_ZONE_AWAY_SECONDS = 4.0
@@ -26,7 +26,7 @@
 """Time away after which idle connections are closed: two questions have certainly been missed."""
 
 
-class CallersMove(Enum):
+class ConnectionClosing(Enum):
     """What a node that takes no callers does with the connections of those it has."""
 
     STAY = "stay"
@@ -41,7 +41,7 @@
         self._left_at: float | None = None
         self._returned_at = float("-inf")
         self._is_trial = False
-        self._least_away_seconds = LEAST_AWAY_SECONDS
+        self._least_away_seconds = MIN_AWAY_SECONDS
 
     @property
     def is_away(self) -> bool:
@@ -52,12 +52,16 @@
         """Return how long it has been away; 0: it is not."""
         return 0.0 if self._left_at is None else now - self._left_at
 
-    def callers_move(self, now: float) -> CallersMove:
+    def connection_closing(self, now: float) -> ConnectionClosing:
         """Return what becomes of callers' connections."""
         seconds = self.away_seconds(now)
         if seconds >= IDLE_CLOSING_SECONDS:
-            return CallersMove.IDLE_CLOSE
-        return CallersMove.ANSWERS_CLOSE if seconds >= CLOSING_SECONDS else CallersMove.STAY
+            return ConnectionClosing.IDLE_CLOSE
+        return (
+            ConnectionClosing.ANSWERS_CLOSE
+            if seconds >= CLOSING_SECONDS
+            else ConnectionClosing.STAY
+        )
 
     def move(self, is_to_leave: bool, now: float, is_first_zone: bool = False) -> bool:
         """Leave or return if it is time to; return whether that has changed.
@@ -72,7 +76,7 @@
         if self._left_at is None:
             return is_to_leave and self._leave(now)
         away_seconds = now - self._left_at
-        most_seconds = LAST_ZONE_AWAY_SECONDS if is_first_zone else MOST_AWAY_SECONDS
+        most_seconds = LAST_ZONE_AWAY_SECONDS if is_first_zone else MAX_AWAY_SECONDS
         is_trial = is_to_leave and away_seconds >= most_seconds
         if not is_trial and (is_to_leave or away_seconds < self._least_away_seconds):
             return False
@@ -83,10 +87,10 @@
 
     def _leave(self, now: float) -> bool:
         in_seconds = now - self._returned_at
-        if in_seconds < (TRIAL_SECONDS if self._is_trial else LEAST_IN_SECONDS):
+        if in_seconds < (TRIAL_SECONDS if self._is_trial else MIN_READY_SECONDS):
             return False
         is_flapping = in_seconds < FLAPPING_SECONDS and not self._is_trial
-        longer_seconds = min(self._least_away_seconds * 2.0, MOST_LEAST_AWAY_SECONDS)
-        self._least_away_seconds = longer_seconds if is_flapping else LEAST_AWAY_SECONDS
+        longer_seconds = min(self._least_away_seconds * 2.0, MAX_MIN_AWAY_SECONDS)
+        self._least_away_seconds = longer_seconds if is_flapping else MIN_AWAY_SECONDS
         self._left_at = now
         return True
--- a/wingquay/forwarding/readiness/node_readiness.py
+++ b/wingquay/forwarding/readiness/node_readiness.py
@@ -8,11 +8,11 @@
 from ...ports.machine import Action, Event, Exit, Log, LogLevel, Schedule
 from ..choice.replica_directory import ReplicaDirectory
 from ..settings import ForwardingSettings
-from .decision import LEAST_SHARE
-from .departure import CallersMove, Departure
+from .decision import MIN_ANSWERABLE_SHARE
+from .departure import ConnectionClosing, Departure
 from .route_demand import RouteDemand
 
-START_MOST_SECONDS = 0.3
+MAX_START_WAIT_SECONDS = 0.3
 """Time after a configuration and a replica are known at which a node that has just started takes
 callers in any case. A listing tells all at once, and news of another node follow within this time;
 replicas that are not there at all must keep no node from its other callers."""
@@ -30,7 +30,7 @@
     """A node that has just started takes callers now in any case."""
 
 
-class ServesRequests(Protocol):
+class RequestServer(Protocol):
     """What passes requests on."""
 
     is_stopping: bool
@@ -62,7 +62,7 @@
         self,
         settings: ForwardingSettings,
         directory: ReplicaDirectory,
-        requests: ServesRequests,
+        requests: RequestServer,
         asked: RouteDemand,
         departure: Departure,
     ) -> None:
@@ -74,7 +74,7 @@
         self._able_since: float | None = None
         """When a configuration and a replica were first known."""
         self._has_started = False
-        self._move = CallersMove.STAY
+        self._move = ConnectionClosing.STAY
         self._table: RoutingTable | None = None
         self._idle_seconds = 0.0
         self._stopping_since: float | None = None
@@ -100,12 +100,15 @@
         """Tell whether this node is ready, if that has changed."""
         waiting = self._start(now)
         is_ready = self.is_ready
-        move = self._departure.callers_move(now)
+        move = self._departure.connection_closing(now)
         if is_ready == self._was_ready:
             if move is self._move:
                 return waiting
             self._move = move
-            return [*waiting, self.current_forwarding(closes_idle=move is CallersMove.IDLE_CLOSE)]
+            return [
+                *waiting,
+                self.current_forwarding(closes_idle=move is ConnectionClosing.IDLE_CLOSE),
+            ]
         self._was_ready = is_ready
         self._move = move
         line = Log("ready_changed", LogLevel.INFO, (("is_ready", int(is_ready)),))
@@ -123,7 +126,7 @@
             self._idle_seconds,
         )
         is_stopping = self._stopping_since is not None
-        closes_connections = is_stopping or self._move is not CallersMove.STAY
+        closes_connections = is_stopping or self._move is not ConnectionClosing.STAY
         return SetForwarding(self.is_ready, closes_connections, limits, closes_idle)
 
     def _start(self, now: float) -> list[Action]:
@@ -133,9 +136,9 @@
         waiting: list[Action] = []
         if self._able_since is None:
             self._able_since = now
-            waiting.append(Schedule(now + START_MOST_SECONDS, ReadyDue()))
-        is_due = now >= self._able_since + START_MOST_SECONDS
-        if is_due or self._asked.share(self._table, (), now) >= LEAST_SHARE:
+            waiting.append(Schedule(now + MAX_START_WAIT_SECONDS, ReadyDue()))
+        is_due = now >= self._able_since + MAX_START_WAIT_SECONDS
+        if is_due or self._asked.share(self._table, (), now) >= MIN_ANSWERABLE_SHARE:
             self._has_started = True
             return []
         return waiting
--- a/wingquay/forwarding/readiness/peer_selector.py
+++ b/wingquay/forwarding/readiness/peer_selector.py
@@ -8,7 +8,7 @@
     from ..knowledge.node_groups import NodeGroups
 
 
-class Contacts:
+class PeerSelector:
     """The nodes to ask; none until the link to others is open.
 
     Parameters
--- a/wingquay/forwarding/readiness/reachability_monitor.py
+++ b/wingquay/forwarding/readiness/reachability_monitor.py
@@ -12,11 +12,11 @@
 from ..choice.replica_directory import ReplicaDirectory
 from ..knowledge.reachability_evidence import ReachabilityEvidence
 from ..settings import ForwardingSettings
-from .decision import OwnSide, Situation, Why, judge
+from .decision import DecisionInputs, DecisionReason, OwnZoneStatus, judge
 from .departure import Departure
-from .peer_selector import Contacts
+from .peer_selector import PeerSelector
 from .route_demand import RouteDemand
-from .zone_prober import ROUND_SECONDS, SLOW_ROUND_SECONDS, ReachCheckDue, ZoneWatch
+from .zone_prober import ROUND_SECONDS, SLOW_ROUND_SECONDS, ReachCheckDue, ZoneProber
 
 if TYPE_CHECKING:
     from ..knowledge.node_groups import NodeGroups
@@ -60,11 +60,11 @@
         self._evidence = evidence
         self._asked = asked
         self._departure = departure
-        self._contacts = Contacts(settings.zone, name)
-        self._watch = ZoneWatch(settings.zone, name, directory, evidence, self._contacts)
+        self._contacts = PeerSelector(settings.zone, name)
+        self._watch = ZoneProber(settings.zone, name, directory, evidence, self._contacts)
         self._table: RoutingTable | None = None
         self._is_store_away = False
-        self._last_why: Why | None = None
+        self._last_why: DecisionReason | None = None
 
     def set_table(self, table: RoutingTable) -> None:
         """Take in a configuration."""
@@ -96,7 +96,7 @@
     def handle(self, event: Event, now: float) -> list[Action]:
         """Take in an event after everything else has."""
         actions = self._take_in(event, now)
-        for zone in self._evidence.take_answered():
+        for zone in self._evidence.take_answered_zones():
             actions += self._watch.heard(zone, now)
         if not self._watch.is_in_doubt and self._evidence.suggests_outage(now):
             actions += self._watch.begin(now)
@@ -149,7 +149,7 @@
     def _settle(self, now: float) -> list[Action]:
         return self._settled(now)[1]
 
-    def _settled(self, now: float) -> tuple[Why, list[Action]]:
+    def _settled(self, now: float) -> tuple[DecisionReason, list[Action]]:
         """Decide, and leave or return if that is what follows."""
         situation = self._situation(now)
         why = judge(situation)
@@ -160,17 +160,20 @@
         elif why is not self._last_why and not why.is_to_leave and situation.zones_out:
             actions = [_line("callers_kept", LogLevel.INFO, why, situation)]
         self._last_why = why
-        if not self._departure.is_away and why in (Why.IN_REACH, Why.ONE_ZONE):
+        if not self._departure.is_away and why in (
+            DecisionReason.IN_REACH,
+            DecisionReason.ONE_ZONE,
+        ):
             self._watch.end()
             self._last_why = None
         return why, actions
 
-    def _situation(self, now: float) -> Situation:
+    def _situation(self, now: float) -> DecisionInputs:
         watch = self._watch
         zones_out = watch.zones_out(now)
         own_side = watch.own_side()
-        lost = {*zones_out, self._zone} if own_side is OwnSide.SILENT else set(zones_out)
-        return Situation(
+        lost = {*zones_out, self._zone} if own_side is OwnZoneStatus.SILENT else set(zones_out)
+        return DecisionInputs(
             watch.other_zones(),
             zones_out,
             own_side,
@@ -190,7 +193,7 @@
         return 1.0 if self._table is None else self._asked.share(self._table, zones_out, now)
 
     def _moved(
-        self, why: Why, situation: Situation, away_seconds: float, now: float
+        self, why: DecisionReason, situation: DecisionInputs, away_seconds: float, now: float
     ) -> list[Action]:
         """Say that this node has left, or has come back."""
         if self._departure.is_away:
@@ -205,7 +208,11 @@
 
 
 def _line(
-    message: str, level: str, why: Why, situation: Situation, *fields: tuple[str, float]
+    message: str,
+    level: str,
+    why: DecisionReason,
+    situation: DecisionInputs,
+    *fields: tuple[str, float],
 ) -> Log:
     """Return a log line with what was decided on."""
     known = (
--- a/wingquay/forwarding/readiness/route_demand.py
+++ b/wingquay/forwarding/readiness/route_demand.py
@@ -6,7 +6,7 @@
 from ...model.routing_table import Route, RoutingTable
 from ..choice.replica_directory import ReplicaDirectory
 
-ASKED_MEMORY_SECONDS = 60.0
+DEMAND_DECAY_SECONDS = 60.0
 """Time constant with which requests are forgotten. A node of a large fleet takes one in two or
 three seconds: in ten seconds it sees too few to know what callers ask, so that the nodes of a zone
 that was cut off judged apart (10 of 18 stayed), and half a zone that leaves helps nobody."""
@@ -67,4 +67,4 @@
 
     def _weight(self, key: tuple[str, str], now: float) -> float:
         requests, counted_at = self._asked.get(key, (0.0, now))
-        return requests * math.exp(-(now - counted_at) / ASKED_MEMORY_SECONDS)
+        return requests * math.exp(-(now - counted_at) / DEMAND_DECAY_SECONDS)
--- a/wingquay/forwarding/readiness/suspicion.py
+++ b/wingquay/forwarding/readiness/suspicion.py
@@ -6,19 +6,19 @@
 
 
 @dataclass(slots=True)
-class KnownZone:
+class ZoneState:
     """What is known of a zone."""
 
     failures: int = 0
     """Tries that failed since it answered last."""
     heard_at: float = float("-inf")
-    vouched_at: float = float("-inf")
+    neighbour_evidence_at: float = float("-inf")
     """When another node last said that it has reached the zone before, and does not now."""
     next_replica: int | None = None
 
 
 @dataclass(slots=True)
-class Doubt:
+class ReachabilityCheck:
     """One time in which it is looked into what is in reach."""
 
     begun_at: float
--- a/wingquay/forwarding/readiness/zone_prober.py
+++ b/wingquay/forwarding/readiness/zone_prober.py
@@ -15,28 +15,28 @@
 from ..choice.replica_directory import ReplicaDirectory
 from ..choice.replica_state import ReplicaState
 from ..knowledge.reachability_evidence import ReachabilityEvidence
-from .decision import OwnSide
-from .peer_selector import Contacts
-from .suspicion import Doubt, KnownZone
+from .decision import OwnZoneStatus
+from .peer_selector import PeerSelector
+from .suspicion import ReachabilityCheck, ZoneState
 
 ROUND_SECONDS = 0.25
 """Time between two rounds of tries, and time for nodes to say that they are there: a try takes up
 to 0.04 s, and a zone should be left, and taken back, within a second."""
 SLOW_ROUND_SECONDS = 1.0
 """The same for a node that stays although no other zone is in reach."""
-TRIES = 2
+PROBES_PER_ZONE = 2
 """Connections tried in each zone in a round; one alone may meet a replica that has just ended."""
-FRESH_SECONDS = 0.5
+FRESH_ANSWER_SECONDS = 0.5
 """Time for which it is not looked into again that a zone has answered."""
-ANSWERED_SECONDS = 0.9
+PROBE_PAUSE_SECONDS = 0.9
 """Time for which a zone that has answered is not tried again while this node waits for its least
 time away: each try that succeeds is a connection at a replica."""
 CONTRADICTION_SECONDS = 1.5
 """Time for which the word of a node that reaches other zones counts: some rounds of its own."""
-VOUCHED_SECONDS = 8.0
+NEIGHBOUR_EVIDENCE_SECONDS = 8.0
 """Time for which the word of a node counts that it has reached a zone before: longer than cuts that
 are to be bridged last."""
-MOST_ASKERS = 16
+MAX_PENDING_QUERIES = 16
 """Nodes that are told what was found out; others hear it from these."""
 
 
@@ -48,7 +48,7 @@
     due_at: float
 
 
-class ZoneWatch:
+class ZoneProber:
     """The zones in reach, as far as there is doubt.
 
     Parameters
@@ -69,21 +69,21 @@
         name: str,
         directory: ReplicaDirectory,
         evidence: ReachabilityEvidence,
-        contacts: Contacts,
+        contacts: PeerSelector,
     ) -> None:
         self._zone = zone
         self._name = name
         self._directory = directory
         self._evidence = evidence
         self._contacts = contacts
-        self._zones: dict[str, KnownZone] = {}
+        self._zones: dict[str, ZoneState] = {}
         self._met: set[str] = set()
         """Zones of which a node has ever spoken to this one."""
         self._replicas: dict[str, list[ReplicaState]] = {}
         """The replicas that may get work by zone, as of the present round."""
         self._tried: dict[str, str] = {}
         """Zones of the replicas to which a connection is being tried, by id."""
-        self._doubt: Doubt | None = None
+        self._doubt: ReachabilityCheck | None = None
         self._round = 0
         self._round_ends_at = float("-inf")
 
@@ -121,12 +121,12 @@
             if self._of(zone).heard_at >= self._doubt.begun_at and not self._of(zone).failures
         )
 
-    def own_side(self) -> OwnSide:
+    def own_side(self) -> OwnZoneStatus:
         """Return what answers of the own zone."""
         if self._of(self._zone).heard_at >= self.began_at:
-            return OwnSide.IN_REACH
+            return OwnZoneStatus.IN_REACH
         has_others = self._zone in self._replicas or bool(self._contacts.neighbours())
-        return OwnSide.SILENT if has_others else OwnSide.UNKNOWN
+        return OwnZoneStatus.SILENT if has_others else OwnZoneStatus.UNKNOWN
 
     def contradicted_by(self, now: float) -> str:
         """Return a node of the own zone that reaches others; empty: none says so."""
@@ -142,8 +142,8 @@
         self._replicas = self._directory.by_zone(now)
         if not self.other_zones():
             return []
-        self._doubt = Doubt(now)
-        self._evidence.begin()
+        self._doubt = ReachabilityCheck(now)
+        self._evidence.begin_check()
         for zone in self._zones.values():
             zone.failures = 0
         return self.next_round(now)
@@ -151,7 +151,7 @@
     def end(self) -> None:
         """Take in that other zones are in reach, and that this node takes callers."""
         self._doubt = None
-        self._evidence.end()
+        self._evidence.end_check()
 
     def next_round(
         self, now: float, seconds: float = ROUND_SECONDS, asks: bool = True
@@ -215,7 +215,7 @@
     def _near_news(self, sender: NodeIdentity, news: ReachNews, now: float) -> list[Action]:
         """Take in the word of a node of the own zone."""
         for zone in news.out_zones:
-            self._of(zone).vouched_at = now
+            self._of(zone).neighbour_evidence_at = now
         actions = self.begin(now) if news.out_zones else []
         doubt = self._doubt
         if doubt is None:
@@ -223,7 +223,7 @@
         if news.in_zones:
             doubt.contradicted_by = sender.node_id
             doubt.contradicted_at = now
-        if news.is_question and len(doubt.askers) < MOST_ASKERS:
+        if news.is_question and len(doubt.askers) < MAX_PENDING_QUERIES:
             doubt.askers[sender.node_id] = sender
         # What the other node has reached before may be all that was missing.
         return [*actions, *self._ask(now)]
@@ -256,11 +256,11 @@
         heard_at = self._of(zone).heard_at
         if zone == self._zone:
             return heard_at >= self.began_at
-        return now - heard_at < ANSWERED_SECONDS
+        return now - heard_at < PROBE_PAUSE_SECONDS
 
     def _is_silent(self, zone: str) -> bool:
         """Whether the latest tries in a zone all failed."""
-        tries = min(TRIES, len(self._replicas.get(zone, [])))
+        tries = min(PROBES_PER_ZONE, len(self._replicas.get(zone, [])))
         return self._of(zone).failures >= tries
 
     def _was_reached(self, zone: str, now: float) -> bool:
@@ -268,7 +268,7 @@
         known = self._of(zone)
         if zone in self._met or known.heard_at > float("-inf"):
             return True
-        if now - known.vouched_at < VOUCHED_SECONDS:
+        if now - known.neighbour_evidence_at < NEIGHBOUR_EVIDENCE_SECONDS:
             return True
         return any(state.answered_at > float("-inf") for state in self._replicas.get(zone, []))
 
@@ -277,7 +277,7 @@
         return tuple(
             name
             for name, zone in sorted(self._zones.items())
-            if name != self._zone and now - zone.heard_at < FRESH_SECONDS
+            if name != self._zone and now - zone.heard_at < FRESH_ANSWER_SECONDS
         )
 
     def _tries(self, zone: str) -> list[Action]:
@@ -287,12 +287,12 @@
         if known.next_replica is None:
             known.next_replica = zlib.crc32(self._name.encode()) % len(replicas)
         actions: list[Action] = []
-        for offset in range(min(TRIES, len(replicas))):
+        for offset in range(min(PROBES_PER_ZONE, len(replicas))):
             record = replicas[(known.next_replica + offset) % len(replicas)].record
             self._tried[record.life] = zone
             actions.append(OpenConnection(record))
-        known.next_replica += TRIES
+        known.next_replica += PROBES_PER_ZONE
         return actions
 
-    def _of(self, zone: str) -> KnownZone:
-        return self._zones.setdefault(zone, KnownZone())
+    def _of(self, zone: str) -> ZoneState:
+        return self._zones.setdefault(zone, ZoneState())
