--- a/tests/forwarding/readiness/test_decision.py
+++ b/tests/forwarding/readiness/test_decision.py
@@ -11,7 +11,7 @@
     DecisionInputs,
     DecisionReason,
     OwnZoneStatus,
-    judge,
+    decide,
 )
 from wingquay.forwarding.readiness.departure import (
     IDLE_CLOSING_SECONDS,
@@ -50,7 +50,7 @@
     ({"other_zones": (), "zones_out": ()}, DecisionReason.ONE_ZONE),
     ({"other_zones": ("a",), "zones_out": ("a",)}, DecisionReason.FEW_ZONES),
     ({"contradicted_by": "b-2"}, DecisionReason.NEIGHBOURS_REACH),
-    ({"share_here": 0.9}, DecisionReason.HOLDS_ENOUGH),
+    ({"share_here": 0.9}, DecisionReason.ENOUGH_ANSWERABLE),
     ({"share_here": 0.85}, DecisionReason.ZONE_CUT_OFF),
     ({"share_here": 0.7, "share_elsewhere": 0.75}, DecisionReason.NO_GAIN),
     ({"share_elsewhere": 0.1}, DecisionReason.NO_GAIN),
@@ -73,51 +73,51 @@
     def test_each_case(self) -> None:
         for fields, why in CASES:
             with self.subTest(**fields):
-                self.assertIs(why, judge(situation(**fields)))
+                self.assertIs(why, decide(situation(**fields)))
 
     def test_only_two_reasons_make_it_leave(self) -> None:
-        leaving = {why for why in DecisionReason if why.is_to_leave}
+        leaving = {why for why in DecisionReason if why.should_leave}
         self.assertEqual({DecisionReason.ZONE_CUT_OFF, DecisionReason.NODE_CUT_OFF}, leaving)
 
 
 class DepartureTest(TestCase):
     def test_it_stays_away_for_the_least_time(self) -> None:
         departure = Departure()
-        self.assertTrue(departure.move(True, 10.0))
-        self.assertFalse(departure.move(False, 10.0 + MIN_AWAY_SECONDS - 0.1))
-        self.assertTrue(departure.move(False, 10.0 + MIN_AWAY_SECONDS))
+        self.assertTrue(departure.update(True, 10.0))
+        self.assertFalse(departure.update(False, 10.0 + MIN_AWAY_SECONDS - 0.1))
+        self.assertTrue(departure.update(False, 10.0 + MIN_AWAY_SECONDS))
         self.assertFalse(departure.is_away)
 
     def test_it_stays_in_for_the_least_time_and_away_longer_each_time(self) -> None:
         departure = Departure()
         now = 10.0
         for seconds in (2.0, 4.0, MAX_MIN_AWAY_SECONDS, MAX_MIN_AWAY_SECONDS):
-            self.assertTrue(departure.move(True, now))
-            self.assertFalse(departure.move(False, now + seconds - 0.01))
-            self.assertTrue(departure.move(False, now + seconds))
-            self.assertFalse(departure.move(True, now + seconds + MIN_READY_SECONDS - 0.01))
+            self.assertTrue(departure.update(True, now))
+            self.assertFalse(departure.update(False, now + seconds - 0.01))
+            self.assertTrue(departure.update(False, now + seconds))
+            self.assertFalse(departure.update(True, now + seconds + MIN_READY_SECONDS - 0.01))
             now += seconds + MIN_READY_SECONDS
 
     def test_it_takes_callers_for_a_trial_whatever_it_knows(self) -> None:
         for is_first_zone, seconds in ((False, MAX_AWAY_SECONDS), (True, LAST_ZONE_AWAY_SECONDS)):
             departure = Departure()
-            departure.move(True, 0.0, is_first_zone)
-            self.assertFalse(departure.move(True, seconds - 0.1, is_first_zone))
-            self.assertTrue(departure.move(True, seconds, is_first_zone))
-            self.assertFalse(departure.move(True, seconds + TRIAL_SECONDS - 0.1, is_first_zone))
-            self.assertTrue(departure.move(True, seconds + TRIAL_SECONDS, is_first_zone))
+            departure.update(True, 0.0, is_first_zone)
+            self.assertFalse(departure.update(True, seconds - 0.1, is_first_zone))
+            self.assertTrue(departure.update(True, seconds, is_first_zone))
+            self.assertFalse(departure.update(True, seconds + TRIAL_SECONDS - 0.1, is_first_zone))
+            self.assertTrue(departure.update(True, seconds + TRIAL_SECONDS, is_first_zone))
 
     def test_callers_move_once_new_ones_go_elsewhere(self) -> None:
         departure = Departure()
-        self.assertIs(ConnectionClosing.STAY, departure.connection_closing(0.0))
-        departure.move(True, 0.0)
-        self.assertIs(ConnectionClosing.STAY, departure.connection_closing(0.9))
-        self.assertIs(ConnectionClosing.ANSWERS_CLOSE, departure.connection_closing(1.0))
+        self.assertIs(ConnectionClosing.KEEP, departure.connection_closing(0.0))
+        departure.update(True, 0.0)
+        self.assertIs(ConnectionClosing.KEEP, departure.connection_closing(0.9))
+        self.assertIs(ConnectionClosing.CLOSE_AFTER_RESPONSE, departure.connection_closing(1.0))
         self.assertIs(
-            ConnectionClosing.IDLE_CLOSE, departure.connection_closing(IDLE_CLOSING_SECONDS)
+            ConnectionClosing.CLOSE_IDLE, departure.connection_closing(IDLE_CLOSING_SECONDS)
         )
-        departure.move(False, 3.0)
-        self.assertIs(ConnectionClosing.STAY, departure.connection_closing(3.0))
+        departure.update(False, 3.0)
+        self.assertIs(ConnectionClosing.KEEP, departure.connection_closing(3.0))
 
 
 class ShareTest(TestCase):
@@ -144,12 +144,12 @@
 
     def test_routes_count_by_requests_which_are_forgotten(self) -> None:
         for _ in range(3):
-            self.asked.count(self.narrow, 0.0)
-        self.asked.count(self.wide, 0.0)
+            self.asked.record(self.narrow, 0.0)
+        self.asked.record(self.wide, 0.0)
         self.assertAlmostEqual(0.25, self.share("c"))
         later = 3 * DEMAND_DECAY_SECONDS
         for _ in range(3):
-            self.asked.count(self.wide, later)
+            self.asked.record(self.wide, later)
         self.assertGreater(self.share("c", now=later), 0.9)
 
     def test_nodes_that_see_few_requests_judge_alike(self) -> None:
@@ -160,7 +160,7 @@
             self.asked = RouteDemand(self.directory)
             for number in range(22):
                 route = self.wide if chance.random() < 0.4 else self.narrow
-                self.asked.count(route, number * 1.5)
+                self.asked.record(route, number * 1.5)
             judged.append(self.share("a", "b", now=33.0) >= MIN_ANSWERABLE_SHARE)
         self.assertEqual([False] * 18, judged)
 
@@ -175,6 +175,6 @@
         self.assertEqual(1.0, self.share("a", "b", "c"))
 
     def test_a_new_configuration_forgets_old_routes(self) -> None:
-        self.asked.count(self.narrow, 0.0)
+        self.asked.record(self.narrow, 0.0)
         self.asked.keep_only((self.wide,))
         self.assertEqual(0.5, self.share("c"))
--- a/wingquay/forwarding/knowledge/node_groups.py
+++ b/wingquay/forwarding/knowledge/node_groups.py
@@ -84,8 +84,8 @@
         """Return a number that is another whenever other nodes can be asked."""
         if now >= self._valid_until:
             self._changed()
-            later = [item.suspect_until for item in self._members.values()]
-            self._valid_until = min([at for at in later if at > now], default=float("inf"))
+            suspect_ends = [item.suspect_until for item in self._members.values()]
+            self._valid_until = min([at for at in suspect_ends if at > now], default=float("inf"))
         return self._version
 
     def put(self, name: str, record: NodeRecord | None) -> None:
@@ -162,12 +162,12 @@
 
     def usable_by_zone(self, now: float) -> dict[str, list[GroupNode]]:
         """Return the nodes of each zone that can be asked now, this one included."""
-        found: dict[str, list[GroupNode]] = {}
+        by_zone: dict[str, list[GroupNode]] = {}
         for name, member in self._members.items():
             if name == self._name or now >= member.suspect_until:
                 zone = member.record.identity.zone
-                found.setdefault(zone, []).append(GroupNode(name, member.record))
-        return found
+                by_zone.setdefault(zone, []).append(GroupNode(name, member.record))
+        return by_zone
 
     def reachable(self, now: float) -> list[NodeIdentity]:
         """Return the other nodes that can be asked now, sorted by name."""
@@ -206,8 +206,8 @@
         if len(names) >= self._settings.update_group_min_nodes or self._name not in self._members:
             return names
         names = sorted(self._members)
-        place = names.index(self._name)
-        around = names[place:] + names[:place]
+        position = names.index(self._name)
+        around = names[position:] + names[:position]
         return sorted(around[: self._settings.update_max_recipients])
 
     def _group_names(self) -> list[str]:
@@ -220,7 +220,9 @@
         )
         groups = max(1, round(len(names) / math.sqrt(self._fan_out)))
         own = names.index(self._name) * groups // len(names)
-        return [name for place, name in enumerate(names) if place * groups // len(names) == own]
+        return [
+            name for position, name in enumerate(names) if position * groups // len(names) == own
+        ]
 
     def _changed(self) -> None:
         self._version += 1
--- a/wingquay/forwarding/knowledge/node_membership.py
+++ b/wingquay/forwarding/knowledge/node_membership.py
@@ -56,7 +56,7 @@
         self._setup = PeerSetup(settings, formats.cluster_key, candidate)
         self._link_waits = 0
         self._table_waits = 0
-        self._is_early = True
+        self._has_not_waited = True
         """Whether the first moment at which the key may be written has yet to come."""
         self._opened_at = float("-inf")
         self._known_at_opening = 0
@@ -93,9 +93,9 @@
             return [Schedule(now + TABLE_WAIT_SECONDS, event)]
         if table is None:
             return self._without_link(event, now)
-        if self._is_early and not self._setup.needs_early_link(table):
+        if self._has_not_waited and not self._setup.needs_early_link(table):
             settings = self._settings
-            return self._later(settings.join_delay_seconds, event, now)
+            return self._wait_once(settings.join_delay_seconds, event, now)
         if is_open:
             return self._presence.handle(event, now)
         self._link_waits += 1
@@ -105,15 +105,15 @@
 
     def _without_link(self, event: PresenceDue, now: float) -> list[Action]:
         """Write the key of a node without a configuration, which other nodes cannot reach yet."""
-        if self._is_early:
-            return self._later(self._settings.presence_delay_seconds, event, now)
+        if self._has_not_waited:
+            return self._wait_once(self._settings.presence_delay_seconds, event, now)
         return self._presence.handle(event, now)
 
-    def _later(self, delay_seconds: float, event: PresenceDue, now: float) -> list[Action]:
+    def _wait_once(self, delay_seconds: float, event: PresenceDue, now: float) -> list[Action]:
         """Wait until so long after the start, once."""
-        self._is_early = False
-        wait_seconds = delay_seconds - self._settings.join_wide_delay_seconds
-        return [Schedule(now + max(0.0, wait_seconds), event)]
+        self._has_not_waited = False
+        delay_left_seconds = delay_seconds - self._settings.join_wide_delay_seconds
+        return [Schedule(now + max(0.0, delay_left_seconds), event)]
 
     def handle_link_opened(
         self, event: PeerLinkOpened, table: RoutingTable | None, now: float
--- a/wingquay/forwarding/knowledge/poll_schedule.py
+++ b/wingquay/forwarding/knowledge/poll_schedule.py
@@ -18,16 +18,16 @@
     """
 
     def __init__(
-        self, settings: FollowerSettings, hooks: FollowerHooks, keeper: ProofManager
+        self, settings: FollowerSettings, hooks: FollowerHooks, proof_manager: ProofManager
     ) -> None:
         self._settings = settings
         self._hooks = hooks
-        self._keeper = keeper
+        self._proof_manager = proof_manager
         self._has_received_update = False
         """Whether news of another node were taken in since the last look."""
         self._got_no_updates = False
         """Whether none were before that look: those that go first may be turned away."""
-        self.gather_seconds = settings.poll_interval_seconds
+        self.wanted_interval_seconds = settings.poll_interval_seconds
         """Time between two looks that is wanted at present."""
         self.failed_polls = 0
         """Looks that were lost, one after the other."""
@@ -35,20 +35,20 @@
     @property
     def is_urgent(self) -> bool:
         """Whether looks are wanted more often than usual."""
-        return self.gather_seconds < self._settings.poll_interval_seconds
+        return self.wanted_interval_seconds < self._settings.poll_interval_seconds
 
     @property
     def interval_seconds(self) -> float:
         """Least time between two looks, shorter where others go by what this node reads."""
-        proving = self._keeper.poll_times
+        proving = self._proof_manager.poll_times
         if self._uses_long_polls and self._hooks.shares_updates():
             shared_seconds = self._settings.shared_poll_interval_seconds
             if proving is not None:
                 shared_seconds = proving.shared_poll_interval_seconds
-            return min(self.gather_seconds, shared_seconds)
+            return min(self.wanted_interval_seconds, shared_seconds)
         if proving is None:
-            return self.gather_seconds
-        return min(self.gather_seconds, proving.own_poll_seconds - self.hold_seconds)
+            return self.wanted_interval_seconds
+        return min(self.wanted_interval_seconds, proving.own_poll_seconds - self.hold_seconds)
 
     @property
     def hold_seconds(self) -> float:
@@ -59,17 +59,17 @@
         """
         if not self._uses_long_polls or self.failed_polls:
             return 0.0
-        proving = self._keeper.poll_times
+        proving = self._proof_manager.poll_times
         return self._settings.poll_times.hold_seconds if proving is None else proving.hold_seconds
 
     def timeout_seconds(self, hold_seconds: float) -> float:
         """Return after which time a look counts as lost that the store may hold for so long."""
-        look = self._keeper.poll_times or self._settings.poll_times
+        look = self._proof_manager.poll_times or self._settings.poll_times
         return look.long_poll_timeout_seconds if hold_seconds > 0.0 else look.timeout_seconds
 
     def max_pause_seconds(self, now: float) -> float:
         """Return for how long the next look may be put off."""
-        return max(self._keeper.poll_deadline() - self.hold_seconds - now, 0.0)
+        return max(self._proof_manager.poll_deadline() - self.hold_seconds - now, 0.0)
 
     def backoff_seconds(self, is_listed: bool) -> float:
         """Return the pause after a look that was lost, longer each time in a row.
--- a/wingquay/forwarding/knowledge/poll_times.py
+++ b/wingquay/forwarding/knowledge/poll_times.py
@@ -26,7 +26,7 @@
 """Time left for requests that are on their way to a replica that counts as gone."""
 
 
-def expiry_grace_seconds(gather_seconds: float, drain_seconds: float) -> float:
+def expiry_grace_seconds(poll_interval_seconds: float, drain_seconds: float) -> float:
     """Return how long a replica whose record lapsed in an outage may still get work.
 
     That is until its record would be back and seen, but always within the time after which a
@@ -39,7 +39,7 @@
     drain_seconds
         Time after which a replica that the store says is leaving must get nothing more.
     """
-    back_seconds = REWRITE_SECONDS + gather_seconds + POLL_SECONDS
+    back_seconds = REWRITE_SECONDS + poll_interval_seconds + POLL_SECONDS
     return max(min(back_seconds, drain_seconds - IN_FLIGHT_RESERVE_SECONDS), 0.0)
 
 
--- a/wingquay/forwarding/knowledge/proof_manager.py
+++ b/wingquay/forwarding/knowledge/proof_manager.py
@@ -10,7 +10,7 @@
 from .proof_poll_times import MAX_RANK_SECONDS, ProofPollTimes
 from .proof_requests import ReceivedProofRequests, SentProofRequests
 
-LATE_REASON = "no look was answered and nobody told of one"
+NO_POLL_REASON = "no look was answered and nobody told of one"
 
 
 class ProofManager:
@@ -41,8 +41,8 @@
         self._looks = looks
         self._rank_seconds = rank_seconds
         self._timed = None if looks is None else TimedProof(looks.bound_seconds, next_answer_at)
-        self._asks = SentProofRequests(first_number)
-        self._heard = ReceivedProofRequests()
+        self._sent = SentProofRequests(first_number)
+        self._received = ReceivedProofRequests()
         self._has_tenants = False
         self._lost_at: float | None = None
         """When it was noticed that the configuration is not proven; ``None``: it is."""
@@ -83,8 +83,8 @@
         """
         if self._timed is None or begun_at is None:
             return []
-        told = self._heard.answers(begun_at, store_revision, now)
-        return [*self._prove(self._timed, begun_at, now), *told]
+        told = self._received.answers(begun_at, store_revision, now)
+        return [*self._extend_proof(self._timed, begun_at, now), *told]
 
     def poll_failed(self, reason: str) -> None:
         """Take in why nothing may be proven for a while."""
@@ -100,11 +100,11 @@
         """
         if self.poll_times is None:
             return []
-        return [*self.check(now), *self._asks.send_requests(listeners(), now)]
+        return [*self.check(now), *self._sent.send_requests(listeners(), now)]
 
     def handle_update_from(self, sender: NodeIdentity, now: float) -> list[Action]:
         """Take in that another node has told what it has read."""
-        return [] if self.poll_times is None else self._asks.handle_update_from(sender, now)
+        return [] if self.poll_times is None else self._sent.handle_update_from(sender, now)
 
     def handle_request(
         self, sender: NodeIdentity, ask: AskProof, known_revision: int | None, now: float
@@ -112,7 +112,7 @@
         """Take in that another node asks, and tell it at once what is proven here."""
         if self._timed is None:
             return []
-        self._heard.record(sender, ask, now)
+        self._received.record(sender, ask, now)
         if known_revision is None or not self._timed.is_proven(now):
             return []
         held_seconds = self._timed.proven_as_of - now
@@ -122,28 +122,28 @@
         self, sender: NodeIdentity, given: ProofGiven, known_revision: int | None, now: float
     ) -> list[Action]:
         """Take in what another node's look proves, if all that it has told is known."""
-        as_of = self._asks.proven_as_of(sender, given, now)
+        as_of = self._sent.proven_as_of(sender, given, now)
         is_known = known_revision is not None and known_revision >= given.store_revision
         if self._timed is None or as_of is None or not is_known:
             return []
-        return self._prove(self._timed, as_of, now)
+        return self._extend_proof(self._timed, as_of, now)
 
     def link_broken(self, event: PeerLinkBroken) -> None:
         """Take in that a link broke: what was asked over it may be lost."""
         if event.was_open:
-            self._asks.link_broken(event.node_id)
-            self._heard.link_broken(event.node_id)
+            self._sent.link_broken(event.node_id)
+            self._received.link_broken(event.node_id)
 
     def age_seconds(self, now: float) -> float:
         """Return how long ago the configuration was the one in force at least."""
         return float("inf") if self._timed is None else now - self._timed.proven_as_of
 
-    def _prove(self, timed: TimedProof, as_of: float, now: float) -> list[Action]:
+    def _extend_proof(self, timed: TimedProof, as_of: float, now: float) -> list[Action]:
         age_seconds = now - timed.proven_as_of
         if not timed.extend(as_of, now):
             return []
         lines = self.check(now)
-        self._reason = LATE_REASON
+        self._reason = NO_POLL_REASON
         if self.poll_times is None or age_seconds == float("inf"):
             return lines
         return [*lines, Observe("configuration_proof_age_seconds", age_seconds)]
@@ -153,17 +153,17 @@
         if self._timed is None or self.poll_times is None:
             return []
         if self._timed.is_proven(now):
-            return self._back(now)
-        return self._lost(self._timed, now) if self._lost_at is None else []
+            return self._proof_regained(now)
+        return self._proof_lost(self._timed, now) if self._lost_at is None else []
 
-    def _back(self, now: float) -> list[Action]:
+    def _proof_regained(self, now: float) -> list[Action]:
         lost_at, self._lost_at = self._lost_at, None
         if lost_at is None:
             return []
         fields = (("unproven_ms", _milliseconds(now - lost_at)),)
         return [Log("configuration_proven", LogLevel.INFO, fields)]
 
-    def _lost(self, timed: TimedProof, now: float) -> list[Action]:
+    def _proof_lost(self, timed: TimedProof, now: float) -> list[Action]:
         self._lost_at = now
         age_seconds = now - timed.proven_as_of
         age_ms = -1 if age_seconds == float("inf") else _milliseconds(age_seconds)
--- a/wingquay/forwarding/knowledge/proof_poll_times.py
+++ b/wingquay/forwarding/knowledge/proof_poll_times.py
@@ -62,7 +62,10 @@
 
 
 def proof_poll_times_within(
-    bound_seconds: float, way: ProofPollMode, look: PollTimes, shared_poll_interval_seconds: float
+    bound_seconds: float,
+    mode: ProofPollMode,
+    poll_times: PollTimes,
+    shared_poll_interval_seconds: float,
 ) -> ProofPollTimes:
     """Return looks by which one may fail and be tried again before the bound.
 
@@ -76,21 +79,23 @@
         Least time between two looks of a node that looks for others without the bound.
     """
     timeout_seconds = min(
-        LONG_POLL_ANSWER_SECONDS, look.timeout_seconds, bound_seconds * MAX_TIMEOUT_SHARE
+        LONG_POLL_ANSWER_SECONDS, poll_times.timeout_seconds, bound_seconds * MAX_TIMEOUT_SHARE
+    )
+    try_seconds = min(
+        timeout_seconds + poll_times.first_backoff_seconds, bound_seconds * MAX_RETRY_SHARE
     )
-    try_seconds = min(timeout_seconds + look.first_backoff_seconds, bound_seconds * MAX_RETRY_SHARE)
     reserve_seconds = min(
         RETRY_ANSWER_SECONDS + MAX_RANK_SECONDS + BOUND_RESERVE_SECONDS,
         bound_seconds * MAX_RESERVE_SHARE,
     )
     own_poll_seconds = bound_seconds - try_seconds - reserve_seconds
-    if way is ProofPollMode.SHORT:
+    if mode is ProofPollMode.SHORT:
         shared_seconds = own_poll_seconds * SHORT_POLL_SHARE
         return ProofPollTimes(
             bound_seconds, own_poll_seconds, shared_seconds, 0.0, timeout_seconds, timeout_seconds
         )
     most_seconds = own_poll_seconds * MAX_HOLD_SHARE
-    hold_seconds = min(MAX_PROOF_HOLD_SECONDS, look.hold_seconds, most_seconds)
+    hold_seconds = min(MAX_PROOF_HOLD_SECONDS, poll_times.hold_seconds, most_seconds)
     return ProofPollTimes(
         bound_seconds,
         own_poll_seconds,
--- a/wingquay/forwarding/knowledge/proof_requests.py
+++ b/wingquay/forwarding/knowledge/proof_requests.py
@@ -29,8 +29,8 @@
 class _PeerState:
     """When another node was asked last, and when it last gave a proof."""
 
-    asked_at: float
-    given_at: float = float("-inf")
+    requested_at: float
+    answered_at: float = float("-inf")
 
 
 class SentProofRequests:
@@ -45,7 +45,7 @@
     def __init__(self, first_number: int) -> None:
         self._number = first_number
         self._sent_at: dict[int, float] = {}
-        self._asked: dict[str, _PeerState] = {}
+        self._peers: dict[str, _PeerState] = {}
 
     def send_requests(self, nodes: Collection[NodeIdentity], now: float) -> list[Action]:
         """Ask the nodes that were not asked for a while."""
@@ -56,17 +56,17 @@
         self._number += 1
         self._sent_at[self._number] = now
         for node in due:
-            self._asked[node.node_id] = _PeerState(now)
+            self._peers[node.node_id] = _PeerState(now)
         return [SendToPeer(node, AskProof(self._number)) for node in due]
 
     def handle_update_from(self, node: NodeIdentity, now: float) -> list[Action]:
         """Ask a node that tells what it has read, if it has never heard that it is asked."""
-        asked = self._asked.get(node.node_id)
-        if asked is not None:
-            is_heard = asked.given_at >= asked.asked_at
-            if is_heard or now - asked.asked_at < REPEAT_SECONDS:
+        peer = self._peers.get(node.node_id)
+        if peer is not None:
+            is_answered = peer.answered_at >= peer.requested_at
+            if is_answered or now - peer.requested_at < REPEAT_SECONDS:
                 return []
-            del self._asked[node.node_id]
+            del self._peers[node.node_id]
         return self.send_requests([node], now)
 
     def proven_as_of(self, sender: NodeIdentity, given: ProofGiven, now: float) -> float | None:
@@ -77,18 +77,18 @@
         sent_at = self._sent_at.get(given.number)
         if sent_at is None or now - sent_at > REQUEST_VALID_SECONDS:
             return None
-        asked = self._asked.get(sender.node_id)
-        if asked is not None:
-            asked.given_at = now
+        peer = self._peers.get(sender.node_id)
+        if peer is not None:
+            peer.answered_at = now
         return sent_at + given.held_seconds
 
     def link_broken(self, node_id: str) -> None:
         """Take in that asks to a node may be lost."""
-        self._asked.pop(node_id, None)
+        self._peers.pop(node_id, None)
 
     def _is_due(self, node: NodeIdentity, now: float) -> bool:
-        asked = self._asked.get(node.node_id)
-        return asked is None or now - asked.asked_at >= REQUEST_INTERVAL_SECONDS
+        peer = self._peers.get(node.node_id)
+        return peer is None or now - peer.requested_at >= REQUEST_INTERVAL_SECONDS
 
     def _forget_old(self, now: float) -> None:
         for number in [
@@ -96,9 +96,11 @@
         ]:
             del self._sent_at[number]
         for name in [
-            key for key, item in self._asked.items() if now - item.asked_at > REQUEST_VALID_SECONDS
+            key
+            for key, item in self._peers.items()
+            if now - item.requested_at > REQUEST_VALID_SECONDS
         ]:
-            del self._asked[name]
+            del self._peers[name]
 
 
 @value
@@ -114,23 +116,23 @@
     """The asks of other nodes, which this node answers after each look of its own."""
 
     def __init__(self) -> None:
-        self._asks: dict[str, _ReceivedRequest] = {}
+        self._requests: dict[str, _ReceivedRequest] = {}
 
     def record(self, sender: NodeIdentity, ask: AskProof, now: float) -> None:
         """Take in that a node asks."""
-        if sender.node_id in self._asks or len(self._asks) < MAX_REQUESTING_NODES:
-            self._asks[sender.node_id] = _ReceivedRequest(sender, ask.number, now)
+        if sender.node_id in self._requests or len(self._requests) < MAX_REQUESTING_NODES:
+            self._requests[sender.node_id] = _ReceivedRequest(sender, ask.number, now)
 
     def answers(self, begun_at: float, store_revision: int, now: float) -> list[Action]:
         """Return what the nodes that ask are told of a look which was begun at a moment."""
-        for node_id, ask in list(self._asks.items()):
+        for node_id, ask in list(self._requests.items()):
             if now - ask.received_at > REQUEST_VALID_SECONDS:
-                del self._asks[node_id]
+                del self._requests[node_id]
         return [
             SendToPeer(ask.node, ProofGiven(ask.number, begun_at - ask.received_at, store_revision))
-            for ask in self._asks.values()
+            for ask in self._requests.values()
         ]
 
     def link_broken(self, node_id: str) -> None:
         """Take in that a node may be gone; it asks again when it is back."""
-        self._asks.pop(node_id, None)
+        self._requests.pop(node_id, None)
--- a/wingquay/forwarding/knowledge/reachability_evidence.py
+++ b/wingquay/forwarding/knowledge/reachability_evidence.py
@@ -6,7 +6,7 @@
 
 MIN_FAILED_TARGETS = 2
 """Replicas and nodes out of reach from which on a zone may be: one is a crash, as happens daily."""
-MEMORY_SECONDS = 1.0
+FAILURE_MEMORY_SECONDS = 1.0
 """Time for which a failure counts: a cut shows itself by the first requests after it, and a busy
 node sees several within a tenth of a second."""
 
@@ -52,5 +52,7 @@
         """Whether enough failed lately that zones may be out of reach."""
         if len(self._failed) < MIN_FAILED_TARGETS:
             return False
-        self._failed = {key: at for key, at in self._failed.items() if now - at < MEMORY_SECONDS}
+        self._failed = {
+            key: at for key, at in self._failed.items() if now - at < FAILURE_MEMORY_SECONDS
+        }
         return len(self._failed) >= MIN_FAILED_TARGETS
--- a/wingquay/forwarding/knowledge/store_follower.py
+++ b/wingquay/forwarding/knowledge/store_follower.py
@@ -43,14 +43,14 @@
         self,
         settings: FollowerSettings,
         hooks: FollowerHooks,
-        keeper: ProofManager | None = None,
+        proof_manager: ProofManager | None = None,
     ) -> None:
         self._settings = settings
         self._hooks = hooks
         self._reads = 0
         self._watches = 0
-        self._keeper = keeper or ProofManager(None, lambda: 0.0, self.next_answer_at)
-        self._schedule = PollSchedule(settings, hooks, self._keeper)
+        self._proof_manager = proof_manager or ProofManager(None, lambda: 0.0, self.next_answer_at)
+        self._schedule = PollSchedule(settings, hooks, self._proof_manager)
         self._copy = StoreCopy()
         self._is_watching = False
         self._watch_interval_seconds = settings.poll_interval_seconds
@@ -85,9 +85,9 @@
     def set_poll_interval(self, seconds: float | None, now: float) -> list[Action]:
         """Look at the store at another pace; ``None``: the usual one."""
         wanted = self._settings.poll_interval_seconds if seconds is None else seconds
-        if wanted == self._schedule.gather_seconds:
+        if wanted == self._schedule.wanted_interval_seconds:
             return []
-        self._schedule.gather_seconds = wanted
+        self._schedule.wanted_interval_seconds = wanted
         if not self._is_watching or now >= self._poll_at:
             # A look that has begun tells every change at once; the next one keeps the new pace.
             return []
@@ -221,7 +221,7 @@
     ) -> list[Action]:
         self._copy.replace_all(values, store_revision)
         actions = self._hooks.on_listing(values, now)
-        actions += self._keeper.poll_answered(begun_at, store_revision, now)
+        actions += self._proof_manager.poll_answered(begun_at, store_revision, now)
         pause_seconds = self._pause_seconds(now) if self._hooks.is_sufficient() else 0.0
         return actions + self._watch(now, pause_seconds)
 
@@ -232,30 +232,30 @@
         assert before is not None
         self._schedule.failed_polls = 0
         self._answered_at = now
-        look_due_at = self._poll_at
+        poll_due_at = self._poll_at
         # An answer that was cut is followed up at once: that look has begun already.
         self._poll_at = now if event.may_have_more else now + self._schedule.interval_seconds
         # What an answer holds that was cut is not all that was there when the look began.
         begun_at = None if event.may_have_more else event.begun_at
         if event.store_revision < before:
             # News of another node have told all of it since this look began, and more.
-            return self._keeper.poll_answered(begun_at, event.store_revision, now)
+            return self._proof_manager.poll_answered(begun_at, event.store_revision, now)
         self._copy.apply(event.changed, event.deleted, event.store_revision)
         actions = self._hooks.on_changes(event.changed, event.deleted, now)
-        told_proofs = self._keeper.poll_answered(begun_at, event.store_revision, now)
+        proof_answers = self._proof_manager.poll_answered(begun_at, event.store_revision, now)
         news = StoreNews(
             before,
             event.store_revision,
             event.changed,
             event.deleted,
-            self._age_seconds(look_due_at, now),
+            self._age_seconds(poll_due_at, now),
             event.may_have_more,
         )
-        actions += [*self._hooks.on_poll(news, now), *told_proofs]
+        actions += [*self._hooks.on_poll(news, now), *proof_answers]
         self._schedule.poll_answered()
-        is_same_pace = self._watch_interval_seconds == self._schedule.interval_seconds
-        is_same_place = self._watch_hold_seconds == self._schedule.hold_seconds
-        if event.may_have_more or (is_same_pace and is_same_place):
+        is_same_interval = self._watch_interval_seconds == self._schedule.interval_seconds
+        is_same_hold = self._watch_hold_seconds == self._schedule.hold_seconds
+        if event.may_have_more or (is_same_interval and is_same_hold):
             return actions
         return [
             *actions,
@@ -263,9 +263,9 @@
             *self._watch(now, self._schedule.interval_seconds),
         ]
 
-    def _age_seconds(self, look_due_at: float, now: float) -> float:
+    def _age_seconds(self, poll_due_at: float, now: float) -> float:
         """Return how old an answer may be; that of a held look may be as new as it is late."""
-        return 0.0 if self._watch_hold_seconds > 0.0 else max(now - look_due_at, 0.0)
+        return 0.0 if self._watch_hold_seconds > 0.0 else max(now - poll_due_at, 0.0)
 
     def _broken(self, event: WatchBroken, now: float) -> list[Action]:
         if event.watch_id != self._watch_id:
@@ -279,22 +279,22 @@
 
     def _failed(self, reason: str, now: float) -> list[Action]:
         self._hooks.on_failure(now)
-        self._keeper.poll_failed(reason)
+        self._proof_manager.poll_failed(reason)
         is_listed = self._copy.is_listed
         due_at = now + self._schedule.backoff_seconds(is_listed)
-        asking: list[Action] = [] if is_listed else [AskPeers()]
+        snapshot_requests: list[Action] = [] if is_listed else [AskPeers()]
         self._schedule.failed_polls += 1
         fields = (
             ("reason", reason),
             ("failures", self._schedule.failed_polls),
             ("waited_ms", _milliseconds(now - self._poll_at)),
-            ("silent_ms", self._silent_ms(now)),
+            ("silent_ms", self._silence_ms(now)),
             ("pause_ms", _milliseconds(due_at - now)),
         )
         self._poll_at = due_at
         return [
             Log("store_unreachable", LogLevel.WARNING, fields),
-            *asking,
+            *snapshot_requests,
             Schedule(due_at, FollowRetryDue(self._operation_id)),
         ]
 
@@ -304,11 +304,11 @@
             ("known_revision", seen_revision),
             ("from_revision", news.from_revision),
             ("failures", self._schedule.failed_polls),
-            ("silent_ms", self._silent_ms(now)),
+            ("silent_ms", self._silence_ms(now)),
         )
         return Log("store_news_passed_over", LogLevel.INFO, fields)
 
-    def _silent_ms(self, now: float) -> int:
+    def _silence_ms(self, now: float) -> int:
         """Return for how long the store itself has told nothing; -1: it never did."""
         if self._answered_at == float("-inf"):
             return -1
--- a/wingquay/forwarding/knowledge/update_exchange.py
+++ b/wingquay/forwarding/knowledge/update_exchange.py
@@ -34,14 +34,14 @@
         settings: ForwardingSettings,
         members: NodeMembership,
         follower: StoreFollower,
-        lateness: ProcessingLag,
-        keeper: ProofManager,
+        processing_lag: ProcessingLag,
+        proof_manager: ProofManager,
     ) -> None:
         self._settings = settings
         self._members = members
         self._follower = follower
-        self._lateness = lateness
-        self._keeper = keeper
+        self._processing_lag = processing_lag
+        self._proof_manager = proof_manager
         self.rewritten: set[str] = set()
         """Keys of replicas' entries that the last changes left as they were but for the writing."""
 
@@ -50,7 +50,7 @@
         listeners = self._members.update_recipients()
         if not listeners:
             return []
-        told = StoreNews(
+        update = StoreNews(
             news.from_revision,
             news.store_revision,
             tuple(
@@ -59,10 +59,10 @@
                 if item.key not in self.rewritten or item.created_at > news.from_revision
             ),
             news.deleted,
-            max(news.age_seconds, self._lateness.seconds(now)),
+            max(news.age_seconds, self._processing_lag.seconds(now)),
             news.may_have_more,
         )
-        sent: list[Action] = [SendToPeer(listener, told) for listener in listeners]
+        sent: list[Action] = [SendToPeer(listener, update) for listener in listeners]
         return [*sent, Count("store_news_total", len(listeners), (("side", "told"),))]
 
     def receive_update(self, news: StoreNews, now: float) -> list[Action]:
@@ -71,9 +71,9 @@
         The own look is put off, but for the time that the news have taken, as far as it is known:
         at the sender, and behind other work of this node.
         """
-        taken_seconds = news.age_seconds + self._lateness.seconds(now)
-        pause_seconds = self._usual_pause_seconds - taken_seconds
-        if news.may_have_more or taken_seconds >= self._settings.max_update_age_seconds:
+        age_seconds = news.age_seconds + self._processing_lag.seconds(now)
+        pause_seconds = self._usual_pause_seconds - age_seconds
+        if news.may_have_more or age_seconds >= self._settings.max_update_age_seconds:
             pause_seconds = 0.0
         actions = self._follower.apply_update(news, pause_seconds, now)
         is_put_off = any(isinstance(action, StartWatch) for action in actions)
@@ -86,9 +86,9 @@
         """Take in that another node asks, or what its look proves; then put the own look off."""
         known_revision = self._follower.known_revision
         if isinstance(message, AskProof):
-            return self._keeper.handle_request(sender, message, known_revision, now)
-        actions = self._keeper.handle_proof(sender, message, known_revision, now)
-        pause_seconds = self._usual_pause_seconds - self._keeper.age_seconds(now)
+            return self._proof_manager.handle_request(sender, message, known_revision, now)
+        actions = self._proof_manager.handle_proof(sender, message, known_revision, now)
+        pause_seconds = self._usual_pause_seconds - self._proof_manager.age_seconds(now)
         return [*actions, *self._follower.postpone_poll(pause_seconds, now)]
 
     @property
--- a/wingquay/forwarding/readiness/decision.py
+++ b/wingquay/forwarding/readiness/decision.py
@@ -22,7 +22,7 @@
     IN_REACH = "other_zones_in_reach"
     ONE_ZONE = "no_other_zone"
     NEIGHBOURS_REACH = "nodes_of_the_zone_reach_others"
-    HOLDS_ENOUGH = "holds_what_callers_ask"
+    ENOUGH_ANSWERABLE = "holds_what_callers_ask"
     NO_GAIN = "others_could_not_answer_more"
     FEW_ZONES = "one_other_zone_may_be_down"
     LAST_ZONE = "zone_that_stays"
@@ -31,7 +31,7 @@
     NODE_CUT_OFF = "node_cut_off"
 
     @property
-    def is_to_leave(self) -> bool:
+    def should_leave(self) -> bool:
         """Whether the node should take no callers."""
         return self in (DecisionReason.ZONE_CUT_OFF, DecisionReason.NODE_CUT_OFF)
 
@@ -59,7 +59,7 @@
         Those of them that were in reach and are not any more.
     own_side
         What it finds of its own zone.
-    contradicted_by
+    connected_neighbour
         A node of its zone that reaches another zone; empty: none says so.
     share_here
         Share of what callers lately asked that it can answer by what is in reach.
@@ -72,13 +72,13 @@
     other_zones: tuple[str, ...]
     zones_out: tuple[str, ...]
     own_side: OwnZoneStatus
-    contradicted_by: str
+    connected_neighbour: str
     share_here: float
     share_elsewhere: float
     is_last_zone: bool
 
 
-def judge(situation: DecisionInputs) -> DecisionReason:
+def decide(situation: DecisionInputs) -> DecisionReason:
     """Return whether the node should take callers, by its reason.
 
     It leaves only for a trouble of its own side: every other zone is out of reach, nobody near it
@@ -88,16 +88,16 @@
         return DecisionReason.ONE_ZONE
     if len(situation.zones_out) < len(situation.other_zones):
         return DecisionReason.IN_REACH
-    if situation.contradicted_by:
+    if situation.connected_neighbour:
         return DecisionReason.NEIGHBOURS_REACH
     if situation.share_here >= MIN_ANSWERABLE_SHARE:
-        return DecisionReason.HOLDS_ENOUGH
+        return DecisionReason.ENOUGH_ANSWERABLE
     if situation.share_elsewhere < situation.share_here + MIN_SHARE_GAIN:
         return DecisionReason.NO_GAIN
-    return _where_the_cut_is(situation)
+    return _locate_partition(situation)
 
 
-def _where_the_cut_is(situation: DecisionInputs) -> DecisionReason:
+def _locate_partition(situation: DecisionInputs) -> DecisionReason:
     """Return whether this node or its zone has lost the others, or others may have been lost."""
     match situation.own_side:
         case OwnZoneStatus.SILENT:
--- a/wingquay/forwarding/readiness/departure.py
+++ b/wingquay/forwarding/readiness/departure.py
@@ -29,9 +29,9 @@
 class ConnectionClosing(Enum):
     """What a node that takes no callers does with the connections of those it has."""
 
-    STAY = "stay"
-    ANSWERS_CLOSE = "answers_close"
-    IDLE_CLOSE = "idle_close"
+    KEEP = "stay"
+    CLOSE_AFTER_RESPONSE = "answers_close"
+    CLOSE_IDLE = "idle_close"
 
 
 class Departure:
@@ -56,29 +56,29 @@
         """Return what becomes of callers' connections."""
         seconds = self.away_seconds(now)
         if seconds >= IDLE_CLOSING_SECONDS:
-            return ConnectionClosing.IDLE_CLOSE
+            return ConnectionClosing.CLOSE_IDLE
         return (
-            ConnectionClosing.ANSWERS_CLOSE
+            ConnectionClosing.CLOSE_AFTER_RESPONSE
             if seconds >= CLOSING_SECONDS
-            else ConnectionClosing.STAY
+            else ConnectionClosing.KEEP
         )
 
-    def move(self, is_to_leave: bool, now: float, is_first_zone: bool = False) -> bool:
+    def update(self, should_leave: bool, now: float, is_first_zone: bool = False) -> bool:
         """Leave or return if it is time to; return whether that has changed.
 
         Parameters
         ----------
-        is_to_leave
+        should_leave
             Whether this node should take no callers, by what it knows.
         is_first_zone
             Whether its zone is the one that stays if all zones lose each other.
         """
         if self._left_at is None:
-            return is_to_leave and self._leave(now)
+            return should_leave and self._leave(now)
         away_seconds = now - self._left_at
         most_seconds = LAST_ZONE_AWAY_SECONDS if is_first_zone else MAX_AWAY_SECONDS
-        is_trial = is_to_leave and away_seconds >= most_seconds
-        if not is_trial and (is_to_leave or away_seconds < self._least_away_seconds):
+        is_trial = should_leave and away_seconds >= most_seconds
+        if not is_trial and (should_leave or away_seconds < self._least_away_seconds):
             return False
         self._left_at = None
         self._returned_at = now
--- a/wingquay/forwarding/readiness/node_readiness.py
+++ b/wingquay/forwarding/readiness/node_readiness.py
@@ -63,18 +63,18 @@
         settings: ForwardingSettings,
         directory: ReplicaDirectory,
         requests: RequestServer,
-        asked: RouteDemand,
+        demand: RouteDemand,
         departure: Departure,
     ) -> None:
         self._settings = settings
         self._directory = directory
         self._requests = requests
-        self._asked = asked
+        self._demand = demand
         self._departure = departure
-        self._able_since: float | None = None
+        self._servable_since: float | None = None
         """When a configuration and a replica were first known."""
         self._has_started = False
-        self._move = ConnectionClosing.STAY
+        self._closing = ConnectionClosing.KEEP
         self._table: RoutingTable | None = None
         self._idle_seconds = 0.0
         self._stopping_since: float | None = None
@@ -94,23 +94,23 @@
     def set_table(self, table: RoutingTable) -> None:
         """Take in a configuration."""
         self._table = table
-        self._asked.keep_only(table.routes)
+        self._demand.keep_only(table.routes)
 
     def update(self, now: float) -> list[Action]:
         """Tell whether this node is ready, if that has changed."""
         waiting = self._start(now)
         is_ready = self.is_ready
-        move = self._departure.connection_closing(now)
+        closing = self._departure.connection_closing(now)
         if is_ready == self._was_ready:
-            if move is self._move:
+            if closing is self._closing:
                 return waiting
-            self._move = move
+            self._closing = closing
             return [
                 *waiting,
-                self.current_forwarding(closes_idle=move is ConnectionClosing.IDLE_CLOSE),
+                self.current_forwarding(closes_idle=closing is ConnectionClosing.CLOSE_IDLE),
             ]
         self._was_ready = is_ready
-        self._move = move
+        self._closing = closing
         line = Log("ready_changed", LogLevel.INFO, (("is_ready", int(is_ready)),))
         return [*waiting, line, self.current_forwarding()]
 
@@ -126,7 +126,7 @@
             self._idle_seconds,
         )
         is_stopping = self._stopping_since is not None
-        closes_connections = is_stopping or self._move is not ConnectionClosing.STAY
+        closes_connections = is_stopping or self._closing is not ConnectionClosing.KEEP
         return SetForwarding(self.is_ready, closes_connections, limits, closes_idle)
 
     def _start(self, now: float) -> list[Action]:
@@ -134,11 +134,11 @@
         if self._has_started or not self.can_serve or self._table is None:
             return []
         waiting: list[Action] = []
-        if self._able_since is None:
-            self._able_since = now
+        if self._servable_since is None:
+            self._servable_since = now
             waiting.append(Schedule(now + MAX_START_WAIT_SECONDS, ReadyDue()))
-        is_due = now >= self._able_since + MAX_START_WAIT_SECONDS
-        if is_due or self._asked.share(self._table, (), now) >= MIN_ANSWERABLE_SHARE:
+        is_due = now >= self._servable_since + MAX_START_WAIT_SECONDS
+        if is_due or self._demand.share(self._table, (), now) >= MIN_ANSWERABLE_SHARE:
             self._has_started = True
             return []
         return waiting
--- a/wingquay/forwarding/readiness/peer_selector.py
+++ b/wingquay/forwarding/readiness/peer_selector.py
@@ -32,28 +32,28 @@
         after = [node for name, node in near if name > self._name]
         return after + [node for name, node in near if name < self._name]
 
-    def fingers(self) -> list[NodeIdentity]:
+    def gossip_targets(self) -> list[NodeIdentity]:
         """Return the neighbours at distances 1, 2, 4 and so on.
 
         A word that everyone passes on reaches a zone of 60 nodes in six steps, by six messages of
         each.
         """
-        near = self.neighbours()
+        neighbours = self.neighbours()
         chosen: list[NodeIdentity] = []
         distance = 1
-        while distance <= len(near):
-            chosen.append(near[distance - 1])
+        while distance <= len(neighbours):
+            chosen.append(neighbours[distance - 1])
             distance *= 2
         return chosen
 
     def one_of_each_zone(self) -> list[NodeIdentity]:
         """Return a node of every other zone, not the same one for all nodes of this zone."""
-        place = len([name for _, name, _ in self._nodes() if name < self._name])
+        position = len([name for _, name, _ in self._nodes() if name < self._name])
         by_zone: dict[str, list[NodeIdentity]] = {}
         for zone, _, node in self._nodes():
             if zone != self._zone:
                 by_zone.setdefault(zone, []).append(node)
-        return [nodes[place % len(nodes)] for _, nodes in sorted(by_zone.items())]
+        return [nodes[position % len(nodes)] for _, nodes in sorted(by_zone.items())]
 
     def _nodes(self) -> list[tuple[str, str, NodeIdentity]]:
         if self.groups is None:
--- a/wingquay/forwarding/readiness/reachability_monitor.py
+++ b/wingquay/forwarding/readiness/reachability_monitor.py
@@ -12,7 +12,7 @@
 from ..choice.replica_directory import ReplicaDirectory
 from ..knowledge.reachability_evidence import ReachabilityEvidence
 from ..settings import ForwardingSettings
-from .decision import DecisionInputs, DecisionReason, OwnZoneStatus, judge
+from .decision import DecisionInputs, DecisionReason, OwnZoneStatus, decide
 from .departure import Departure
 from .peer_selector import PeerSelector
 from .route_demand import RouteDemand
@@ -21,7 +21,7 @@
 if TYPE_CHECKING:
     from ..knowledge.node_groups import NodeGroups
 
-SILENT_STORE = (StoreFailureKind.UNREACHABLE, StoreFailureKind.LOST_REPLY)
+STORE_UNREACHABLE_KINDS = (StoreFailureKind.UNREACHABLE, StoreFailureKind.LOST_REPLY)
 """How calls to a store that is out of reach end; one that refuses a call has answered."""
 LATE_SECONDS = 0.15
 """Lateness of this node from which on the tries of a round tell more of itself than of zones."""
@@ -52,19 +52,19 @@
         name: str,
         directory: ReplicaDirectory,
         evidence: ReachabilityEvidence,
-        asked: RouteDemand,
+        demand: RouteDemand,
         departure: Departure,
     ) -> None:
         self._zone = settings.zone
-        self._is_on = settings.leaves_when_cut_off
+        self._is_enabled = settings.leaves_when_cut_off
         self._evidence = evidence
-        self._asked = asked
+        self._demand = demand
         self._departure = departure
         self._contacts = PeerSelector(settings.zone, name)
-        self._watch = ZoneProber(settings.zone, name, directory, evidence, self._contacts)
+        self._prober = ZoneProber(settings.zone, name, directory, evidence, self._contacts)
         self._table: RoutingTable | None = None
         self._is_store_away = False
-        self._last_why: DecisionReason | None = None
+        self._last_reason: DecisionReason | None = None
 
     def set_table(self, table: RoutingTable) -> None:
         """Take in a configuration."""
@@ -76,7 +76,7 @@
 
     def is_relevant(self, event: Event, now: float) -> bool:
         """Whether something is to be done after an event."""
-        if not self._is_on:
+        if not self._is_enabled:
             return False
         match event:
             case (
@@ -90,41 +90,41 @@
             ):
                 return True
             case PeerReceived(sender=sender):
-                self._watch.met(sender.zone)
-        return self._watch.is_in_doubt or self._evidence.suggests_outage(now)
+                self._prober.zone_seen(sender.zone)
+        return self._prober.is_checking or self._evidence.suggests_outage(now)
 
     def handle(self, event: Event, now: float) -> list[Action]:
         """Take in an event after everything else has."""
-        actions = self._take_in(event, now)
+        actions = self._dispatch(event, now)
         for zone in self._evidence.take_answered_zones():
-            actions += self._watch.heard(zone, now)
-        if not self._watch.is_in_doubt and self._evidence.suggests_outage(now):
-            actions += self._watch.begin(now)
+            actions += self._prober.zone_answered(zone, now)
+        if not self._prober.is_checking and self._evidence.suggests_outage(now):
+            actions += self._prober.begin(now)
         is_news = not self._departure.is_away or isinstance(event, ConnectionTried)
-        if is_news and self._watch.answering_zones():
-            actions += self._settle(now)
+        if is_news and self._prober.answering_zones():
+            actions += self._update(now)
         return actions
 
-    def _take_in(self, event: Event, now: float) -> list[Action]:
+    def _dispatch(self, event: Event, now: float) -> list[Action]:
         match event:
             case ConnectionTried():
-                return self._watch.tried(event, now)
+                return self._prober.connection_tried(event, now)
             case ForwardRequested():
-                self._count(event, now)
+                self._record_demand(event, now)
             case PeerReceived(sender=sender, message=ReachNews() as news):
-                return self._watch.news(sender, news, now)
+                return self._prober.handle_report(sender, news, now)
             case ReachCheckDue():
                 return self._round_over(event, now)
             case StoreResponse() | WatchBroken() | WatchChanged():
-                self._note_store(event)
+                self._record_store_state(event)
         return []
 
-    def _count(self, event: ForwardRequested, now: float) -> None:
+    def _record_demand(self, event: ForwardRequested, now: float) -> None:
         route = None if self._table is None else self._table.find(event.host, event.path)
         if route is not None:
-            self._asked.count(route, now)
+            self._demand.record(route, now)
 
-    def _note_store(self, event: StoreResponse | WatchBroken | WatchChanged) -> None:
+    def _record_store_state(self, event: StoreResponse | WatchBroken | WatchChanged) -> None:
         match event:
             case WatchChanged():
                 self._is_store_away = False
@@ -132,44 +132,44 @@
                 self._is_store_away = not history_lost
             case StoreResponse(result=result):
                 kind = result.kind if isinstance(result, Failure) else None
-                self._is_store_away = kind in SILENT_STORE
+                self._is_store_away = kind in STORE_UNREACHABLE_KINDS
 
     def _round_over(self, event: ReachCheckDue, now: float) -> list[Action]:
-        if not self._watch.is_present(event):
+        if not self._prober.is_present(event):
             return []
         if now - event.due_at >= LATE_SECONDS:
-            return self._watch.next_round(now, asks=not self._departure.is_away)
-        why, actions = self._settled(now)
-        if not self._watch.is_in_doubt:
+            return self._prober.next_round(now, queries_nodes=not self._departure.is_away)
+        why, actions = self._decide(now)
+        if not self._prober.is_checking:
             return actions
         is_away = self._departure.is_away
-        seconds = ROUND_SECONDS if is_away or why.is_to_leave else SLOW_ROUND_SECONDS
-        return [*actions, *self._watch.next_round(now, seconds, asks=not is_away)]
+        seconds = ROUND_SECONDS if is_away or why.should_leave else SLOW_ROUND_SECONDS
+        return [*actions, *self._prober.next_round(now, seconds, queries_nodes=not is_away)]
 
-    def _settle(self, now: float) -> list[Action]:
-        return self._settled(now)[1]
+    def _update(self, now: float) -> list[Action]:
+        return self._decide(now)[1]
 
-    def _settled(self, now: float) -> tuple[DecisionReason, list[Action]]:
+    def _decide(self, now: float) -> tuple[DecisionReason, list[Action]]:
         """Decide, and leave or return if that is what follows."""
         situation = self._situation(now)
-        why = judge(situation)
+        reason = decide(situation)
         actions: list[Action] = []
         away_seconds = self._departure.away_seconds(now)
-        if self._departure.move(why.is_to_leave, now, self._is_first_zone):
-            actions = self._moved(why, situation, away_seconds, now)
-        elif why is not self._last_why and not why.is_to_leave and situation.zones_out:
-            actions = [_line("callers_kept", LogLevel.INFO, why, situation)]
-        self._last_why = why
-        if not self._departure.is_away and why in (
+        if self._departure.update(reason.should_leave, now, self._is_first_zone):
+            actions = self._log_move(reason, situation, away_seconds, now)
+        elif reason is not self._last_reason and not reason.should_leave and situation.zones_out:
+            actions = [_decision_log("callers_kept", LogLevel.INFO, reason, situation)]
+        self._last_reason = reason
+        if not self._departure.is_away and reason in (
             DecisionReason.IN_REACH,
             DecisionReason.ONE_ZONE,
         ):
-            self._watch.end()
-            self._last_why = None
-        return why, actions
+            self._prober.end()
+            self._last_reason = None
+        return reason, actions
 
     def _situation(self, now: float) -> DecisionInputs:
-        watch = self._watch
+        watch = self._prober
         zones_out = watch.zones_out(now)
         own_side = watch.own_side()
         lost = {*zones_out, self._zone} if own_side is OwnZoneStatus.SILENT else set(zones_out)
@@ -177,7 +177,7 @@
             watch.other_zones(),
             zones_out,
             own_side,
-            watch.contradicted_by(now),
+            watch.connected_neighbour(now),
             self._share(lost, now),
             self._share({self._zone}, now),
             # Without the store it has certainly lost something that is there for others.
@@ -190,24 +190,24 @@
         return self._zone == self._contacts.zones()[0]
 
     def _share(self, zones_out: set[str], now: float) -> float:
-        return 1.0 if self._table is None else self._asked.share(self._table, zones_out, now)
+        return 1.0 if self._table is None else self._demand.share(self._table, zones_out, now)
 
-    def _moved(
+    def _log_move(
         self, why: DecisionReason, situation: DecisionInputs, away_seconds: float, now: float
     ) -> list[Action]:
         """Say that this node has left, or has come back."""
         if self._departure.is_away:
-            doubt = ("doubt_seconds", round(now - self._watch.began_at, 3))
-            line = _line("callers_left_to_others", LogLevel.WARNING, why, situation, doubt)
+            doubt = ("doubt_seconds", round(now - self._prober.began_at, 3))
+            line = _decision_log("callers_left_to_others", LogLevel.WARNING, why, situation, doubt)
             change = "left"
         else:
             away = ("away_seconds", round(away_seconds, 3))
-            line = _line("callers_taken_back", LogLevel.WARNING, why, situation, away)
+            line = _decision_log("callers_taken_back", LogLevel.WARNING, why, situation, away)
             change = "returned"
         return [line, Count("callers_moves_total", labels=(("change", change), ("why", why.value)))]
 
 
-def _line(
+def _decision_log(
     message: str,
     level: str,
     why: DecisionReason,
@@ -220,7 +220,7 @@
         ("zones_out", ",".join(situation.zones_out) or "none"),
         ("other_zones", len(situation.other_zones)),
         ("own_side", situation.own_side.value),
-        ("contradicted_by", situation.contradicted_by or "none"),
+        ("contradicted_by", situation.connected_neighbour or "none"),
         ("share_here", round(situation.share_here, 3)),
         ("share_elsewhere", round(situation.share_elsewhere, 3)),
     )
--- a/wingquay/forwarding/readiness/route_demand.py
+++ b/wingquay/forwarding/readiness/route_demand.py
@@ -18,18 +18,20 @@
 
     def __init__(self, directory: ReplicaDirectory) -> None:
         self._directory = directory
-        self._asked: dict[tuple[str, str], tuple[float, float]] = {}
+        self._requests: dict[tuple[str, str], tuple[float, float]] = {}
         """Requests by route as of a moment, and the moment."""
 
-    def count(self, route: Route, now: float) -> None:
+    def record(self, route: Route, now: float) -> None:
         """Take in a request."""
         key = (route.host, route.path_prefix)
-        self._asked[key] = (self._weight(key, now) + 1.0, now)
+        self._requests[key] = (self._weight(key, now) + 1.0, now)
 
     def keep_only(self, routes: tuple[Route, ...]) -> None:
         """Forget routes that a new configuration does not have."""
         present = {(route.host, route.path_prefix) for route in routes}
-        self._asked = {key: asked for key, asked in self._asked.items() if key in present}
+        self._requests = {
+            key: requests for key, requests in self._requests.items() if key in present
+        }
 
     def share(self, table: RoutingTable, zones_out: Container[str], now: float) -> float:
         """Return the share of what is asked that replicas outside of some zones can answer.
@@ -39,32 +41,34 @@
         weights = [self._weight((route.host, route.path_prefix), now) for route in table.routes]
         if not any(weights):
             weights = [1.0] * len(weights)
-        whole = sum(weights)
-        if not whole:
+        total_weight = sum(weights)
+        if not total_weight:
             return 1.0
-        held: dict[str, bool] = {}
+        is_available: dict[str, bool] = {}
         answered = 0.0
         for route, weight in zip(table.routes, weights, strict=True):
             if weight:
-                answered += weight * self._part(route, zones_out, held, now)
-        return answered / whole
+                answered += weight * self._route_share(route, zones_out, is_available, now)
+        return answered / total_weight
 
-    def _part(
-        self, route: Route, zones_out: Container[str], held: dict[str, bool], now: float
+    def _route_share(
+        self, route: Route, zones_out: Container[str], is_available: dict[str, bool], now: float
     ) -> float:
         """Return the share of a route's requests that can be answered."""
         for service in route.all_services:
-            if service not in held:
+            if service not in is_available:
                 zones = self._directory.zones_of(service, now)
-                held[service] = any(zone not in zones_out for zone in zones)
+                is_available[service] = any(zone not in zones_out for zone in zones)
         if route.shards:
-            found = sum(held[shard] for shard in route.shards) / len(route.shards)
-            return 1.0 if found >= route.least_share - SHARE_TOLERANCE else 0.0
-        whole = sum(part.weight for part in route.services)
-        if not whole:
+            available_share = sum(is_available[shard] for shard in route.shards) / len(route.shards)
+            return 1.0 if available_share >= route.least_share - SHARE_TOLERANCE else 0.0
+        total_weight = sum(part.weight for part in route.services)
+        if not total_weight:
             return 0.0
-        return sum(part.weight for part in route.services if held[part.service]) / whole
+        return (
+            sum(part.weight for part in route.services if is_available[part.service]) / total_weight
+        )
 
     def _weight(self, key: tuple[str, str], now: float) -> float:
-        requests, counted_at = self._asked.get(key, (0.0, now))
+        requests, counted_at = self._requests.get(key, (0.0, now))
         return requests * math.exp(-(now - counted_at) / DEMAND_DECAY_SECONDS)
--- a/wingquay/forwarding/readiness/suspicion.py
+++ b/wingquay/forwarding/readiness/suspicion.py
@@ -11,7 +11,7 @@
 
     failures: int = 0
     """Tries that failed since it answered last."""
-    heard_at: float = float("-inf")
+    answered_at: float = float("-inf")
     neighbour_evidence_at: float = float("-inf")
     """When another node last said that it has reached the zone before, and does not now."""
     next_replica: int | None = None
@@ -22,8 +22,8 @@
     """One time in which it is looked into what is in reach."""
 
     begun_at: float
-    may_ask: bool = True
+    may_query_nodes: bool = True
     """Whether other nodes are yet to be asked in this round."""
-    contradicted_by: str = ""
-    contradicted_at: float = float("-inf")
-    askers: dict[str, NodeIdentity] = field(default_factory=dict)
+    connected_neighbour: str = ""
+    connected_at: float = float("-inf")
+    waiting_nodes: dict[str, NodeIdentity] = field(default_factory=dict)
--- a/wingquay/forwarding/readiness/zone_prober.py
+++ b/wingquay/forwarding/readiness/zone_prober.py
@@ -31,7 +31,7 @@
 PROBE_PAUSE_SECONDS = 0.9
 """Time for which a zone that has answered is not tried again while this node waits for its least
 time away: each try that succeeds is a connection at a replica."""
-CONTRADICTION_SECONDS = 1.5
+NEIGHBOUR_REPORT_SECONDS = 1.5
 """Time for which the word of a node that reaches other zones counts: some rounds of its own."""
 NEIGHBOUR_EVIDENCE_SECONDS = 8.0
 """Time for which the word of a node counts that it has reached a zone before: longer than cuts that
@@ -77,25 +77,25 @@
         self._evidence = evidence
         self._contacts = contacts
         self._zones: dict[str, ZoneState] = {}
-        self._met: set[str] = set()
+        self._zones_seen: set[str] = set()
         """Zones of which a node has ever spoken to this one."""
         self._replicas: dict[str, list[ReplicaState]] = {}
         """The replicas that may get work by zone, as of the present round."""
-        self._tried: dict[str, str] = {}
+        self._probed: dict[str, str] = {}
         """Zones of the replicas to which a connection is being tried, by id."""
-        self._doubt: ReachabilityCheck | None = None
+        self._check: ReachabilityCheck | None = None
         self._round = 0
         self._round_ends_at = float("-inf")
 
     @property
-    def is_in_doubt(self) -> bool:
+    def is_checking(self) -> bool:
         """Whether it is being looked into what is in reach."""
-        return self._doubt is not None
+        return self._check is not None
 
     @property
     def began_at(self) -> float:
         """When the present doubt began."""
-        return float("inf") if self._doubt is None else self._doubt.begun_at
+        return float("inf") if self._check is None else self._check.begun_at
 
     def other_zones(self) -> tuple[str, ...]:
         """Return the other zones that have replicas which may get work."""
@@ -113,36 +113,37 @@
 
     def answering_zones(self) -> tuple[str, ...]:
         """Return the other zones that have answered in this doubt, up to now."""
-        if self._doubt is None:
+        if self._check is None:
             return ()
         return tuple(
             zone
             for zone in self.other_zones()
-            if self._of(zone).heard_at >= self._doubt.begun_at and not self._of(zone).failures
+            if self._zone_state(zone).answered_at >= self._check.begun_at
+            and not self._zone_state(zone).failures
         )
 
     def own_side(self) -> OwnZoneStatus:
         """Return what answers of the own zone."""
-        if self._of(self._zone).heard_at >= self.began_at:
+        if self._zone_state(self._zone).answered_at >= self.began_at:
             return OwnZoneStatus.IN_REACH
         has_others = self._zone in self._replicas or bool(self._contacts.neighbours())
         return OwnZoneStatus.SILENT if has_others else OwnZoneStatus.UNKNOWN
 
-    def contradicted_by(self, now: float) -> str:
+    def connected_neighbour(self, now: float) -> str:
         """Return a node of the own zone that reaches others; empty: none says so."""
-        doubt = self._doubt
-        if doubt is None or now - doubt.contradicted_at >= CONTRADICTION_SECONDS:
+        doubt = self._check
+        if doubt is None or now - doubt.connected_at >= NEIGHBOUR_REPORT_SECONDS:
             return ""
-        return doubt.contradicted_by
+        return doubt.connected_neighbour
 
     def begin(self, now: float) -> list[Action]:
         """Look into what is in reach, unless that is under way or was found out just now."""
-        if self._doubt is not None or self._fresh_zones(now):
+        if self._check is not None or self._fresh_zones(now):
             return []
         self._replicas = self._directory.by_zone(now)
         if not self.other_zones():
             return []
-        self._doubt = ReachabilityCheck(now)
+        self._check = ReachabilityCheck(now)
         self._evidence.begin_check()
         for zone in self._zones.values():
             zone.failures = 0
@@ -150,11 +151,11 @@
 
     def end(self) -> None:
         """Take in that other zones are in reach, and that this node takes callers."""
-        self._doubt = None
+        self._check = None
         self._evidence.end_check()
 
     def next_round(
-        self, now: float, seconds: float = ROUND_SECONDS, asks: bool = True
+        self, now: float, seconds: float = ROUND_SECONDS, queries_nodes: bool = True
     ) -> list[Action]:
         """Try connections to every zone.
 
@@ -163,80 +164,82 @@
         asks
             Whether other nodes are asked if none comes up.
         """
-        if self._doubt is not None:
-            self._doubt.may_ask = asks
+        if self._check is not None:
+            self._check.may_query_nodes = queries_nodes
         self._replicas = self._directory.by_zone(now)
         actions: list[Action] = []
         for zone in sorted(self._replicas):
-            if not self._is_settled(zone, now):
-                actions += self._tries(zone)
+            if not self._is_known_reachable(zone, now):
+                actions += self._probe(zone)
         return [*actions, self._round_until(now + seconds)]
 
     def is_present(self, event: ReachCheckDue) -> bool:
         """Whether a round is the present one."""
-        return self._doubt is not None and event.round_number == self._round
+        return self._check is not None and event.round_number == self._round
 
-    def met(self, zone: str) -> None:
+    def zone_seen(self, zone: str) -> None:
         """Take in that a node of a zone has spoken to this one: the zone was in reach."""
-        self._met.add(zone)
+        self._zones_seen.add(zone)
 
-    def tried(self, event: ConnectionTried, now: float) -> list[Action]:
+    def connection_tried(self, event: ConnectionTried, now: float) -> list[Action]:
         """Take in whether a connection came up."""
-        zone = self._tried.pop(event.life, None)
+        zone = self._probed.pop(event.life, None)
         if zone is None:
             return []
         if event.is_open:
-            return self.heard(zone, now)
-        self._of(zone).failures += 1
-        return self._ask(now)
+            return self.zone_answered(zone, now)
+        self._zone_state(zone).failures += 1
+        return self._query_nodes(now)
 
-    def heard(self, zone: str, now: float) -> list[Action]:
+    def zone_answered(self, zone: str, now: float) -> list[Action]:
         """Take in that something of a zone answers."""
-        known = self._of(zone)
+        known = self._zone_state(zone)
         known.failures = 0
-        known.heard_at = now
-        doubt = self._doubt
+        known.answered_at = now
+        doubt = self._check
         if doubt is None or zone == self._zone:
             return []
-        askers, doubt.askers = doubt.askers, {}
-        return [SendToPeer(asker, ReachNews((), (zone,))) for asker in askers.values()]
+        waiting_nodes, doubt.waiting_nodes = doubt.waiting_nodes, {}
+        return [SendToPeer(node, ReachNews((), (zone,))) for node in waiting_nodes.values()]
 
-    def news(self, sender: NodeIdentity, news: ReachNews, now: float) -> list[Action]:
+    def handle_report(self, sender: NodeIdentity, news: ReachNews, now: float) -> list[Action]:
         """Take in what another node has found out, and answer it."""
-        actions = self.heard(sender.zone, now)
-        is_near = sender.zone == self._zone
-        if is_near:
-            actions += self._near_news(sender, news, now)
+        actions = self.zone_answered(sender.zone, now)
+        is_neighbour = sender.zone == self._zone
+        if is_neighbour:
+            actions += self._handle_neighbour_report(sender, news, now)
         if news.is_question:
-            found = self._fresh_zones(now) if is_near else ()
+            found = self._fresh_zones(now) if is_neighbour else ()
             actions.append(SendToPeer(sender, ReachNews((), found)))
         return actions
 
-    def _near_news(self, sender: NodeIdentity, news: ReachNews, now: float) -> list[Action]:
+    def _handle_neighbour_report(
+        self, sender: NodeIdentity, news: ReachNews, now: float
+    ) -> list[Action]:
         """Take in the word of a node of the own zone."""
         for zone in news.out_zones:
-            self._of(zone).neighbour_evidence_at = now
+            self._zone_state(zone).neighbour_evidence_at = now
         actions = self.begin(now) if news.out_zones else []
-        doubt = self._doubt
+        doubt = self._check
         if doubt is None:
             return actions
         if news.in_zones:
-            doubt.contradicted_by = sender.node_id
-            doubt.contradicted_at = now
-        if news.is_question and len(doubt.askers) < MAX_PENDING_QUERIES:
-            doubt.askers[sender.node_id] = sender
+            doubt.connected_neighbour = sender.node_id
+            doubt.connected_at = now
+        if news.is_question and len(doubt.waiting_nodes) < MAX_PENDING_QUERIES:
+            doubt.waiting_nodes[sender.node_id] = sender
         # What the other node has reached before may be all that was missing.
-        return [*actions, *self._ask(now)]
+        return [*actions, *self._query_nodes(now)]
 
-    def _ask(self, now: float) -> list[Action]:
+    def _query_nodes(self, now: float) -> list[Action]:
         """Ask other nodes once no zone is in reach by this node's own tries."""
-        doubt = self._doubt
+        doubt = self._check
         out = self.zones_out(now)
-        if doubt is None or not doubt.may_ask or out != self.other_zones():
+        if doubt is None or not doubt.may_query_nodes or out != self.other_zones():
             return []
-        doubt.may_ask = False
+        doubt.may_query_nodes = False
         question = ReachNews(out, (), is_question=True)
-        asked = [*self._contacts.fingers(), *self._contacts.one_of_each_zone()]
+        asked = [*self._contacts.gossip_targets(), *self._contacts.one_of_each_zone()]
         actions: list[Action] = [SendToPeer(node, question) for node in asked]
         if self._round_ends_at < now + ROUND_SECONDS:
             # Others must have had time to answer before this round ends.
@@ -248,12 +251,12 @@
         self._round_ends_at = due_at
         return Schedule(due_at, ReachCheckDue(self._round, due_at))
 
-    def _is_settled(self, zone: str, now: float) -> bool:
+    def _is_known_reachable(self, zone: str, now: float) -> bool:
         """Whether no connection need be spent on a zone, as far as it has answered.
 
         That the own side is in reach is asked once; the others may be lost again.
         """
-        heard_at = self._of(zone).heard_at
+        heard_at = self._zone_state(zone).answered_at
         if zone == self._zone:
             return heard_at >= self.began_at
         return now - heard_at < PROBE_PAUSE_SECONDS
@@ -261,12 +264,12 @@
     def _is_silent(self, zone: str) -> bool:
         """Whether the latest tries in a zone all failed."""
         tries = min(PROBES_PER_ZONE, len(self._replicas.get(zone, [])))
-        return self._of(zone).failures >= tries
+        return self._zone_state(zone).failures >= tries
 
     def _was_reached(self, zone: str, now: float) -> bool:
         """Whether a zone has ever been in reach of this node, or of one nearby until now."""
-        known = self._of(zone)
-        if zone in self._met or known.heard_at > float("-inf"):
+        known = self._zone_state(zone)
+        if zone in self._zones_seen or known.answered_at > float("-inf"):
             return True
         if now - known.neighbour_evidence_at < NEIGHBOUR_EVIDENCE_SECONDS:
             return True
@@ -277,22 +280,22 @@
         return tuple(
             name
             for name, zone in sorted(self._zones.items())
-            if name != self._zone and now - zone.heard_at < FRESH_ANSWER_SECONDS
+            if name != self._zone and now - zone.answered_at < FRESH_ANSWER_SECONDS
         )
 
-    def _tries(self, zone: str) -> list[Action]:
+    def _probe(self, zone: str) -> list[Action]:
         """Try the next few replicas of a zone, so that every round asks others."""
         replicas = self._replicas[zone]
-        known = self._of(zone)
+        known = self._zone_state(zone)
         if known.next_replica is None:
             known.next_replica = zlib.crc32(self._name.encode()) % len(replicas)
         actions: list[Action] = []
         for offset in range(min(PROBES_PER_ZONE, len(replicas))):
             record = replicas[(known.next_replica + offset) % len(replicas)].record
-            self._tried[record.life] = zone
+            self._probed[record.life] = zone
             actions.append(OpenConnection(record))
         known.next_replica += PROBES_PER_ZONE
         return actions
 
-    def _of(self, zone: str) -> ZoneState:
+    def _zone_state(self, zone: str) -> ZoneState:
         return self._zones.setdefault(zone, ZoneState())
