--- a/tests/forwarding/readiness/test_cut_zone.py
+++ b/tests/forwarding/readiness/test_cut_zone.py
@@ -81,7 +81,7 @@
             fleet.loses = cut if step % 2 == 0 else lambda _sender, _receiver: False
             busy(fleet, 0.6)
         for node in fleet.of("b"):
-            self.assertLessEqual(len(node.logs("callers_left_to_others")), 3)
+            self.assertLessEqual(len(node.logs("node_left_service")), 3)
 
     def test_a_long_cut_is_tried_again_and_again(self) -> None:
         fleet = wide_fleet()
@@ -157,12 +157,12 @@
         fleet.loses = lambda _sender, _receiver: False
         fleet.advance(1.0)
         for node in fleet.of("b"):
-            (left,) = node.logs("callers_left_to_others")
+            (left,) = node.logs("node_left_service")
             self.assertEqual("zone_cut_off", left["why"])
-            self.assertEqual("a,c,d", left["zones_out"])
+            self.assertEqual("a,c,d", left["unreachable_zones"])
             self.assertEqual(0.0, left["share_here"])
             self.assertEqual(1.0, left["share_elsewhere"])
-            (back,) = node.logs("callers_taken_back")
+            (back,) = node.logs("node_returned_to_service")
             self.assertEqual("other_zones_in_reach", back["why"])
 
     def test_the_switch_turns_it_off(self) -> None:
@@ -197,7 +197,7 @@
     def assert_all_stay(self, fleet: ZoneFleet) -> None:
         """Check that no node left."""
         for node in fleet.nodes:
-            self.assertEqual([], node.logs("callers_left_to_others"), node.name)
+            self.assertEqual([], node.logs("node_left_service"), node.name)
             self.assertTrue(node.is_ready, node.name)
 
     def test_the_store_away_for_all_or_some(self) -> None:
@@ -269,7 +269,9 @@
                 fleet.request(fleet.of("b")[0], "/all/x")
             fleet.advance(0.1)
         self.assert_all_stay(fleet)
-        self.assertEqual("holds_what_callers_ask", fleet.of("b")[0].logs("callers_kept")[0]["why"])
+        self.assertEqual(
+            "holds_what_callers_ask", fleet.of("b")[0].logs("node_stays_in_service")[0]["why"]
+        )
 
     def test_a_deployment_of_one_zone(self) -> None:
         fleet = wide_fleet(zones=("a",))
@@ -363,7 +365,7 @@
         away = {node.name for node in fleet.nodes if not node.is_ready}
         self.assertEqual(cut, away)
         node = next(node for node in fleet.nodes if node.name == "b-1")
-        self.assertEqual("node_cut_off", node.logs("callers_left_to_others")[0]["why"])
+        self.assertEqual("node_cut_off", node.logs("node_left_service")[0]["why"])
         fleet.loses = lambda _sender, _receiver: False
         busy(fleet, 1.0)
         self.assertTrue(all(node.is_ready for node in fleet.nodes))
--- a/tests/forwarding/readiness/test_decision.py
+++ b/tests/forwarding/readiness/test_decision.py
@@ -33,9 +33,9 @@
     """Return what a node of a zone that is cut off knows, but for some fields."""
     known: dict[str, object] = {
         "other_zones": ("a", "c", "d"),
-        "zones_out": ("a", "c", "d"),
-        "own_side": OwnZoneStatus.IN_REACH,
-        "contradicted_by": "",
+        "unreachable_zones": ("a", "c", "d"),
+        "own_zone_status": OwnZoneStatus.IN_REACH,
+        "connected_neighbour": "",
         "share_here": 0.1,
         "share_elsewhere": 1.0,
         "is_last_zone": False,
@@ -45,27 +45,34 @@
 
 CASES: tuple[tuple[dict[str, object], DecisionReason], ...] = (
     ({}, DecisionReason.ZONE_CUT_OFF),
-    ({"zones_out": ()}, DecisionReason.IN_REACH),
-    ({"zones_out": ("a", "c")}, DecisionReason.IN_REACH),
-    ({"other_zones": (), "zones_out": ()}, DecisionReason.ONE_ZONE),
-    ({"other_zones": ("a",), "zones_out": ("a",)}, DecisionReason.FEW_ZONES),
-    ({"contradicted_by": "b-2"}, DecisionReason.NEIGHBOURS_REACH),
+    ({"unreachable_zones": ()}, DecisionReason.IN_REACH),
+    ({"unreachable_zones": ("a", "c")}, DecisionReason.IN_REACH),
+    ({"other_zones": (), "unreachable_zones": ()}, DecisionReason.ONE_ZONE),
+    ({"other_zones": ("a",), "unreachable_zones": ("a",)}, DecisionReason.FEW_ZONES),
+    ({"connected_neighbour": "b-2"}, DecisionReason.NEIGHBOURS_REACH),
     ({"share_here": 0.9}, DecisionReason.ENOUGH_ANSWERABLE),
     ({"share_here": 0.85}, DecisionReason.ZONE_CUT_OFF),
     ({"share_here": 0.7, "share_elsewhere": 0.75}, DecisionReason.NO_GAIN),
     ({"share_elsewhere": 0.1}, DecisionReason.NO_GAIN),
     ({"is_last_zone": True}, DecisionReason.LAST_ZONE),
-    ({"own_side": OwnZoneStatus.SILENT, "share_here": 0.0}, DecisionReason.NODE_CUT_OFF),
+    ({"own_zone_status": OwnZoneStatus.SILENT, "share_here": 0.0}, DecisionReason.NODE_CUT_OFF),
     (
-        {"own_side": OwnZoneStatus.SILENT, "share_here": 0.0, "is_last_zone": True},
+        {"own_zone_status": OwnZoneStatus.SILENT, "share_here": 0.0, "is_last_zone": True},
         DecisionReason.NODE_CUT_OFF,
     ),
     (
-        {"own_side": OwnZoneStatus.SILENT, "other_zones": ("a",), "zones_out": ("a",)},
+        {
+            "own_zone_status": OwnZoneStatus.SILENT,
+            "other_zones": ("a",),
+            "unreachable_zones": ("a",),
+        },
         DecisionReason.NODE_CUT_OFF,
     ),
-    ({"own_side": OwnZoneStatus.SILENT, "contradicted_by": "b-2"}, DecisionReason.NEIGHBOURS_REACH),
-    ({"own_side": OwnZoneStatus.UNKNOWN}, DecisionReason.UNKNOWN),
+    (
+        {"own_zone_status": OwnZoneStatus.SILENT, "connected_neighbour": "b-2"},
+        DecisionReason.NEIGHBOURS_REACH,
+    ),
+    ({"own_zone_status": OwnZoneStatus.UNKNOWN}, DecisionReason.UNKNOWN),
 )
 
 
--- a/tests/forwarding/test_configuration_proof.py
+++ b/tests/forwarding/test_configuration_proof.py
@@ -116,7 +116,7 @@
         self.assertFalse(proven(node))
         self.assertEqual(0.0, node.last(StartWatch).pause_seconds)
         node.advance(0.5)
-        expected = [{"age_ms": -1, "reason": "nothing was read yet"}]
+        expected = [{"age_ms": -1, "reason": "no poll answered yet"}]
         self.assertEqual(expected, node.logs("configuration_unproven"))
         answer(node, 0.01)
         self.assertTrue(proven(node))
--- a/tests/forwarding/test_store_following.py
+++ b/tests/forwarding/test_store_following.py
@@ -115,7 +115,7 @@
             "reason": "no answer",
             "failures": 1,
             "waited_ms": 2700,
-            "silent_ms": 4000,
+            "since_answer_ms": 4000,
             "pause_ms": 150,
         }
         self.assertEqual([expected], node.logs("store_unreachable"))
--- a/tests/forwarding/test_store_news.py
+++ b/tests/forwarding/test_store_news.py
@@ -191,9 +191,9 @@
             "known_revision": revision,
             "from_revision": revision + 1,
             "failures": 1,
-            "silent_ms": 5100,
+            "since_answer_ms": 5100,
         }
-        self.assertEqual([expected], node.logs("store_news_passed_over"))
+        self.assertEqual([expected], node.logs("store_update_skipped"))
 
     def test_a_configuration_says_who_told_it(self) -> None:
         node = linked(FIRST)
--- a/wingquay/forwarding/knowledge/__init__.py
+++ b/wingquay/forwarding/knowledge/__init__.py
@@ -1,1 +1,1 @@
-"""What a node knows of the store, of the other nodes and of itself."""
+"""The store's contents, the other nodes and the freshness of both, as one node tracks them."""
--- a/wingquay/forwarding/knowledge/configuration_proof.py
+++ b/wingquay/forwarding/knowledge/configuration_proof.py
@@ -1,42 +1,41 @@
-"""Until when the configuration that a node goes by is proven to be the one in force.
+"""Tracks the time as of which a node's configuration is proven to be complete.
 
-A read of the store proves what it told as of the moment at which it began: whatever the store had
-acknowledged by then is in it. So a key that was taken away later than that may still be known here,
-and from the bound on, counted from that moment, no key is served. Times are those of the clock that
-counts what a machine was suspended for.
+A read of the store returns everything that the store had acknowledged when the read began, so each
+read proves the configuration as of its start. A key that was revoked later may still be accepted.
+Once the proof is older than the revocation bound, no request with a key is served. Times are those
+of a clock that includes suspension of the machine.
 """
 
 from collections.abc import Callable
 
 BOUND_RESERVE_SECONDS = 0.1
-"""Time before the bound from which on requests with keys are rejected. Callers must not run past
-the bound by the clocks of other machines: two that run apart by 200 parts in a million for the
-lifetime of an ask, a minute, differ by 0.012 s; the rest is for a turn of the event loop."""
+"""Margin before the bound at which requests with keys are rejected. It covers the drift between two
+machines' clocks while a proof request is valid, and one iteration of the event loop."""
 MIN_RETRY_SECONDS = 0.05
-"""Earliest time at which a rejected caller is asked back: sooner it would be rejected again."""
+"""Minimum delay before a rejected caller is told to retry."""
 
 
 class AlwaysProven:
-    """The proof where the platform states no bound for nodes that are out of touch."""
+    """Proof for platforms that state no revocation bound: every configuration counts as proven."""
 
     def is_proven(self, now: float) -> bool:
-        """Whether no key that callers show may have been taken away for too long."""
+        """Whether the configuration is recent enough to serve requests with keys."""
         return True
 
     def retry_after_seconds(self, now: float) -> float:
-        """Return after which time the node may know again."""
+        """Return the seconds after which a rejected caller should retry."""
         return 0.0
 
 
 class TimedProof:
-    """Proven as of the latest moment of which the node knows everything.
+    """Proof by the latest time as of which the node's configuration is complete.
 
     Parameters
     ----------
     bound_seconds
-        Time after the store acknowledged that a key is taken away from which on it is not served.
+        Time after the store acknowledged a key's revocation by which the key must be rejected.
     next_answer_at
-        Tells, for a moment, when the store or another node may prove more.
+        Returns, for a time, when the next proof from the store or another node may arrive.
     """
 
     def __init__(self, bound_seconds: float, next_answer_at: Callable[[float], float]) -> None:
@@ -46,17 +45,17 @@
 
     @property
     def proven_as_of(self) -> float:
-        """The moment up to which everything that the store acknowledged is known."""
+        """The time up to which everything that the store acknowledged is in the configuration."""
         return self._proven_as_of
 
     def extend(self, as_of: float, now: float) -> bool:
-        """Take in that everything is known that was acknowledged before a moment.
+        """Record that everything acknowledged before ``as_of`` is in the configuration.
 
         Returns
         -------
         bool
-            Whether that is later than what was proven before. A moment that has yet to come proves
-            nothing: whoever told it is wrong.
+            Whether ``as_of`` is later than the time proven before. A time in the future is an error
+            of the sender and is ignored.
         """
         if not self._proven_as_of < as_of <= now:
             return False
@@ -64,9 +63,9 @@
         return True
 
     def is_proven(self, now: float) -> bool:
-        """Whether no key that callers show may have been taken away for too long."""
+        """Whether the configuration is recent enough to serve requests with keys."""
         return now - self._proven_as_of <= self._served_seconds
 
     def retry_after_seconds(self, now: float) -> float:
-        """Return after which time the node may know again."""
+        """Return the seconds after which a rejected caller should retry."""
         return max(self._next_answer_at(now) - now, MIN_RETRY_SECONDS)
--- a/wingquay/forwarding/knowledge/follower_settings.py
+++ b/wingquay/forwarding/knowledge/follower_settings.py
@@ -1,4 +1,4 @@
-"""How a prefix of the store is followed, and what the follower tells its owner."""
+"""Settings and callbacks of the store follower."""
 
 from collections.abc import Callable
 
@@ -12,34 +12,33 @@
 
 @value
 class FollowRetryDue(Event):
-    """Look at the store again after a failure."""
+    """Poll the store again after a failure."""
 
     watch_id: str
 
 
 @value
 class FollowerSettings:
-    """How a prefix is followed.
+    """How a prefix of the store is followed.
 
     Parameters
     ----------
     prefix
         Keys that begin with it are followed.
-    gather_seconds
-        Least time between two looks at a prefix that changes all the time.
+    poll_interval_seconds
+        Minimum time between two polls while the prefix keeps changing.
     shared_poll_interval_seconds
-        The same for a node that looks for others, too: in busy times ten nodes that looked by
-        themselves would see a change a third of a second after it was made, on average.
-    look
-        How long a look may take and the pause after one that was lost. Calls that are refused are
-        priced, too.
+        The same for a node that also polls on behalf of its group; shorter, because each of its
+        polls updates the whole group.
+    poll_times
+        Timeouts of polls and the backoff after a failed one.
     urgent_backoff_seconds
-        Most pause while news are waited for.
+        Maximum backoff while the node waits for a particular change.
     initial_backoff_seconds
-        Most pause as long as nothing at all is known: a node cannot serve before.
-    proving
-        The bound for keys that are taken away, and the looks that keep it; ``None``: no bound is
-        stated for nodes that are out of touch.
+        Maximum backoff before the first listing, when the node cannot serve requests yet.
+    proof_poll_times
+        Polls that keep the configuration proven within the revocation bound; ``None``: the platform
+        states no bound.
     """
 
     prefix: str = ""
@@ -53,24 +52,24 @@
 
 @value
 class FollowerHooks:
-    """What the follower tells its owner.
+    """Callbacks from the follower to its owner.
 
     Parameters
     ----------
     on_listing
-        Everything that is there, after it was read anew.
+        Called with all items after the prefix was read as a whole.
     on_changes
-        What changed and which keys are gone.
-    on_trouble
-        The store could not be reached.
-    on_look
-        A look of its own showed changes: what was known before, and what is now.
+        Called with the changed items and the deleted keys.
+    on_failure
+        Called when a poll or read of the store failed.
+    on_poll
+        Called with the changes that a poll of this node returned.
     shares_updates
-        Whether other nodes are told what this one reads.
-    is_first
-        Whether this node is the first to look of those that tell each other what they read.
-    is_enough
-        Whether what is known is enough to go by until the next look is due.
+        Returns whether this node sends store updates to other nodes.
+    is_first_in_group
+        Returns whether this node is the first of its group, which polls for the others.
+    is_sufficient
+        Returns whether the current contents suffice to serve requests until the next regular poll.
     """
 
     on_listing: Callable[[tuple[StoredValue, ...], float], list[Action]]
--- a/wingquay/forwarding/knowledge/loop_lag.py
+++ b/wingquay/forwarding/knowledge/loop_lag.py
@@ -1,7 +1,7 @@
-"""How late this node takes in what has arrived.
+"""Lag of the event loop.
 
-A weak machine that is at work for another request reads the next one when it is done. By then a
-part of its caller's time is over, which the request itself does not tell.
+A busy machine reads a request some time after it arrived. That delay uses up part of the request's
+deadline but is not visible in the request itself.
 """
 
 from dataclasses import dataclass
@@ -9,12 +9,12 @@
 
 @dataclass(slots=True)
 class LoopLag:
-    """The lateness that was measured last.
+    """The latest measured event loop lag.
 
     Parameters
     ----------
     seconds
-        How late a timer fired, a fraction of a second ago.
+        How late the latest lag timer fired.
     """
 
     seconds: float = 0.0
--- a/wingquay/forwarding/knowledge/node_groups.py
+++ b/wingquay/forwarding/knowledge/node_groups.py
@@ -1,7 +1,7 @@
-"""The other nodes: which can be reached, which are passed over, and who is told news of the store.
+"""The other nodes: their addresses, their suspicion state, and the group that shares store updates.
 
-The nodes of a zone form groups of about the square root of the number of shards of the widest
-route; the nodes of a group tell each other what they read of the store.
+The nodes of a zone form groups whose size is about the square root of the number of shards of the
+widest route. The nodes of a group send each other what they read from the store.
 """
 
 import math
@@ -16,7 +16,7 @@
 
 @value
 class GroupNode:
-    """A node that can be asked now, this one included."""
+    """A node's name and address record."""
 
     name: str
     record: NodeRecord
@@ -24,7 +24,7 @@
 
 @dataclass(slots=True, eq=False)
 class _Member:
-    """A node that other nodes can reach."""
+    """A node with a known address, and its recent failures."""
 
     record: NodeRecord
     failures: int = 0
@@ -32,12 +32,14 @@
 
 
 class NodeGroups:
-    """The nodes that have said where they can be reached, and the group of this one.
+    """The nodes with a known address, and the group of this node.
+
+    A node that fails is suspect for a while and gets no messages in that time.
 
     Parameters
     ----------
     settings
-        The zone of this node and how long a node that failed is passed over.
+        The zone of this node and how long a failed node stays suspect.
     name
         This node's name.
     """
@@ -47,13 +49,13 @@
         self._name = name
         self._members: dict[str, _Member] = {}
         self._departed: dict[str, NodeIdentity] = {}
-        """Nodes whose keys are gone, until their links break."""
+        """Nodes whose store entry was deleted while their link to this node is still open."""
         self.evidence: ReachabilityEvidence | None = None
-        """Takes in which nodes are passed over, and where they are."""
+        """Receives failures of nodes in other zones."""
         self._fan_out = 0
         self._version = 0
         self._valid_until = float("inf")
-        """When the first node that is passed over may be asked again."""
+        """When the first suspicion ends, which changes the set of usable nodes."""
 
     @property
     def name(self) -> str:
@@ -62,26 +64,26 @@
 
     @property
     def fan_out(self) -> int:
-        """The greatest number of shards of a route."""
+        """The maximum number of shards of a route."""
         return self._fan_out
 
     @property
     def node_count(self) -> int:
-        """The number of nodes that have said where they can be reached."""
+        """The number of nodes with a known address."""
         return len(self._members)
 
     @property
     def all_nodes(self) -> list[GroupNode]:
-        """The nodes that have said where they can be reached, this one and silent ones included."""
+        """All nodes with a known address, including this one and suspect ones."""
         return [GroupNode(name, member.record) for name, member in self._members.items()]
 
     @property
     def zone_count(self) -> int:
-        """The number of zones that have such nodes."""
+        """The number of zones with at least one node of known address."""
         return len({member.record.identity.zone for member in self._members.values()})
 
     def version(self, now: float) -> int:
-        """Return a number that is another whenever other nodes can be asked."""
+        """Return a number that changes whenever the set of usable nodes changes."""
         if now >= self._valid_until:
             self._changed()
             suspect_ends = [item.suspect_until for item in self._members.values()]
@@ -89,7 +91,7 @@
         return self._version
 
     def put(self, name: str, record: NodeRecord | None) -> None:
-        """Take in what a node says of itself; ``None``: it cannot be reached."""
+        """Record a node's address; ``None``: the node cannot be reached by others."""
         present = self._members.get(name)
         self._departed.pop(name, None)
         if record is None:
@@ -99,7 +101,7 @@
             self._changed()
 
     def remove(self, name: str) -> None:
-        """Take in that a node is gone."""
+        """Remove a node whose store entry is gone."""
         member = self._members.pop(name, None)
         if member is not None:
             self._departed[name] = member.record.identity
@@ -108,21 +110,21 @@
             self._changed()
 
     def keep_only(self, names: Collection[str]) -> None:
-        """Take in a whole listing: nodes that are not in it are gone."""
+        """Apply a complete listing: remove the nodes that are not in it."""
         for name in [name for name in self._members if name not in names]:
             self.remove(name)
 
     def set_fan_out(self, shards: int) -> None:
-        """Take in the greatest number of shards of a route."""
+        """Set the maximum number of shards of a route."""
         self._fan_out = shards
 
     def suspect(self, node_id: str, now: float, is_absent: bool = False) -> None:
-        """Pass a node over for a while, longer each time in a row.
+        """Mark a node as suspect; the period doubles with each failure in a row.
 
         Parameters
         ----------
         is_absent
-            Whether nobody answered at its address: it may be starting.
+            Whether nothing accepted connections at its address: the node may be starting.
         """
         for name in [name for name, item in self._departed.items() if item.node_id == node_id]:
             del self._departed[name]
@@ -139,9 +141,10 @@
                 self._changed()
 
     def _record_zone_failure(self, node_id: str, now: float) -> None:
-        """Take a node of another zone for a sign that the zone is out of reach.
+        """Record a failed node of another zone as evidence that the zone is unreachable.
 
-        Nodes of the own zone are none: they start anew every day, and all would look into it.
+        Nodes of the same zone are left out, because they restart regularly and each restart would
+        cause every node to check its zones.
         """
         if self.evidence is None:
             return
@@ -151,7 +154,7 @@
                 self.evidence.record_failure(identity.zone, f"node {node_id}", now)
 
     def clear_suspicion(self, node_id: str) -> None:
-        """Take in that a node has answered: it is there, however late it was."""
+        """Record an answer of a node, however late: it is no longer suspect."""
         for member in self._members.values():
             if member.record.identity.node_id != node_id:
                 continue
@@ -161,7 +164,7 @@
                 self._changed()
 
     def usable_by_zone(self, now: float) -> dict[str, list[GroupNode]]:
-        """Return the nodes of each zone that can be asked now, this one included."""
+        """Return the nodes that are not suspect by zone, including this one."""
         by_zone: dict[str, list[GroupNode]] = {}
         for name, member in self._members.items():
             if name == self._name or now >= member.suspect_until:
@@ -170,7 +173,7 @@
         return by_zone
 
     def reachable(self, now: float) -> list[NodeIdentity]:
-        """Return the other nodes that can be asked now, sorted by name."""
+        """Return the other nodes that are not suspect, sorted by name."""
         return [
             member.record.identity
             for name, member in sorted(self._members.items())
@@ -178,7 +181,7 @@
         ]
 
     def other_nodes(self) -> list[tuple[str, NodeIdentity]]:
-        """Return all other nodes by name, also those that are passed over."""
+        """Return all other nodes sorted by name, including suspect ones."""
         return [
             (name, member.record.identity)
             for name, member in sorted(self._members.items())
@@ -186,22 +189,22 @@
         ]
 
     def update_recipients(self) -> list[NodeIdentity]:
-        """Return the nodes that are told what this one reads of the store.
+        """Return the nodes to which this node sends store updates.
 
-        A node whose key is gone from the store while its link stands is told as well: the store may
-        have taken the key from a node that it turns away, and that one needs the news most.
+        They include nodes whose store entry is gone while their link is open. Such a node may have
+        lost its entry because the store rejects it, and then depends on updates from other nodes.
         """
         names = [name for name in self._update_group_names() if name != self._name]
         present = [self._members[name].record.identity for name in names]
         return present + [item for item in self._departed.values() if item not in present]
 
     def rank(self) -> int:
-        """Return this node's place among those that tell each other of the store."""
+        """Return this node's position in its group, from 0."""
         names = self._update_group_names()
         return names.index(self._name) if self._name in names else 0
 
     def _update_group_names(self) -> list[str]:
-        """Return the names of the group, or of all nodes while the group is small."""
+        """Return the names of the group, or of the next nodes by name if the group is too small."""
         names = self._group_names()
         if len(names) >= self._settings.update_group_min_nodes or self._name not in self._members:
             return names
@@ -211,7 +214,7 @@
         return sorted(around[: self._settings.update_max_recipients])
 
     def _group_names(self) -> list[str]:
-        """Return the sorted names of this node's group; empty while it cannot be reached."""
+        """Return the sorted names of this node's group; empty while this node has no address."""
         if self._name not in self._members or not self._fan_out:
             return []
         zone = self._members[self._name].record.identity.zone
--- a/wingquay/forwarding/knowledge/node_membership.py
+++ b/wingquay/forwarding/knowledge/node_membership.py
@@ -1,4 +1,4 @@
-"""The nodes as their keys in the store tell, and this node's own key among them."""
+"""The nodes by their entries in the store, and this node's own entry."""
 
 from typing import TYPE_CHECKING
 
@@ -15,28 +15,28 @@
     from .node_groups import NodeGroups
 
 LINK_WAIT_SECONDS = 0.4
-"""Time between two looks whether the link to other nodes is open."""
+"""Time between two checks whether the link to other nodes is open."""
 TABLE_WAIT_SECONDS = 0.03
-"""Time between two looks whether a configuration tells how wide routes are."""
+"""Time between two checks whether a configuration has arrived."""
 MAX_TABLE_WAITS = 50
-"""Looks after which the node's key is written all the same: a node counts without the link, too."""
+"""Checks for a configuration after which the entry is written without one."""
 MAX_LINK_WAITS = 7
-"""Looks after which the node's key is written without an address."""
+"""Checks for the link after which the entry is written without an address."""
 
 
 class NodeMembership:
-    """Counts the nodes, and knows where each listens once the link to them is open.
+    """Counts the nodes and, once the link to them is open, tracks their addresses.
 
     Parameters
     ----------
     name
         This node's name.
     nodes
-        Counts the keys of nodes.
+        Counts the node entries.
     presence
-        Keeps this node's own key.
+        Maintains this node's own entry.
     candidate
-        The cluster's key to write if there is none.
+        The cluster key to write if the store has none.
     """
 
     def __init__(
@@ -57,7 +57,7 @@
         self._link_waits = 0
         self._table_waits = 0
         self._has_not_waited = True
-        """Whether the first moment at which the key may be written has yet to come."""
+        """Whether the delay before the first write of the entry is still ahead."""
         self._opened_at = float("-inf")
         self._known_at_opening = 0
         self._records: dict[str, NodeRecord | None] = {}
@@ -65,16 +65,16 @@
 
     @property
     def groups(self) -> "NodeGroups":
-        """The groups of nodes; only once the link is open."""
+        """The groups of nodes; available only after the link was opened."""
         assert self._groups is not None
         return self._groups
 
     def handles(self, event: StoreResponse) -> bool:
-        """Whether the store's answer is to a request of this part."""
+        """Whether a store response answers a request of this class."""
         return self._presence.handles(event) or self._setup.handles(event)
 
     def handle_response(self, event: StoreResponse, now: float) -> list[Action]:
-        """Take in the store's answer."""
+        """Handle a store response."""
         if self._presence.handles(event):
             return self._presence.handle(event, now)
         return self._setup.handle_result(event.result)
@@ -82,10 +82,10 @@
     def handle_presence_due(
         self, event: PresenceDue, table: RoutingTable | None, now: float
     ) -> list[Action]:
-        """Write the node's key, but open the link before: the key tells where it listens.
+        """Open the link to other nodes, then write this node's entry with its address.
 
-        Every node opens it, however narrow its routes are: nodes have to tell each other under
-        which requests replicas end, also while the store is away.
+        The link is opened however narrow the routes are, because nodes also use it to report
+        requests that crash replicas, even during a store outage.
         """
         is_open = self._groups is not None
         if table is None and self._table_waits < MAX_TABLE_WAITS:
@@ -104,13 +104,13 @@
         return [*self._setup.request_link(), Schedule(now + LINK_WAIT_SECONDS, event)]
 
     def _without_link(self, event: PresenceDue, now: float) -> list[Action]:
-        """Write the key of a node without a configuration, which other nodes cannot reach yet."""
+        """Write the entry without an address, because there is no configuration."""
         if self._has_not_waited:
             return self._wait_once(self._settings.presence_delay_seconds, event, now)
         return self._presence.handle(event, now)
 
     def _wait_once(self, delay_seconds: float, event: PresenceDue, now: float) -> list[Action]:
-        """Wait until so long after the start, once."""
+        """Delay the first write until so many seconds after the start, once."""
         self._has_not_waited = False
         delay_left_seconds = delay_seconds - self._settings.join_wide_delay_seconds
         return [Schedule(now + max(0.0, delay_left_seconds), event)]
@@ -118,7 +118,7 @@
     def handle_link_opened(
         self, event: PeerLinkOpened, table: RoutingTable | None, now: float
     ) -> list[Action]:
-        """Say where this node listens, and group the nodes from now on."""
+        """Set this node's address in its entry and start grouping the nodes."""
         from .node_groups import NodeGroups
 
         self._opened_at = now
@@ -135,42 +135,42 @@
         return [Log("peer_link_opened", LogLevel.INFO, fields)]
 
     def is_listed(self, now: float) -> bool:
-        """Whether this node's key is sure to stand in the store."""
+        """Whether this node's entry is certain to be in the store."""
         return self._presence.is_listed(now)
 
     def reused_key(self) -> bool:
-        """Whether this node's key stood in the store, as it is now, before this life wrote it."""
+        """Whether the entry of this node's previous incarnation was found unchanged and renewed."""
         return self._presence.reused_key
 
     def update_recipients(self) -> list[NodeIdentity]:
-        """Return the nodes that are told what this one reads of the store."""
+        """Return the nodes to which this node sends store updates."""
         return [] if self._groups is None else self._groups.update_recipients()
 
     def rank(self) -> int:
-        """Return this node's place among the nodes that tell each other of the store."""
+        """Return this node's position among the nodes that share store updates, from 0."""
         return 0 if self._groups is None else self._groups.rank()
 
     def is_joining(self, now: float) -> bool:
-        """Whether keys of nodes that started together with this one may soon appear.
+        """Whether entries of nodes that started together with this one may still appear.
 
-        Where enough keys stood there already, nodes know each other by these: a node keeps its id
-        and its address when it starts again.
+        If enough entries were present when the link opened, the group is complete: a node keeps its
+        id and address across restarts.
         """
         if self._known_at_opening >= self._settings.update_group_min_nodes:
             return False
         return now - self._opened_at < self._settings.join_seconds
 
     def configure(self, table: RoutingTable) -> None:
-        """Take in a configuration."""
+        """Apply a configuration."""
         if self._groups is not None:
             self._groups.set_fan_out(widest_route(table))
 
     def set_cluster_key(self, cluster_key: bytes) -> None:
-        """Take in the key that stands in the store."""
+        """Record the cluster key found in the store."""
         self._setup.set_cluster_key(cluster_key)
 
     def put(self, item: StoredValue) -> None:
-        """Take in the key of a node."""
+        """Apply a node's entry."""
         self._nodes.put(item.key)
         name = item.key.removeprefix(self._formats.node_prefix)
         record = self._formats.parse_node(item.value)
@@ -181,7 +181,7 @@
             self._groups.put(name, record)
 
     def remove(self, key: str) -> None:
-        """Take in that the key of a node is gone."""
+        """Remove a node whose entry is gone."""
         self._nodes.remove(key)
         name = key.removeprefix(self._formats.node_prefix)
         self._records.pop(name, None)
@@ -189,7 +189,7 @@
             self._groups.remove(name)
 
     def keep_only(self, keys: set[str]) -> None:
-        """Take in a whole listing: nodes that are not in it are gone."""
+        """Apply a complete listing: remove the nodes that are not in it."""
         self._nodes.keep_only(keys)
         prefix = self._formats.node_prefix
         names = {key.removeprefix(prefix) for key in keys}
--- a/wingquay/forwarding/knowledge/peer_setup.py
+++ b/wingquay/forwarding/knowledge/peer_setup.py
@@ -1,7 +1,7 @@
 """Opens the link to other nodes.
 
-All nodes share a secret, the cluster's key, which stands in the store: the first node to start
-writes it, so whoever may read the store may speak to nodes.
+All nodes authenticate with a shared secret, the cluster key. The first node to start writes it to
+the store, so every node that can read the store can connect.
 """
 
 from ...model.failure import Failure
@@ -23,12 +23,12 @@
 
 
 class PeerSetup:
-    """Learns or makes the cluster's key and asks for the link.
+    """Reads or creates the cluster key, then requests the link.
 
     Parameters
     ----------
     key_name
-        The store's key that holds the cluster's key.
+        The name of the cluster key in the store.
     candidate
         The key to write if there is none; random, at least 16 bytes.
     """
@@ -43,25 +43,25 @@
 
     @property
     def is_requested(self) -> bool:
-        """Whether the link has been asked for."""
+        """Whether the link was requested."""
         return self._is_requested
 
     def needs_early_link(self, table: RoutingTable) -> bool:
-        """Whether requests need other nodes: for most of their shards, or for a tenant's limit."""
+        """Whether requests depend on other nodes, for delegation or for a tenant's limit."""
         if table.tenants is not None and table.tenants.is_limited:
             return True
         return widest_route(table) >= self._settings.delegate_min_shards
 
     def set_cluster_key(self, cluster_key: bytes) -> None:
-        """Take in the key that stands in the store."""
+        """Record the cluster key found in the store."""
         self._cluster_key = cluster_key
 
     def handles(self, event: StoreResponse) -> bool:
-        """Whether the answer is to one of this machine's requests."""
+        """Whether a store response answers a request of this class."""
         return event.operation_id.startswith(OPERATION_PREFIX)
 
     def request_link(self) -> list[Action]:
-        """Ask for the link, or for the key first."""
+        """Request the link, or first write the cluster key if it is unknown."""
         if self._is_requested:
             return []
         if self._cluster_key is not None:
@@ -72,7 +72,7 @@
         return [StoreRequest(self._operation_id, operation, TIMEOUT_SECONDS)]
 
     def handle_result(self, result: StoreResult | Failure[StoreFailureKind]) -> list[Action]:
-        """Take in the store's answer."""
+        """Handle the result of writing the cluster key."""
         if not isinstance(result, SwapResult):
             return []
         if result.succeeded:
@@ -87,5 +87,5 @@
 
 
 def widest_route(table: RoutingTable) -> int:
-    """Return the greatest number of shards of a route."""
+    """Return the maximum number of shards of a route."""
     return max([len(route.shards) for route in table.routes], default=0)
--- a/wingquay/forwarding/knowledge/poll_schedule.py
+++ b/wingquay/forwarding/knowledge/poll_schedule.py
@@ -1,20 +1,20 @@
-"""How soon a node looks at the store again, and how long the store may hold the look."""
+"""Schedule of one node's polls of the store."""
 
 from .follower_settings import FollowerHooks, FollowerSettings
 from .proof_manager import ProofManager
 
 
 class PollSchedule:
-    """The pace of one node's looks, by what it hears of others and what it waits for.
+    """Decides when a node polls the store next and how long the store may hold the poll.
 
     Parameters
     ----------
     settings
-        The usual pace, and how long a look may take.
+        The usual poll interval, timeouts and backoff.
     hooks
-        Tell this node's place among those that tell each other what they read.
-    keeper
-        Knows how soon the configuration has to be proven again.
+        Tell whether this node polls for its group.
+    proof_manager
+        Provides the time by which the configuration must be proven again.
     """
 
     def __init__(
@@ -24,22 +24,23 @@
         self._hooks = hooks
         self._proof_manager = proof_manager
         self._has_received_update = False
-        """Whether news of another node were taken in since the last look."""
+        """Whether an update of another node was applied since the last poll."""
         self._got_no_updates = False
-        """Whether none were before that look: those that go first may be turned away."""
+        """Whether no update arrived before that poll: the store may reject the nodes that poll
+        first."""
         self.wanted_interval_seconds = settings.poll_interval_seconds
-        """Time between two looks that is wanted at present."""
+        """The poll interval that is currently requested."""
         self.failed_polls = 0
-        """Looks that were lost, one after the other."""
+        """Consecutive failed polls."""
 
     @property
     def is_urgent(self) -> bool:
-        """Whether looks are wanted more often than usual."""
+        """Whether a shorter poll interval than usual is requested."""
         return self.wanted_interval_seconds < self._settings.poll_interval_seconds
 
     @property
     def interval_seconds(self) -> float:
-        """Least time between two looks, shorter where others go by what this node reads."""
+        """Minimum time between two polls; shorter for a node that polls for its group."""
         proving = self._proof_manager.poll_times
         if self._uses_long_polls and self._hooks.shares_updates():
             shared_seconds = self._settings.shared_poll_interval_seconds
@@ -52,10 +53,10 @@
 
     @property
     def hold_seconds(self) -> float:
-        """How long the store may hold the next look.
+        """How long the store may hold the next poll.
 
-        Not at all after one that was lost: a held one that an outage swallows is noticed late, and
-        the configuration of 4 outages in 60 came up to 0.4 s after its bound (simulated).
+        Zero after a failed poll, because the failure of a long poll is detected later than that of
+        a short poll.
         """
         if not self._uses_long_polls or self.failed_polls:
             return 0.0
@@ -63,21 +64,21 @@
         return self._settings.poll_times.hold_seconds if proving is None else proving.hold_seconds
 
     def timeout_seconds(self, hold_seconds: float) -> float:
-        """Return after which time a look counts as lost that the store may hold for so long."""
+        """Return the timeout of a poll that the store may hold for ``hold_seconds``."""
         look = self._proof_manager.poll_times or self._settings.poll_times
         return look.long_poll_timeout_seconds if hold_seconds > 0.0 else look.timeout_seconds
 
     def max_pause_seconds(self, now: float) -> float:
-        """Return for how long the next look may be put off."""
+        """Return the maximum time by which the next poll may be postponed."""
         return max(self._proof_manager.poll_deadline() - self.hold_seconds - now, 0.0)
 
     def backoff_seconds(self, is_listed: bool) -> float:
-        """Return the pause after a look that was lost, longer each time in a row.
+        """Return the pause after a failed poll, doubled with each failure in a row.
 
         Parameters
         ----------
         is_listed
-            Whether anything is known to go by meanwhile.
+            Whether the node has contents to work with in the meantime.
         """
         settings = self._settings
         pause = settings.poll_times.first_backoff_seconds * 2.0 ** min(self.failed_polls, 6)
@@ -89,21 +90,20 @@
         return min(pause, most)
 
     def update_received(self) -> None:
-        """Take in that another node has told news."""
+        """Record that an update of another node was applied."""
         self._has_received_update = True
         self._got_no_updates = False
 
     def poll_answered(self) -> None:
-        """Take in that a look of this node was answered."""
+        """Record that a poll of this node was answered."""
         self._got_no_updates = not self._has_received_update
         self._has_received_update = False
 
     @property
     def _uses_long_polls(self) -> bool:
-        """Whether this node lets the store hold its looks, and so hears of changes at once.
+        """Whether this node uses long polls, by which it receives changes at once.
 
-        One node of a group does, and tells the others. If all did, their looks would have begun
-        when its news come, and none would be put off: 8 looks a node and minute, where one node in
-        ten needs 18.
+        One node of a group does and sends the changes to the others, which postpone their own
+        polls. Polls of the others must not be held, because a poll under way cannot be postponed.
         """
         return self._hooks.is_first_in_group() or self._got_no_updates
--- a/wingquay/forwarding/knowledge/poll_times.py
+++ b/wingquay/forwarding/knowledge/poll_times.py
@@ -1,81 +1,80 @@
-"""How often a node looks at the store and how long it waits there, from the bounds it must keep."""
+"""Poll intervals, hold times and timeouts derived from the bounds that a node must keep."""
 
 from ...model.value import value
 
 POLL_RESERVE_SECONDS = 1.7
-"""Time left for a look that fails once, its answer, and requests on their way."""
+"""Time left for one failed poll, the answer to the next, and requests under way."""
 MIN_POLL_INTERVAL_RATIO = 0.4
 
 
 def poll_interval_within(bound_seconds: float) -> float:
-    """Return how often to look at the store so that its news are in force in time.
+    """Return the poll interval that applies changes of the store within a bound.
 
     Parameters
     ----------
     bound_seconds
-        Time after the store took a change at which every node must have followed it.
+        Time after the store acknowledged a change by which every node must have applied it.
     """
     return max(bound_seconds - POLL_RESERVE_SECONDS, bound_seconds * MIN_POLL_INTERVAL_RATIO)
 
 
 REWRITE_SECONDS = 2.0
-"""Time after the store's return in which entries that lapsed meanwhile are written again."""
+"""Time after a store outage within which replicas write their expired entries again."""
 POLL_SECONDS = 0.3
-"""Time for the look that shows them."""
+"""Time for the poll that returns these entries."""
 IN_FLIGHT_RESERVE_SECONDS = 0.5
-"""Time left for requests that are on their way to a replica that counts as gone."""
+"""Time left for requests under way to a replica that counts as gone."""
 
 
 def expiry_grace_seconds(poll_interval_seconds: float, drain_seconds: float) -> float:
-    """Return how long a replica whose record lapsed in an outage may still get work.
+    """Return how long a replica whose entry expired in a store outage may still receive requests.
 
-    That is until its record would be back and seen, but always within the time after which a
-    replica that the store said is gone must get nothing more.
+    The period lasts until the entry should be back and read, but ends within the time after which a
+    replica that the store reports as gone must receive no more requests.
 
     Parameters
     ----------
-    gather_seconds
-        Time between two looks at the store.
+    poll_interval_seconds
+        Time between two polls of the store.
     drain_seconds
-        Time after which a replica that the store says is leaving must get nothing more.
+        Time after which a replica that the store reports as leaving must receive no more requests.
     """
     back_seconds = REWRITE_SECONDS + poll_interval_seconds + POLL_SECONDS
     return max(min(back_seconds, drain_seconds - IN_FLIGHT_RESERVE_SECONDS), 0.0)
 
 
 DEFAULT_CONTACT_SECONDS = 4.0
-"""Time after the store's return at which bounds hold again, where the platform states none."""
+"""Default for the time after a store outage at which the bounds apply again."""
 CONTACT_RESERVE_SECONDS = 0.4
-"""Time left, once the look after an outage begins, for its answer and requests on their way."""
+"""Time left for the answer to the first poll after an outage and for requests under way."""
 MAX_HOLD_SECONDS = 3.0
-"""Held for longer, looks are fewer calls, and one that is lost is noticed later."""
+"""Maximum hold time of a long poll; a longer one saves calls but detects failures later."""
 LONG_POLL_ANSWER_SECONDS = 1.0
-"""Time for the answer to a held look to arrive: a store that is 200 times slower than usual takes
-0.8 s, and looks that count as lost while it answers would have it seem out of reach."""
+"""Time for the answer of a long poll to arrive after the hold time; allows for a slow store."""
 MAX_ANSWER_SECONDS = 1.5
-"""Time for the answer to a look that the store does not hold."""
+"""Maximum timeout of a poll that the store answers at once."""
 MAX_ANSWER_SHARE = 0.45
-"""Share of the time after an outage that a look which is lost in it may take."""
+"""Maximum share of the recovery time that a poll which fails in an outage may use."""
 FIRST_BACKOFF_SECONDS = 0.15
-"""A look that was cut off by chance is made again soon."""
+"""Pause after the first failed poll."""
 MAX_BACKOFF_SECONDS = 2.0
-"""In an outage looks are priced and tell nothing."""
+"""Maximum pause after a failed poll; failed calls are charged, too."""
 
 
 @value
 class PollTimes:
-    """How long a look at the store may take, and the pause after one that was lost.
+    """Timeouts of polls and the backoff after a failed one.
 
     Parameters
     ----------
     hold_seconds
-        How long the store may hold a look on which nothing has changed.
+        How long the store may hold a poll while nothing changes.
     long_poll_timeout_seconds
-        Time after which such a look counts as lost.
+        Timeout of such a poll.
     timeout_seconds
-        Time after which a look that is answered at once, or a reading of everything, does.
+        Timeout of a poll or read that is answered at once.
     first_backoff_seconds, max_backoff_seconds
-        Pause after the first lost look, doubled each time up to the second figure.
+        Pause after the first failed poll, and the maximum up to which it doubles.
     """
 
     hold_seconds: float
@@ -86,17 +85,17 @@
 
 
 def poll_times_within(contact_seconds: float) -> PollTimes:
-    """Return times by which a node looks at the store soon enough after an outage.
+    """Return poll times that keep the bounds again soon enough after a store outage.
 
-    A look may be lost just before the store is back. That it was lost is noticed a time-out later,
-    and the next one follows after a pause: both together are over before bounds hold again. After a
-    look that was lost none is held until one is answered, so that a held look is lost only if the
-    outage began during it, and the first pause follows.
+    A poll may fail just before the outage ends. Its timeout and the backoff must both be over
+    before the bounds apply again. After a failed poll only short polls are used until one is
+    answered, so a long poll can fail only if the outage began during it, and then the first backoff
+    follows.
 
     Parameters
     ----------
     contact_seconds
-        Time after the store's return at which a node is held to its bounds again.
+        Time after the end of an outage at which the bounds apply to a node again.
     """
     within_seconds = max(contact_seconds - CONTACT_RESERVE_SECONDS, contact_seconds / 2.0)
     first_backoff_seconds = min(FIRST_BACKOFF_SECONDS, within_seconds / 4.0)
--- a/wingquay/forwarding/knowledge/presence.py
+++ b/wingquay/forwarding/knowledge/presence.py
@@ -1,8 +1,7 @@
-"""Keeps this node's key in the store, under a lease, and counts the keys of all nodes.
+"""Maintains this node's entry in the store, under a lease, and counts all nodes.
 
-What nodes share without talking to each other, connections to replicas and the slack of the
-budget, is divided by their number. A node that ends leaves its key until the lease lapses, so the
-count errs on the side of too many.
+Connections to replicas and the slack of the budget are divided by the number of nodes. The entry of
+a node that stopped remains until its lease expires, so the count tends to be too high.
 """
 
 import random
@@ -29,28 +28,27 @@
 OPERATION_PREFIX = "presence-"
 TIMEOUT_SECONDS = 2.0
 RENEWAL_SHARE = 0.5
-"""Share of the lease's time after which it is renewed: calls are priced, and what is left
-is time for several tries."""
+"""Share of the lease time after which the lease is renewed; the rest allows several attempts."""
 NO_ADDRESS = b"1"
-"""The value of a node that other nodes cannot reach."""
+"""The value of the entry of a node that other nodes cannot reach."""
 
 
 @value
 class PresenceDue(Event):
-    """Take the next step of keeping the key."""
+    """Take the next step of maintaining the entry."""
 
     step: int
 
 
 class Presence:
-    """Keeps one key alive.
+    """Writes one entry under a lease and renews it.
 
     Parameters
     ----------
     key
-        This node's key.
+        The key of this node's entry.
     settings
-        The lease's time and the pauses.
+        The lease time and the pauses.
     random_source
         Spreads the calls of nodes that start together.
     """
@@ -67,44 +65,44 @@
         self._is_written = False
         self._value = NO_ADDRESS
         self._stored: StoredValue | None = None
-        """The key as the last life of this node has left it."""
+        """The entry that the previous incarnation of this node left."""
         self._sent_at = float("-inf")
         self._lease_sent_at = float("-inf")
-        """When the lease's present time was asked for."""
+        """When the request was sent that set the lease's current expiry."""
         self._listed_until = float("-inf")
         self._reused_key = False
 
     def set_value(self, value: bytes) -> None:
-        """Say something else of this node, from the next writing of the key on."""
+        """Change the value that the next write of the entry stores."""
         self._value = value
         self._is_written = False
         self._listed_until = float("-inf")
 
     def is_listed(self, now: float) -> bool:
-        """Whether the key is sure to stand in the store, as far as nobody takes it away.
+        """Whether the entry is certain to be in the store, unless someone deleted it.
 
-        A lease is counted from when its renewal was asked for, so that it lapses in the store later
-        than here.
+        The lease time is counted from the sending of the renewal, so the lease expires in the store
+        later than here.
         """
         return now < self._listed_until
 
     @property
     def reused_key(self) -> bool:
-        """Whether the key stood there before this life and was renewed, not written."""
+        """Whether the entry of the previous incarnation was renewed instead of written anew."""
         return self._reused_key
 
     def set_stored(self, stored: StoredValue) -> None:
-        """Take in the key as it stands in the store, before this life has written it.
+        """Record the entry found in the store before this incarnation wrote one.
 
-        If it says what this life says as well, its lease is renewed instead of another one: a tenth
-        of a call in place of three.
+        If it has the value that this incarnation would write, its lease is renewed, which saves the
+        calls for a new lease and a write.
         """
         if self._lease_id is None:
             self._stored = stored
             self._expected_revision = stored.modified_at
 
     def handle(self, event: Event, now: float) -> list[Action]:
-        """Take in an event of the store or a timer."""
+        """Handle a store response or a timer."""
         if isinstance(event, Start):
             return self._after(self._settings.join_wide_delay_seconds, now)
         if isinstance(event, PresenceDue) and event.step == self._step:
@@ -115,7 +113,7 @@
         return []
 
     def handles(self, event: StoreResponse) -> bool:
-        """Whether the answer is to one of this machine's requests."""
+        """Whether a store response answers a request of this class."""
         return event.operation_id.startswith(OPERATION_PREFIX)
 
     @property
@@ -135,7 +133,7 @@
         return KeepLeaseAlive(self._lease_id)
 
     def _can_reuse_stored(self) -> bool:
-        """Whether the last life's key stands there and says what this life says."""
+        """Whether the previous incarnation's entry exists and has the value to write."""
         stored = self._stored
         return stored is not None and stored.lease_id > 0 and stored.value == self._value
 
@@ -147,7 +145,7 @@
             return self._lease_answered(result, now)
         if isinstance(result, SwapResult):
             return self._swapped(result, now)
-        # The lease may be gone, or the key written: a new lease settles both.
+        # The lease may have expired, or the entry may have been written: start with a new lease.
         if not self._is_written:
             self._lease_id = None
         return self._after(self._settings.presence_retry_seconds, now)
@@ -183,12 +181,12 @@
 
 
 class NodeCount:
-    """How many nodes there are, as their keys tell.
+    """Counts the nodes by their entries in the store.
 
     Parameters
     ----------
     settings
-        What to assume while nothing is known, and how long a greater count is remembered.
+        The counts to assume without data, and how long a higher count is kept.
     """
 
     def __init__(self, settings: ForwardingSettings) -> None:
@@ -198,17 +196,17 @@
         self._max_count_at = float("-inf")
 
     def put(self, name: str) -> None:
-        """Take in a node's key."""
+        """Add a node."""
         self._names.add(name)
 
     def remove(self, name: str) -> None:
-        """Take in that a node's key is gone."""
+        """Remove a node."""
         self._names.discard(name)
 
     def rank(self, name: str, salt: str) -> int | None:
-        """Return a node's place among all, in an order of its own for each salt.
+        """Return a node's position in an order of all nodes that depends on the salt.
 
-        ``None``: the node's key is not there.
+        ``None``: the node has no entry.
         """
         if name not in self._names:
             return None
@@ -216,16 +214,16 @@
         return sum((zlib.crc32((salt + other).encode()), other) < own for other in self._names)
 
     def keep_only(self, names: set[str]) -> None:
-        """Take in a whole listing."""
+        """Apply a complete listing."""
         self._names = names
 
     def get(self, now: float) -> int:
-        """Return the greatest recent number of nodes."""
+        """Return the maximum recent number of nodes."""
         present = len(self._names)
         is_old = now - self._max_count_at > self._settings.node_count_memory_seconds
         if present >= self._max_count or is_old:
             self._max_count = present
             self._max_count_at = now
-        # Nodes that have just started have no key yet.
+        # Nodes that have just started have no entry yet.
         min_count = self._settings.min_nodes if present else self._settings.max_nodes
         return max(self._max_count, min_count)
--- a/wingquay/forwarding/knowledge/processing_lag.py
+++ b/wingquay/forwarding/knowledge/processing_lag.py
@@ -1,27 +1,27 @@
-"""How late this node does its work."""
+"""How far this node lags behind with its work."""
 
 from dataclasses import dataclass
 
 
 @dataclass(slots=True)
 class ProcessingLag:
-    """What this node's own timers show.
+    """The lag of this node, measured by its timers.
 
     Parameters
     ----------
     timer_lag_seconds
         How late the last regular timer fired.
-    due_at
-        When the next one that shows how late this node is should fire.
+    timer_due_at
+        When the next lag timer is due.
     """
 
     timer_lag_seconds: float = 0.0
     timer_due_at: float = float("inf")
 
     def seconds(self, now: float) -> float:
-        """Return how late this node is with its work.
+        """Return how far this node lags behind.
 
-        A timer that is overdue counts as well: after a node stood still, what waits at its sockets
-        is handled before its timers, and is as old as that.
+        A lag timer that is overdue counts as well: after a pause, messages at the sockets are
+        handled before timers, and may be as old as the pause.
         """
         return max(self.timer_lag_seconds, now - self.timer_due_at)
--- a/wingquay/forwarding/knowledge/proof_manager.py
+++ b/wingquay/forwarding/knowledge/proof_manager.py
@@ -1,4 +1,4 @@
-"""Keeps the proof of the configuration: what renews it, how soon it must be, what is told of it."""
+"""Maintains the proof that the configuration is fresh and requests proofs from other nodes."""
 
 from collections.abc import Callable, Collection
 
@@ -10,25 +10,25 @@
 from .proof_poll_times import MAX_RANK_SECONDS, ProofPollTimes
 from .proof_requests import ReceivedProofRequests, SentProofRequests
 
-NO_POLL_REASON = "no look was answered and nobody told of one"
+NO_POLL_REASON = "no poll was answered and no proof received"
 
 
 class ProofManager:
-    """Takes in what proves the configuration, for deployments that state the strict bound.
+    """Extends the configuration proof by this node's polls and by proofs of other nodes.
 
-    Nothing is paid for it, neither calls nor messages, by other deployments and as long as the
-    configuration has no tenants.
+    Without a revocation bound, or while the configuration has no tenants, it requires no calls and
+    sends no messages.
 
     Parameters
     ----------
-    looks
-        The bound and the looks that keep it; ``None``: no bound is stated.
+    poll_times
+        The bound and the polls that keep it; ``None``: no bound is stated.
     rank_seconds
-        How much later than the first of its group this node looks by itself.
+        Returns the delay of this node's own polls, which grows with its position in the group.
     next_answer_at
-        Tells, for a moment, when the store may answer.
+        Returns, for a time, when the store may answer next.
     first_number
-        Number of the first ask to another node; random, so that no two lives of a node share one.
+        Number of the first proof request; random, so that no two incarnations of a node share one.
     """
 
     def __init__(
@@ -45,25 +45,25 @@
         self._received = ReceivedProofRequests()
         self._has_tenants = False
         self._lost_at: float | None = None
-        """When it was noticed that the configuration is not proven; ``None``: it is."""
-        self._reason = "nothing was read yet"
+        """When the proof was found to be too old; ``None``: the configuration is proven."""
+        self._reason = "no poll answered yet"
 
     @property
     def proof(self) -> AlwaysProven | TimedProof:
-        """What arriving requests are judged by."""
+        """The proof by which arriving requests are admitted."""
         return self._timed or AlwaysProven()
 
     @property
     def poll_times(self) -> ProofPollTimes | None:
-        """The looks that keep the bound; ``None``: there is nothing to prove."""
+        """The polls that keep the bound; ``None``: no proof is required."""
         return self._looks if self._has_tenants else None
 
     def configure(self, table: RoutingTable) -> None:
-        """Take in a configuration."""
+        """Apply a configuration."""
         self._has_tenants = table.tenants is not None
 
     def poll_deadline(self) -> float:
-        """Return when this node's own look must have begun, so that it may fail once."""
+        """Return when this node's own poll must start to leave time for one retry."""
         if self._timed is None or self.poll_times is None:
             return float("inf")
         rank_seconds = min(self._rank_seconds(), MAX_RANK_SECONDS)
@@ -72,14 +72,14 @@
     def poll_answered(
         self, begun_at: float | None, store_revision: int, now: float
     ) -> list[Action]:
-        """Take in that a look of this node was answered.
+        """Handle an answered poll of this node.
 
         Parameters
         ----------
         begun_at
-            When it was begun; ``None``: it proves nothing.
+            When the poll started; ``None``: it proves nothing.
         store_revision
-            Up to which revision it told everything.
+            The revision up to which the answer is complete.
         """
         if self._timed is None or begun_at is None:
             return []
@@ -87,29 +87,29 @@
         return [*self._extend_proof(self._timed, begun_at, now), *told]
 
     def poll_failed(self, reason: str) -> None:
-        """Take in why nothing may be proven for a while."""
+        """Record why the proof may not be extended for a while."""
         self._reason = reason
 
-    def sweep(self, listeners: Callable[[], Collection[NodeIdentity]], now: float) -> list[Action]:
-        """Ask other nodes to prove what they read, and tell if the proof was lost.
+    def sweep(self, recipients: Callable[[], Collection[NodeIdentity]], now: float) -> list[Action]:
+        """Request proofs from other nodes and log whether the proof was lost.
 
         Parameters
         ----------
-        listeners
-            Returns the nodes that tell each other what they read.
+        recipients
+            Returns the nodes that share store updates.
         """
         if self.poll_times is None:
             return []
-        return [*self.check(now), *self._sent.send_requests(listeners(), now)]
+        return [*self.check(now), *self._sent.send_requests(recipients(), now)]
 
     def handle_update_from(self, sender: NodeIdentity, now: float) -> list[Action]:
-        """Take in that another node has told what it has read."""
+        """Handle the arrival of another node's store update."""
         return [] if self.poll_times is None else self._sent.handle_update_from(sender, now)
 
     def handle_request(
         self, sender: NodeIdentity, ask: AskProof, known_revision: int | None, now: float
     ) -> list[Action]:
-        """Take in that another node asks, and tell it at once what is proven here."""
+        """Handle a proof request: record it, and answer at once if the configuration is proven."""
         if self._timed is None:
             return []
         self._received.record(sender, ask, now)
@@ -121,7 +121,7 @@
     def handle_proof(
         self, sender: NodeIdentity, given: ProofGiven, known_revision: int | None, now: float
     ) -> list[Action]:
-        """Take in what another node's look proves, if all that it has told is known."""
+        """Extend the proof by another node's poll, if this node has all its changes."""
         as_of = self._sent.proven_as_of(sender, given, now)
         is_known = known_revision is not None and known_revision >= given.store_revision
         if self._timed is None or as_of is None or not is_known:
@@ -129,13 +129,13 @@
         return self._extend_proof(self._timed, as_of, now)
 
     def link_broken(self, event: PeerLinkBroken) -> None:
-        """Take in that a link broke: what was asked over it may be lost."""
+        """Discard the requests that may be lost because a link broke."""
         if event.was_open:
             self._sent.link_broken(event.node_id)
             self._received.link_broken(event.node_id)
 
     def age_seconds(self, now: float) -> float:
-        """Return how long ago the configuration was the one in force at least."""
+        """Return the age of the proof."""
         return float("inf") if self._timed is None else now - self._timed.proven_as_of
 
     def _extend_proof(self, timed: TimedProof, as_of: float, now: float) -> list[Action]:
@@ -149,7 +149,7 @@
         return [*lines, Observe("configuration_proof_age_seconds", age_seconds)]
 
     def check(self, now: float) -> list[Action]:
-        """Tell if the configuration has ceased to be proven, or is so again."""
+        """Log and count when the configuration becomes unproven or proven again."""
         if self._timed is None or self.poll_times is None:
             return []
         if self._timed.is_proven(now):
--- a/wingquay/forwarding/knowledge/proof_poll_times.py
+++ b/wingquay/forwarding/knowledge/proof_poll_times.py
@@ -1,4 +1,4 @@
-"""How a node looks at the store so that its configuration stays proven within a bound."""
+"""Polls of the store that keep the configuration proven within the revocation bound."""
 
 from enum import Enum
 
@@ -8,49 +8,50 @@
 
 
 class ProofPollMode(Enum):
-    """How the node that looks for its group keeps the configuration proven."""
+    """How the node that polls for its group keeps the configuration proven."""
 
     HELD = "held"
-    """The store holds each look, but for less time: changes are heard of at once."""
+    """Long polls with a shorter hold time: changes arrive at once."""
     SHORT = "short"
-    """The store answers each look at once: the answer proves more, so fewer looks are needed."""
+    """Short polls: an answer proves a later time, so fewer polls are needed."""
 
 
 MAX_TIMEOUT_SHARE = 0.2
-"""Share of the bound that one look may take where the bound is short."""
+"""Maximum share of the bound for the timeout of one poll."""
 MAX_RETRY_SHARE = 0.3
-"""Share of a short bound that is left for a look that is lost and the pause after it."""
+"""Maximum share of the bound for a failed poll and the pause after it."""
 RETRY_ANSWER_SECONDS = 0.3
-"""Time for the answer to the look that follows one that was lost: a busy store takes a tenth."""
+"""Time for the answer to the poll that follows a failed one."""
 MAX_RANK_SECONDS = 0.45
-"""Most time by which the looks of a group's nodes are spread."""
+"""Maximum time over which the polls of a group's nodes are spread."""
 MAX_PROOF_HOLD_SECONDS = 1.2
-"""A held look proves what was so when it began, and the next one is answered as much later."""
+"""Maximum hold time. A long poll proves the configuration as of its start, so holding it ages the
+proof."""
 MAX_RESERVE_SHARE = 0.2
-"""Share of a short bound that is left for such an answer, the spread and clocks."""
+"""Maximum share of the bound reserved for that answer, the spread and clock drift."""
 MAX_HOLD_SHARE = 0.4
-"""Share of the time to an own look for which a look is held: two follow each other before that."""
+"""Share of ``own_poll_seconds`` for the hold time, so that two long polls fit into it."""
 SHORT_POLL_SHARE = 0.67
-"""Share of the time to an own look after which the node that looks for others looks: what it reads
-reaches them before their own looks are due, also when one of its looks is late."""
+"""Share of ``own_poll_seconds`` after which the node that polls for its group polls, so that its
+update arrives before the others poll, even if one poll is late."""
 
 
 @value
 class ProofPollTimes:
-    """Looks that keep the configuration proven within a bound.
+    """Poll times that keep the configuration proven within a bound.
 
     Parameters
     ----------
     bound_seconds
-        Time after the store acknowledged that a key is taken away from which on it is not served.
+        Time after the store acknowledged a key's revocation by which the key must be rejected.
     own_poll_seconds
-        Age of the proof at which a node looks by itself, so that a look may fail once.
+        Age of the proof at which a node polls by itself, early enough for one retry.
     shared_poll_interval_seconds
-        Least time between two looks of a node that looks for others.
+        Minimum time between two polls of a node that polls for its group.
     hold_seconds
-        How long the store may hold a look on which nothing has changed.
+        How long the store may hold a poll while nothing changes.
     long_poll_timeout_seconds, timeout_seconds
-        Time after which a look that is held, or is not, counts as lost.
+        Timeouts of long and short polls.
     """
 
     bound_seconds: float
@@ -67,16 +68,16 @@
     poll_times: PollTimes,
     shared_poll_interval_seconds: float,
 ) -> ProofPollTimes:
-    """Return looks by which one may fail and be tried again before the bound.
+    """Return poll times by which one poll may fail and be retried before the bound.
 
     Parameters
     ----------
-    way
-        How the node that looks for its group does.
-    look
-        Times of looks without the bound, which they do not exceed.
+    mode
+        How the node polls that polls for its group.
+    poll_times
+        Poll times without the bound, which are upper limits here.
     shared_poll_interval_seconds
-        Least time between two looks of a node that looks for others without the bound.
+        Minimum time between two polls of a node that polls for its group without the bound.
     """
     timeout_seconds = min(
         LONG_POLL_ANSWER_SECONDS, poll_times.timeout_seconds, bound_seconds * MAX_TIMEOUT_SHARE
--- a/wingquay/forwarding/knowledge/proof_requests.py
+++ b/wingquay/forwarding/knowledge/proof_requests.py
@@ -1,9 +1,9 @@
-"""Ask and answer: one node's look at the store proves the configuration for those that asked it.
+"""Requests by which one node's poll of the store proves the configuration of other nodes.
 
-The node that looks tells how long it had the ask when the look began, by its own clock. The ask was
-received after it was sent, so the look began no earlier than that time after the sending, by the
-clock of the node that asked. This holds however late either message is, and also for a look that
-began before the ask came: then it began no earlier than so much before the sending.
+The polling node answers with the time for which it had held the request when its poll started, by
+its own clock. The request was received after it was sent, so by the requester's clock the poll
+started no earlier than that time after the sending. This holds whatever the message delays, and
+also for a poll that started before the request arrived: the held time is then negative.
 """
 
 from collections.abc import Collection
@@ -15,31 +15,30 @@
 from ...ports.proof_messages import AskProof, ProofGiven
 
 REQUEST_INTERVAL_SECONDS = 25.0
-"""Time after which a node asks the others anew: an ask that was lost costs looks until then."""
+"""Time between two proof requests to the same node."""
 REPEAT_SECONDS = 3.0
-"""Time after which a node that tells news, but no proof with them, is asked anew."""
+"""Time after which a request is repeated if the node sends updates but no proof."""
 REQUEST_VALID_SECONDS = 60.0
-"""Time for which an ask counts: the clocks of two machines may run apart meanwhile by a tenth of
-the reserve before the bound."""
+"""Time for which a request is valid; it limits the clock drift that affects its answers."""
 MAX_REQUESTING_NODES = 64
-"""Nodes that are told; a group of the size to design for has 27."""
+"""Maximum number of nodes whose requests are answered."""
 
 
 @dataclass(slots=True)
 class _PeerState:
-    """When another node was asked last, and when it last gave a proof."""
+    """When another node was last sent a request, and when it last sent a proof."""
 
     requested_at: float
     answered_at: float = float("-inf")
 
 
 class SentProofRequests:
-    """The asks of this node, and what their answers prove.
+    """The proof requests that this node sent, and the times that their answers prove.
 
     Parameters
     ----------
     first_number
-        Number of the first ask; random, so that no two lives of a node share one.
+        Number of the first request; random, so that no two incarnations of a node share one.
     """
 
     def __init__(self, first_number: int) -> None:
@@ -48,7 +47,7 @@
         self._peers: dict[str, _PeerState] = {}
 
     def send_requests(self, nodes: Collection[NodeIdentity], now: float) -> list[Action]:
-        """Ask the nodes that were not asked for a while."""
+        """Send a request to each of the nodes whose last request is old enough."""
         due = [node for node in nodes if self._is_due(node, now)]
         self._forget_old(now)
         if not due:
@@ -60,7 +59,7 @@
         return [SendToPeer(node, AskProof(self._number)) for node in due]
 
     def handle_update_from(self, node: NodeIdentity, now: float) -> list[Action]:
-        """Ask a node that tells what it has read, if it has never heard that it is asked."""
+        """Request proofs from a node that sends updates but does not answer requests."""
         peer = self._peers.get(node.node_id)
         if peer is not None:
             is_answered = peer.answered_at >= peer.requested_at
@@ -70,9 +69,9 @@
         return self.send_requests([node], now)
 
     def proven_as_of(self, sender: NodeIdentity, given: ProofGiven, now: float) -> float | None:
-        """Return the moment after which the look began that an answer tells of.
+        """Return the time as of which an answer proves the configuration.
 
-        ``None``: it answers no ask of this life that still counts.
+        ``None``: it answers no valid request of this incarnation.
         """
         sent_at = self._sent_at.get(given.number)
         if sent_at is None or now - sent_at > REQUEST_VALID_SECONDS:
@@ -83,7 +82,7 @@
         return sent_at + given.held_seconds
 
     def link_broken(self, node_id: str) -> None:
-        """Take in that asks to a node may be lost."""
+        """Discard the requests to a node, which may be lost."""
         self._peers.pop(node_id, None)
 
     def _is_due(self, node: NodeIdentity, now: float) -> bool:
@@ -105,7 +104,7 @@
 
 @value
 class _ReceivedRequest:
-    """The latest ask of another node, and when it came."""
+    """The latest request of another node, and when it arrived."""
 
     node: NodeIdentity
     number: int
@@ -113,18 +112,18 @@
 
 
 class ReceivedProofRequests:
-    """The asks of other nodes, which this node answers after each look of its own."""
+    """The proof requests of other nodes, which this node answers after each of its polls."""
 
     def __init__(self) -> None:
         self._requests: dict[str, _ReceivedRequest] = {}
 
     def record(self, sender: NodeIdentity, ask: AskProof, now: float) -> None:
-        """Take in that a node asks."""
+        """Record a request."""
         if sender.node_id in self._requests or len(self._requests) < MAX_REQUESTING_NODES:
             self._requests[sender.node_id] = _ReceivedRequest(sender, ask.number, now)
 
     def answers(self, begun_at: float, store_revision: int, now: float) -> list[Action]:
-        """Return what the nodes that ask are told of a look which was begun at a moment."""
+        """Return the answers to all valid requests after a poll that started at ``begun_at``."""
         for node_id, ask in list(self._requests.items()):
             if now - ask.received_at > REQUEST_VALID_SECONDS:
                 del self._requests[node_id]
@@ -134,5 +133,5 @@
         ]
 
     def link_broken(self, node_id: str) -> None:
-        """Take in that a node may be gone; it asks again when it is back."""
+        """Discard the request of a node that may be gone; it sends another one when it returns."""
         self._requests.pop(node_id, None)
--- a/wingquay/forwarding/knowledge/reachability_evidence.py
+++ b/wingquay/forwarding/knowledge/reachability_evidence.py
@@ -1,55 +1,53 @@
-"""Which replicas and nodes have just failed without a word of their zone since.
+"""Recent failures of replicas and nodes, as evidence of unreachable zones.
 
-What requests show is taken in here for nothing: it decides when it is worth checking whether zones
-are out of reach.
+The failures come from regular traffic. Enough of them start an explicit reachability check.
 """
 
 MIN_FAILED_TARGETS = 2
-"""Replicas and nodes out of reach from which on a zone may be: one is a crash, as happens daily."""
+"""Failed targets that start a reachability check; a single one is probably a crash."""
 FAILURE_MEMORY_SECONDS = 1.0
-"""Time for which a failure counts: a cut shows itself by the first requests after it, and a busy
-node sees several within a tenth of a second."""
+"""Time for which a failure counts."""
 
 
 class ReachabilityEvidence:
-    """Failures since the last answer of their zone."""
+    """The targets that failed since the last answer of their zone."""
 
     def __init__(self) -> None:
         self._failed: dict[tuple[str, str], float] = {}
         self._is_checking = False
         self._answered: set[str] = set()
-        """Zones that answered since it is being looked into."""
+        """Zones that answered since the current check began."""
 
     def record_failure(self, zone: str, target: str, now: float) -> None:
-        """Take in that a replica or a node did not answer or could not be reached."""
+        """Record that a replica or node did not answer or could not be reached."""
         self._failed[zone, target] = now
 
     def record_answer(self, zone: str) -> None:
-        """Take in that something of a zone answered."""
+        """Record an answer from a zone."""
         if self._is_checking:
             self._answered.add(zone)
         if self._failed:
             self._failed = {key: at for key, at in self._failed.items() if key[0] != zone}
 
     def begin_check(self) -> None:
-        """Take in that it is being looked into what is in reach."""
+        """Reset the evidence at the start of a reachability check."""
         self._is_checking = True
         self._failed.clear()
         self._answered.clear()
 
     def end_check(self) -> None:
-        """Take in that it has been looked into."""
+        """Reset the evidence at the end of a reachability check."""
         self._is_checking = False
         self._failed.clear()
         self._answered.clear()
 
     def take_answered_zones(self) -> list[str]:
-        """Return the zones that answered lately while it was being looked into."""
+        """Return and clear the zones that answered during the current check."""
         answered, self._answered = sorted(self._answered), set()
         return answered
 
     def suggests_outage(self, now: float) -> bool:
-        """Whether enough failed lately that zones may be out of reach."""
+        """Whether enough recent targets failed that a zone may be unreachable."""
         if len(self._failed) < MIN_FAILED_TARGETS:
             return False
         self._failed = {
--- a/wingquay/forwarding/knowledge/store_copy.py
+++ b/wingquay/forwarding/knowledge/store_copy.py
@@ -1,10 +1,10 @@
-"""What a node knows of a prefix of the store, and up to which revision of the store."""
+"""A node's copy of one prefix of the store, with its revision."""
 
 from ...ports.store import ReadResult, StoredValue
 
 
 class StoreCopy:
-    """The items under one prefix as the store, or other nodes, have told them."""
+    """The items under one prefix, as received from the store or other nodes."""
 
     def __init__(self) -> None:
         self._items: dict[str, StoredValue] = {}
@@ -13,22 +13,22 @@
 
     @property
     def is_listed(self) -> bool:
-        """Whether everything that is there was ever told."""
+        """Whether a complete listing was ever received."""
         return self._is_listed
 
     @property
     def revision(self) -> int | None:
-        """The store's revision up to which everything is known; ``None``: of no use any more."""
+        """The store revision up to which the copy is complete; ``None``: none is valid."""
         return self._revision
 
     def snapshot(self) -> ReadResult | None:
-        """Return everything as far as it is known; ``None``: nothing is."""
+        """Return all items with the revision; ``None``: none is valid."""
         if not self._is_listed or self._revision is None:
             return None
         return ReadResult(tuple(self._items.values()), self._revision)
 
     def replace_all(self, values: tuple[StoredValue, ...], revision: int) -> None:
-        """Take in everything that is there."""
+        """Replace the contents by a complete listing."""
         self._is_listed = True
         self._revision = revision
         self._items = {item.key: item for item in values}
@@ -36,12 +36,12 @@
     def apply(
         self, changed: tuple[StoredValue, ...], deleted: tuple[str, ...], revision: int
     ) -> None:
-        """Take in what has changed up to a revision."""
+        """Apply the changes up to a revision."""
         self._revision = revision
         self._items.update({item.key: item for item in changed})
         for key in deleted:
             self._items.pop(key, None)
 
     def invalidate_revision(self) -> None:
-        """Take in that the store no longer tells what has changed since."""
+        """Mark the revision as unusable, because the store has dropped the history since."""
         self._revision = None
--- a/wingquay/forwarding/knowledge/store_follower.py
+++ b/wingquay/forwarding/knowledge/store_follower.py
@@ -1,4 +1,4 @@
-"""Keeps up with everything under one prefix of the key-value store."""
+"""Maintains a copy of one prefix of the key-value store."""
 
 from ...model.failure import Failure
 from ...ports.machine import Action, Event, Log, LogLevel, Schedule, Start
@@ -23,20 +23,22 @@
 from .store_copy import StoreCopy
 
 USUAL_ANSWER_SECONDS = 0.1
-"""Time in which the store usually answers, also when it is busy."""
+"""Usual response time of the store."""
 
 
 class StoreFollower:
-    """Reads a prefix once, then watches it; reads it anew when history is lost.
+    """Reads a prefix once and then polls it for changes.
+
+    If the store no longer has the history since the last poll, the prefix is read again.
 
     Parameters
     ----------
     settings
-        What is followed and how often.
+        The prefix and the poll times.
     hooks
-        Take the news.
-    keeper
-        Keeps the proof of the configuration by the looks that are answered; ``None``: nobody does.
+        Callbacks that receive the changes.
+    proof_manager
+        Extends the configuration proof by answered polls; ``None``: no proof is required.
     """
 
     def __init__(
@@ -54,16 +56,16 @@
         self._copy = StoreCopy()
         self._is_watching = False
         self._watch_interval_seconds = settings.poll_interval_seconds
-        """The pace of the watch under way."""
+        """The poll interval of the current watch."""
         self._watch_hold_seconds = 0.0
-        """How long the store may hold its looks."""
+        """How long the store may hold the polls of the current watch."""
         self._answered_at = float("-inf")
-        """When the store last told what there is."""
+        """When the store last answered."""
         self._poll_at = 0.0
-        """When the next look begins; one that has begun is not put off."""
+        """When the next poll starts; a poll under way is not postponed."""
 
     def handle(self, event: Event, now: float) -> list[Action]:
-        """Take in an event of the store or a timer."""
+        """Handle a store event or a timer."""
         if isinstance(event, WatchChanged):
             return self._changed(event, now)
         if isinstance(event, StoreResponse):
@@ -79,30 +81,30 @@
         return []
 
     def snapshot(self) -> ReadResult | None:
-        """Return everything under the prefix as far as it is known; ``None``: nothing is."""
+        """Return all items under the prefix with the revision; ``None``: none is valid."""
         return self._copy.snapshot()
 
     def set_poll_interval(self, seconds: float | None, now: float) -> list[Action]:
-        """Look at the store at another pace; ``None``: the usual one."""
+        """Set the poll interval; ``None``: the usual one."""
         wanted = self._settings.poll_interval_seconds if seconds is None else seconds
         if wanted == self._schedule.wanted_interval_seconds:
             return []
         self._schedule.wanted_interval_seconds = wanted
         if not self._is_watching or now >= self._poll_at:
-            # A look that has begun tells every change at once; the next one keeps the new pace.
+            # A poll under way returns all changes at once; the next one uses the new interval.
             return []
         return [StopWatch(self._watch_id), *self._watch(now, self._pause_seconds(now))]
 
     def apply_update(self, news: StoreNews, pause_seconds: float, now: float) -> list[Action]:
-        """Take in what another node has read; put the own look off.
+        """Apply an update of another node and postpone the next poll.
 
-        News that begin after what is known here, or end before it, are passed over: the own look
-        shows what they told, as it does when no more news come.
+        Updates that start after the known revision or end before it are ignored: the next poll
+        returns their changes.
 
         Parameters
         ----------
         pause_seconds
-            Time until the own look, if nothing more is heard by then; 0: it is not put off.
+            Time until the next poll, unless another update arrives; 0: it is not postponed.
         """
         seen = self._copy.revision
         if not self._copy.is_listed or seen is None:
@@ -117,7 +119,7 @@
         return actions + self.postpone_poll(pause_seconds, now)
 
     def postpone_poll(self, pause_seconds: float, now: float) -> list[Action]:
-        """Look so much later, unless a look is wanted or has begun."""
+        """Postpone the next poll, unless it is urgent or already under way."""
         pause_seconds = min(pause_seconds, self._schedule.max_pause_seconds(now))
         if not self._is_watching or self._schedule.is_urgent or now >= self._poll_at:
             return []
@@ -126,13 +128,13 @@
         return [StopWatch(self._watch_id), *self._watch(now, pause_seconds)]
 
     def poll_now(self, now: float) -> list[Action]:
-        """Look at the store at once, in place of a look under way that may be lost."""
+        """Poll the store at once, and abandon a poll under way, which may be lost."""
         if not self._is_watching:
             return []
         return [StopWatch(self._watch_id), *self._watch(now, 0.0)]
 
     def next_answer_at(self, now: float) -> float:
-        """Return when the store may answer the look that is due or under way."""
+        """Return when the store may answer the poll that is due or under way."""
         answer_at = self._poll_at + self._watch_hold_seconds + USUAL_ANSWER_SECONDS
         if now < answer_at:
             return answer_at
@@ -141,12 +143,12 @@
 
     @property
     def known_revision(self) -> int | None:
-        """The store's revision up to which everything is known."""
+        """The store revision up to which the copy is complete."""
         return self._copy.revision
 
     @property
     def usual_poll_interval_seconds(self) -> float:
-        """The time between two looks when nothing is missing."""
+        """The usual time between two polls."""
         return self._settings.poll_interval_seconds
 
     @property
@@ -167,7 +169,7 @@
         return [StoreRequest(self._operation_id, operation, timeout)]
 
     def _pause_seconds(self, now: float) -> float:
-        """Return the time until the next look is due at the present pace."""
+        """Return the time until the next poll at the current interval."""
         return max(0.0, self._answered_at + self._schedule.interval_seconds - now)
 
     def _watch(self, now: float, pause_seconds: float = 0.0) -> list[Action]:
@@ -203,13 +205,13 @@
         return self._listed(result.values, result.store_revision, now, result.begun_at)
 
     def _apply_peer_snapshot(self, event: PeerSnapshot, now: float) -> list[Action]:
-        """Begin with what another node knows; the store's own word follows by the watch."""
+        """Start with the contents received from another node; polls of the store follow."""
         if self._copy.is_listed:
             return []
-        # The answer to a read under way would be taken for a second listing.
+        # The answer to a read under way must not count as a second listing.
         self._reads += 1
         fields = (("store_revision", event.store_revision), ("values", len(event.values)))
-        line = Log("store_known_from_peer", LogLevel.WARNING, fields)
+        line = Log("store_contents_from_peer", LogLevel.WARNING, fields)
         return [line, *self._listed(event.values, event.store_revision, now)]
 
     def _listed(
@@ -233,12 +235,12 @@
         self._schedule.failed_polls = 0
         self._answered_at = now
         poll_due_at = self._poll_at
-        # An answer that was cut is followed up at once: that look has begun already.
+        # After an incomplete answer the next poll has already started.
         self._poll_at = now if event.may_have_more else now + self._schedule.interval_seconds
-        # What an answer holds that was cut is not all that was there when the look began.
+        # An incomplete answer does not contain everything that existed when the poll started.
         begun_at = None if event.may_have_more else event.begun_at
         if event.store_revision < before:
-            # News of another node have told all of it since this look began, and more.
+            # Updates of other nodes have already brought a later revision.
             return self._proof_manager.poll_answered(begun_at, event.store_revision, now)
         self._copy.apply(event.changed, event.deleted, event.store_revision)
         actions = self._hooks.on_changes(event.changed, event.deleted, now)
@@ -264,7 +266,7 @@
         ]
 
     def _age_seconds(self, poll_due_at: float, now: float) -> float:
-        """Return how old an answer may be; that of a held look may be as new as it is late."""
+        """Return the maximum age of an answer; a long poll's answer counts as new."""
         return 0.0 if self._watch_hold_seconds > 0.0 else max(now - poll_due_at, 0.0)
 
     def _broken(self, event: WatchBroken, now: float) -> list[Action]:
@@ -288,7 +290,7 @@
             ("reason", reason),
             ("failures", self._schedule.failed_polls),
             ("waited_ms", _milliseconds(now - self._poll_at)),
-            ("silent_ms", self._silence_ms(now)),
+            ("since_answer_ms", self._since_answer_ms(now)),
             ("pause_ms", _milliseconds(due_at - now)),
         )
         self._poll_at = due_at
@@ -299,17 +301,17 @@
         ]
 
     def _skipped_update_log(self, news: StoreNews, seen_revision: int, now: float) -> Log:
-        """Return the line that tells of news with a gap before them."""
+        """Return the log line for an update that leaves a gap after the known revision."""
         fields = (
             ("known_revision", seen_revision),
             ("from_revision", news.from_revision),
             ("failures", self._schedule.failed_polls),
-            ("silent_ms", self._silence_ms(now)),
+            ("since_answer_ms", self._since_answer_ms(now)),
         )
-        return Log("store_news_passed_over", LogLevel.INFO, fields)
+        return Log("store_update_skipped", LogLevel.INFO, fields)
 
-    def _silence_ms(self, now: float) -> int:
-        """Return for how long the store itself has told nothing; -1: it never did."""
+    def _since_answer_ms(self, now: float) -> int:
+        """Return the milliseconds since the store itself last answered; -1: it never did."""
         if self._answered_at == float("-inf"):
             return -1
         return _milliseconds(now - self._answered_at)
--- a/wingquay/forwarding/knowledge/update_exchange.py
+++ b/wingquay/forwarding/knowledge/update_exchange.py
@@ -1,4 +1,4 @@
-"""Nodes tell each other what they read of the store, so that one look serves several."""
+"""Exchanges store updates between nodes, so that one poll serves a group."""
 
 from ...ports.machine import Action, Count
 from ...ports.peer_link import NodeIdentity, SendToPeer
@@ -13,20 +13,20 @@
 
 
 class UpdateExchange:
-    """Tells news of the store and takes in those of others.
+    """Sends store updates to other nodes and applies those received.
 
     Parameters
     ----------
     settings
-        How long nodes wait for each other's looks.
+        How long nodes wait for each other's polls.
     members
-        Knows the nodes that are told.
+        Provides the nodes to which updates are sent.
     follower
-        Takes in news, and puts its own look off.
-    lateness
-        How late this node is, and so the news that it tells and hears.
-    keeper
-        Asks for proof of the configuration, and takes in what is given.
+        Applies updates and postpones its next poll.
+    processing_lag
+        The lag of this node, which adds to the age of updates.
+    proof_manager
+        Handles proof requests and proofs.
     """
 
     def __init__(
@@ -43,12 +43,12 @@
         self._processing_lag = processing_lag
         self._proof_manager = proof_manager
         self.rewritten: set[str] = set()
-        """Keys of replicas' entries that the last changes left as they were but for the writing."""
+        """Keys of replica entries that the last changes wrote again with the same contents."""
 
     def send_update(self, news: StoreNews, now: float) -> list[Action]:
-        """Tell the nodes that would look at the same what this one has seen."""
-        listeners = self._members.update_recipients()
-        if not listeners:
+        """Send the changes that this node polled to the other nodes of its group."""
+        recipients = self._members.update_recipients()
+        if not recipients:
             return []
         update = StoreNews(
             news.from_revision,
@@ -62,14 +62,14 @@
             max(news.age_seconds, self._processing_lag.seconds(now)),
             news.may_have_more,
         )
-        sent: list[Action] = [SendToPeer(listener, update) for listener in listeners]
-        return [*sent, Count("store_news_total", len(listeners), (("side", "told"),))]
+        sent: list[Action] = [SendToPeer(recipient, update) for recipient in recipients]
+        return [*sent, Count("store_news_total", len(recipients), (("side", "told"),))]
 
     def receive_update(self, news: StoreNews, now: float) -> list[Action]:
-        """Take in what another node has read.
+        """Apply an update of another node and postpone the next poll.
 
-        The own look is put off, but for the time that the news have taken, as far as it is known:
-        at the sender, and behind other work of this node.
+        The postponement is shortened by the known age of the update: the delay at the sender and
+        the lag of this node.
         """
         age_seconds = news.age_seconds + self._processing_lag.seconds(now)
         pause_seconds = self._usual_pause_seconds - age_seconds
@@ -83,7 +83,7 @@
     def handle_proof_message(
         self, sender: NodeIdentity, message: AskProof | ProofGiven, now: float
     ) -> list[Action]:
-        """Take in that another node asks, or what its look proves; then put the own look off."""
+        """Handle a proof request, or a proof, after which the next poll is postponed."""
         known_revision = self._follower.known_revision
         if isinstance(message, AskProof):
             return self._proof_manager.handle_request(sender, message, known_revision, now)
@@ -93,9 +93,9 @@
 
     @property
     def _usual_pause_seconds(self) -> float:
-        """The time between two own looks while others tell what they read.
+        """The time between two polls of this node while other nodes send updates.
 
-        Each node looks a little later than the one before it in its group.
+        It grows with the node's position in its group, so that the nodes do not poll together.
         """
         rank_seconds = self._settings.poll_rank_delay_seconds * self._members.rank()
         return self._follower.usual_poll_interval_seconds + rank_seconds
--- a/wingquay/forwarding/readiness/__init__.py
+++ b/wingquay/forwarding/readiness/__init__.py
@@ -1,1 +1,1 @@
-"""Whether this node takes new callers, and how it stops."""
+"""Whether this node accepts new callers, and how it stops."""
--- a/wingquay/forwarding/readiness/decision.py
+++ b/wingquay/forwarding/readiness/decision.py
@@ -1,23 +1,22 @@
-"""Whether a node should take callers: one decision on what it knows."""
+"""Decision whether a node should leave service because its zone or itself is cut off."""
 
 from enum import Enum
 
 from ...model.value import value
 
 MIN_ANSWERABLE_SHARE = 0.9
-"""Share of what callers ask that a node must be able to answer. Elsewhere callers are answered in
-full, at the price of the way there and of a new connection, a few milliseconds: one request in ten
-that is refused costs callers more. All nodes of a cut zone must come to the same, and each has seen
-some twenty requests only, so the threshold is far from usual mixes of what is asked."""
+"""Share of recent demand that a node must be able to answer to stay in service. Below it, callers
+lose more by refused requests than by the longer path to another zone. All nodes of a zone have to
+decide alike on small samples, so the threshold is far from common route mixes."""
 MIN_OTHER_ZONES = 2
-"""Other zones that must be out of reach for a zone to leave. A single one may itself be down, or
-the two may have lost each other: callers of both would then find nobody."""
+"""Minimum number of other zones, all unreachable, for a zone to leave. A single other zone may be
+down itself, or both zones may leave at once."""
 MIN_SHARE_GAIN = 0.1
-"""Share by which others must be able to answer more: otherwise moving gains callers nothing."""
+"""Minimum share of demand by which other zones must be able to answer more than this node."""
 
 
 class DecisionReason(Enum):
-    """Why a node takes callers, or does not."""
+    """Why a node stays in service or leaves it."""
 
     IN_REACH = "other_zones_in_reach"
     ONE_ZONE = "no_other_zone"
@@ -32,78 +31,78 @@
 
     @property
     def should_leave(self) -> bool:
-        """Whether the node should take no callers."""
+        """Whether the reason requires the node to leave service."""
         return self in (DecisionReason.ZONE_CUT_OFF, DecisionReason.NODE_CUT_OFF)
 
 
 class OwnZoneStatus(Enum):
-    """What a node finds of its own zone."""
+    """Whether a node reaches its own zone."""
 
     IN_REACH = "in_reach"
-    """A replica or a node of it answers."""
+    """A replica or another node of the zone answers."""
     SILENT = "silent"
-    """There are replicas or nodes of it, and none answers."""
+    """The zone has replicas or other nodes, but none answers."""
     UNKNOWN = "unknown"
-    """Nothing is known of it but this node."""
+    """No replica or other node of the zone is known."""
 
 
 @value
 class DecisionInputs:
-    """What a node knows when it decides.
+    """Inputs of the decision.
 
     Parameters
     ----------
     other_zones
         Other zones that have replicas.
-    zones_out
-        Those of them that were in reach and are not any more.
-    own_side
-        What it finds of its own zone.
+    unreachable_zones
+        The other zones that were reachable before and are not any more.
+    own_zone_status
+        Whether the node reaches its own zone.
     connected_neighbour
-        A node of its zone that reaches another zone; empty: none says so.
+        A node of the same zone that reaches another zone; empty: none.
     share_here
-        Share of what callers lately asked that it can answer by what is in reach.
+        Share of recent demand (0 to 1) that the node can answer with the replicas in reach.
     share_elsewhere
-        The same for a node in the other zones, if these reach each other.
+        The same for a node in the other zones, provided that these reach each other.
     is_last_zone
-        Whether its zone must stay: if all zones lose each other, one has to take callers.
+        Whether this zone must stay in service if all zones lose contact.
     """
 
     other_zones: tuple[str, ...]
-    zones_out: tuple[str, ...]
-    own_side: OwnZoneStatus
+    unreachable_zones: tuple[str, ...]
+    own_zone_status: OwnZoneStatus
     connected_neighbour: str
     share_here: float
     share_elsewhere: float
     is_last_zone: bool
 
 
-def decide(situation: DecisionInputs) -> DecisionReason:
-    """Return whether the node should take callers, by its reason.
+def decide(inputs: DecisionInputs) -> DecisionReason:
+    """Return whether the node should leave service, with the reason.
 
-    It leaves only for a trouble of its own side: every other zone is out of reach, nobody near it
-    reaches one, and those zones hold more of what callers ask than it does.
+    It leaves only if the failure is on its own side: all other zones are unreachable from it and
+    from its neighbours, and those zones can answer more of the demand.
     """
-    if not situation.other_zones:
+    if not inputs.other_zones:
         return DecisionReason.ONE_ZONE
-    if len(situation.zones_out) < len(situation.other_zones):
+    if len(inputs.unreachable_zones) < len(inputs.other_zones):
         return DecisionReason.IN_REACH
-    if situation.connected_neighbour:
+    if inputs.connected_neighbour:
         return DecisionReason.NEIGHBOURS_REACH
-    if situation.share_here >= MIN_ANSWERABLE_SHARE:
+    if inputs.share_here >= MIN_ANSWERABLE_SHARE:
         return DecisionReason.ENOUGH_ANSWERABLE
-    if situation.share_elsewhere < situation.share_here + MIN_SHARE_GAIN:
+    if inputs.share_elsewhere < inputs.share_here + MIN_SHARE_GAIN:
         return DecisionReason.NO_GAIN
-    return _locate_partition(situation)
+    return _locate_partition(inputs)
 
 
-def _locate_partition(situation: DecisionInputs) -> DecisionReason:
-    """Return whether this node or its zone has lost the others, or others may have been lost."""
-    match situation.own_side:
+def _locate_partition(inputs: DecisionInputs) -> DecisionReason:
+    """Decide whether this node, its zone or the other zones are cut off."""
+    match inputs.own_zone_status:
         case OwnZoneStatus.SILENT:
             return DecisionReason.NODE_CUT_OFF
         case OwnZoneStatus.UNKNOWN:
             return DecisionReason.UNKNOWN
-    if len(situation.other_zones) < MIN_OTHER_ZONES:
+    if len(inputs.other_zones) < MIN_OTHER_ZONES:
         return DecisionReason.FEW_ZONES
-    return DecisionReason.LAST_ZONE if situation.is_last_zone else DecisionReason.ZONE_CUT_OFF
+    return DecisionReason.LAST_ZONE if inputs.is_last_zone else DecisionReason.ZONE_CUT_OFF
--- a/wingquay/forwarding/readiness/departure.py
+++ b/wingquay/forwarding/readiness/departure.py
@@ -1,33 +1,32 @@
-"""When a node leaves and returns: least times against flapping, a most time away, its callers."""
+"""Times at which a node leaves service and returns, with limits against flapping."""
 
 from enum import Enum
 
 MIN_AWAY_SECONDS = 2.0
-"""Least time away. The platform asks each second and counts two misses in a row, so that a shorter
-time away would move nobody."""
+"""Minimum time out of service. The platform checks readiness once a second and needs two failures
+in a row, so a shorter absence has no effect."""
 MAX_MIN_AWAY_SECONDS = 4.0
-"""Where it has grown to at most: callers of a zone that is whole again wait no longer for it."""
+"""Limit up to which the minimum time doubles while the node flaps."""
 MIN_READY_SECONDS = 1.0
-"""Least time between a return and the next leave: callers that came back move once at most."""
+"""Minimum time in service between a return and the next departure."""
 FLAPPING_SECONDS = 10.0
-"""A node that leaves again within this time of its return stays away twice as long."""
+"""A node that leaves again within this time of its return doubles its minimum time away."""
 MAX_AWAY_SECONDS = 10.0
-"""Time away after which a node takes callers for a while whatever it knows: if all zones were away
-by a trouble that no rule foresaw, callers would find nobody."""
+"""Time out of service after which a node returns for a trial whatever its decision, so that an
+unforeseen failure can't take all zones out of service for good."""
 LAST_ZONE_AWAY_SECONDS = 4.0
-"""The same for the zone that stays if all zones lose each other. It leaves once it has lost the
-store, too, by then two to three seconds into a cut, and knows least whether others are left."""
+"""The same for the zone that stays in service if all zones lose contact."""
 TRIAL_SECONDS = 2.0
-"""How long it takes callers then: two questions of the platform."""
+"""Duration of such a trial: two readiness checks of the platform."""
 CLOSING_SECONDS = 1.0
-"""Time away from which on answers close their connections: before, the platform still hands new
-ones to this node, and a caller would come back to it."""
+"""Time out of service after which responses close their connections. Before that, the platform may
+still route the caller's next connection to this node."""
 IDLE_CLOSING_SECONDS = 2.0
-"""Time away after which idle connections are closed: two questions have certainly been missed."""
+"""Time out of service after which idle connections are closed."""
 
 
 class ConnectionClosing(Enum):
-    """What a node that takes no callers does with the connections of those it has."""
+    """What a node that is out of service does with its callers' connections."""
 
     KEEP = "stay"
     CLOSE_AFTER_RESPONSE = "answers_close"
@@ -35,7 +34,7 @@
 
 
 class Departure:
-    """Whether this node is away, and since when."""
+    """Tracks whether this node is out of service, and since when."""
 
     def __init__(self) -> None:
         self._left_at: float | None = None
@@ -45,15 +44,15 @@
 
     @property
     def is_away(self) -> bool:
-        """Whether no callers are taken."""
+        """Whether the node is out of service."""
         return self._left_at is not None
 
     def away_seconds(self, now: float) -> float:
-        """Return how long it has been away; 0: it is not."""
+        """Return how long the node has been out of service; 0: it is in service."""
         return 0.0 if self._left_at is None else now - self._left_at
 
     def connection_closing(self, now: float) -> ConnectionClosing:
-        """Return what becomes of callers' connections."""
+        """Return how to close callers' connections."""
         seconds = self.away_seconds(now)
         if seconds >= IDLE_CLOSING_SECONDS:
             return ConnectionClosing.CLOSE_IDLE
@@ -64,20 +63,20 @@
         )
 
     def update(self, should_leave: bool, now: float, is_first_zone: bool = False) -> bool:
-        """Leave or return if it is time to; return whether that has changed.
+        """Leave service or return if the time limits allow it; return whether that changed.
 
         Parameters
         ----------
         should_leave
-            Whether this node should take no callers, by what it knows.
+            Whether the current decision requires the node to leave service.
         is_first_zone
-            Whether its zone is the one that stays if all zones lose each other.
+            Whether this zone stays in service if all zones lose contact.
         """
         if self._left_at is None:
             return should_leave and self._leave(now)
         away_seconds = now - self._left_at
-        most_seconds = LAST_ZONE_AWAY_SECONDS if is_first_zone else MAX_AWAY_SECONDS
-        is_trial = should_leave and away_seconds >= most_seconds
+        max_seconds = LAST_ZONE_AWAY_SECONDS if is_first_zone else MAX_AWAY_SECONDS
+        is_trial = should_leave and away_seconds >= max_seconds
         if not is_trial and (should_leave or away_seconds < self._least_away_seconds):
             return False
         self._left_at = None
@@ -86,10 +85,10 @@
         return True
 
     def _leave(self, now: float) -> bool:
-        in_seconds = now - self._returned_at
-        if in_seconds < (TRIAL_SECONDS if self._is_trial else MIN_READY_SECONDS):
+        ready_seconds = now - self._returned_at
+        if ready_seconds < (TRIAL_SECONDS if self._is_trial else MIN_READY_SECONDS):
             return False
-        is_flapping = in_seconds < FLAPPING_SECONDS and not self._is_trial
+        is_flapping = ready_seconds < FLAPPING_SECONDS and not self._is_trial
         longer_seconds = min(self._least_away_seconds * 2.0, MAX_MIN_AWAY_SECONDS)
         self._least_away_seconds = longer_seconds if is_flapping else MIN_AWAY_SECONDS
         self._left_at = now
--- a/wingquay/forwarding/readiness/node_readiness.py
+++ b/wingquay/forwarding/readiness/node_readiness.py
@@ -1,4 +1,4 @@
-"""Says whether this node is ready for callers, and leads it through its stop."""
+"""Readiness of this node for callers, and its graceful stop."""
 
 from typing import Protocol
 
@@ -13,49 +13,48 @@
 from .route_demand import RouteDemand
 
 MAX_START_WAIT_SECONDS = 0.3
-"""Time after a configuration and a replica are known at which a node that has just started takes
-callers in any case. A listing tells all at once, and news of another node follow within this time;
-replicas that are not there at all must keep no node from its other callers."""
+"""Maximum time for which a starting node with a configuration and a replica waits for further
+replicas before it becomes ready."""
 STOP_CHECK_SECONDS = 0.1
-"""Time between two looks whether the stop can end."""
+"""Time between two checks whether the stop is complete."""
 
 
 @value
 class StopCheckDue(Event):
-    """Look whether the stop can end."""
+    """Check whether the stop is complete."""
 
 
 @value
 class ReadyDue(Event):
-    """A node that has just started takes callers now in any case."""
+    """The maximum start wait is over."""
 
 
 class RequestServer(Protocol):
-    """What passes requests on."""
+    """Serves requests; it is told when the node stops."""
 
     is_stopping: bool
 
     @property
     def open_exchanges(self) -> int:
-        """The number of requests without an answer."""
+        """The number of requests without a response."""
         ...
 
 
 class NodeReadiness:
-    """Whether callers are taken, and what they may cost.
+    """Decides whether new callers are accepted, and which limits apply to them.
 
     Parameters
     ----------
     settings
-        How long a stop takes.
+        The durations of a stop.
     directory
-        Without a replica no caller is taken.
+        The replicas; without any, no callers are accepted.
     requests
-        What is under way, for which a stop waits.
-    asked
-        Tells how much of what callers ask can be answered.
+        The requests under way, which a stop waits for.
+    demand
+        The share of recent demand that can be answered.
     departure
-        Whether callers are better off elsewhere.
+        Whether the node is out of service.
     """
 
     def __init__(
@@ -72,7 +71,7 @@
         self._demand = demand
         self._departure = departure
         self._servable_since: float | None = None
-        """When a configuration and a replica were first known."""
+        """When the node first had both a configuration and a replica."""
         self._has_started = False
         self._closing = ConnectionClosing.KEEP
         self._table: RoutingTable | None = None
@@ -82,22 +81,22 @@
 
     @property
     def can_serve(self) -> bool:
-        """Whether anything can be answered, whether or not callers are better off elsewhere."""
+        """Whether the node can answer any requests, even while it is out of service."""
         is_stopping = self._stopping_since is not None
         return not is_stopping and self._table is not None and len(self._directory) > 0
 
     @property
     def is_ready(self) -> bool:
-        """Whether new callers may come."""
+        """Whether new callers are accepted."""
         return self.can_serve and self._has_started and not self._departure.is_away
 
     def set_table(self, table: RoutingTable) -> None:
-        """Take in a configuration."""
+        """Apply a configuration."""
         self._table = table
         self._demand.keep_only(table.routes)
 
     def update(self, now: float) -> list[Action]:
-        """Tell whether this node is ready, if that has changed."""
+        """Return the actions that follow from a change of readiness or of connection closing."""
         waiting = self._start(now)
         is_ready = self.is_ready
         closing = self._departure.connection_closing(now)
@@ -115,9 +114,9 @@
         return [*waiting, line, self.current_forwarding()]
 
     def current_forwarding(self, closes_idle: bool = False) -> SetForwarding:
-        """Return what is in force for callers."""
+        """Return the settings that are in force for callers."""
         limits = CallerLimits() if self._table is None else self._table.limits
-        # A shorter idle time would cut off callers that still go by the longer one.
+        # Never shorten the idle time: callers may still rely on the longer one.
         self._idle_seconds = max(self._idle_seconds, limits.idle_seconds)
         limits = CallerLimits(
             limits.header_bytes,
@@ -130,7 +129,7 @@
         return SetForwarding(self.is_ready, closes_connections, limits, closes_idle)
 
     def _start(self, now: float) -> list[Action]:
-        """Take callers once most of what they may ask can be answered, or soon in any case."""
+        """Become ready once most of the demand can be answered, or after the maximum wait."""
         if self._has_started or not self.can_serve or self._table is None:
             return []
         waiting: list[Action] = []
@@ -144,7 +143,7 @@
         return waiting
 
     def stop(self, now: float) -> list[Action]:
-        """Take no more callers and begin to wait for what is under way."""
+        """Stop accepting callers and start to wait for the requests under way."""
         if self._stopping_since is not None:
             return []
         self._stopping_since = now
@@ -158,14 +157,14 @@
         ]
 
     def check_stop(self, now: float) -> list[Action]:
-        """End the node once nothing is under way any more."""
+        """Exit once no requests are under way or the maximum stop time is over."""
         assert self._stopping_since is not None
         elapsed = now - self._stopping_since
         open_requests = self._requests.open_exchanges
-        most_seconds = self._settings.max_stop_seconds
-        is_over = elapsed >= most_seconds
+        max_seconds = self._settings.max_stop_seconds
+        is_over = elapsed >= max_seconds
         if elapsed >= self._settings.idle_close_seconds and not open_requests:
             is_over = True
         if is_over:
-            return [Exit(open_requests, grace_seconds=max(most_seconds - elapsed, 0.0))]
+            return [Exit(open_requests, grace_seconds=max(max_seconds - elapsed, 0.0))]
         return [Schedule(now + STOP_CHECK_SECONDS, StopCheckDue())]
--- a/wingquay/forwarding/readiness/peer_selector.py
+++ b/wingquay/forwarding/readiness/peer_selector.py
@@ -1,4 +1,4 @@
-"""Which nodes a node asks when it is in doubt what is in reach."""
+"""Selects the nodes that a node queries in a reachability check."""
 
 from typing import TYPE_CHECKING
 
@@ -9,7 +9,7 @@
 
 
 class PeerSelector:
-    """The nodes to ask; none until the link to others is open.
+    """Selects nodes to query; none before the link to other nodes is open.
 
     Parameters
     ----------
@@ -23,20 +23,20 @@
         self.groups: NodeGroups | None = None
 
     def zones(self) -> tuple[str, ...]:
-        """Return the zones that have nodes, this node's own included."""
+        """Return the zones that have nodes, including this node's own."""
         return tuple(sorted({self._zone, *(zone for zone, _, _ in self._nodes())}))
 
     def neighbours(self) -> list[NodeIdentity]:
-        """Return the other nodes of the zone, those first whose names follow this one's."""
+        """Return the other nodes of the zone in a ring by name, starting after this node."""
         near = [(name, node) for zone, name, node in self._nodes() if zone == self._zone]
         after = [node for name, node in near if name > self._name]
         return after + [node for name, node in near if name < self._name]
 
     def gossip_targets(self) -> list[NodeIdentity]:
-        """Return the neighbours at distances 1, 2, 4 and so on.
+        """Return the neighbours at distances 1, 2, 4 and so on in the ring.
 
-        A word that everyone passes on reaches a zone of 60 nodes in six steps, by six messages of
-        each.
+        If each node forwards a message to these, it reaches all nodes of the zone in a logarithmic
+        number of steps.
         """
         neighbours = self.neighbours()
         chosen: list[NodeIdentity] = []
@@ -47,7 +47,7 @@
         return chosen
 
     def one_of_each_zone(self) -> list[NodeIdentity]:
-        """Return a node of every other zone, not the same one for all nodes of this zone."""
+        """Return one node of every other zone; the nodes of this zone choose different ones."""
         position = len([name for _, name, _ in self._nodes() if name < self._name])
         by_zone: dict[str, list[NodeIdentity]] = {}
         for zone, _, node in self._nodes():
--- a/wingquay/forwarding/readiness/suspicion.py
+++ b/wingquay/forwarding/readiness/reachability_check.py
@@ -1,4 +1,4 @@
-"""What a node knows of zones, and of its present doubt which of them are in reach."""
+"""State of the zones and of the current reachability check."""
 
 from dataclasses import dataclass, field
 
@@ -7,23 +7,23 @@
 
 @dataclass(slots=True)
 class ZoneState:
-    """What is known of a zone."""
+    """Reachability of one zone."""
 
     failures: int = 0
-    """Tries that failed since it answered last."""
+    """Failed probes since the zone's last answer."""
     answered_at: float = float("-inf")
     neighbour_evidence_at: float = float("-inf")
-    """When another node last said that it has reached the zone before, and does not now."""
+    """When a neighbour last reported that it had reached the zone before and does not now."""
     next_replica: int | None = None
 
 
 @dataclass(slots=True)
 class ReachabilityCheck:
-    """One time in which it is looked into what is in reach."""
+    """A reachability check in progress."""
 
     begun_at: float
     may_query_nodes: bool = True
-    """Whether other nodes are yet to be asked in this round."""
+    """Whether other nodes may still be queried in this round."""
     connected_neighbour: str = ""
     connected_at: float = float("-inf")
     waiting_nodes: dict[str, NodeIdentity] = field(default_factory=dict)
--- a/wingquay/forwarding/readiness/reachability_monitor.py
+++ b/wingquay/forwarding/readiness/reachability_monitor.py
@@ -1,4 +1,4 @@
-"""Joins what a node finds out about other zones with the decision whether it takes callers."""
+"""Combines the reachability of zones with the decision whether this node is in service."""
 
 from typing import TYPE_CHECKING
 
@@ -16,34 +16,34 @@
 from .departure import Departure
 from .peer_selector import PeerSelector
 from .route_demand import RouteDemand
-from .zone_prober import ROUND_SECONDS, SLOW_ROUND_SECONDS, ReachCheckDue, ZoneProber
+from .zone_prober import ROUND_SECONDS, SLOW_ROUND_SECONDS, ProbeRoundDue, ZoneProber
 
 if TYPE_CHECKING:
     from ..knowledge.node_groups import NodeGroups
 
 STORE_UNREACHABLE_KINDS = (StoreFailureKind.UNREACHABLE, StoreFailureKind.LOST_REPLY)
-"""How calls to a store that is out of reach end; one that refuses a call has answered."""
+"""Failures that mean the store is unreachable; a store that rejects a call is not."""
 LATE_SECONDS = 0.15
-"""Lateness of this node from which on the tries of a round tell more of itself than of zones."""
+"""Lag of this node from which on the results of a probe round are not used."""
 
 
 class ReachabilityMonitor:
-    """Decides whether this node leaves its callers to other zones.
+    """Takes this node out of service while its zone or the node is cut off.
 
     Parameters
     ----------
     settings
-        The zone of this node, and whether it leaves at all.
+        The zone of this node, and whether leaving service is enabled.
     name
         This node's name.
     directory
         The replicas.
     evidence
-        What requests have shown.
-    asked
-        What callers ask.
+        Failures of regular traffic.
+    demand
+        The recent demand by route.
     departure
-        Is moved by what is decided here.
+        Tracks whether the node is out of service.
     """
 
     def __init__(
@@ -60,22 +60,22 @@
         self._evidence = evidence
         self._demand = demand
         self._departure = departure
-        self._contacts = PeerSelector(settings.zone, name)
-        self._prober = ZoneProber(settings.zone, name, directory, evidence, self._contacts)
+        self._peers = PeerSelector(settings.zone, name)
+        self._prober = ZoneProber(settings.zone, name, directory, evidence, self._peers)
         self._table: RoutingTable | None = None
         self._is_store_away = False
         self._last_reason: DecisionReason | None = None
 
     def set_table(self, table: RoutingTable) -> None:
-        """Take in a configuration."""
+        """Apply a configuration."""
         self._table = table
 
     def enable_peers(self, groups: "NodeGroups") -> None:
-        """Ask other nodes from now on."""
-        self._contacts.groups = groups
+        """Start to query other nodes in reachability checks."""
+        self._peers.groups = groups
 
     def is_relevant(self, event: Event, now: float) -> bool:
-        """Whether something is to be done after an event."""
+        """Whether ``handle`` must be called for an event."""
         if not self._is_enabled:
             return False
         match event:
@@ -83,7 +83,7 @@
                 ConnectionTried()
                 | ForwardRequested()
                 | PeerReceived(message=ReachNews())
-                | ReachCheckDue()
+                | ProbeRoundDue()
                 | StoreResponse()
                 | WatchBroken()
                 | WatchChanged()
@@ -94,14 +94,14 @@
         return self._prober.is_checking or self._evidence.suggests_outage(now)
 
     def handle(self, event: Event, now: float) -> list[Action]:
-        """Take in an event after everything else has."""
+        """Handle an event, after all other handlers."""
         actions = self._dispatch(event, now)
         for zone in self._evidence.take_answered_zones():
             actions += self._prober.zone_answered(zone, now)
         if not self._prober.is_checking and self._evidence.suggests_outage(now):
             actions += self._prober.begin(now)
-        is_news = not self._departure.is_away or isinstance(event, ConnectionTried)
-        if is_news and self._prober.answering_zones():
+        may_change_decision = not self._departure.is_away or isinstance(event, ConnectionTried)
+        if may_change_decision and self._prober.answering_zones():
             actions += self._update(now)
         return actions
 
@@ -113,8 +113,8 @@
                 self._record_demand(event, now)
             case PeerReceived(sender=sender, message=ReachNews() as news):
                 return self._prober.handle_report(sender, news, now)
-            case ReachCheckDue():
-                return self._round_over(event, now)
+            case ProbeRoundDue():
+                return self._end_round(event, now)
             case StoreResponse() | WatchBroken() | WatchChanged():
                 self._record_store_state(event)
         return []
@@ -134,31 +134,33 @@
                 kind = result.kind if isinstance(result, Failure) else None
                 self._is_store_away = kind in STORE_UNREACHABLE_KINDS
 
-    def _round_over(self, event: ReachCheckDue, now: float) -> list[Action]:
-        if not self._prober.is_present(event):
+    def _end_round(self, event: ProbeRoundDue, now: float) -> list[Action]:
+        if not self._prober.is_current_round(event):
             return []
         if now - event.due_at >= LATE_SECONDS:
             return self._prober.next_round(now, queries_nodes=not self._departure.is_away)
-        why, actions = self._decide(now)
+        reason, actions = self._decide(now)
         if not self._prober.is_checking:
             return actions
         is_away = self._departure.is_away
-        seconds = ROUND_SECONDS if is_away or why.should_leave else SLOW_ROUND_SECONDS
+        seconds = ROUND_SECONDS if is_away or reason.should_leave else SLOW_ROUND_SECONDS
         return [*actions, *self._prober.next_round(now, seconds, queries_nodes=not is_away)]
 
     def _update(self, now: float) -> list[Action]:
         return self._decide(now)[1]
 
     def _decide(self, now: float) -> tuple[DecisionReason, list[Action]]:
-        """Decide, and leave or return if that is what follows."""
-        situation = self._situation(now)
-        reason = decide(situation)
+        """Decide, and leave service or return accordingly."""
+        inputs = self._decision_inputs(now)
+        reason = decide(inputs)
         actions: list[Action] = []
         away_seconds = self._departure.away_seconds(now)
         if self._departure.update(reason.should_leave, now, self._is_first_zone):
-            actions = self._log_move(reason, situation, away_seconds, now)
-        elif reason is not self._last_reason and not reason.should_leave and situation.zones_out:
-            actions = [_decision_log("callers_kept", LogLevel.INFO, reason, situation)]
+            actions = self._log_move(reason, inputs, away_seconds, now)
+        elif (
+            reason is not self._last_reason and not reason.should_leave and inputs.unreachable_zones
+        ):
+            actions = [_decision_log("node_stays_in_service", LogLevel.INFO, reason, inputs)]
         self._last_reason = reason
         if not self._departure.is_away and reason in (
             DecisionReason.IN_REACH,
@@ -168,60 +170,69 @@
             self._last_reason = None
         return reason, actions
 
-    def _situation(self, now: float) -> DecisionInputs:
-        watch = self._prober
-        zones_out = watch.zones_out(now)
-        own_side = watch.own_side()
-        lost = {*zones_out, self._zone} if own_side is OwnZoneStatus.SILENT else set(zones_out)
+    def _decision_inputs(self, now: float) -> DecisionInputs:
+        prober = self._prober
+        unreachable_zones = prober.unreachable_zones(now)
+        own_zone_status = prober.own_zone_status()
+        lost = (
+            {*unreachable_zones, self._zone}
+            if own_zone_status is OwnZoneStatus.SILENT
+            else set(unreachable_zones)
+        )
         return DecisionInputs(
-            watch.other_zones(),
-            zones_out,
-            own_side,
-            watch.connected_neighbour(now),
+            prober.other_zones(),
+            unreachable_zones,
+            own_zone_status,
+            prober.connected_neighbour(now),
             self._share(lost, now),
             self._share({self._zone}, now),
-            # Without the store it has certainly lost something that is there for others.
+            # Without the store, this zone has lost something that other zones may still have.
             self._is_first_zone and not self._is_store_away,
         )
 
     @property
     def _is_first_zone(self) -> bool:
-        """Whether this zone is the one that stays if all zones lose each other."""
-        return self._zone == self._contacts.zones()[0]
+        """Whether this zone stays in service if all zones lose contact."""
+        return self._zone == self._peers.zones()[0]
 
-    def _share(self, zones_out: set[str], now: float) -> float:
-        return 1.0 if self._table is None else self._demand.share(self._table, zones_out, now)
+    def _share(self, excluded_zones: set[str], now: float) -> float:
+        return 1.0 if self._table is None else self._demand.share(self._table, excluded_zones, now)
 
     def _log_move(
-        self, why: DecisionReason, situation: DecisionInputs, away_seconds: float, now: float
+        self, reason: DecisionReason, inputs: DecisionInputs, away_seconds: float, now: float
     ) -> list[Action]:
-        """Say that this node has left, or has come back."""
+        """Log and count that this node left service or returned."""
         if self._departure.is_away:
-            doubt = ("doubt_seconds", round(now - self._prober.began_at, 3))
-            line = _decision_log("callers_left_to_others", LogLevel.WARNING, why, situation, doubt)
-            change = "left"
+            check_time = ("check_seconds", round(now - self._prober.checking_since, 3))
+            line = _decision_log("node_left_service", LogLevel.WARNING, reason, inputs, check_time)
+            direction = "left"
         else:
-            away = ("away_seconds", round(away_seconds, 3))
-            line = _decision_log("callers_taken_back", LogLevel.WARNING, why, situation, away)
-            change = "returned"
-        return [line, Count("callers_moves_total", labels=(("change", change), ("why", why.value)))]
+            away_time = ("away_seconds", round(away_seconds, 3))
+            line = _decision_log(
+                "node_returned_to_service", LogLevel.WARNING, reason, inputs, away_time
+            )
+            direction = "returned"
+        return [
+            line,
+            Count("callers_moves_total", labels=(("change", direction), ("why", reason.value))),
+        ]
 
 
 def _decision_log(
     message: str,
     level: str,
-    why: DecisionReason,
-    situation: DecisionInputs,
+    reason: DecisionReason,
+    inputs: DecisionInputs,
     *fields: tuple[str, float],
 ) -> Log:
-    """Return a log line with what was decided on."""
+    """Return a log line with the inputs of a decision."""
     known = (
-        ("why", why.value),
-        ("zones_out", ",".join(situation.zones_out) or "none"),
-        ("other_zones", len(situation.other_zones)),
-        ("own_side", situation.own_side.value),
-        ("contradicted_by", situation.connected_neighbour or "none"),
-        ("share_here", round(situation.share_here, 3)),
-        ("share_elsewhere", round(situation.share_elsewhere, 3)),
+        ("why", reason.value),
+        ("unreachable_zones", ",".join(inputs.unreachable_zones) or "none"),
+        ("other_zones", len(inputs.other_zones)),
+        ("own_zone", inputs.own_zone_status.value),
+        ("connected_neighbour", inputs.connected_neighbour or "none"),
+        ("share_here", round(inputs.share_here, 3)),
+        ("share_elsewhere", round(inputs.share_elsewhere, 3)),
     )
     return Log(message, level, (*known, *fields))
--- a/wingquay/forwarding/readiness/route_demand.py
+++ b/wingquay/forwarding/readiness/route_demand.py
@@ -1,4 +1,4 @@
-"""What callers ask lately, and how much of it could be answered by replicas in some zones."""
+"""Recent demand by route, and the share of it that replicas in some zones can answer."""
 
 import math
 from collections.abc import Container
@@ -7,36 +7,35 @@
 from ..choice.replica_directory import ReplicaDirectory
 
 DEMAND_DECAY_SECONDS = 60.0
-"""Time constant with which requests are forgotten. A node of a large fleet takes one in two or
-three seconds: in ten seconds it sees too few to know what callers ask, so that the nodes of a zone
-that was cut off judged apart (10 of 18 stayed), and half a zone that leaves helps nobody."""
+"""Time constant of the exponential decay of request counts; long enough that the nodes of a zone
+see similar demand even at few requests per node."""
 SHARE_TOLERANCE = 1e-9
 
 
 class RouteDemand:
-    """Counts requests by route, each for less the longer ago it was."""
+    """Counts requests by route with exponential decay."""
 
     def __init__(self, directory: ReplicaDirectory) -> None:
         self._directory = directory
         self._requests: dict[tuple[str, str], tuple[float, float]] = {}
-        """Requests by route as of a moment, and the moment."""
+        """The decayed request count of each route, and the time of its last update."""
 
     def record(self, route: Route, now: float) -> None:
-        """Take in a request."""
+        """Count a request."""
         key = (route.host, route.path_prefix)
         self._requests[key] = (self._weight(key, now) + 1.0, now)
 
     def keep_only(self, routes: tuple[Route, ...]) -> None:
-        """Forget routes that a new configuration does not have."""
+        """Discard the routes that are not in the new configuration."""
         present = {(route.host, route.path_prefix) for route in routes}
         self._requests = {
             key: requests for key, requests in self._requests.items() if key in present
         }
 
-    def share(self, table: RoutingTable, zones_out: Container[str], now: float) -> float:
-        """Return the share of what is asked that replicas outside of some zones can answer.
+    def share(self, table: RoutingTable, excluded_zones: Container[str], now: float) -> float:
+        """Return the share of demand (0 to 1) that replicas outside the excluded zones can answer.
 
-        All routes count alike when nothing was asked; without routes everything can be answered.
+        Without any requests all routes have equal weight; without routes the share is 1.
         """
         weights = [self._weight((route.host, route.path_prefix), now) for route in table.routes]
         if not any(weights):
@@ -48,17 +47,21 @@
         answered = 0.0
         for route, weight in zip(table.routes, weights, strict=True):
             if weight:
-                answered += weight * self._route_share(route, zones_out, is_available, now)
+                answered += weight * self._route_share(route, excluded_zones, is_available, now)
         return answered / total_weight
 
     def _route_share(
-        self, route: Route, zones_out: Container[str], is_available: dict[str, bool], now: float
+        self,
+        route: Route,
+        excluded_zones: Container[str],
+        is_available: dict[str, bool],
+        now: float,
     ) -> float:
         """Return the share of a route's requests that can be answered."""
         for service in route.all_services:
             if service not in is_available:
                 zones = self._directory.zones_of(service, now)
-                is_available[service] = any(zone not in zones_out for zone in zones)
+                is_available[service] = any(zone not in excluded_zones for zone in zones)
         if route.shards:
             available_share = sum(is_available[shard] for shard in route.shards) / len(route.shards)
             return 1.0 if available_share >= route.least_share - SHARE_TOLERANCE else 0.0
--- a/wingquay/forwarding/readiness/zone_prober.py
+++ b/wingquay/forwarding/readiness/zone_prober.py
@@ -1,8 +1,8 @@
-"""Finds out which other zones are out of reach, only while there is doubt.
+"""Checks which other zones are reachable, only after signs of failure.
 
-A doubt begins with failures that requests have met, or with the word of a node of the own zone.
-First this node tries its own connections; only if none comes up it asks others, so that the trouble
-of one node costs its zone a few messages.
+A check starts after failures of regular traffic or on the report of a neighbour. The node first
+probes replicas with its own connections and queries other nodes only if all probes fail, so a
+failure of a single node causes few messages.
 """
 
 import zlib
@@ -17,50 +17,49 @@
 from ..knowledge.reachability_evidence import ReachabilityEvidence
 from .decision import OwnZoneStatus
 from .peer_selector import PeerSelector
-from .suspicion import ReachabilityCheck, ZoneState
+from .reachability_check import ReachabilityCheck, ZoneState
 
 ROUND_SECONDS = 0.25
-"""Time between two rounds of tries, and time for nodes to say that they are there: a try takes up
-to 0.04 s, and a zone should be left, and taken back, within a second."""
+"""Time between two probe rounds, within which queried nodes must answer."""
 SLOW_ROUND_SECONDS = 1.0
-"""The same for a node that stays although no other zone is in reach."""
+"""The same for a node that stays in service although no other zone is reachable."""
 PROBES_PER_ZONE = 2
-"""Connections tried in each zone in a round; one alone may meet a replica that has just ended."""
+"""Connections opened per zone in a round, so that a single crashed replica does not decide."""
 FRESH_ANSWER_SECONDS = 0.5
-"""Time for which it is not looked into again that a zone has answered."""
+"""Time for which an answer of a zone makes a new check unnecessary."""
 PROBE_PAUSE_SECONDS = 0.9
-"""Time for which a zone that has answered is not tried again while this node waits for its least
-time away: each try that succeeds is a connection at a replica."""
+"""Time after an answer for which a zone is not probed again, which saves connections at
+replicas."""
 NEIGHBOUR_REPORT_SECONDS = 1.5
-"""Time for which the word of a node that reaches other zones counts: some rounds of its own."""
+"""Time for which a neighbour's report that it reaches other zones is valid."""
 NEIGHBOUR_EVIDENCE_SECONDS = 8.0
-"""Time for which the word of a node counts that it has reached a zone before: longer than cuts that
-are to be bridged last."""
+"""Time for which a neighbour's report that it reached a zone before is valid; longer than the
+partitions that must be handled."""
 MAX_PENDING_QUERIES = 16
-"""Nodes that are told what was found out; others hear it from these."""
+"""Maximum number of querying nodes that are notified when a zone answers."""
 
 
 @value
-class ReachCheckDue(Event):
-    """A round of tries is over."""
+class ProbeRoundDue(Event):
+    """A probe round is over."""
 
     round_number: int
     due_at: float
 
 
 class ZoneProber:
-    """The zones in reach, as far as there is doubt.
+    """Probes the other zones while a reachability check is in progress.
 
     Parameters
     ----------
     zone, name
         The zone and the name of this node.
     directory
-        The replicas to try.
+        The replicas to probe.
     evidence
-        What requests have shown.
-    contacts
-        The nodes to ask.
+        Failures of regular traffic.
+    peers
+        Selects the nodes to query.
     """
 
     def __init__(
@@ -69,50 +68,49 @@
         name: str,
         directory: ReplicaDirectory,
         evidence: ReachabilityEvidence,
-        contacts: PeerSelector,
+        peers: PeerSelector,
     ) -> None:
         self._zone = zone
         self._name = name
         self._directory = directory
         self._evidence = evidence
-        self._contacts = contacts
+        self._peers = peers
         self._zones: dict[str, ZoneState] = {}
         self._zones_seen: set[str] = set()
-        """Zones of which a node has ever spoken to this one."""
+        """Zones from which a node has ever sent a message to this one."""
         self._replicas: dict[str, list[ReplicaState]] = {}
-        """The replicas that may get work by zone, as of the present round."""
+        """The replicas that may receive requests, by zone, as of the current round."""
         self._probed: dict[str, str] = {}
-        """Zones of the replicas to which a connection is being tried, by id."""
+        """Zones of the replicas with a probe connection under way, by incarnation id."""
         self._check: ReachabilityCheck | None = None
         self._round = 0
         self._round_ends_at = float("-inf")
 
     @property
     def is_checking(self) -> bool:
-        """Whether it is being looked into what is in reach."""
+        """Whether a reachability check is in progress."""
         return self._check is not None
 
     @property
-    def began_at(self) -> float:
-        """When the present doubt began."""
+    def checking_since(self) -> float:
+        """When the current check began; infinite without one."""
         return float("inf") if self._check is None else self._check.begun_at
 
     def other_zones(self) -> tuple[str, ...]:
-        """Return the other zones that have replicas which may get work."""
+        """Return the other zones that have replicas which may receive requests."""
         return tuple(sorted(self._replicas.keys() - {self._zone}))
 
-    def zones_out(self, now: float) -> tuple[str, ...]:
-        """Return the other zones that are out of reach; none if no one of them ever was in reach.
+    def unreachable_zones(self, now: float) -> tuple[str, ...]:
+        """Return the other zones that are unreachable; none if none of them was ever reachable.
 
-        A node may have spoken to few zones before the cut: shards that its own zone lacks are asked
-        in as few others as hold them. One that has just started must not take replicas that start
-        with it for lost.
+        One zone with earlier contact is enough, because a node may have contacted only a few zones.
+        A node that has just started must not count replicas as lost that start with it.
         """
         silent = tuple(zone for zone in self.other_zones() if self._is_silent(zone))
         return silent if any(self._was_reached(zone, now) for zone in silent) else ()
 
     def answering_zones(self) -> tuple[str, ...]:
-        """Return the other zones that have answered in this doubt, up to now."""
+        """Return the other zones that have answered during the current check."""
         if self._check is None:
             return ()
         return tuple(
@@ -122,22 +120,22 @@
             and not self._zone_state(zone).failures
         )
 
-    def own_side(self) -> OwnZoneStatus:
-        """Return what answers of the own zone."""
-        if self._zone_state(self._zone).answered_at >= self.began_at:
+    def own_zone_status(self) -> OwnZoneStatus:
+        """Return whether this node reaches its own zone."""
+        if self._zone_state(self._zone).answered_at >= self.checking_since:
             return OwnZoneStatus.IN_REACH
-        has_others = self._zone in self._replicas or bool(self._contacts.neighbours())
+        has_others = self._zone in self._replicas or bool(self._peers.neighbours())
         return OwnZoneStatus.SILENT if has_others else OwnZoneStatus.UNKNOWN
 
     def connected_neighbour(self, now: float) -> str:
-        """Return a node of the own zone that reaches others; empty: none says so."""
-        doubt = self._check
-        if doubt is None or now - doubt.connected_at >= NEIGHBOUR_REPORT_SECONDS:
+        """Return a node of the same zone that reaches other zones; empty: none reported so."""
+        check = self._check
+        if check is None or now - check.connected_at >= NEIGHBOUR_REPORT_SECONDS:
             return ""
-        return doubt.connected_neighbour
+        return check.connected_neighbour
 
     def begin(self, now: float) -> list[Action]:
-        """Look into what is in reach, unless that is under way or was found out just now."""
+        """Start a check, unless one is in progress or a zone has answered just now."""
         if self._check is not None or self._fresh_zones(now):
             return []
         self._replicas = self._directory.by_zone(now)
@@ -150,19 +148,19 @@
         return self.next_round(now)
 
     def end(self) -> None:
-        """Take in that other zones are in reach, and that this node takes callers."""
+        """End the check: other zones are reachable and the node is in service."""
         self._check = None
         self._evidence.end_check()
 
     def next_round(
         self, now: float, seconds: float = ROUND_SECONDS, queries_nodes: bool = True
     ) -> list[Action]:
-        """Try connections to every zone.
+        """Start a probe round over all zones.
 
         Parameters
         ----------
-        asks
-            Whether other nodes are asked if none comes up.
+        queries_nodes
+            Whether other nodes may be queried if all probes fail.
         """
         if self._check is not None:
             self._check.may_query_nodes = queries_nodes
@@ -173,16 +171,16 @@
                 actions += self._probe(zone)
         return [*actions, self._round_until(now + seconds)]
 
-    def is_present(self, event: ReachCheckDue) -> bool:
-        """Whether a round is the present one."""
+    def is_current_round(self, event: ProbeRoundDue) -> bool:
+        """Whether an event belongs to the current round."""
         return self._check is not None and event.round_number == self._round
 
     def zone_seen(self, zone: str) -> None:
-        """Take in that a node of a zone has spoken to this one: the zone was in reach."""
+        """Record a message from a node of a zone: the zone was reachable."""
         self._zones_seen.add(zone)
 
     def connection_tried(self, event: ConnectionTried, now: float) -> list[Action]:
-        """Take in whether a connection came up."""
+        """Handle the result of a connection attempt."""
         zone = self._probed.pop(event.life, None)
         if zone is None:
             return []
@@ -192,82 +190,82 @@
         return self._query_nodes(now)
 
     def zone_answered(self, zone: str, now: float) -> list[Action]:
-        """Take in that something of a zone answers."""
+        """Record an answer from a zone and notify the nodes that queried this one."""
         known = self._zone_state(zone)
         known.failures = 0
         known.answered_at = now
-        doubt = self._check
-        if doubt is None or zone == self._zone:
+        check = self._check
+        if check is None or zone == self._zone:
             return []
-        waiting_nodes, doubt.waiting_nodes = doubt.waiting_nodes, {}
+        waiting_nodes, check.waiting_nodes = check.waiting_nodes, {}
         return [SendToPeer(node, ReachNews((), (zone,))) for node in waiting_nodes.values()]
 
-    def handle_report(self, sender: NodeIdentity, news: ReachNews, now: float) -> list[Action]:
-        """Take in what another node has found out, and answer it."""
+    def handle_report(self, sender: NodeIdentity, report: ReachNews, now: float) -> list[Action]:
+        """Handle another node's reachability report, and answer if it is a query."""
         actions = self.zone_answered(sender.zone, now)
         is_neighbour = sender.zone == self._zone
         if is_neighbour:
-            actions += self._handle_neighbour_report(sender, news, now)
-        if news.is_question:
-            found = self._fresh_zones(now) if is_neighbour else ()
-            actions.append(SendToPeer(sender, ReachNews((), found)))
+            actions += self._handle_neighbour_report(sender, report, now)
+        if report.is_question:
+            recent = self._fresh_zones(now) if is_neighbour else ()
+            actions.append(SendToPeer(sender, ReachNews((), recent)))
         return actions
 
     def _handle_neighbour_report(
-        self, sender: NodeIdentity, news: ReachNews, now: float
+        self, sender: NodeIdentity, report: ReachNews, now: float
     ) -> list[Action]:
-        """Take in the word of a node of the own zone."""
-        for zone in news.out_zones:
+        """Handle the report of a node of the same zone."""
+        for zone in report.out_zones:
             self._zone_state(zone).neighbour_evidence_at = now
-        actions = self.begin(now) if news.out_zones else []
-        doubt = self._check
-        if doubt is None:
+        actions = self.begin(now) if report.out_zones else []
+        check = self._check
+        if check is None:
             return actions
-        if news.in_zones:
-            doubt.connected_neighbour = sender.node_id
-            doubt.connected_at = now
-        if news.is_question and len(doubt.waiting_nodes) < MAX_PENDING_QUERIES:
-            doubt.waiting_nodes[sender.node_id] = sender
-        # What the other node has reached before may be all that was missing.
+        if report.in_zones:
+            check.connected_neighbour = sender.node_id
+            check.connected_at = now
+        if report.is_question and len(check.waiting_nodes) < MAX_PENDING_QUERIES:
+            check.waiting_nodes[sender.node_id] = sender
+        # The report may supply the only missing evidence that a zone was reachable before.
         return [*actions, *self._query_nodes(now)]
 
     def _query_nodes(self, now: float) -> list[Action]:
-        """Ask other nodes once no zone is in reach by this node's own tries."""
-        doubt = self._check
-        out = self.zones_out(now)
-        if doubt is None or not doubt.may_query_nodes or out != self.other_zones():
+        """Query other nodes if no other zone is reachable by this node's own probes."""
+        check = self._check
+        unreachable = self.unreachable_zones(now)
+        if check is None or not check.may_query_nodes or unreachable != self.other_zones():
             return []
-        doubt.may_query_nodes = False
-        question = ReachNews(out, (), is_question=True)
-        asked = [*self._contacts.gossip_targets(), *self._contacts.one_of_each_zone()]
-        actions: list[Action] = [SendToPeer(node, question) for node in asked]
+        check.may_query_nodes = False
+        question = ReachNews(unreachable, (), is_question=True)
+        nodes = [*self._peers.gossip_targets(), *self._peers.one_of_each_zone()]
+        actions: list[Action] = [SendToPeer(node, question) for node in nodes]
         if self._round_ends_at < now + ROUND_SECONDS:
-            # Others must have had time to answer before this round ends.
+            # Extend the round so that the queried nodes have time to answer.
             actions.append(self._round_until(now + ROUND_SECONDS))
         return actions
 
     def _round_until(self, due_at: float) -> Schedule:
         self._round += 1
         self._round_ends_at = due_at
-        return Schedule(due_at, ReachCheckDue(self._round, due_at))
+        return Schedule(due_at, ProbeRoundDue(self._round, due_at))
 
     def _is_known_reachable(self, zone: str, now: float) -> bool:
-        """Whether no connection need be spent on a zone, as far as it has answered.
+        """Whether a zone has answered recently enough that it need not be probed.
 
-        That the own side is in reach is asked once; the others may be lost again.
+        The own zone is probed until its first answer in a check; other zones are probed again.
         """
-        heard_at = self._zone_state(zone).answered_at
+        answered_at = self._zone_state(zone).answered_at
         if zone == self._zone:
-            return heard_at >= self.began_at
-        return now - heard_at < PROBE_PAUSE_SECONDS
+            return answered_at >= self.checking_since
+        return now - answered_at < PROBE_PAUSE_SECONDS
 
     def _is_silent(self, zone: str) -> bool:
-        """Whether the latest tries in a zone all failed."""
-        tries = min(PROBES_PER_ZONE, len(self._replicas.get(zone, [])))
-        return self._zone_state(zone).failures >= tries
+        """Whether the latest probes of a zone all failed."""
+        probes = min(PROBES_PER_ZONE, len(self._replicas.get(zone, [])))
+        return self._zone_state(zone).failures >= probes
 
     def _was_reached(self, zone: str, now: float) -> bool:
-        """Whether a zone has ever been in reach of this node, or of one nearby until now."""
+        """Whether this node, or recently a neighbour, has ever reached a zone."""
         known = self._zone_state(zone)
         if zone in self._zones_seen or known.answered_at > float("-inf"):
             return True
@@ -284,7 +282,7 @@
         )
 
     def _probe(self, zone: str) -> list[Action]:
-        """Try the next few replicas of a zone, so that every round asks others."""
+        """Open connections to the next replicas of a zone, different ones each round."""
         replicas = self._replicas[zone]
         known = self._zone_state(zone)
         if known.next_replica is None:
