--- a/tests/forwarding/readiness/test_decision.py
+++ b/tests/forwarding/readiness/test_decision.py
@@ -29,9 +29,9 @@
 from wingquay.model.routing_table import WeightedService
 
 
-def situation(**fields: object) -> DecisionInputs:
+def decision_inputs(**fields: object) -> DecisionInputs:
     """Return what a node of a zone that is cut off knows, but for some fields."""
-    known: dict[str, object] = {
+    usual: dict[str, object] = {
         "other_zones": ("a", "c", "d"),
         "unreachable_zones": ("a", "c", "d"),
         "own_zone_status": OwnZoneStatus.IN_REACH,
@@ -40,7 +40,7 @@
         "share_elsewhere": 1.0,
         "is_last_zone": False,
     }
-    return DecisionInputs(**{**known, **fields})  # type: ignore[arg-type]
+    return DecisionInputs(**{**usual, **fields})  # type: ignore[arg-type]
 
 
 CASES: tuple[tuple[dict[str, object], DecisionReason], ...] = (
@@ -76,26 +76,26 @@
 )
 
 
-class JudgeTest(TestCase):
+class DecideTest(TestCase):
     def test_each_case(self) -> None:
-        for fields, why in CASES:
+        for fields, reason in CASES:
             with self.subTest(**fields):
-                self.assertIs(why, decide(situation(**fields)))
+                self.assertIs(reason, decide(decision_inputs(**fields)))
 
-    def test_only_two_reasons_make_it_leave(self) -> None:
-        leaving = {why for why in DecisionReason if why.should_leave}
-        self.assertEqual({DecisionReason.ZONE_CUT_OFF, DecisionReason.NODE_CUT_OFF}, leaving)
+    def test_only_two_reasons_require_leaving(self) -> None:
+        leave_reasons = {reason for reason in DecisionReason if reason.should_leave}
+        self.assertEqual({DecisionReason.ZONE_CUT_OFF, DecisionReason.NODE_CUT_OFF}, leave_reasons)
 
 
 class DepartureTest(TestCase):
-    def test_it_stays_away_for_the_least_time(self) -> None:
+    def test_node_stays_out_of_service_for_the_minimum_time(self) -> None:
         departure = Departure()
         self.assertTrue(departure.update(True, 10.0))
         self.assertFalse(departure.update(False, 10.0 + MIN_AWAY_SECONDS - 0.1))
         self.assertTrue(departure.update(False, 10.0 + MIN_AWAY_SECONDS))
         self.assertFalse(departure.is_away)
 
-    def test_it_stays_in_for_the_least_time_and_away_longer_each_time(self) -> None:
+    def test_flapping_doubles_the_time_out_of_service(self) -> None:
         departure = Departure()
         now = 10.0
         for seconds in (2.0, 4.0, MAX_MIN_AWAY_SECONDS, MAX_MIN_AWAY_SECONDS):
@@ -105,7 +105,7 @@
             self.assertFalse(departure.update(True, now + seconds + MIN_READY_SECONDS - 0.01))
             now += seconds + MIN_READY_SECONDS
 
-    def test_it_takes_callers_for_a_trial_whatever_it_knows(self) -> None:
+    def test_node_returns_for_a_trial_whatever_the_decision(self) -> None:
         for is_first_zone, seconds in ((False, MAX_AWAY_SECONDS), (True, LAST_ZONE_AWAY_SECONDS)):
             departure = Departure()
             departure.update(True, 0.0, is_first_zone)
@@ -114,7 +114,7 @@
             self.assertFalse(departure.update(True, seconds + TRIAL_SECONDS - 0.1, is_first_zone))
             self.assertTrue(departure.update(True, seconds + TRIAL_SECONDS, is_first_zone))
 
-    def test_callers_move_once_new_ones_go_elsewhere(self) -> None:
+    def test_connections_close_only_after_a_while(self) -> None:
         departure = Departure()
         self.assertIs(ConnectionClosing.KEEP, departure.connection_closing(0.0))
         departure.update(True, 0.0)
@@ -127,61 +127,61 @@
         self.assertIs(ConnectionClosing.KEEP, departure.connection_closing(3.0))
 
 
-class ShareTest(TestCase):
+class RouteDemandTest(TestCase):
     def setUp(self) -> None:
         super().setUp()
         self.directory = ReplicaDirectory(ForwardingSettings("a"), random.Random(1))
         for name, zones in (("s0", "ab"), ("s1", "b"), ("s2", "ac"), ("s3", "abc"), ("one", "c")):
             for zone in zones:
                 self.directory.put(replica(f"{name}-{zone}", name, zone), 0.0)
-        self.asked = RouteDemand(self.directory)
+        self.demand = RouteDemand(self.directory)
         self.wide = sharded_route(4)
         self.narrow = single_route("/one/", "one")
         self.table = table(1, self.wide, self.narrow)
 
-    def share(self, *zones_out: str, now: float = 0.0) -> float:
-        return self.asked.share(self.table, zones_out, now)
+    def share(self, *excluded_zones: str, now: float = 0.0) -> float:
+        return self.demand.share(self.table, excluded_zones, now)
 
-    def test_all_routes_count_alike_when_nothing_was_asked(self) -> None:
+    def test_routes_have_equal_weight_without_requests(self) -> None:
         self.assertEqual(1.0, self.share())
         self.assertEqual(0.5, self.share("c"))
         self.assertEqual(1.0, self.share("b"))
         self.assertEqual(0.5, self.share("a", "b"))
         self.assertEqual(0.0, self.share("a", "b", "c"))
 
-    def test_routes_count_by_requests_which_are_forgotten(self) -> None:
+    def test_weights_follow_recent_requests(self) -> None:
         for _ in range(3):
-            self.asked.record(self.narrow, 0.0)
-        self.asked.record(self.wide, 0.0)
+            self.demand.record(self.narrow, 0.0)
+        self.demand.record(self.wide, 0.0)
         self.assertAlmostEqual(0.25, self.share("c"))
         later = 3 * DEMAND_DECAY_SECONDS
         for _ in range(3):
-            self.asked.record(self.wide, later)
+            self.demand.record(self.wide, later)
         self.assertGreater(self.share("c", now=later), 0.9)
 
-    def test_nodes_that_see_few_requests_judge_alike(self) -> None:
+    def test_nodes_with_few_requests_decide_alike(self) -> None:
         """Two requests in five are wide; each node takes two in three seconds."""
         chance = random.Random(2)
-        judged = []
+        decisions = []
         for _ in range(18):
-            self.asked = RouteDemand(self.directory)
+            self.demand = RouteDemand(self.directory)
             for number in range(22):
                 route = self.wide if chance.random() < 0.4 else self.narrow
-                self.asked.record(route, number * 1.5)
-            judged.append(self.share("a", "b", now=33.0) >= MIN_ANSWERABLE_SHARE)
-        self.assertEqual([False] * 18, judged)
+                self.demand.record(route, number * 1.5)
+            decisions.append(self.share("a", "b", now=33.0) >= MIN_ANSWERABLE_SHARE)
+        self.assertEqual([False] * 18, decisions)
 
-    def test_weighted_services_count_by_weight(self) -> None:
+    def test_weighted_services(self) -> None:
         parts = (WeightedService("one", 3.0), WeightedService("s1", 1.0))
         self.table = table(1, single_route("/two/", services=parts))
         self.assertEqual(0.25, self.share("c"))
         self.assertEqual(0.75, self.share("b"))
 
-    def test_a_configuration_without_routes_loses_nothing(self) -> None:
+    def test_share_is_one_without_routes(self) -> None:
         self.table = table(1)
         self.assertEqual(1.0, self.share("a", "b", "c"))
 
-    def test_a_new_configuration_forgets_old_routes(self) -> None:
-        self.asked.record(self.narrow, 0.0)
-        self.asked.keep_only((self.wide,))
+    def test_new_configuration_discards_old_routes(self) -> None:
+        self.demand.record(self.narrow, 0.0)
+        self.demand.keep_only((self.wide,))
         self.assertEqual(0.5, self.share("c"))
--- a/tests/forwarding/readiness/test_cut_zone.py
+++ b/tests/forwarding/readiness/test_partitioned_zone.py
@@ -5,10 +5,10 @@
 from tests.forwarding.one_node import sharded_route, single_route, table
 from tests.forwarding.readiness.zone_fleet import (
     STORE,
-    CutKind,
     FleetNode,
+    PacketLoss,
     ZoneFleet,
-    cut_zone,
+    partition_zone,
     spread_replicas,
 )
 from wingquay.ports.forwarding import OpenConnection, ReplyFailure, ReplyMerged
@@ -33,7 +33,9 @@
     return fleet
 
 
-def busy(fleet: ZoneFleet, seconds: float, nodes: list[FleetNode] | None = None) -> None:
+def send_wide_requests(
+    fleet: ZoneFleet, seconds: float, nodes: list[FleetNode] | None = None
+) -> None:
     """Let callers send wide requests to some nodes, five a second each."""
     for _ in range(round(seconds * 5)):
         for node in nodes if nodes is not None else fleet.nodes:
@@ -41,120 +43,120 @@
         fleet.advance(0.2)
 
 
-class CutZoneTest(TestCase):
-    def test_a_cut_zone_leaves_as_a_whole_and_soon(self) -> None:
-        for kind in CutKind:
+class PartitionedZoneTest(TestCase):
+    def test_all_nodes_of_a_partitioned_zone_leave_within_the_limit(self) -> None:
+        for kind in PacketLoss:
             for zone in ("b", "d"):
                 with self.subTest(kind=kind, zone=zone):
                     fleet = wide_fleet()
-                    busy(fleet, 1.0)
+                    send_wide_requests(fleet, 1.0)
                     fleet.kind = kind
-                    fleet.loses = cut_zone(fleet, zone)
-                    busy(fleet, LEAVE_SECONDS)
+                    fleet.is_lost = partition_zone(fleet, zone)
+                    send_wide_requests(fleet, LEAVE_SECONDS)
                     self.assertEqual(0, fleet.ready(zone))
                     for other in set(ZONES) - {zone}:
                         self.assertEqual(NODES, fleet.ready(other))
 
-    def test_a_cut_in_one_direction(self) -> None:
+    def test_zone_leaves_if_only_its_outgoing_packets_are_lost(self) -> None:
         fleet = wide_fleet()
-        busy(fleet, 1.0)
-        both = cut_zone(fleet, "b")
-        fleet.loses = lambda sender, receiver: (
+        send_wide_requests(fleet, 1.0)
+        both = partition_zone(fleet, "b")
+        fleet.is_lost = lambda sender, receiver: (
             both(sender, receiver) and fleet.zone_of.get(sender) == "b"
         )
-        busy(fleet, LEAVE_SECONDS)
+        send_wide_requests(fleet, LEAVE_SECONDS)
         self.assertEqual([NODES, 0, NODES, NODES], [fleet.ready(zone) for zone in ZONES])
 
-    def test_an_evacuated_zone_that_is_cut(self) -> None:
+    def test_evacuated_zone_leaves_when_partitioned(self) -> None:
         fleet = wide_fleet()
         fleet.evacuate("b")
-        busy(fleet, 2.0)
-        fleet.loses = cut_zone(fleet, "b")
-        busy(fleet, LEAVE_SECONDS)
+        send_wide_requests(fleet, 2.0)
+        fleet.is_lost = partition_zone(fleet, "b")
+        send_wide_requests(fleet, LEAVE_SECONDS)
         self.assertEqual([NODES, 0, NODES, NODES], [fleet.ready(zone) for zone in ZONES])
 
-    def test_cuts_that_come_and_go_move_callers_rarely(self) -> None:
+    def test_flapping_partition_causes_few_departures(self) -> None:
         fleet = wide_fleet()
-        busy(fleet, 1.0)
-        cut = cut_zone(fleet, "b")
+        send_wide_requests(fleet, 1.0)
+        cut = partition_zone(fleet, "b")
         for step in range(20):
-            fleet.loses = cut if step % 2 == 0 else lambda _sender, _receiver: False
-            busy(fleet, 0.6)
+            fleet.is_lost = cut if step % 2 == 0 else lambda _sender, _receiver: False
+            send_wide_requests(fleet, 0.6)
         for node in fleet.of("b"):
             self.assertLessEqual(len(node.logs("node_left_service")), 3)
 
-    def test_a_long_cut_is_tried_again_and_again(self) -> None:
+    def test_long_partition_is_interrupted_by_trials(self) -> None:
         fleet = wide_fleet()
-        busy(fleet, 1.0)
-        fleet.loses = cut_zone(fleet, "b")
-        busy(fleet, 30.0, fleet.of("b"))
+        send_wide_requests(fleet, 1.0)
+        fleet.is_lost = partition_zone(fleet, "b")
+        send_wide_requests(fleet, 30.0, fleet.of("b"))
         times = [at for at, _ in fleet.of("b")[0].changes[1:]]
         gaps = [round(later - at) for at, later in zip(times, times[1:], strict=False)]
         self.assertEqual([10, 2, 10, 2], gaps[:4])
 
-    def test_nodes_without_requests_leave_with_the_others(self) -> None:
+    def test_nodes_without_requests_leave_as_well(self) -> None:
         fleet = wide_fleet()
-        busy(fleet, 1.0)
-        fleet.loses = cut_zone(fleet, "b")
-        busy(fleet, LEAVE_SECONDS, fleet.of("b")[:1])
+        send_wide_requests(fleet, 1.0)
+        fleet.is_lost = partition_zone(fleet, "b")
+        send_wide_requests(fleet, LEAVE_SECONDS, fleet.of("b")[:1])
         self.assertEqual(0, fleet.ready("b"))
 
-    def test_the_store_on_the_side_of_the_cut_zone(self) -> None:
+    def test_zone_leaves_even_if_it_still_reaches_the_store(self) -> None:
         fleet = wide_fleet()
-        busy(fleet, 1.0)
-        fleet.loses = cut_zone(fleet, "b", with_store=True)
-        busy(fleet, LEAVE_SECONDS)
+        send_wide_requests(fleet, 1.0)
+        fleet.is_lost = partition_zone(fleet, "b", with_store=True)
+        send_wide_requests(fleet, LEAVE_SECONDS)
         self.assertEqual([NODES, 0, NODES, NODES], [fleet.ready(zone) for zone in ZONES])
 
-    def test_the_first_zone_leaves_once_it_knows_that_the_store_is_away_too(self) -> None:
+    def test_first_zone_leaves_once_its_store_polls_fail(self) -> None:
         fleet = wide_fleet()
-        busy(fleet, 1.0)
-        fleet.loses = cut_zone(fleet, "a")
-        busy(fleet, 4.5)
+        send_wide_requests(fleet, 1.0)
+        fleet.is_lost = partition_zone(fleet, "a")
+        send_wide_requests(fleet, 4.5)
         self.assertEqual([0, NODES, NODES, NODES], [fleet.ready(zone) for zone in ZONES])
 
-    def test_it_comes_back_soon_after_the_cut(self) -> None:
-        for kind in CutKind:
+    def test_zone_returns_soon_after_the_partition(self) -> None:
+        for kind in PacketLoss:
             with self.subTest(kind=kind):
                 fleet = wide_fleet()
-                busy(fleet, 1.0)
+                send_wide_requests(fleet, 1.0)
                 fleet.kind = kind
-                fleet.loses = cut_zone(fleet, "b")
-                busy(fleet, CUT_SECONDS)
+                fleet.is_lost = partition_zone(fleet, "b")
+                send_wide_requests(fleet, CUT_SECONDS)
                 self.assertEqual(0, fleet.ready("b"))
-                fleet.loses = lambda _sender, _receiver: False
+                fleet.is_lost = lambda _sender, _receiver: False
                 fleet.advance(RETURN_SECONDS)
                 self.assertEqual(NODES, fleet.ready("b"))
-                busy(fleet, 1.0)
+                send_wide_requests(fleet, 1.0)
                 node, number = fleet.request(fleet.of("b")[0], "/all/x")
                 fleet.advance(0.5)
                 self.assertIsInstance(node.replies[number], ReplyMerged)
 
-    def test_connections_close_politely_once_new_ones_go_elsewhere(self) -> None:
+    def test_connections_close_after_the_platform_reroutes_callers(self) -> None:
         fleet = wide_fleet()
-        busy(fleet, 1.0)
-        fleet.loses = cut_zone(fleet, "b")
-        busy(fleet, 1.0)
+        send_wide_requests(fleet, 1.0)
+        fleet.is_lost = partition_zone(fleet, "b")
+        send_wide_requests(fleet, 1.0)
         node = fleet.of("b")[0]
         left_at = node.changes[-1][0]
         self.assertFalse(node.answers_close)
-        busy(fleet, left_at + 1.4 - fleet.now)
+        send_wide_requests(fleet, left_at + 1.4 - fleet.now)
         self.assertTrue(node.answers_close)
         self.assertEqual([], node.idle_closed_at)
-        busy(fleet, 1.5)
+        send_wide_requests(fleet, 1.5)
         self.assertEqual(1, len(node.idle_closed_at))
         self.assertTrue(2.0 <= node.idle_closed_at[0] - left_at <= 2.6)
-        busy(fleet, 3.0)
-        fleet.loses = lambda _sender, _receiver: False
+        send_wide_requests(fleet, 3.0)
+        fleet.is_lost = lambda _sender, _receiver: False
         fleet.advance(1.0)
         self.assertFalse(node.answers_close)
 
-    def test_a_line_says_why_it_left_and_came_back(self) -> None:
+    def test_departure_and_return_are_logged_with_reasons(self) -> None:
         fleet = wide_fleet()
-        busy(fleet, 1.0)
-        fleet.loses = cut_zone(fleet, "b")
-        busy(fleet, CUT_SECONDS)
-        fleet.loses = lambda _sender, _receiver: False
+        send_wide_requests(fleet, 1.0)
+        fleet.is_lost = partition_zone(fleet, "b")
+        send_wide_requests(fleet, CUT_SECONDS)
+        fleet.is_lost = lambda _sender, _receiver: False
         fleet.advance(1.0)
         for node in fleet.of("b"):
             (left,) = node.logs("node_left_service")
@@ -165,20 +167,20 @@
             (back,) = node.logs("node_returned_to_service")
             self.assertEqual("other_zones_in_reach", back["why"])
 
-    def test_the_switch_turns_it_off(self) -> None:
+    def test_setting_disables_leaving(self) -> None:
         fleet = wide_fleet(leaves_when_cut_off=False)
-        busy(fleet, 1.0)
-        fleet.loses = cut_zone(fleet, "b")
-        busy(fleet, 3.0)
+        send_wide_requests(fleet, 1.0)
+        fleet.is_lost = partition_zone(fleet, "b")
+        send_wide_requests(fleet, 3.0)
         self.assertEqual(NODES, fleet.ready("b"))
 
-    def test_callers_of_a_cut_zone_are_served_elsewhere(self) -> None:
+    def test_callers_of_a_partitioned_zone_are_served_by_another(self) -> None:
         """Replays a cut: callers go to the nodes that the platform hands out."""
         served = {}
-        for is_on in (True, False):
-            fleet = wide_fleet(leaves_when_cut_off=is_on)
-            busy(fleet, 1.0)
-            fleet.loses = cut_zone(fleet, "b")
+        for is_enabled in (True, False):
+            fleet = wide_fleet(leaves_when_cut_off=is_enabled)
+            send_wide_requests(fleet, 1.0)
+            fleet.is_lost = partition_zone(fleet, "b")
             sent = []
             for second in range(6):
                 nodes = fleet.of("b") if fleet.ready("b") else fleet.of("c")
@@ -188,7 +190,7 @@
                 del second
             fleet.advance(2.0)
             answers = [node.replies.get(number) for node, number in sent]
-            served[is_on] = sum(isinstance(item, ReplyMerged) for item in answers) / len(sent)
+            served[is_enabled] = sum(isinstance(item, ReplyMerged) for item in answers) / len(sent)
         self.assertLess(served[False], 0.1)
         self.assertGreater(served[True], 0.75)
 
@@ -200,58 +202,58 @@
             self.assertEqual([], node.logs("node_left_service"), node.name)
             self.assertTrue(node.is_ready, node.name)
 
-    def test_the_store_away_for_all_or_some(self) -> None:
+    def test_store_outage_for_all_or_some_zones(self) -> None:
         for away in (set(ZONES), {"b"}, {"b", "c"}):
             fleet = wide_fleet()
-            busy(fleet, 1.0)
+            send_wide_requests(fleet, 1.0)
 
-            def loses(sender: str, receiver: str, away: set[str] = away) -> bool:
+            def is_lost(sender: str, receiver: str, away: set[str] = away) -> bool:
                 return receiver == STORE and sender[0] in away
 
-            fleet.loses = loses
-            busy(fleet, 5.0)
+            fleet.is_lost = is_lost
+            send_wide_requests(fleet, 5.0)
             self.assert_all_stay(fleet)
 
-    def test_all_replicas_of_one_zone_end(self) -> None:
+    def test_crash_of_all_replicas_of_one_zone(self) -> None:
         fleet = wide_fleet()
-        busy(fleet, 1.0)
+        send_wide_requests(fleet, 1.0)
         fleet.dead = {record.replica_id for record in fleet.records if record.zone == "c"}
-        busy(fleet, 4.0)
+        send_wide_requests(fleet, 4.0)
         self.assert_all_stay(fleet)
 
-    def test_all_replicas_end(self) -> None:
+    def test_crash_of_all_replicas(self) -> None:
         fleet = wide_fleet()
-        busy(fleet, 1.0)
+        send_wide_requests(fleet, 1.0)
         fleet.dead = {record.replica_id for record in fleet.records}
-        busy(fleet, 4.0)
+        send_wide_requests(fleet, 4.0)
         self.assert_all_stay(fleet)
 
-    def test_a_zone_of_which_some_nodes_are_cut(self) -> None:
+    def test_partition_of_some_nodes_of_a_zone(self) -> None:
         fleet = wide_fleet()
-        busy(fleet, 1.0)
-        halves = {node.name for node in fleet.of("b")[:1]}
+        send_wide_requests(fleet, 1.0)
+        partitioned = {node.name for node in fleet.of("b")[:1]}
 
-        def loses(sender: str, receiver: str) -> bool:
-            is_cut = sender in halves or receiver in halves
+        def is_lost(sender: str, receiver: str) -> bool:
+            is_cut = sender in partitioned or receiver in partitioned
             return is_cut and fleet.zone_of.get(sender) != fleet.zone_of.get(receiver)
 
-        fleet.loses = loses
-        busy(fleet, 5.0)
+        fleet.is_lost = is_lost
+        send_wide_requests(fleet, 5.0)
         self.assert_all_stay(fleet)
 
-    def test_two_zones_that_lose_the_two_others(self) -> None:
+    def test_partition_into_two_pairs_of_zones(self) -> None:
         fleet = wide_fleet()
-        busy(fleet, 1.0)
+        send_wide_requests(fleet, 1.0)
 
-        def loses(sender: str, receiver: str) -> bool:
+        def is_lost(sender: str, receiver: str) -> bool:
             sides = [fleet.zone_of.get(place, "a") in "ab" for place in (sender, receiver)]
             return sides[0] is not sides[1]
 
-        fleet.loses = loses
-        busy(fleet, 5.0)
+        fleet.is_lost = is_lost
+        send_wide_requests(fleet, 5.0)
         self.assert_all_stay(fleet)
 
-    def test_a_zone_that_holds_all_that_callers_ask(self) -> None:
+    def test_zone_with_replicas_for_all_recent_demand(self) -> None:
         routes = (sharded_route(SHARDS, least_share=0.85), single_route("/one/", "one"))
         records = spread_replicas(routes[0].shards, ZONES, 3)
         records += spread_replicas(["one"], ZONES, 4)
@@ -261,7 +263,7 @@
             for node in fleet.nodes:
                 fleet.request(node, "/one/x")
             fleet.advance(0.1)
-        fleet.loses = cut_zone(fleet, "b")
+        fleet.is_lost = partition_zone(fleet, "b")
         for step in range(40):
             for node in fleet.nodes:
                 fleet.request(node, "/one/x")
@@ -273,83 +275,83 @@
             "holds_what_callers_ask", fleet.of("b")[0].logs("node_stays_in_service")[0]["why"]
         )
 
-    def test_a_deployment_of_one_zone(self) -> None:
+    def test_deployment_with_one_zone(self) -> None:
         fleet = wide_fleet(zones=("a",))
-        busy(fleet, 1.0)
-        fleet.loses = lambda sender, receiver: receiver != STORE
-        busy(fleet, 4.0)
+        send_wide_requests(fleet, 1.0)
+        fleet.is_lost = lambda sender, receiver: receiver != STORE
+        send_wide_requests(fleet, 4.0)
         self.assert_all_stay(fleet)
 
-    def test_if_all_zones_lose_each_other_one_stays(self) -> None:
+    def test_one_zone_stays_if_all_are_partitioned(self) -> None:
         fleet = wide_fleet()
-        busy(fleet, 1.0)
+        send_wide_requests(fleet, 1.0)
 
-        def loses(sender: str, receiver: str) -> bool:
+        def is_lost(sender: str, receiver: str) -> bool:
             zones = [fleet.zone_of.get(place) for place in (sender, receiver)]
             return None not in zones and zones[0] != zones[1]
 
-        fleet.loses = loses
-        busy(fleet, 9.0)
+        fleet.is_lost = is_lost
+        send_wide_requests(fleet, 9.0)
         self.assertEqual([NODES, 0, 0, 0], [fleet.ready(zone) for zone in ZONES])
 
-    def test_two_zones_that_lose_each_other(self) -> None:
+    def test_partition_between_the_only_two_zones(self) -> None:
         fleet = wide_fleet(zones=("a", "b"))
-        busy(fleet, 1.0)
-        fleet.loses = cut_zone(fleet, "b")
-        busy(fleet, 4.0)
+        send_wide_requests(fleet, 1.0)
+        fleet.is_lost = partition_zone(fleet, "b")
+        send_wide_requests(fleet, 4.0)
         self.assert_all_stay(fleet)
 
-    def test_a_slow_zone(self) -> None:
+    def test_slow_zone(self) -> None:
         fleet = wide_fleet()
-        busy(fleet, 1.0)
+        send_wide_requests(fleet, 1.0)
 
         def delay(sender: str, receiver: str) -> float:
             return 0.05 if (fleet.zone_of[sender] == "b") != (fleet.zone_of[receiver] == "b") else 0
 
         fleet.delay = delay
-        busy(fleet, 4.0)
+        send_wide_requests(fleet, 4.0)
         self.assert_all_stay(fleet)
 
-    def test_an_evacuated_zone(self) -> None:
+    def test_evacuated_zone(self) -> None:
         fleet = wide_fleet()
-        busy(fleet, 1.0)
+        send_wide_requests(fleet, 1.0)
         fleet.evacuate("b")
-        busy(fleet, 3.0)
+        send_wide_requests(fleet, 3.0)
         self.assert_all_stay(fleet)
 
-    def test_a_start_of_all_while_all_zones_lose_each_other(self) -> None:
+    def test_start_of_all_nodes_while_all_replicas_are_down(self) -> None:
         route = sharded_route(SHARDS, least_share=0.85)
         records = spread_replicas(route.shards, ZONES, 3)
         fleet = ZoneFleet(ZONES, NODES, table(1, route), records)
         fleet.dead = {record.replica_id for record in records}
         fleet.start()
-        busy(fleet, 4.0)
+        send_wide_requests(fleet, 4.0)
         self.assert_all_stay(fleet)
 
-    def test_services_without_replicas(self) -> None:
+    def test_partition_with_services_without_replicas(self) -> None:
         routes = (sharded_route(SHARDS), single_route("/one/", "none"))
         records = spread_replicas(routes[0].shards[:1], ZONES, 4)
         fleet = ZoneFleet(ZONES, NODES, table(1, *routes), records)
         fleet.start()
-        busy(fleet, 1.0)
-        fleet.loses = cut_zone(fleet, "b")
-        busy(fleet, 3.0)
+        send_wide_requests(fleet, 1.0)
+        fleet.is_lost = partition_zone(fleet, "b")
+        send_wide_requests(fleet, 3.0)
         self.assert_all_stay(fleet)
 
-    def test_calm_times_cost_nothing(self) -> None:
+    def test_no_probes_or_reports_without_partition(self) -> None:
         counts = {}
-        for is_on in (True, False):
-            fleet = wide_fleet(leaves_when_cut_off=is_on)
-            busy(fleet, 3.0)
+        for is_enabled in (True, False):
+            fleet = wide_fleet(leaves_when_cut_off=is_enabled)
+            send_wide_requests(fleet, 3.0)
             fleet.dead = {fleet.records[0].replica_id}
             for node in fleet.nodes:
                 # Nodes of the own zone that start anew are an everyday matter, too.
                 for other in fleet.of(node.zone):
                     if other is not node:
                         node.emit(PeerLinkBroken(other.name, "the node ended"))
-            busy(fleet, 3.0)
+            send_wide_requests(fleet, 3.0)
             actions = [action for node in fleet.nodes for action in node.actions]
-            counts[is_on] = sum(isinstance(action, OpenConnection) for action in actions)
+            counts[is_enabled] = sum(isinstance(action, OpenConnection) for action in actions)
             sent = [action.message for action in actions if isinstance(action, SendToPeer)]
             self.assertEqual(0, sum(isinstance(message, ReachNews) for message in sent))
         self.assertEqual(counts[False], counts[True])
@@ -358,23 +360,23 @@
 class SingleNodeTest(TestCase):
     def test_single_nodes_that_lose_everybody_leave_alone(self) -> None:
         fleet = wide_fleet(nodes=3)
-        busy(fleet, 1.0)
+        send_wide_requests(fleet, 1.0)
         cut = {f"{zone}-1" for zone in ZONES}
-        fleet.loses = lambda sender, receiver: sender in cut or receiver in cut
-        busy(fleet, 1.5)
+        fleet.is_lost = lambda sender, receiver: sender in cut or receiver in cut
+        send_wide_requests(fleet, 1.5)
         away = {node.name for node in fleet.nodes if not node.is_ready}
         self.assertEqual(cut, away)
         node = next(node for node in fleet.nodes if node.name == "b-1")
         self.assertEqual("node_cut_off", node.logs("node_left_service")[0]["why"])
-        fleet.loses = lambda _sender, _receiver: False
-        busy(fleet, 1.0)
+        fleet.is_lost = lambda _sender, _receiver: False
+        send_wide_requests(fleet, 1.0)
         self.assertTrue(all(node.is_ready for node in fleet.nodes))
 
     def test_requests_that_still_come_are_answered(self) -> None:
         fleet = wide_fleet()
-        busy(fleet, 1.0)
-        fleet.loses = cut_zone(fleet, "b")
-        busy(fleet, 1.0)
+        send_wide_requests(fleet, 1.0)
+        fleet.is_lost = partition_zone(fleet, "b")
+        send_wide_requests(fleet, 1.0)
         node, number = fleet.request(fleet.of("b")[0], "/all/x")
         fleet.advance(0.3)
         self.assertIsInstance(node.replies[number], ReplyFailure)
--- a/tests/forwarding/readiness/test_starting.py
+++ b/tests/forwarding/readiness/test_start_readiness.py
@@ -16,12 +16,12 @@
         """Return what the node last said."""
         return node.last(SetForwarding).is_ready
 
-    def test_it_takes_callers_at_once_if_it_can_answer_most(self) -> None:
+    def test_node_is_ready_at_once_if_most_demand_can_be_answered(self) -> None:
         node = OneNode()
         node.start(table(1, *ROUTES), *RECORDS, replica("r", "one"))
         self.assertTrue(self.is_ready(node))
 
-    def test_it_waits_for_replicas_that_are_on_their_way(self) -> None:
+    def test_node_waits_for_replicas_that_start_soon(self) -> None:
         node = OneNode()
         node.start(table(1, *ROUTES), *RECORDS[:1])
         self.assertFalse(self.is_ready(node))
@@ -29,20 +29,20 @@
         node.change(*RECORDS[1:], replica("r", "one"))
         self.assertTrue(self.is_ready(node))
 
-    def test_it_waits_no_longer_for_replicas_that_are_absent(self) -> None:
+    def test_node_is_ready_after_the_maximum_wait(self) -> None:
         node = OneNode()
         node.start(table(1, *ROUTES), *RECORDS[:1])
         node.advance(MAX_START_WAIT_SECONDS)
         self.assertTrue(self.is_ready(node))
 
-    def test_later_losses_of_replicas_do_not_count_as_a_start(self) -> None:
+    def test_later_loss_of_replicas_does_not_end_readiness(self) -> None:
         node = OneNode()
         node.start(table(1, *ROUTES), *RECORDS, replica("r", "one"))
         node.change(gone=("r0", "r1", "r2", "r"))
         node.advance(4.0)
         self.assertTrue(self.is_ready(node))
 
-    def test_a_stop_during_the_start_takes_no_callers(self) -> None:
+    def test_node_stopped_during_start_never_becomes_ready(self) -> None:
         node = OneNode()
         node.start(table(1, *ROUTES), *RECORDS[:1])
         node.emit(StopRequested())
--- a/tests/forwarding/readiness/zone_fleet.py
+++ b/tests/forwarding/readiness/zone_fleet.py
@@ -70,7 +70,7 @@
 """The place of the store."""
 
 
-class CutKind(Enum):
+class PacketLoss(Enum):
     """What becomes of packets at a cut."""
 
     SILENT = "silent"
@@ -93,7 +93,7 @@
         """When it became ready or stopped being so."""
         self.actions: list[Action] = []
         self.replies: dict[int, ReplyUnchanged | ReplyMerged | ReplyFailure] = {}
-        self._kept: set[str] = set()
+        self._connected: set[str] = set()
         """Replicas to which a connection is kept."""
         self._sends: dict[int, SendToReplica] = {}
         formats = StoreFormats(
@@ -140,15 +140,15 @@
             case CancelSend():
                 sent = self._sends.pop(action.attempt_id, None)
                 if sent is not None:
-                    self._kept.discard(sent.replica.replica_id)
+                    self._connected.discard(sent.replica.replica_id)
             case OpenConnection():
                 self._open(action.replica)
             case ReplyUnchanged() | ReplyMerged() | ReplyFailure():
                 self.replies[action.exchange_id] = action
             case SetForwarding():
-                self._set(action)
+                self._set_forwarding(action)
             case SendToPeer():
-                fleet.carry(self, action)
+                fleet.deliver(self, action)
             case _:
                 self._perform_on_store(action)
 
@@ -156,13 +156,13 @@
         fleet = self.fleet
         match action:
             case StoreRequest():
-                fleet.ask_store(self, action)
+                fleet.send_to_store(self, action)
             case StartWatch():
                 fleet.watch_store(self, action)
             case StopWatch():
                 fleet.stopped_watches.add((self.name, action.watch_id))
 
-    def _set(self, action: SetForwarding) -> None:
+    def _set_forwarding(self, action: SetForwarding) -> None:
         if action.is_ready != self.is_ready:
             self.changes.append((self.fleet.now, action.is_ready))
         self.is_ready = action.is_ready
@@ -173,22 +173,22 @@
     def _send(self, action: SendToReplica) -> None:
         fleet = self.fleet
         record = action.replica
-        is_kept = record.replica_id in self._kept
+        is_connected = record.replica_id in self._connected
         self._sends[action.attempt_id] = action
         failure = fleet.failure_to(self, record)
         if failure is None:
-            self._kept.add(record.replica_id)
+            self._connected.add(record.replica_id)
             answer = ReplicaAnswer(200, (), b"", f"{record.replica_id}.{action.request_id}")
             event = ReplicaAnswered(action.attempt_id, answer)
             seconds = 2 * NETWORK_SECONDS + WORK_SECONDS
             seconds += 2 * fleet.delay(self.name, record.replica_id)
             fleet.after(seconds, self._outcome, event)
             return
-        if is_kept and failure is CutKind.SILENT:
+        if is_connected and failure is PacketLoss.SILENT:
             return
-        kind = SendFailureKind.BROKEN if is_kept else SendFailureKind.NOT_SENT
-        seconds = CONNECT_SECONDS if failure is CutKind.SILENT else NETWORK_SECONDS
-        self._kept.discard(record.replica_id)
+        kind = SendFailureKind.BROKEN if is_connected else SendFailureKind.NOT_SENT
+        seconds = CONNECT_SECONDS if failure is PacketLoss.SILENT else NETWORK_SECONDS
+        self._connected.discard(record.replica_id)
         fleet.after(seconds, self._outcome, SendFailed(action.attempt_id, kind, failure.value))
 
     def _outcome(self, event: ReplicaAnswered | SendFailed) -> None:
@@ -204,13 +204,13 @@
         failure = self.fleet.failure_to(self, record)
         seconds = 2 * (NETWORK_SECONDS + self.fleet.delay(self.name, record.replica_id))
         if failure is None and seconds >= CONNECT_SECONDS:
-            failure = CutKind.SILENT
+            failure = PacketLoss.SILENT
         if failure is None:
-            self._kept.add(record.replica_id)
+            self._connected.add(record.replica_id)
             self.fleet.after(seconds, self.emit, ConnectionTried(record.replica_id))
             return
-        seconds = CONNECT_SECONDS if failure is CutKind.SILENT else NETWORK_SECONDS
-        is_refused = failure is CutKind.REFUSED
+        seconds = CONNECT_SECONDS if failure is PacketLoss.SILENT else NETWORK_SECONDS
+        is_refused = failure is PacketLoss.REFUSED
         event = ConnectionTried(record.replica_id, failure.value, is_refused)
         self.fleet.after(seconds, self.emit, event)
 
@@ -227,7 +227,7 @@
     def __init__(
         self,
         zones: Iterable[str],
-        nodes_a_zone: int,
+        nodes_per_zone: int,
         configuration: RoutingTable,
         records: list[ReplicaRecord],
         **settings: object,
@@ -237,8 +237,8 @@
         self.records = records
         self.dead: set[str] = set()
         """Replicas that have ended, by id: nothing listens at their addresses."""
-        self.kind = CutKind.SILENT
-        self.loses: Callable[[str, str], bool] = _loses_nothing
+        self.kind = PacketLoss.SILENT
+        self.is_lost: Callable[[str, str], bool] = _never_lost
         """Whether packets from one place to another are lost; places are names of nodes, ids of
         replicas, and the store."""
         self.delay: Callable[[str, str], float] = _no_delay
@@ -247,7 +247,7 @@
         self.opened: list[tuple[float, str, str]] = []
         self._table_value = b"table"
         self._values = {repr(record).encode(): record for record in records}
-        self._due: list[tuple[float, int, Callable[..., None], tuple[object, ...]]] = []
+        self._events: list[tuple[float, int, Callable[..., None], tuple[object, ...]]] = []
         self._numbers = count(1)
         self._requests = count(1)
         self._changed: list[StoredValue] = []
@@ -256,7 +256,7 @@
         self.nodes = [
             FleetNode(self, f"{zone}-{number}", zone, **settings)
             for zone in zones
-            for number in range(nodes_a_zone)
+            for number in range(nodes_per_zone)
         ]
         self.zone_of.update({node.name: node.zone for node in self.nodes})
 
@@ -264,7 +264,7 @@
 
     def at(self, at_seconds: float, call: Callable[..., None], *arguments: object) -> None:
         """Do something at a time."""
-        heapq.heappush(self._due, (at_seconds, next(self._numbers), call, arguments))
+        heapq.heappush(self._events, (at_seconds, next(self._numbers), call, arguments))
 
     def after(self, seconds: float, call: Callable[..., None], *arguments: object) -> None:
         """Do something later."""
@@ -273,8 +273,8 @@
     def advance(self, seconds: float) -> None:
         """Let time pass."""
         end = self.now + seconds
-        while self._due and self._due[0][0] <= end:
-            due_at, _, call, arguments = heapq.heappop(self._due)
+        while self._events and self._events[0][0] <= end:
+            due_at, _, call, arguments = heapq.heappop(self._events)
             self.now = max(self.now, due_at)
             call(*arguments)
         self.now = end
@@ -311,19 +311,19 @@
 
     # The network
 
-    def failure_to(self, node: FleetNode, record: ReplicaRecord) -> CutKind | None:
+    def failure_to(self, node: FleetNode, record: ReplicaRecord) -> PacketLoss | None:
         """Return how a connection to a replica fails; ``None``: it does not."""
-        there = self.loses(node.name, record.replica_id)
-        back = self.loses(record.replica_id, node.name)
+        there = self.is_lost(node.name, record.replica_id)
+        back = self.is_lost(record.replica_id, node.name)
         if there or back:
             return self.kind
-        return CutKind.REFUSED if record.replica_id in self.dead else None
+        return PacketLoss.REFUSED if record.replica_id in self.dead else None
 
-    def carry(self, sender: FleetNode, action: SendToPeer) -> None:
+    def deliver(self, sender: FleetNode, action: SendToPeer) -> None:
         """Carry a message between nodes."""
         target = next(node for node in self.nodes if node.name == action.to.node_id)
-        if self.loses(sender.name, target.name) or self.loses(target.name, sender.name):
-            if self.kind is not CutKind.SILENT:
+        if self.is_lost(sender.name, target.name) or self.is_lost(target.name, sender.name):
+            if self.kind is not PacketLoss.SILENT:
                 event = PeerLinkBroken(action.to.node_id, self.kind.value)
                 self.after(NETWORK_SECONDS, sender.emit, event)
             return
@@ -333,9 +333,9 @@
 
     # The store
 
-    def ask_store(self, node: FleetNode, request: StoreRequest) -> None:
+    def send_to_store(self, node: FleetNode, request: StoreRequest) -> None:
         """Answer a request of a node."""
-        if self.loses(node.name, STORE):
+        if self.is_lost(node.name, STORE):
             failure = Failure(StoreFailureKind.LOST_REPLY, "cut")
             event = StoreResponse(request.operation_id, failure)
             self.after(request.timeout_seconds, node.emit, event)
@@ -347,20 +347,20 @@
 
     def watch_store(self, node: FleetNode, watch: StartWatch) -> None:
         """Let a look of a node tell what has changed, or be lost."""
-        self.after(watch.pause_seconds, self._look, node, watch, self.now + watch.pause_seconds)
+        self.after(watch.pause_seconds, self._poll, node, watch, self.now + watch.pause_seconds)
 
-    def _look(self, node: FleetNode, watch: StartWatch, begun_at: float) -> None:
+    def _poll(self, node: FleetNode, watch: StartWatch, begun_at: float) -> None:
         if (node.name, watch.watch_id) in self.stopped_watches:
             return
-        if self.loses(node.name, STORE):
+        if self.is_lost(node.name, STORE):
             if self.now - begun_at >= watch.timeout_seconds:
                 node.emit(WatchBroken(watch.watch_id, "silent"))
             else:
-                self.after(watch.timeout_seconds, self._look, node, watch, begun_at)
+                self.after(watch.timeout_seconds, self._poll, node, watch, begun_at)
             return
         event = WatchChanged(watch.watch_id, tuple(self._changed), tuple(self._deleted), 2)
         node.emit(event)
-        self.after(max(watch.gather_seconds, 0.5), self._look, node, watch, self.now)
+        self.after(max(watch.gather_seconds, 0.5), self._poll, node, watch, self.now)
 
     def _listing(self) -> list[StoredValue]:
         nodes = [
@@ -398,21 +398,23 @@
     return records
 
 
-def cut_zone(fleet: ZoneFleet, zone: str, with_store: bool = False) -> Callable[[str, str], bool]:
-    """Return what a zone that is cut off loses; the store may be on its side of the cut."""
+def partition_zone(
+    fleet: ZoneFleet, zone: str, with_store: bool = False
+) -> Callable[[str, str], bool]:
+    """Return what a zone that is cut off is_lost; the store may be on its side of the cut."""
 
-    def loses(sender: str, receiver: str) -> bool:
+    def is_lost(sender: str, receiver: str) -> bool:
         if STORE in (sender, receiver):
             is_inside = fleet.zone_of.get(sender) == zone or fleet.zone_of.get(receiver) == zone
             return is_inside is not with_store
         return (fleet.zone_of[sender] == zone) is not (fleet.zone_of[receiver] == zone)
 
-    return loses
+    return is_lost
 
 
 def _no_delay(_sender: str, _receiver: str) -> float:
     return 0.0
 
 
-def _loses_nothing(_sender: str, _receiver: str) -> bool:
+def _never_lost(_sender: str, _receiver: str) -> bool:
     return False
