--- a/tests/forwarding/proof_fleet.py
+++ b/tests/forwarding/proof_fleet.py
@@ -1,6 +1,6 @@
-"""Several nodes, the store and the links between them on a virtual clock; callers are left out.
+"""Test fleet: nodes, the store and the links between them on a virtual clock, without callers.
 
-Each node goes by a clock of its own, so that a time of one means nothing to another.
+Each node has a clock with its own offset, so times of different nodes cannot be compared.
 """
 
 import dataclasses
@@ -44,12 +44,12 @@
 
 TENANTS = TenantDirectory((Tenant("blue", ("key",)),))
 LINK_SECONDS = 0.003
-CLOCK_DISTANCE_SECONDS = 1e4
+CLOCK_OFFSET_SECONDS = 1e4
 STORE_EVENTS = (WatchChanged, WatchBroken, StoreResponse)
 
 
 class FleetNode:
-    """One life of a node."""
+    """One incarnation of a node."""
 
     def __init__(self, fleet: "Fleet", number: int) -> None:
         self.number = number
@@ -61,7 +61,7 @@
         self._last_answer_at = 0.0
         self._fleet = fleet
         self._clock = fleet.clock
-        self._ahead_seconds = CLOCK_DISTANCE_SECONDS * (number + 1)
+        self._clock_offset_seconds = CLOCK_OFFSET_SECONDS * (number + 1)
         self._zone = f"zone-{number % fleet.zones}"
         formats = StoreFormats(
             CONFIGURATION_KEY,
@@ -88,17 +88,17 @@
 
     @property
     def now(self) -> float:
-        return self._clock.now + self._ahead_seconds
+        return self._clock.now + self._clock_offset_seconds
 
     @property
     def is_proven(self) -> bool:
         return self.machine.proof.is_proven(self.now)
 
-    def take(self, event: Event) -> None:
-        """Take in what the store or another node says, however late."""
+    def receive(self, event: Event) -> None:
+        """Deliver an event from the store or another node, after its delay."""
         arrives_at = self._clock.now
         if isinstance(event, STORE_EVENTS):
-            # A look begins once the one before was answered, so answers keep their order.
+            # A poll starts after the answer to the one before, so answers keep their order.
             arrives_at = max(arrives_at + self.store_lag_seconds, self._last_answer_at)
             self._last_answer_at = arrives_at
         elif isinstance(event, PeerReceived):
@@ -112,7 +112,7 @@
 
     def kill(self) -> None:
         self.is_alive = False
-        self._fleet.store.forget_node(self.take)
+        self._fleet.store.forget_node(self.receive)
         self._fleet.links.node_ended(self.number)
 
     def _handle(self, event: Event) -> None:
@@ -126,9 +126,9 @@
 
     def _on_own_clock(self, event: Event) -> Event:
         if isinstance(event, WatchChanged) and event.begun_at is not None:
-            return dataclasses.replace(event, begun_at=event.begun_at + self._ahead_seconds)
+            return dataclasses.replace(event, begun_at=event.begun_at + self._clock_offset_seconds)
         if isinstance(event, StoreResponse) and isinstance(event.result, ReadResult):
-            begun_at = (event.result.begun_at or 0.0) + self._ahead_seconds
+            begun_at = (event.result.begun_at or 0.0) + self._clock_offset_seconds
             return StoreResponse(
                 event.operation_id, dataclasses.replace(event.result, begun_at=begun_at)
             )
@@ -140,26 +140,26 @@
             case Log():
                 self.logs.append(action)
             case Schedule():
-                at_seconds = action.at_seconds - self._ahead_seconds
+                at_seconds = action.at_seconds - self._clock_offset_seconds
                 self._clock.at(at_seconds, self._handle, action.event)
             case StoreRequest():
                 fleet.calls += 1
-                fleet.store.perform(self.number, action, self.take)
+                fleet.store.perform(self.number, action, self.receive)
             case StartWatch():
                 fleet.watch(self, action)
             case StopWatch():
-                fleet.store.stop_watch(action.watch_id, self.take)
+                fleet.store.stop_watch(action.watch_id, self.receive)
             case AskPeers():
-                fleet.tell_copy(self)
+                fleet.send_snapshot(self)
             case OpenPeerLink():
-                fleet.links.open(self.number, self._zone, self.take)
+                fleet.links.open(self.number, self._zone, self.receive)
             case SendToPeer():
                 fleet.messages += 1
                 fleet.links.send(self.number, action)
 
 
 class Fleet:
-    """Everything around the nodes."""
+    """The nodes and their surroundings."""
 
     def __init__(
         self, follower: FollowerSettings, nodes: int, zones: int = 1, seed: int = 1
@@ -173,17 +173,17 @@
         self.calls = 0
         self.messages = 0
         self.busy_until = 0.0
-        """Until then the store turns every new watch away at once."""
+        """Until then the store rejects every new watch at once."""
         self.version = 0
         self.acknowledged_at: list[float] = []
-        """When each version was, the first one first."""
+        """When the store acknowledged each version, in order."""
         self.configure()
         for shard in range(90):
             self.store.put(f"{REPLICA_PREFIX}r{shard}", b"")
         self.nodes = [FleetNode(self, number) for number in range(nodes)]
 
     def configure(self) -> None:
-        """Let the store acknowledge a version that takes away what the one before allowed."""
+        """Write a version that revokes a key of the version before."""
         self.version += 1
         self.store.put(CONFIGURATION_KEY, str(self.version).encode())
         self.acknowledged_at.append(self.clock.now)
@@ -192,8 +192,8 @@
         plain = table(int(value), sharded_route(90))
         return RoutingTable(int(value), plain.routes, plain.services, CallerLimits(), TENANTS)
 
-    def version_due(self, bound_seconds: float) -> int:
-        """Return the version that every node must go by which serves requests with keys."""
+    def required_version(self, bound_seconds: float) -> int:
+        """Return the oldest version by which a node may still serve requests with keys."""
         before = self.clock.now - bound_seconds
         return sum(1 for at in self.acknowledged_at if at < before)
 
@@ -204,20 +204,20 @@
     def watch(self, node: FleetNode, action: StartWatch) -> None:
         if self.clock.now < self.busy_until:
             refused = WatchBroken(action.watch_id, "the store answered 429")
-            self.clock.after(action.pause_seconds + LINK_SECONDS, node.take, refused)
+            self.clock.after(action.pause_seconds + LINK_SECONDS, node.receive, refused)
             return
-        self.store.watch(node.number, action, node.take)
+        self.store.watch(node.number, action, node.receive)
 
-    def tell_copy(self, node: FleetNode) -> None:
-        """Let a neighbour tell what it knows of the store, however old that is."""
+    def send_snapshot(self, node: FleetNode) -> None:
+        """Send a neighbour's copy of the store, however old, to a node."""
         neighbour = self.nodes[(node.number + 1) % len(self.nodes)]
         known = neighbour.machine.store_snapshot() if neighbour.is_awake else None
         if known is not None and neighbour is not node:
             copy = PeerSnapshot(known.values, known.store_revision)
-            self.clock.after(LINK_SECONDS, node.take, copy)
+            self.clock.after(LINK_SECONDS, node.receive, copy)
 
     def run(self, seconds: float, check: Callable[[], None], step_seconds: float = 0.05) -> None:
-        """Let time pass and check at each step."""
+        """Advance the clock and check at each step."""
         end = self.clock.now + seconds
         while self.clock.now < end:
             self.clock.run_until(min(self.clock.now + step_seconds, end))
--- a/tests/forwarding/readiness/test_decision.py
+++ b/tests/forwarding/readiness/test_decision.py
@@ -1,4 +1,4 @@
-"""The decision whether a node takes callers, case by case."""
+"""Decision whether a node leaves service, the time limits of departures, and demand shares."""
 
 import random
 
@@ -30,7 +30,7 @@
 
 
 def decision_inputs(**fields: object) -> DecisionInputs:
-    """Return what a node of a zone that is cut off knows, but for some fields."""
+    """Return the inputs for a node of a partitioned zone, with some fields replaced."""
     usual: dict[str, object] = {
         "other_zones": ("a", "c", "d"),
         "unreachable_zones": ("a", "c", "d"),
@@ -160,7 +160,7 @@
         self.assertGreater(self.share("c", now=later), 0.9)
 
     def test_nodes_with_few_requests_decide_alike(self) -> None:
-        """Two requests in five are wide; each node takes two in three seconds."""
+        """Guards against nodes of a zone that decide differently because each sees few requests."""
         chance = random.Random(2)
         decisions = []
         for _ in range(18):
--- a/tests/forwarding/readiness/test_partition_history.py
+++ b/tests/forwarding/readiness/test_partition_history.py
@@ -1,4 +1,4 @@
-"""Random cuts, ends of replicas and loads: callers never fare worse than share_in_zone the decision."""
+"""Random partitions and crashes: callers are never served worse than if all nodes stayed."""
 
 from hypothesis import settings
 from hypothesis import strategies as st
@@ -18,19 +18,20 @@
 SHARDS = 4
 MIN_ANSWERABLE_SHARE = 0.85
 SETTLE_SECONDS = 5.0
-"""Time after which every node has decided on a change, its least time out_of_service included."""
+"""Time after which every node has decided on a change, including its minimum time away."""
 
 
 class PartitionHistory(RuleBasedStateMachine):
-    """Zones, single nodes and the store lose each other in any way, and find each other again."""
+    """Partitions zones, single nodes and the store at random, and heals the partitions."""
 
     def __init__(self) -> None:
         super().__init__()
         self.sides = dict.fromkeys(ZONES, 0)
-        """On which side of a cut each zone is; those of one side reach each other."""
+        """The side of the partition on which each zone is; zones on the same side reach each
+        other."""
         self.store_side = 0
         self.isolated: set[str] = set()
-        """Nodes that have lost everybody."""
+        """Nodes that reach nobody."""
 
     @initialize(copies=st.integers(2, 3))
     def start(self, copies: int) -> None:
@@ -48,11 +49,11 @@
         return self.side_of(sender) != self.side_of(receiver)
 
     def side_of(self, place: str) -> int:
-        """Return the side of a place."""
+        """Return the side of the partition on which a place is."""
         return self.store_side if place == STORE else self.sides[self.fleet.zone_of[place]]
 
     def load(self, seconds: float) -> None:
-        """Let callers send requests to all nodes."""
+        """Send requests to all nodes."""
         for _ in range(round(seconds * 5)):
             for node in self.fleet.nodes:
                 self.fleet.request(node, "/all/x")
@@ -63,38 +64,38 @@
         store_side=st.integers(0, 4),
         kind=st.sampled_from(PacketLoss),
     )
-    def cut(self, sides: list[int], store_side: int, kind: PacketLoss) -> None:
-        """Cut zones and the store from each other."""
+    def partition(self, sides: list[int], store_side: int, kind: PacketLoss) -> None:
+        """Partition the zones and the store."""
         self.fleet.kind = kind
         self.sides = dict(zip(ZONES, sides, strict=True))
         self.store_side = store_side
         self.load(0.4)
 
     @rule(store_zone=st.sampled_from(ZONES), kind=st.sampled_from(PacketLoss))
-    def cut_all_zones(self, store_zone: str, kind: PacketLoss) -> None:
-        """Cut all zones from each other; one of them keeps the store."""
+    def partition_all_zones(self, store_zone: str, kind: PacketLoss) -> None:
+        """Partition all zones from each other; one of them keeps the store."""
         self.fleet.kind = kind
         self.sides = {zone: number for number, zone in enumerate(ZONES)}
         self.store_side = self.sides[store_zone]
         self.compare_service()
 
     @rule(zone=st.sampled_from(ZONES), with_store=st.booleans(), kind=st.sampled_from(PacketLoss))
-    def cut_one_zone(self, zone: str, with_store: bool, kind: PacketLoss) -> None:
-        """Cut one zone from all others, as happens most."""
+    def partition_one_zone(self, zone: str, with_store: bool, kind: PacketLoss) -> None:
+        """Partition one zone from all others."""
         self.fleet.kind = kind
         self.sides = {name: int(name == zone) for name in ZONES}
         self.store_side = int(with_store)
         self.load(1.0)
 
     @rule(names=st.sets(st.sampled_from([f"{zone}-0" for zone in ZONES]), max_size=3))
-    def cut_nodes(self, names: set[str]) -> None:
-        """Let single nodes lose everybody; those that were cut before are back."""
+    def isolate_nodes(self, names: set[str]) -> None:
+        """Isolate single nodes; nodes isolated before are connected again."""
         self.isolated = names
         self.load(0.4)
 
     @rule()
     def heal(self) -> None:
-        """End every cut."""
+        """End every partition."""
         self.sides = dict.fromkeys(ZONES, 0)
         self.store_side = 0
         self.isolated = set()
@@ -102,7 +103,7 @@
 
     @rule(zones=st.sets(st.sampled_from(ZONES), max_size=4))
     def crash_replicas(self, zones: set[str]) -> None:
-        """End all replicas of some zones; those of the others are back."""
+        """Crash all replicas of some zones; the replicas of other zones are up again."""
         self.fleet.dead = {
             record.replica_id for record in self.fleet.records if record.zone in zones
         }
@@ -110,11 +111,11 @@
 
     @rule()
     def compare_service(self) -> None:
-        """Compare what callers get with what they would get if every node took callers."""
+        """Check that callers get at least the service they would get if every node stayed."""
         self.load(SETTLE_SECONDS)
         out_of_service = [zone for zone in ZONES if not self.fleet.ready(zone)]
         if len(out_of_service) == len(ZONES):
-            # Only if no zone has anybody, and the one that stays has lost the store as well.
+            # Allowed only if each zone is isolated and the one that stays has also lost the store.
             assert self.is_every_zone_isolated(), self.sides
         for zone in out_of_service:
             share_in_zone = max(self.share(node) for node in self.fleet.of(zone))
@@ -123,17 +124,17 @@
             assert share_elsewhere >= share_in_zone, (zone, share_in_zone, share_elsewhere)
 
     def is_every_zone_isolated(self) -> bool:
-        """Whether every zone is isolated, and the first one share_in_zone the store."""
+        """Whether every zone is isolated, and the first one also without the store."""
         sides_with_nodes = {side for zone, side in self.sides.items() if self.has_nodes(zone)}
         zones = [zone for zone in ZONES if self.has_nodes(zone)]
         return len(sides_with_nodes) == len(zones) and self.sides["a"] != self.store_side
 
     def has_nodes(self, zone: str) -> bool:
-        """Whether a node of the zone is not isolated."""
+        """Whether any node of the zone is not isolated."""
         return any(node.name not in self.isolated for node in self.fleet.of(zone))
 
     def share(self, node: FleetNode) -> float:
-        """Return whether a node can answer wide requests."""
+        """Return 1 if a node can answer wide requests, else 0."""
         reachable = {
             record.service
             for record in self.fleet.records
--- a/tests/forwarding/readiness/test_partitioned_zone.py
+++ b/tests/forwarding/readiness/test_partitioned_zone.py
@@ -1,4 +1,4 @@
-"""A zone that is cut off leaves its callers to others, all of it and soon, and takes them back."""
+"""A partitioned zone leaves service as a whole within the limit, and returns afterwards."""
 
 from testtools import TestCase
 
@@ -18,13 +18,13 @@
 ZONES = ("a", "b", "c", "d")
 SHARDS = 12
 NODES = 3
-CUT_SECONDS = 6.0
+PARTITION_SECONDS = 6.0
 LEAVE_SECONDS = 1.0
 RETURN_SECONDS = 1.0
 
 
 def wide_fleet(nodes: int = NODES, zones: tuple[str, ...] = ZONES, **settings: object) -> ZoneFleet:
-    """Return a fleet whose shards have replicas in all zones but one each."""
+    """Return a fleet with replicas of each shard in all zones but one."""
     route = sharded_route(SHARDS, least_share=0.85)
     records = spread_replicas(route.shards, zones, max(1, len(zones) - 1))
     fleet = ZoneFleet(zones, nodes, table(1, route), records, **settings)
@@ -36,7 +36,7 @@
 def send_wide_requests(
     fleet: ZoneFleet, seconds: float, nodes: list[FleetNode] | None = None
 ) -> None:
-    """Let callers send wide requests to some nodes, five a second each."""
+    """Send five wide requests per second to each node, or to some nodes."""
     for _ in range(round(seconds * 5)):
         for node in nodes if nodes is not None else fleet.nodes:
             fleet.request(node, "/all/x")
@@ -78,9 +78,9 @@
     def test_flapping_partition_causes_few_departures(self) -> None:
         fleet = wide_fleet()
         send_wide_requests(fleet, 1.0)
-        cut = partition_zone(fleet, "b")
+        partition = partition_zone(fleet, "b")
         for step in range(20):
-            fleet.is_lost = cut if step % 2 == 0 else lambda _sender, _receiver: False
+            fleet.is_lost = partition if step % 2 == 0 else lambda _sender, _receiver: False
             send_wide_requests(fleet, 0.6)
         for node in fleet.of("b"):
             self.assertLessEqual(len(node.logs("node_left_service")), 3)
@@ -122,7 +122,7 @@
                 send_wide_requests(fleet, 1.0)
                 fleet.kind = kind
                 fleet.is_lost = partition_zone(fleet, "b")
-                send_wide_requests(fleet, CUT_SECONDS)
+                send_wide_requests(fleet, PARTITION_SECONDS)
                 self.assertEqual(0, fleet.ready("b"))
                 fleet.is_lost = lambda _sender, _receiver: False
                 fleet.advance(RETURN_SECONDS)
@@ -155,7 +155,7 @@
         fleet = wide_fleet()
         send_wide_requests(fleet, 1.0)
         fleet.is_lost = partition_zone(fleet, "b")
-        send_wide_requests(fleet, CUT_SECONDS)
+        send_wide_requests(fleet, PARTITION_SECONDS)
         fleet.is_lost = lambda _sender, _receiver: False
         fleet.advance(1.0)
         for node in fleet.of("b"):
@@ -175,7 +175,7 @@
         self.assertEqual(NODES, fleet.ready("b"))
 
     def test_callers_of_a_partitioned_zone_are_served_by_another(self) -> None:
-        """Replays a cut: callers go to the nodes that the platform hands out."""
+        """Callers are sent to a ready zone, as the platform does."""
         served = {}
         for is_enabled in (True, False):
             fleet = wide_fleet(leaves_when_cut_off=is_enabled)
@@ -197,7 +197,7 @@
 
 class StayingTest(TestCase):
     def assert_all_stay(self, fleet: ZoneFleet) -> None:
-        """Check that no node left."""
+        """Check that no node left service."""
         for node in fleet.nodes:
             self.assertEqual([], node.logs("node_left_service"), node.name)
             self.assertTrue(node.is_ready, node.name)
@@ -234,8 +234,8 @@
         partitioned = {node.name for node in fleet.of("b")[:1]}
 
         def is_lost(sender: str, receiver: str) -> bool:
-            is_cut = sender in partitioned or receiver in partitioned
-            return is_cut and fleet.zone_of.get(sender) != fleet.zone_of.get(receiver)
+            is_partitioned = sender in partitioned or receiver in partitioned
+            return is_partitioned and fleet.zone_of.get(sender) != fleet.zone_of.get(receiver)
 
         fleet.is_lost = is_lost
         send_wide_requests(fleet, 5.0)
@@ -345,10 +345,10 @@
             send_wide_requests(fleet, 3.0)
             fleet.dead = {fleet.records[0].replica_id}
             for node in fleet.nodes:
-                # Nodes of the own zone that start anew are an everyday matter, too.
+                # Restarts of nodes in the same zone must not start a check either.
                 for other in fleet.of(node.zone):
                     if other is not node:
-                        node.emit(PeerLinkBroken(other.name, "the node ended"))
+                        node.emit(PeerLinkBroken(other.name, "the node crashed"))
             send_wide_requests(fleet, 3.0)
             actions = [action for node in fleet.nodes for action in node.actions]
             counts[is_enabled] = sum(isinstance(action, OpenConnection) for action in actions)
@@ -358,21 +358,21 @@
 
 
 class SingleNodeTest(TestCase):
-    def test_single_nodes_that_lose_everybody_leave_alone(self) -> None:
+    def test_only_isolated_nodes_leave(self) -> None:
         fleet = wide_fleet(nodes=3)
         send_wide_requests(fleet, 1.0)
-        cut = {f"{zone}-1" for zone in ZONES}
-        fleet.is_lost = lambda sender, receiver: sender in cut or receiver in cut
+        isolated = {f"{zone}-1" for zone in ZONES}
+        fleet.is_lost = lambda sender, receiver: sender in isolated or receiver in isolated
         send_wide_requests(fleet, 1.5)
         away = {node.name for node in fleet.nodes if not node.is_ready}
-        self.assertEqual(cut, away)
+        self.assertEqual(isolated, away)
         node = next(node for node in fleet.nodes if node.name == "b-1")
         self.assertEqual("node_cut_off", node.logs("node_left_service")[0]["why"])
         fleet.is_lost = lambda _sender, _receiver: False
         send_wide_requests(fleet, 1.0)
         self.assertTrue(all(node.is_ready for node in fleet.nodes))
 
-    def test_requests_that_still_come_are_answered(self) -> None:
+    def test_unready_node_still_answers_requests(self) -> None:
         fleet = wide_fleet()
         send_wide_requests(fleet, 1.0)
         fleet.is_lost = partition_zone(fleet, "b")
--- a/tests/forwarding/readiness/test_start_readiness.py
+++ b/tests/forwarding/readiness/test_start_readiness.py
@@ -1,4 +1,4 @@
-"""A node that has just started takes callers once it can answer most of what they ask."""
+"""A starting node becomes ready once it can answer most of the demand."""
 
 from testtools import TestCase
 
@@ -13,7 +13,7 @@
 
 class StartingTest(TestCase):
     def is_ready(self, node: OneNode) -> bool:
-        """Return what the node last said."""
+        """Return the latest readiness that the node set."""
         return node.last(SetForwarding).is_ready
 
     def test_node_is_ready_at_once_if_most_demand_can_be_answered(self) -> None:
--- a/tests/forwarding/readiness/zone_fleet.py
+++ b/tests/forwarding/readiness/zone_fleet.py
@@ -1,4 +1,4 @@
-"""Nodes and replicas in several zones on a virtual clock, and cuts between them."""
+"""Test fleet: nodes and replicas in several zones on a virtual clock, with packet loss."""
 
 import heapq
 import random
@@ -67,11 +67,11 @@
 WORK_SECONDS = 0.01
 CONNECT_SECONDS = 0.04
 STORE = "store"
-"""The place of the store."""
+"""The name of the store in ``ZoneFleet.is_lost``."""
 
 
 class PacketLoss(Enum):
-    """What becomes of packets at a cut."""
+    """How a connection across a partition fails."""
 
     SILENT = "silent"
     RESET = "reset"
@@ -79,7 +79,7 @@
 
 
 class FleetNode:
-    """One node of the fleet; time is the fleet's."""
+    """One node of the fleet, on the fleet's clock."""
 
     def __init__(self, fleet: "ZoneFleet", name: str, zone: str, **settings: object) -> None:
         self.fleet = fleet
@@ -90,11 +90,11 @@
         self.answers_close = False
         self.idle_closed_at: list[float] = []
         self.changes: list[tuple[float, bool]] = []
-        """When it became ready or stopped being so."""
+        """The times at which the readiness changed, with the new readiness."""
         self.actions: list[Action] = []
         self.replies: dict[int, ReplyUnchanged | ReplyMerged | ReplyFailure] = {}
         self._connected: set[str] = set()
-        """Replicas to which a connection is kept."""
+        """Replicas with an open connection."""
         self._sends: dict[int, SendToReplica] = {}
         formats = StoreFormats(
             CONFIGURATION_KEY,
@@ -120,13 +120,13 @@
         )
 
     def emit(self, event: Event) -> None:
-        """Hand an event to the decisions and perform what they decide."""
+        """Handle an event and perform the resulting actions."""
         for action in self.machine.handle(event, self.fleet.now):
             self.actions.append(action)
             self._perform(action)
 
     def logs(self, message: str) -> list[dict[str, object]]:
-        """Return the fields of the log lines with that message."""
+        """Return the fields of the log lines with a message."""
         lines = [item for item in self.actions if isinstance(item, Log)]
         return [dict(line.fields) for line in lines if line.message == message]
 
@@ -216,13 +216,7 @@
 
 
 class ZoneFleet:
-    """All nodes, replicas and the store between which packets may be lost.
-
-    Parameters
-    ----------
-    records
-        The replicas.
-    """
+    """Nodes, replicas and a store, between which packets may be lost."""
 
     def __init__(
         self,
@@ -236,13 +230,13 @@
         self.configuration = configuration
         self.records = records
         self.dead: set[str] = set()
-        """Replicas that have ended, by id: nothing listens at their addresses."""
+        """Ids of crashed replicas: nothing listens at their addresses."""
         self.kind = PacketLoss.SILENT
         self.is_lost: Callable[[str, str], bool] = _never_lost
-        """Whether packets from one place to another are lost; places are names of nodes, ids of
-        replicas, and the store."""
+        """Returns whether packets from one place to another are lost. Places are node names,
+        replica ids and the store."""
         self.delay: Callable[[str, str], float] = _no_delay
-        """Time that packets take longer between two places."""
+        """Returns the additional one-way delay between two places, in seconds."""
         self.stopped_watches: set[tuple[str, str]] = set()
         self.opened: list[tuple[float, str, str]] = []
         self._table_value = b"table"
@@ -263,15 +257,15 @@
     # Time
 
     def at(self, at_seconds: float, call: Callable[..., None], *arguments: object) -> None:
-        """Do something at a time."""
+        """Schedule a call at a time."""
         heapq.heappush(self._events, (at_seconds, next(self._numbers), call, arguments))
 
     def after(self, seconds: float, call: Callable[..., None], *arguments: object) -> None:
-        """Do something later."""
+        """Schedule a call after a delay."""
         self.at(self.now + seconds, call, *arguments)
 
     def advance(self, seconds: float) -> None:
-        """Let time pass."""
+        """Advance the clock and run the calls that are due."""
         end = self.now + seconds
         while self._events and self._events[0][0] <= end:
             due_at, _, call, arguments = heapq.heappop(self._events)
@@ -282,7 +276,7 @@
     # Nodes and callers
 
     def start(self) -> None:
-        """Start all nodes and let them know each other."""
+        """Start all nodes and open their links."""
         for node in self.nodes:
             node.emit(Start())
         self.advance(0.1)
@@ -295,24 +289,24 @@
         return [node for node in self.nodes if node.zone == zone]
 
     def ready(self, zone: str) -> int:
-        """Return how many nodes of a zone are ready."""
+        """Return the number of ready nodes of a zone."""
         return sum(node.is_ready for node in self.of(zone))
 
     def request(self, node: FleetNode, path: str) -> tuple[FleetNode, int]:
-        """Let a caller send a request to a node."""
+        """Send a caller's request to a node."""
         number = next(self._requests)
         opaque = OpaqueRequest(b"GET", path.encode(), ())
         node.emit(ForwardRequested(number, f"id-{number}", HOST, path, opaque, 2.0))
         return node, number
 
     def evacuate(self, zone: str) -> None:
-        """Write the key of an evacuated zone."""
+        """Write the evacuation entry of a zone."""
         self._changed.append(StoredValue(EVACUATION_PREFIX + zone, b"", 2))
 
-    # The network
+    # Network
 
     def failure_to(self, node: FleetNode, record: ReplicaRecord) -> PacketLoss | None:
-        """Return how a connection to a replica fails; ``None``: it does not."""
+        """Return how a connection to a replica fails; ``None``: it succeeds."""
         there = self.is_lost(node.name, record.replica_id)
         back = self.is_lost(record.replica_id, node.name)
         if there or back:
@@ -320,7 +314,7 @@
         return PacketLoss.REFUSED if record.replica_id in self.dead else None
 
     def deliver(self, sender: FleetNode, action: SendToPeer) -> None:
-        """Carry a message between nodes."""
+        """Deliver a message to another node, unless it is lost."""
         target = next(node for node in self.nodes if node.name == action.to.node_id)
         if self.is_lost(sender.name, target.name) or self.is_lost(target.name, sender.name):
             if self.kind is not PacketLoss.SILENT:
@@ -331,10 +325,10 @@
         seconds = NETWORK_SECONDS + self.delay(sender.name, target.name)
         self.after(seconds, target.emit, received)
 
-    # The store
+    # Store
 
     def send_to_store(self, node: FleetNode, request: StoreRequest) -> None:
-        """Answer a request of a node."""
+        """Answer a node's store request, or let it time out."""
         if self.is_lost(node.name, STORE):
             failure = Failure(StoreFailureKind.LOST_REPLY, "cut")
             event = StoreResponse(request.operation_id, failure)
@@ -346,7 +340,7 @@
         self.after(NETWORK_SECONDS, node.emit, StoreResponse(request.operation_id, result))
 
     def watch_store(self, node: FleetNode, watch: StartWatch) -> None:
-        """Let a look of a node tell what has changed, or be lost."""
+        """Start to answer a node's polls."""
         self.after(watch.pause_seconds, self._poll, node, watch, self.now + watch.pause_seconds)
 
     def _poll(self, node: FleetNode, watch: StartWatch, begun_at: float) -> None:
@@ -389,7 +383,7 @@
 def spread_replicas(
     services: Iterable[str], zones: tuple[str, ...], copies: int
 ) -> list[ReplicaRecord]:
-    """Return replicas of services in some of the zones each, evenly."""
+    """Return replicas of the services, each in ``copies`` zones, spread evenly."""
     records = []
     for number, service in enumerate(services):
         for copy in range(copies):
@@ -401,7 +395,7 @@
 def partition_zone(
     fleet: ZoneFleet, zone: str, with_store: bool = False
 ) -> Callable[[str, str], bool]:
-    """Return what a zone that is cut off is_lost; the store may be on its side of the cut."""
+    """Return the packet loss of a partitioned zone; ``with_store``: the store is on its side."""
 
     def is_lost(sender: str, receiver: str) -> bool:
         if STORE in (sender, receiver):
--- a/tests/forwarding/test_configuration_proof.py
+++ b/tests/forwarding/test_configuration_proof.py
@@ -1,4 +1,4 @@
-"""Until when a configuration is proven: the decision alone, and one node in each trouble."""
+"""How long a configuration counts as proven, for the proof alone and for one node."""
 
 from testtools import TestCase
 
@@ -25,15 +25,17 @@
 BOUND_SECONDS = 5.0
 SERVED_SECONDS = 4.9
 TENANTS = TenantDirectory((Tenant("blue", ("key",)),))
-USUAL_GATHER_SECONDS = 4.3
+POLL_INTERVAL_SECONDS = 4.3
 
 
-def strict(way: ProofPollMode = ProofPollMode.SHORT) -> FollowerSettings:
-    """Return how a node follows the store under the strict bound."""
-    look = poll_times_within(4.0)
-    looks = proof_poll_times_within(BOUND_SECONDS, way, look, 0.8)
+def strict_settings(mode: ProofPollMode = ProofPollMode.SHORT) -> FollowerSettings:
+    """Return follower settings with the revocation bound."""
+    poll_times = poll_times_within(4.0)
+    proof_poll_times = proof_poll_times_within(BOUND_SECONDS, mode, poll_times, 0.8)
     return FollowerSettings(
-        poll_interval_seconds=USUAL_GATHER_SECONDS, poll_times=look, proof_poll_times=looks
+        poll_interval_seconds=POLL_INTERVAL_SECONDS,
+        poll_times=poll_times,
+        proof_poll_times=proof_poll_times,
     )
 
 
@@ -44,206 +46,214 @@
 
 
 def strict_node(
-    way: ProofPollMode = ProofPollMode.SHORT, begun_ago: float | None = 0.01
+    mode: ProofPollMode = ProofPollMode.SHORT, poll_age_seconds: float | None = 0.01
 ) -> OneNode:
-    """Return a node that has just listed the store by a read that was begun a moment ago."""
-    node = OneNode(follower=strict(way))
+    """Return a node that has listed the store, by a read that started recently."""
+    node = OneNode(follower=strict_settings(mode))
     node.emit(Start())
-    begun_at = None if begun_ago is None else node.now - begun_ago
+    begun_at = None if poll_age_seconds is None else node.now - poll_age_seconds
     node.list_store(tenants_table(1), replica("r0", "s"), begun_at=begun_at)
     return node
 
 
-def answer(node: OneNode, begun_ago: float | None, **fields: bool) -> None:
-    """Let the store answer the look under way, begun so long ago."""
-    begun_at = None if begun_ago is None else node.now - begun_ago
+def answer_poll(node: OneNode, poll_age_seconds: float | None, **fields: bool) -> None:
+    """Answer the poll under way; it started ``poll_age_seconds`` ago (``None``: unknown)."""
+    begun_at = None if poll_age_seconds is None else node.now - poll_age_seconds
     watch_id = node.last_watch_id
     node.emit(WatchChanged(watch_id, (), (), node.store_revision, begun_at=begun_at, **fields))
 
 
-def proven(node: OneNode) -> bool:
+def is_proven(node: OneNode) -> bool:
     return node.machine.proof.is_proven(node.now)
 
 
-class DecisionTest(TestCase):
-    def test_it_is_proven_until_the_bound_less_the_reserve(self) -> None:
+class TimedProofTest(TestCase):
+    def test_proof_is_valid_until_the_bound_less_the_reserve(self) -> None:
         proof = TimedProof(BOUND_SECONDS, lambda now: now + 1.0)
         self.assertFalse(proof.is_proven(100.0))
         proof.extend(100.0, 100.0)
         expected = [(100.0, True), (104.89, True), (104.91, False), (200.0, False)]
         self.assertEqual(expected, [(now, proof.is_proven(now)) for now, _ in expected])
 
-    def test_only_a_later_moment_that_has_been_proves_more(self) -> None:
+    def test_only_a_later_time_in_the_past_extends_the_proof(self) -> None:
         proof = TimedProof(BOUND_SECONDS, lambda now: now + 1.0)
         tried = [(10.0, 10.0), (9.0, 11.0), (12.0, 11.0), (10.5, 11.0)]
         self.assertEqual([True, False, False, True], [proof.extend(*item) for item in tried])
         self.assertEqual(10.5, proof.proven_as_of)
 
-    def test_a_rejected_caller_comes_back_when_the_next_answer_may_come(self) -> None:
+    def test_rejected_caller_retries_when_the_next_answer_may_come(self) -> None:
         proof = TimedProof(BOUND_SECONDS, lambda now: 7.0)
         self.assertEqual([2.0, 0.05], [proof.retry_after_seconds(now) for now in (5.0, 8.0)])
 
-    def test_without_a_bound_it_is_always_proven(self) -> None:
+    def test_configuration_is_always_proven_without_a_bound(self) -> None:
         proof = AlwaysProven()
         self.assertEqual((True, 0.0), (proof.is_proven(1e9), proof.retry_after_seconds(1e9)))
 
 
-class LookTimesTest(TestCase):
-    def test_a_look_that_is_lost_is_tried_again_before_the_bound(self) -> None:
-        look = poll_times_within(4.0)
+class ProofPollTimesTest(TestCase):
+    def test_failed_poll_is_retried_before_the_bound(self) -> None:
+        poll_times = poll_times_within(4.0)
         for bound_seconds in (1.0, 2.0, BOUND_SECONDS, 20.0):
-            for way in ProofPollMode:
-                looks = proof_poll_times_within(bound_seconds, way, look, 0.8)
-                tries = looks.timeout_seconds + look.first_backoff_seconds
-                self.assertTrue(0.0 < looks.own_poll_seconds + tries < bound_seconds - 0.1, looks)
-                # What the node which looks for others tells comes before their own looks are due.
-                period = max(looks.hold_seconds, looks.shared_poll_interval_seconds)
-                self.assertTrue(looks.hold_seconds + period < looks.own_poll_seconds, looks)
+            for mode in ProofPollMode:
+                proof_poll_times = proof_poll_times_within(bound_seconds, mode, poll_times, 0.8)
+                retry_seconds = proof_poll_times.timeout_seconds + poll_times.first_backoff_seconds
+                self.assertTrue(
+                    0.0 < proof_poll_times.own_poll_seconds + retry_seconds < bound_seconds - 0.1,
+                    proof_poll_times,
+                )
+                # Updates of the polling node must arrive before the others poll.
+                period = max(
+                    proof_poll_times.hold_seconds, proof_poll_times.shared_poll_interval_seconds
+                )
+                self.assertTrue(
+                    proof_poll_times.hold_seconds + period < proof_poll_times.own_poll_seconds,
+                    proof_poll_times,
+                )
 
 
 class OneNodeTest(TestCase):
-    def test_a_listing_proves_as_of_its_beginning(self) -> None:
-        node = strict_node(begun_ago=1.0)
-        self.assertTrue(proven(node))
+    def test_listing_proves_as_of_its_start(self) -> None:
+        node = strict_node(poll_age_seconds=1.0)
+        self.assertTrue(is_proven(node))
         node.now += SERVED_SECONDS - 1.0 + 0.01
-        self.assertFalse(proven(node))
+        self.assertFalse(is_proven(node))
 
-    def test_a_copy_of_a_neighbour_proves_nothing_and_is_followed_by_a_look_at_once(self) -> None:
-        node = OneNode(follower=strict())
+    def test_copy_from_a_neighbour_proves_nothing_and_triggers_a_poll(self) -> None:
+        node = OneNode(follower=strict_settings())
         node.emit(Start())
         values = (node.stored_table(tenants_table(1)), node.stored(replica("r0", "s")))
         node.emit(PeerSnapshot(values, 1))
-        self.assertFalse(proven(node))
+        self.assertFalse(is_proven(node))
         self.assertEqual(0.0, node.last(StartWatch).pause_seconds)
         node.advance(0.5)
         expected = [{"age_ms": -1, "reason": "no poll answered yet"}]
         self.assertEqual(expected, node.logs("configuration_unproven"))
-        answer(node, 0.01)
-        self.assertTrue(proven(node))
+        answer_poll(node, 0.01)
+        self.assertTrue(is_proven(node))
         self.assertEqual([{"unproven_ms": 0}], node.logs("configuration_proven"))
 
-    def test_a_listing_of_unknown_age_proves_nothing_and_is_followed_by_a_look_at_once(
+    def test_listing_of_unknown_age_proves_nothing_and_triggers_a_poll(
         self,
     ) -> None:
-        node = strict_node(begun_ago=None)
-        self.assertFalse(proven(node))
+        node = strict_node(poll_age_seconds=None)
+        self.assertFalse(is_proven(node))
         self.assertEqual(0.0, node.last(StartWatch).pause_seconds)
 
-    def test_a_held_look_proves_as_of_its_beginning(self) -> None:
+    def test_long_poll_proves_as_of_its_start(self) -> None:
         node = strict_node(ProofPollMode.HELD)
         node.advance(3.0)
-        answer(node, 1.2)
+        answer_poll(node, 1.2)
         node.advance(SERVED_SECONDS - 1.3)
-        self.assertTrue(proven(node))
+        self.assertTrue(is_proven(node))
         node.advance(0.2)
-        self.assertFalse(proven(node))
+        self.assertFalse(is_proven(node))
 
-    def test_an_answer_that_was_cut_proves_nothing(self) -> None:
+    def test_incomplete_answer_proves_nothing(self) -> None:
         node = strict_node()
         node.advance(3.0)
-        answer(node, 0.01, may_have_more=True)
+        answer_poll(node, 0.01, may_have_more=True)
         node.advance(2.0)
-        self.assertFalse(proven(node))
+        self.assertFalse(is_proven(node))
 
-    def test_an_answer_that_others_news_have_overtaken_proves_all_the_same(self) -> None:
+    def test_answer_older_than_updates_still_proves(self) -> None:
         node = strict_node()
         node.advance(3.0)
         behind = WatchChanged(node.last_watch_id, (), (), 0, begun_at=node.now - 0.5)
         node.emit(behind)
         node.advance(4.3)
-        self.assertTrue(proven(node))
+        self.assertTrue(is_proven(node))
 
-    def test_news_alone_prove_nothing_and_put_no_look_off_beyond_what_is_proven(self) -> None:
+    def test_updates_alone_prove_nothing_and_postpone_no_poll_past_the_deadline(self) -> None:
         node = strict_node()
         for _ in range(40):
             node.advance(0.1)
             news = StoreNews(node.store_revision, node.store_revision)
-            node.machine._follower.apply_update(news, USUAL_GATHER_SECONDS, node.now)
+            node.machine._follower.apply_update(news, POLL_INTERVAL_SECONDS, node.now)
         self.assertTrue(node.machine._follower.next_answer_at(100.0) < 100.0 + 3.2)
         node.advance(1.0)
-        self.assertFalse(proven(node))
+        self.assertFalse(is_proven(node))
 
-    def test_a_node_that_nobody_tells_looks_often_enough_by_itself(self) -> None:
-        for way, most_seconds in ((ProofPollMode.SHORT, 3.0), (ProofPollMode.HELD, 1.8)):
-            node = strict_node(way)
+    def test_node_without_updates_polls_often_enough(self) -> None:
+        for mode, max_seconds in ((ProofPollMode.SHORT, 3.0), (ProofPollMode.HELD, 1.8)):
+            node = strict_node(mode)
             for _ in range(3):
                 watch = node.last(StartWatch)
-                self.assertTrue(watch.gather_seconds <= most_seconds, watch)
+                self.assertTrue(watch.gather_seconds <= max_seconds, watch)
                 self.assertTrue(watch.pause_seconds + watch.hold_seconds <= 3.0, watch)
                 node.advance(watch.gather_seconds + watch.hold_seconds)
-                answer(node, watch.hold_seconds)
+                answer_poll(node, watch.hold_seconds)
 
-    def test_a_suspension_counts(self) -> None:
+    def test_suspension_ages_the_proof(self) -> None:
         node = strict_node()
         node.now += 8.0
         node.emit(Woken(8.0))
-        self.assertFalse(proven(node))
+        self.assertFalse(is_proven(node))
         node.advance(0.5)
         expected = [{"age_ms": 8010, "reason": "suspended"}]
         self.assertEqual(expected, node.logs("configuration_unproven"))
         self.assertEqual(0.0, node.last(StartWatch).pause_seconds)
-        answer(node, 0.01)
-        self.assertTrue(proven(node))
+        answer_poll(node, 0.01)
+        self.assertTrue(is_proven(node))
 
-    def test_an_answer_that_a_suspended_node_finds_is_as_old_as_its_call(self) -> None:
+    def test_answer_read_after_a_suspension_proves_as_of_its_call(self) -> None:
         node = strict_node()
         node.now += 8.0
-        answer(node, 7.5)
-        self.assertFalse(proven(node))
+        answer_poll(node, 7.5)
+        self.assertFalse(is_proven(node))
 
 
-class TroubleTest(TestCase):
-    """What the store does, and until when requests are served."""
+class StoreFailureTest(TestCase):
+    """Failures of the store, and how long requests are served."""
 
-    def run_into(self, failures: int, lost_seconds: float, way: ProofPollMode) -> OneNode:
-        """Return a node whose looks are lost one after the other, each noticed so late."""
-        node = strict_node(way)
+    def fail_polls(self, failures: int, failure_seconds: float, mode: ProofPollMode) -> OneNode:
+        """Return a node whose polls fail in a row, each after a time."""
+        node = strict_node(mode)
         for _ in range(failures):
             watch = node.last(StartWatch)
-            node.advance(watch.pause_seconds + min(lost_seconds, watch.timeout_seconds))
-            node.emit(WatchBroken(watch.watch_id, "trouble"))
+            node.advance(watch.pause_seconds + min(failure_seconds, watch.timeout_seconds))
+            node.emit(WatchBroken(watch.watch_id, "down"))
             node.advance(2.1)
         return node
 
-    def test_one_look_that_is_lost_in_any_way_costs_nothing(self) -> None:
-        for way in ProofPollMode:
-            for lost_seconds in (0.0, 0.05, 9.0):
-                node = strict_node(way)
+    def test_one_failed_poll_does_not_end_the_proof(self) -> None:
+        for mode in ProofPollMode:
+            for failure_seconds in (0.0, 0.05, 9.0):
+                node = strict_node(mode)
                 watch = node.last(StartWatch)
-                node.advance(watch.pause_seconds + min(lost_seconds, watch.timeout_seconds))
+                node.advance(watch.pause_seconds + min(failure_seconds, watch.timeout_seconds))
                 node.emit(WatchBroken(watch.watch_id, "busy"))
                 node.advance(0.15)
                 node.advance(0.3)
-                self.assertTrue(proven(node), (way, lost_seconds))
-                answer(node, 0.3)
+                self.assertTrue(is_proven(node), (mode, failure_seconds))
+                answer_poll(node, 0.3)
                 node.advance(2.0)
-                self.assertTrue(proven(node), (way, lost_seconds))
+                self.assertTrue(is_proven(node), (mode, failure_seconds))
 
-    def test_a_store_that_stays_away_ends_the_proof_and_its_return_brings_it_back(self) -> None:
-        for way in ProofPollMode:
-            for lost_seconds in (0.0, 9.0):
-                node = self.run_into(4, lost_seconds, way)
-                self.assertFalse(proven(node), (way, lost_seconds))
+    def test_store_outage_ends_the_proof_until_the_store_returns(self) -> None:
+        for mode in ProofPollMode:
+            for failure_seconds in (0.0, 9.0):
+                node = self.fail_polls(4, failure_seconds, mode)
+                self.assertFalse(is_proven(node), (mode, failure_seconds))
                 (lost,) = node.logs("configuration_unproven")
-                self.assertEqual("trouble", lost["reason"])
+                self.assertEqual("down", lost["reason"])
                 self.assertTrue(4900 <= lost["age_ms"] <= 5500, lost)
-                answer(node, 0.01)
-                self.assertTrue(proven(node), (way, lost_seconds))
+                answer_poll(node, 0.01)
+                self.assertTrue(is_proven(node), (mode, failure_seconds))
                 (back,) = node.logs("configuration_proven")
                 self.assertTrue(back["unproven_ms"] > 0, back)
 
-    def test_a_node_that_starts_while_the_store_is_away_says_when_it_asks_again(self) -> None:
-        node = OneNode(follower=strict())
+    def test_retry_after_of_a_node_started_in_a_store_outage(self) -> None:
+        node = OneNode(follower=strict_settings())
         node.emit(Start())
         failure = Failure(StoreFailureKind.UNREACHABLE, "reset")
         node.emit(StoreResponse(node.last(StoreRequest).operation_id, failure))
-        self.assertFalse(proven(node))
+        self.assertFalse(is_proven(node))
         seconds = node.machine.proof.retry_after_seconds(node.now)
         self.assertAlmostEqual(0.15 + 0.1, seconds)
 
-    def test_a_caller_is_told_when_the_store_is_asked_again(self) -> None:
-        node = self.run_into(3, 0.0, ProofPollMode.SHORT)
-        node.emit(WatchBroken(node.last_watch_id, "trouble"))
+    def test_retry_after_is_the_time_of_the_next_poll(self) -> None:
+        node = self.fail_polls(3, 0.0, ProofPollMode.SHORT)
+        node.emit(WatchBroken(node.last_watch_id, "down"))
         pause_seconds = 1.2
         expected = [(0.0, pause_seconds + 0.1), (0.7, 0.6), (0.59, 0.05), (0.1, 1.0 + 0.15 - 0.09)]
         for seconds, retry_after_seconds in expected:
@@ -252,7 +262,7 @@
             self.assertAlmostEqual(retry_after_seconds, found, 6)
 
 
-class OtherDeploymentsTest(TestCase):
+class WithoutBoundTest(TestCase):
     def watches(self, follower: FollowerSettings, tenants: TenantDirectory | None) -> list[object]:
         node = OneNode(follower=follower)
         node.emit(Start())
@@ -260,17 +270,17 @@
         for _ in range(4):
             watch = node.last(StartWatch)
             node.advance(watch.gather_seconds + watch.hold_seconds)
-            answer(node, watch.hold_seconds)
+            answer_poll(node, watch.hold_seconds)
         node.emit(WatchBroken(node.last_watch_id, "down"))
         node.advance(5.0)
         return [item for item in node.actions if isinstance(item, StartWatch)]
 
-    def test_without_tenants_or_without_the_bound_the_store_is_asked_as_before(self) -> None:
+    def test_polls_are_unchanged_without_tenants_or_bound(self) -> None:
         plain = FollowerSettings(
-            poll_interval_seconds=USUAL_GATHER_SECONDS, poll_times=poll_times_within(4.0)
+            poll_interval_seconds=POLL_INTERVAL_SECONDS, poll_times=poll_times_within(4.0)
         )
-        for way in ProofPollMode:
+        for mode in ProofPollMode:
             before = self.watches(plain, None)
             self.assertEqual(before, self.watches(plain, TENANTS))
-            self.assertEqual(before, self.watches(strict(way), None))
-            self.assertNotEqual(before, self.watches(strict(way), TENANTS))
+            self.assertEqual(before, self.watches(strict_settings(mode), None))
+            self.assertNotEqual(before, self.watches(strict_settings(mode), TENANTS))
--- a/tests/forwarding/test_loop_lag.py
+++ b/tests/forwarding/test_loop_lag.py
@@ -1,4 +1,4 @@
-"""What a node read late has less time left than its caller or its sender said."""
+"""Event loop lag shortens the time left for requests."""
 
 from testtools import TestCase
 
@@ -10,7 +10,7 @@
 
 
 class LoopLagTest(TestCase):
-    def test_replicas_are_told_less_time(self) -> None:
+    def test_lag_shortens_the_deadline_sent_to_replicas(self) -> None:
         node = OneNode()
         node.start(table(1, single_route()), replica("r0", "s"))
         for lag_seconds, remaining in ((0.0, 0.98), (0.5, 0.48), (0.0, 0.98)):
@@ -22,7 +22,7 @@
             self.assertLess(node.sends[-1].remaining_seconds, 0.98 - lag_seconds + 0.21)
             node.answer(node.sends[-1])
 
-    def test_it_is_forgotten_by_the_next_look(self) -> None:
+    def test_lag_is_reset_by_the_next_timer(self) -> None:
         node = OneNode()
         node.start(table(1, single_route()), replica("r0", "s"))
         node.stall(0.9)
@@ -30,7 +30,7 @@
         node.request(deadline_seconds=1.0)
         self.assertAlmostEqual(0.98, node.sends[-1].remaining_seconds)
 
-    def test_a_node_that_is_asked_gives_replicas_less_time(self) -> None:
+    def test_lag_shortens_the_deadline_of_delegated_requests(self) -> None:
         node = OneNode(delegate_min_shards=4)
         node.start(table(1, sharded_route(4)), *(replica(f"r{n}", f"s{n}") for n in range(4)))
         node.emit(PeerLinkOpened(OWN))
--- a/tests/forwarding/test_node_groups.py
+++ b/tests/forwarding/test_node_groups.py
@@ -1,4 +1,4 @@
-"""Who asks which shard within a group, and how the link to other nodes comes to be open."""
+"""Usable nodes, node entries, and opening of the link to other nodes."""
 
 from testtools import TestCase
 
@@ -42,8 +42,8 @@
     return groups
 
 
-class ReachableTest(TestCase):
-    def reachable(self, groups: NodeGroups, now: float) -> list[str]:
+class UsableNodesTest(TestCase):
+    def usable_names(self, groups: NodeGroups, now: float) -> list[str]:
         return [node.name for nodes in groups.usable_by_zone(now).values() for node in nodes]
 
     def test_nodes_without_an_address_are_left_out(self) -> None:
@@ -55,11 +55,11 @@
         self.assertEqual({"a": ["n00", "n01", "n02"], "b": ["far"]}, found)
         self.assertEqual((4, 2), (groups.node_count, groups.zone_count))
 
-    def test_a_node_that_failed_is_passed_over_longer_each_time_and_then_tried_again(self) -> None:
+    def test_suspicion_lasts_longer_with_each_failure(self) -> None:
         groups = groups_of("n00", NAMES[:5])
 
         def is_there(now: float) -> bool:
-            return "n01" in self.reachable(groups, now)
+            return "n01" in self.usable_names(groups, now)
 
         groups.suspect("n01-1", 10.0)
         self.assertEqual([False, False, True], [is_there(now) for now in (10.0, 10.9, 11.0)])
@@ -69,7 +69,7 @@
         groups.suspect("n01-1", 13.0)
         self.assertEqual([False, True], [is_there(now) for now in (13.9, 14.0)])
 
-    def test_the_version_changes_whenever_other_nodes_can_be_asked(self) -> None:
+    def test_version_changes_with_the_set_of_usable_nodes(self) -> None:
         groups = groups_of("n00", NAMES[:3])
         seen = [groups.version(10.0), groups.version(10.0)]
         groups.suspect("n01-1", 10.0)
@@ -82,25 +82,25 @@
         steps = [later - first for later in seen[2:]]
         self.assertEqual([2, 3, 3, 4, 4, 5], steps)
 
-    def test_a_new_start_of_a_node_is_trusted_at_once(self) -> None:
+    def test_new_incarnation_of_a_node_is_not_suspect(self) -> None:
         groups = groups_of("n00", NAMES[:5])
         groups.suspect("n01-1", 10.0)
         groups.put("n01", NodeRecord(NodeIdentity("n01-2", "", "a", "n01", 7)))
-        self.assertIn("n01", self.reachable(groups, 10.0))
+        self.assertIn("n01", self.usable_names(groups, 10.0))
 
 
-class RecordFormTest(TestCase):
-    def test_a_record_is_read_as_it_was_written(self) -> None:
+class NodeRecordTest(TestCase):
+    def test_record_round_trip(self) -> None:
         record = NodeRecord(identity("n"), 2.15)
         self.assertEqual(record, parse_node(node_value(record)))
 
-    def test_anything_else_is_a_node_that_cannot_be_reached(self) -> None:
+    def test_invalid_record_means_no_address(self) -> None:
         for value in (b"1", b"", b"{}", b'{"node_id": 1}', b"\xff"):
             self.assertIsNone(parse_node(value))
 
 
 class LinkTest(TestCase):
-    """The cluster's key, the link and the node's own key, one after the other."""
+    """Order of writing the cluster key, opening the link and writing the node entry."""
 
     def started(self, route_shards: int, *values: StoredValue) -> OneNode:
         node = OneNode(delegate_min_shards=4)
@@ -118,8 +118,8 @@
     def opened(self, node: OneNode) -> list[Action]:
         return [action for action in node.actions if isinstance(action, OpenPeerLink)]
 
-    def test_the_link_is_opened_for_narrow_routes_near_their_replicas_as_well(self) -> None:
-        # Nodes tell each other under which requests replicas end, whatever their routes are.
+    def test_link_is_opened_for_narrow_routes_as_well(self) -> None:
+        # Nodes use the link to report requests that crash replicas, whatever their routes are.
         for shards in (1, 3):
             node = self.started(shards, StoredValue(CLUSTER_KEY, b"known", 5))
             node.advance(0.4)
@@ -127,7 +127,7 @@
             node.advance(0.5)
             self.assertEqual(1, len(self.opened(node)))
 
-    def test_the_link_is_opened_sooner_where_requests_cannot_do_without(self) -> None:
+    def test_link_is_opened_sooner_if_requests_need_it(self) -> None:
         known = StoredValue(CLUSTER_KEY, b"known", 5)
         wide = self.started(4, known)
         wide.advance(0.2)
@@ -140,7 +140,7 @@
         far.advance(0.5)
         self.assertEqual(1, len(self.opened(far)))
 
-    def test_a_configuration_that_comes_late_is_waited_for(self) -> None:
+    def test_node_waits_for_a_late_configuration(self) -> None:
         node = OneNode(delegate_min_shards=4)
         node.start(None, values=(StoredValue(CLUSTER_KEY, b"known", 5),))
         node.advance(1.0)
@@ -149,13 +149,13 @@
         node.advance(0.2)
         self.assertEqual(1, len(self.opened(node)))
 
-    def test_a_node_without_a_configuration_is_counted_all_the_same(self) -> None:
+    def test_node_without_configuration_writes_its_entry(self) -> None:
         node = OneNode()
         node.start(None)
         node.advance(4.0)
         self.assertIsInstance(self.operation(node), GrantLease)
 
-    def test_the_first_node_writes_the_cluster_key(self) -> None:
+    def test_first_node_writes_the_cluster_key(self) -> None:
         node = self.started(4)
         node.advance(2.5)
         operation = self.operation(node)
@@ -164,7 +164,7 @@
         self.answer(node, SwapResult(True, 9))
         self.assertEqual([OpenPeerLink(operation.value or b"")], self.opened(node))
 
-    def test_later_nodes_take_the_key_that_stands_there(self) -> None:
+    def test_later_nodes_use_the_stored_cluster_key(self) -> None:
         node = self.started(4)
         node.advance(2.5)
         current = StoredValue(CLUSTER_KEY, b"theirs", 5)
@@ -174,7 +174,7 @@
         listed.advance(2.5)
         self.assertEqual([OpenPeerLink(b"known")], self.opened(listed))
 
-    def test_the_nodes_key_tells_where_it_listens(self) -> None:
+    def test_node_entry_contains_its_address(self) -> None:
         node = self.started(4, StoredValue(CLUSTER_KEY, b"known", 5))
         node.advance(2.5)
         own = NodeIdentity("node-1-a", "", "a", "10.0.1.1", 7)
@@ -186,7 +186,7 @@
         assert isinstance(operation, CompareAndSwap)
         self.assertEqual(node_value(NodeRecord(own)), operation.value)
 
-    def test_keys_of_nodes_that_start_together_are_looked_for_soon(self) -> None:
+    def test_store_is_polled_more_often_while_nodes_join(self) -> None:
         node = self.started(4, StoredValue(CLUSTER_KEY, b"known", 5))
         usual = node.last(StartWatch).gather_seconds
         node.advance(0.8)
@@ -196,13 +196,13 @@
         idle = node.last(StartWatch).gather_seconds
         node.request("/all/x")
         node.advance(0.5)
-        asked = node.last(StartWatch).gather_seconds
-        self.assertLess(asked, min(idle, usual))
+        busy = node.last(StartWatch).gather_seconds
+        self.assertLess(busy, min(idle, usual))
         node.advance(3.0)
         node.change()
         self.assertEqual(usual, node.last(StartWatch).gather_seconds)
 
-    def test_nodes_that_know_each_other_by_their_last_lives_do_not_look_sooner(self) -> None:
+    def test_polls_are_not_more_frequent_if_node_entries_exist_already(self) -> None:
         others = [
             StoredValue(
                 f"{NODE_PREFIX}n{number}",
@@ -219,7 +219,7 @@
         node.advance(1.0)
         self.assertEqual(usual, node.last(StartWatch).gather_seconds)
 
-    def test_a_link_that_does_not_open_does_not_keep_the_node_from_being_counted(self) -> None:
+    def test_node_entry_is_written_if_the_link_does_not_open(self) -> None:
         node = self.started(4, StoredValue(CLUSTER_KEY, b"known", 5))
         node.advance(6.0)
         self.assertIsInstance(self.operation(node), GrantLease)
--- a/tests/forwarding/test_proof_fleet.py
+++ b/tests/forwarding/test_proof_fleet.py
@@ -1,4 +1,4 @@
-"""No node of several serves a key for longer than the bound, whatever happens between them."""
+"""No node serves a revoked key past the bound, whatever faults occur."""
 
 import dataclasses
 
@@ -8,7 +8,7 @@
 from testtools import TestCase
 
 from tests.forwarding.proof_fleet import Fleet, FleetNode
-from tests.forwarding.test_configuration_proof import BOUND_SECONDS, strict
+from tests.forwarding.test_configuration_proof import BOUND_SECONDS, strict_settings
 from wingquay.forwarding.knowledge.follower_settings import FollowerSettings
 from wingquay.forwarding.knowledge.proof_poll_times import ProofPollMode
 
@@ -16,20 +16,20 @@
 NUMBERS = st.integers(0, NODES - 1)
 SECONDS = st.floats(0.05, 9.0)
 LAGS = st.sampled_from([0.0, 0.7, 2.5, 6.0, 9.0])
-CALM_AGE_SECONDS = 3.2
-"""A look of a node's own is due then; a second and a half later it would be too late for it."""
-CALM_SECONDS = 12.0
-"""Time in which every node has asked, been answered and looked again after the last trouble."""
+MAX_AGE_SECONDS = 3.2
+"""The proof age at which a node polls by itself."""
+RECOVERY_SECONDS = 12.0
+"""Time in which all nodes exchange proofs and poll again after the last fault."""
 
 
 def age_seconds(node: FleetNode) -> float:
-    """Return how long ago the configuration of a node was proven."""
+    """Return the age of a node's proof."""
     return node.machine._keeper.age_seconds(node.now)
 
 
-def overdue(fleet: Fleet) -> list[tuple[int, int]]:
-    """Return the nodes that serve keys by a version older than the bound allows, and by which."""
-    due = fleet.version_due(BOUND_SECONDS)
+def overdue_nodes(fleet: Fleet) -> list[tuple[int, int]]:
+    """Return the nodes that serve keys by a version past the bound, with the version."""
+    due = fleet.required_version(BOUND_SECONDS)
     return [
         (node.number, node.machine.configuration_version)
         for node in fleet.nodes
@@ -38,15 +38,15 @@
 
 
 class RevocationHistory(RuleBasedStateMachine):
-    """Keys are taken away while nodes, links and the store fail in any order."""
+    """Revokes keys while nodes, links and the store fail in any order."""
 
-    @initialize(way=st.sampled_from(ProofPollMode), seconds=SECONDS)
-    def start(self, way: ProofPollMode, seconds: float) -> None:
-        self.fleet = Fleet(strict(way), NODES)
+    @initialize(mode=st.sampled_from(ProofPollMode), seconds=SECONDS)
+    def start(self, mode: ProofPollMode, seconds: float) -> None:
+        self.fleet = Fleet(strict_settings(mode), NODES)
         self.advance(seconds)
 
     def check(self) -> None:
-        late = overdue(self.fleet)
+        late = overdue_nodes(self.fleet)
         assert not late, (self.fleet.clock.now, self.fleet.acknowledged_at, late)
 
     @rule(seconds=SECONDS)
@@ -54,15 +54,15 @@
         self.fleet.run(seconds, self.check)
 
     @rule()
-    def take_a_key_away(self) -> None:
+    def revoke_key(self) -> None:
         self.fleet.configure()
 
     @rule(seconds=SECONDS)
-    def store_is_silent(self, seconds: float) -> None:
+    def store_outage(self, seconds: float) -> None:
         self.fleet.store.take_down(seconds)
 
     @rule(seconds=SECONDS)
-    def store_holds_looks_on(self, seconds: float) -> None:
+    def store_holds_polls_too_long(self, seconds: float) -> None:
         self.fleet.store.deaf_until = self.fleet.clock.now + seconds
 
     @rule(seconds=SECONDS)
@@ -70,11 +70,11 @@
         self.fleet.store.slow_until = self.fleet.clock.now + seconds
 
     @rule(seconds=SECONDS)
-    def store_turns_looks_away(self, seconds: float) -> None:
+    def store_rejects_polls(self, seconds: float) -> None:
         self.fleet.busy_until = self.fleet.clock.now + seconds
 
     @rule()
-    def store_forgets(self) -> None:
+    def store_drops_history(self) -> None:
         self.fleet.store.forget_history()
 
     @rule(number=NUMBERS, seconds=SECONDS)
@@ -82,7 +82,7 @@
         self.fleet.store.cut_off_node(number, seconds)
 
     @rule(number=NUMBERS, seconds=SECONDS, lag_seconds=LAGS)
-    def node_goes_by_others(self, number: int, seconds: float, lag_seconds: float) -> None:
+    def node_depends_on_updates(self, number: int, seconds: float, lag_seconds: float) -> None:
         self.fleet.store.cut_off_node(number, 2.0 * seconds)
         self.fleet.nodes[number].link_lag_seconds = lag_seconds
         self.advance(seconds)
@@ -90,19 +90,19 @@
         self.advance(seconds)
 
     @rule(number=NUMBERS)
-    def node_loses_the_others(self, number: int) -> None:
+    def node_loses_its_links(self, number: int) -> None:
         self.fleet.links.cut.add(number)
 
     @rule(number=NUMBERS)
-    def node_has_the_others_back(self, number: int) -> None:
+    def node_regains_its_links(self, number: int) -> None:
         self.fleet.links.heal(number)
 
     @rule(number=NUMBERS, seconds=LAGS)
-    def what_others_say_is_late(self, number: int, seconds: float) -> None:
+    def messages_of_nodes_are_delayed(self, number: int, seconds: float) -> None:
         self.fleet.nodes[number].link_lag_seconds = seconds
 
     @rule(number=NUMBERS, seconds=LAGS)
-    def what_the_store_says_is_late(self, number: int, seconds: float) -> None:
+    def answers_of_the_store_are_delayed(self, number: int, seconds: float) -> None:
         self.fleet.nodes[number].store_lag_seconds = seconds
 
     @rule(number=NUMBERS, seconds=SECONDS)
@@ -111,16 +111,16 @@
             self.fleet.nodes[number].suspend(seconds)
 
     @rule(number=NUMBERS)
-    def node_starts_anew(self, number: int) -> None:
+    def node_restarts(self, number: int) -> None:
         self.fleet.restart(number)
 
     @rule()
-    def all_nodes_start_anew(self) -> None:
+    def all_nodes_restart(self) -> None:
         for number in range(NODES):
             self.fleet.restart(number)
 
     @rule()
-    def trouble_ends(self) -> None:
+    def all_faults_end(self) -> None:
         fleet = self.fleet
         ended_at = [fleet.clock.now, fleet.busy_until, fleet.store.down_until]
         ended_at += [fleet.store.deaf_until, fleet.store.slow_until, *fleet.store.cut_off.values()]
@@ -128,7 +128,7 @@
             ended_at.append(node.suspended_until)
             node.link_lag_seconds = node.store_lag_seconds = 0.0
             fleet.links.heal(node.number)
-        self.advance(max(ended_at) - fleet.clock.now + CALM_SECONDS)
+        self.advance(max(ended_at) - fleet.clock.now + RECOVERY_SECONDS)
         assert all(node.is_proven for node in fleet.nodes)
         assert {node.machine.configuration_version for node in fleet.nodes} == {fleet.version}
 
@@ -138,13 +138,14 @@
 
 
 class StartTest(TestCase):
-    def test_a_node_that_starts_without_the_store_serves_by_what_others_prove(self) -> None:
-        for way in ProofPollMode:
-            fleet = Fleet(strict(way), 12)
+    def test_node_started_in_a_store_outage_serves_by_proofs_of_others(self) -> None:
+        for mode in ProofPollMode:
+            fleet = Fleet(strict_settings(mode), 12)
             fleet.run(10.0, lambda: None)
             fleet.store.cut_off_node(3, 20.0)
             fleet.restart(3)
-            # The copy comes when its own reading is lost; the link opens and it asks.
+            # The copy arrives when the node's own read fails; then the link opens and it requests
+            # proofs.
             self.run_checked(fleet, 2.5)
             for _ in range(15):
                 fleet.configure()
@@ -152,11 +153,11 @@
                 self.assertTrue(fleet.nodes[3].is_proven)
 
     def run_checked(self, fleet: Fleet, seconds: float) -> None:
-        fleet.run(seconds, lambda: self.assertEqual([], overdue(fleet)))
+        fleet.run(seconds, lambda: self.assertEqual([], overdue_nodes(fleet)))
 
-    def test_nodes_that_all_start_at_once_are_proven_by_their_listings(self) -> None:
-        for way in ProofPollMode:
-            fleet = Fleet(strict(way), 12)
+    def test_nodes_that_start_together_are_proven_by_their_listings(self) -> None:
+        for mode in ProofPollMode:
+            fleet = Fleet(strict_settings(mode), 12)
             for _ in range(2):
                 fleet.run(0.2, lambda: None)
                 self.assertTrue(all(node.is_proven for node in fleet.nodes))
@@ -165,10 +166,10 @@
                 self.assertFalse(any(node.is_proven for node in fleet.nodes))
 
 
-class CalmTest(TestCase):
-    """70 nodes in four zones: nothing happens but that keys are taken away now and then."""
+class NoFaultsTest(TestCase):
+    """70 nodes in four zones without faults, while keys are revoked from time to time."""
 
-    def played(self, follower: FollowerSettings) -> Fleet:
+    def run_fleet(self, follower: FollowerSettings) -> Fleet:
         fleet = Fleet(follower, 70, 4)
         fleet.run(5.0, lambda: None)
         for _ in range(4):
@@ -178,17 +179,19 @@
 
     def check(self, fleet: Fleet) -> None:
         if fleet.follower.proof_poll_times is not None:
-            self.assertTrue(max(age_seconds(node) for node in fleet.nodes) < CALM_AGE_SECONDS)
-            self.assertEqual([], overdue(fleet))
-
-    def test_no_node_comes_near_the_bound_and_few_looks_are_made(self) -> None:
-        looks = {
-            "none": self.played(dataclasses.replace(strict(), proof_poll_times=None)).store.looks
+            self.assertTrue(max(age_seconds(node) for node in fleet.nodes) < MAX_AGE_SECONDS)
+            self.assertEqual([], overdue_nodes(fleet))
+
+    def test_proofs_stay_fresh_with_few_polls(self) -> None:
+        polls = {
+            "none": self.run_fleet(
+                dataclasses.replace(strict_settings(), proof_poll_times=None)
+            ).store.looks
         }
-        for way in ProofPollMode:
-            fleet = self.played(strict(way))
-            looks[way.value] = fleet.store.looks
+        for mode in ProofPollMode:
+            fleet = self.run_fleet(strict_settings(mode))
+            polls[mode.value] = fleet.store.looks
             messages = [line.message for node in fleet.nodes for line in node.logs]
             self.assertNotIn("configuration_unproven", messages)
-        self.assertTrue(looks["short"] < looks["none"] < looks["held"], looks)
-        self.assertTrue(looks["held"] < 1.5 * looks["none"], looks)
+        self.assertTrue(polls["short"] < polls["none"] < polls["held"], polls)
+        self.assertTrue(polls["held"] < 1.5 * polls["none"], polls)
--- a/tests/forwarding/test_revocation.py
+++ b/tests/forwarding/test_revocation.py
@@ -1,10 +1,10 @@
-"""What callers get while it is not proven that their keys are still good."""
+"""Responses to callers while the configuration is not proven."""
 
 from testtools import TestCase
 
 from tests.forwarding.known_callers import KIOSK, SECRET, ask, with_tenants
 from tests.forwarding.one_node import OneNode, replica, single_route, table
-from tests.forwarding.test_configuration_proof import answer, strict
+from tests.forwarding.test_configuration_proof import answer_poll, strict_settings
 from wingquay.model.routing_table import RoutingTable
 from wingquay.model.tenants import Tenant
 from wingquay.ports.forwarding import ForwardFailureKind, ReplyFailure
@@ -26,8 +26,8 @@
 
 
 def started() -> OneNode:
-    """Return a node whose listing was begun at this moment."""
-    node = OneNode(follower=strict())
+    """Return a node whose listing started at the current time."""
+    node = OneNode(follower=strict_settings())
     node.emit(Start())
     node.list_store(configuration(1, KIOSK), replica("r0", "s"), begun_at=node.now)
     return node
@@ -39,7 +39,7 @@
         self.numbers = iter(range(10_000, 20_000))
 
     def outcome(self, node: OneNode, key: str = SECRET, path: str = "/one/x") -> str:
-        """Return what a request comes to: served, or why not."""
+        """Return the outcome of a request: served, or the failure kind."""
         number = ask(node, next(self.numbers), key, path)
         for send in list(node.sends):
             node.answer(send)
@@ -47,67 +47,67 @@
         return reply.kind.value if isinstance(reply, ReplyFailure) else SERVED
 
     def outcomes(self, node: OneNode) -> tuple[str, str, str]:
-        """Return what becomes of a known key, of one that is newer, and of a public route."""
+        """Return the outcomes for a known key, for a newer key and for a public route."""
         return (
             self.outcome(node),
             self.outcome(node, NEW_SECRET),
             self.outcome(node, "", f"{PUBLIC}x"),
         )
 
-    def test_each_trouble_ends_the_service_of_keys_in_time_and_of_nothing_else(self) -> None:
+    def test_each_failure_ends_only_the_service_of_keys_in_time(self) -> None:
         proven = (SERVED, ForwardFailureKind.UNKNOWN_CALLER.value, SERVED)
         unproven = (ForwardFailureKind.NOT_RUN.value, ForwardFailureKind.NOT_RUN.value, SERVED)
-        for name, trouble, expected in (
-            ("silent", self.silent, unproven),
-            ("turned away", self.turned_away, unproven),
-            ("told by others without proof", self.told_news, unproven),
-            ("an answer that was cut", self.cut_answer, unproven),
-            ("a held look that is answered late", self.late_answer, unproven),
-            ("answered", self.answered, proven),
+        for name, cause_failure, expected in (
+            ("no answer", self.no_answer, unproven),
+            ("rejected poll", self.rejected_poll, unproven),
+            ("update without proof", self.update_without_proof, unproven),
+            ("incomplete answer", self.incomplete_answer, unproven),
+            ("late answer of a long poll", self.late_long_poll, unproven),
+            ("answered poll", self.answered_poll, proven),
         ):
             node = started()
             node.advance(4.8)
             self.assertEqual(proven, self.outcomes(node), name)
-            trouble(node)
+            cause_failure(node)
             node.advance(0.2)
             self.assertEqual(expected, self.outcomes(node), name)
 
-    def silent(self, node: OneNode) -> None:
-        """Let nothing be heard."""
+    def no_answer(self, node: OneNode) -> None:
+        """Let no message arrive."""
 
-    def turned_away(self, node: OneNode) -> None:
+    def rejected_poll(self, node: OneNode) -> None:
         node.emit(WatchBroken(node.last_watch_id, "the store answered 429"))
 
-    def told_news(self, node: OneNode) -> None:
+    def update_without_proof(self, node: OneNode) -> None:
         news = StoreNews(node.store_revision, node.store_revision + 1)
         node.emit(PeerReceived(OTHER, news))
 
-    def cut_answer(self, node: OneNode) -> None:
-        answer(node, 0.0, may_have_more=True)
+    def incomplete_answer(self, node: OneNode) -> None:
+        answer_poll(node, 0.0, may_have_more=True)
 
-    def late_answer(self, node: OneNode) -> None:
-        answer(node, 4.8)
+    def late_long_poll(self, node: OneNode) -> None:
+        answer_poll(node, 4.8)
 
-    def answered(self, node: OneNode) -> None:
-        answer(node, 1.8)
+    def answered_poll(self, node: OneNode) -> None:
+        answer_poll(node, 1.8)
 
-    def test_a_suspended_node_serves_no_key_by_what_it_knew_before(self) -> None:
+    def test_suspended_node_serves_no_key_by_its_old_configuration(self) -> None:
         node = started()
         node.now += 5.0
         node.emit(Woken(5.0))
         node.advance(0.1)
         self.assertEqual("not_run", self.outcome(node))
 
-    def test_a_node_that_begins_with_a_neighbours_copy_serves_public_routes_only(self) -> None:
-        node = OneNode(follower=strict())
+    def test_node_with_a_neighbours_copy_serves_public_routes_only(self) -> None:
+        node = OneNode(follower=strict_settings())
         node.emit(Start())
         values = (node.stored_table(configuration(1, KIOSK)), node.stored(replica("r0", "s")))
         node.emit(PeerSnapshot(values, 1))
         self.assertEqual(("not_run", "not_run", SERVED), self.outcomes(node))
-        answer(node, 0.0)
+        answer_poll(node, 0.0)
         self.assertEqual((SERVED, "unknown_caller", SERVED), self.outcomes(node))
 
-    def test_callers_are_told_when_the_node_looks_again_and_what_is_so_then(self) -> None:
+    def test_retry_after_leads_to_the_next_poll(self) -> None:
         node = started()
         for _ in range(3):
             node.advance(2.0)
@@ -115,21 +115,21 @@
         number = ask(node, next(self.numbers), SECRET)
         reply = node.replies[number]
         assert isinstance(reply, ReplyFailure)
-        # The third pause after a look that was lost, and the time of an answer.
+        # The third backoff after a failed poll, plus the answer time.
         self.assertEqual(0.7, round(reply.retry_after_seconds or 0.0, 6))
         node.advance(0.6)
-        self.tell(node, configuration(2, Tenant("kiosk", (NEW_SECRET,))))
+        self.apply_version(node, configuration(2, Tenant("kiosk", (NEW_SECRET,))))
         self.assertEqual(("unknown_caller", SERVED, SERVED), self.outcomes(node))
 
-    def tell(self, node: OneNode, version: RoutingTable) -> None:
-        """Let the look under way show a version."""
+    def apply_version(self, node: OneNode, version: RoutingTable) -> None:
+        """Answer the poll under way with a version."""
         node.store_revision += 1
         item = node.stored_table(version)
         watch_id = node.last_watch_id
         revision = node.store_revision
         node.emit(WatchChanged(watch_id, (item,), (), revision, begun_at=node.now))
 
-    def test_a_configuration_that_cannot_be_read_takes_no_key_away(self) -> None:
+    def test_unreadable_configuration_revokes_no_key(self) -> None:
         node = started()
         node.advance(3.0)
         item = node.stored_table(configuration(2))
--- a/tests/forwarding/test_store_news.py
+++ b/tests/forwarding/test_store_updates.py
@@ -1,4 +1,4 @@
-"""Nodes tell each other what they read of the store, so that one of them looks at it for all."""
+"""Nodes send each other what they read from the store, so that one poll serves a group."""
 
 from testtools import TestCase
 
@@ -25,11 +25,11 @@
 FIRST = NodeIdentity("node-0-a", "", "a", "node-0", 7)
 OWN = NodeIdentity("node-1-a", "", "a", "node-1", 7)
 LAST = NodeIdentity("node-2-a", "", "a", "node-2", 7)
-GATHER_SECONDS = 1.0
+POLL_INTERVAL_SECONDS = 1.0
 
 
 def linked(*others: NodeIdentity) -> OneNode:
-    """Return a node with a replica that looks at the store each second and knows other nodes."""
+    """Return a node with one replica that polls each second and is linked to other nodes."""
     node = OneNode()
     node.start(table(1, single_route()), replica("r0", "s"))
     node.emit(PeerLinkOpened(OWN))
@@ -38,71 +38,73 @@
     return node
 
 
-def told(node: OneNode) -> list[tuple[NodeIdentity, StoreNews]]:
-    """Return the news that the node has sent."""
+def sent_updates(node: OneNode) -> list[tuple[NodeIdentity, StoreNews]]:
+    """Return the updates that the node has sent."""
     sent = [action for action in node.actions if isinstance(action, SendToPeer)]
     return [(item.to, item.message) for item in sent if isinstance(item.message, StoreNews)]
 
 
-def news_for(node: OneNode, *changed: StoredValue, deleted: tuple[str, ...] = ()) -> StoreNews:
-    """Return news that begin with what the node knows."""
+def next_update(node: OneNode, *changed: StoredValue, deleted: tuple[str, ...] = ()) -> StoreNews:
+    """Return an update that starts at the node's revision."""
     revision = node.store_revision
     node.store_revision += 1
     return StoreNews(revision, revision + 1, changed, deleted)
 
 
-def older(news: StoreNews, age_seconds: float) -> StoreNews:
-    """Return the same news, sent later."""
+def delayed(update: StoreNews, age_seconds: float) -> StoreNews:
+    """Return the same update with an age."""
     return StoreNews(
-        news.from_revision, news.store_revision, news.changed, news.deleted, age_seconds
+        update.from_revision, update.store_revision, update.changed, update.deleted, age_seconds
     )
 
 
-def cut(news: StoreNews) -> StoreNews:
-    """Return the same news, of an answer that may hold only a part of what changed."""
-    return StoreNews(news.from_revision, news.store_revision, news.changed, news.deleted, 0.0, True)
+def incomplete(update: StoreNews) -> StoreNews:
+    """Return the same update, marked as possibly incomplete."""
+    return StoreNews(
+        update.from_revision, update.store_revision, update.changed, update.deleted, 0.0, True
+    )
 
 
-def since(node: OneNode, actions: int) -> list[Action]:
-    """Return what the node did after so many actions, store and link only."""
+def store_and_link_actions(node: OneNode, actions: int) -> list[Action]:
+    """Return the store and link actions after the first so many actions."""
     kinds = (StartWatch, StopWatch, SendToPeer)
     return [action for action in node.actions[actions:] if isinstance(action, kinds)]
 
 
-class TellingTest(TestCase):
-    def test_what_a_look_shows_is_told_to_the_other_nodes(self) -> None:
+class SendUpdatesTest(TestCase):
+    def test_polled_changes_are_sent_to_the_other_nodes(self) -> None:
         node = linked(FIRST, LAST)
         before = node.store_revision
         item = StoredValue(NODE_PREFIX + "else", b"1", before + 1)
         node.emit(WatchChanged(self.watch_id(node), (item,), (), before + 1))
         expected = StoreNews(before, before + 1, (item,), ())
-        self.assertEqual([(FIRST, expected), (LAST, expected)], told(node)[-2:])
+        self.assertEqual([(FIRST, expected), (LAST, expected)], sent_updates(node)[-2:])
 
-    def test_entries_that_were_only_written_again_are_left_out(self) -> None:
+    def test_unchanged_entries_are_left_out(self) -> None:
         node = linked(FIRST)
         node.actions = [action for action in node.actions if isinstance(action, StartWatch)]
         node.change(replica("r0", "s"), replica("r1", "s"))
-        ((_, news),) = told(node)
-        self.assertEqual([REPLICA_PREFIX + "r1"], [item.key for item in news.changed])
+        ((_, update),) = sent_updates(node)
+        self.assertEqual([REPLICA_PREFIX + "r1"], [item.key for item in update.changed])
 
-    def test_an_entry_that_was_gone_in_between_is_told(self) -> None:
+    def test_recreated_entry_is_sent(self) -> None:
         node = linked(FIRST)
         before = node.store_revision
         known = node.stored(replica("r0", "s"))
         again = StoredValue(known.key, known.value, before + 2, created_at=before + 2)
         node.emit(WatchChanged(self.watch_id(node), (again,), (), before + 2))
-        self.assertEqual((again,), told(node)[-1][1].changed)
+        self.assertEqual((again,), sent_updates(node)[-1][1].changed)
 
-    def test_a_node_whose_key_was_taken_is_told_until_its_link_breaks(self) -> None:
+    def test_node_with_a_deleted_entry_gets_updates_until_its_link_breaks(self) -> None:
         node = linked(FIRST)
         gone = NODE_PREFIX + FIRST.host
         node.emit(WatchChanged(self.watch_id(node), (), (gone,), node.store_revision + 1))
-        self.assertEqual(FIRST, told(node)[-1][0])
+        self.assertEqual(FIRST, sent_updates(node)[-1][0])
         node.emit(PeerLinkBroken(FIRST.node_id, "test"))
-        count = len(told(node))
+        count = len(sent_updates(node))
         node.store_revision += 1
         node.change(replica("r1", "s"))
-        self.assertEqual(count, len(told(node)))
+        self.assertEqual(count, len(sent_updates(node)))
 
     def watch_id(self, node: OneNode) -> str:
         return next(
@@ -111,40 +113,40 @@
             if isinstance(action, StartWatch) and action.key == ""
         )
 
-    def test_a_sender_says_how_late_it_is_with_its_work(self) -> None:
+    def test_update_contains_the_lag_of_the_sender(self) -> None:
         node = linked(FIRST)
         node.stall(0.9)
         node.change(replica("r1", "s"))
-        late_seconds = told(node)[-1][1].age_seconds
+        late_seconds = sent_updates(node)[-1][1].age_seconds
         self.assertTrue(0.4 <= late_seconds <= 0.9, late_seconds)
 
-    def test_a_sender_that_stood_still_says_so_although_its_timers_fire_later(self) -> None:
-        # A configuration came late on other nodes: what waited at the sockets of a node that had
-        # stood still was handled before its timers, so that news of before told an age of 0.
+    def test_update_contains_the_lag_of_overdue_timers(self) -> None:
+        # After a pause a node reads its sockets before its timers fire; the update's age must not
+        # be 0.
         node = linked(FIRST)
         node.now += 3.0
         node.change(replica("r1", "s"))
-        age_seconds = told(node)[-1][1].age_seconds
+        age_seconds = sent_updates(node)[-1][1].age_seconds
         self.assertTrue(2.7 <= age_seconds <= 3.0, age_seconds)
 
-    def test_a_look_that_took_long_makes_old_news(self) -> None:
+    def test_slow_poll_adds_to_the_age_of_the_update(self) -> None:
         node = linked(FIRST)
         node.emit(PeerReceived(FIRST, StoreNews(node.store_revision, node.store_revision)))
         node.emit(WatchChanged(node.last_watch_id, (), (), node.store_revision))
         self.assertEqual(0.0, node.last(StartWatch).hold_seconds)
         node.advance(node.last(StartWatch).gather_seconds + 1.2)
         node.emit(WatchChanged(node.last_watch_id, (), (), node.store_revision))
-        self.assertAlmostEqual(1.2, told(node)[-1][1].age_seconds)
+        self.assertAlmostEqual(1.2, sent_updates(node)[-1][1].age_seconds)
 
 
-class HearingTest(TestCase):
-    def test_news_are_taken_in_and_the_own_look_is_put_off(self) -> None:
+class ReceiveUpdatesTest(TestCase):
+    def test_update_is_applied_and_postpones_the_next_poll(self) -> None:
         node = linked(FIRST, LAST)
         node.change()
         before = len(node.actions)
         item = node.stored(replica("r1", "s"))
-        node.emit(PeerReceived(FIRST, news_for(node, item)))
-        stop, start = since(node, before)
+        node.emit(PeerReceived(FIRST, next_update(node, item)))
+        stop, start = store_and_link_actions(node, before)
         self.assertIsInstance(stop, StopWatch)
         self.assertEqual(node.store_revision, start.from_store_revision)
         # The second of three nodes waits one step longer than the first.
@@ -153,35 +155,35 @@
         node.request()
         self.assertEqual({"r0", "r1"}, {send.replica.replica_id for send in node.sends})
 
-    def test_news_of_an_answer_that_was_cut_put_nothing_off(self) -> None:
-        # The rest of what changed, a configuration perhaps, may never be heard of.
+    def test_incomplete_update_postpones_no_poll(self) -> None:
+        # The missing changes may never arrive from other nodes.
         node = linked(FIRST, LAST)
         node.change()
         before = len(node.actions)
-        news = news_for(node, node.stored(replica("r1", "s")))
-        node.emit(PeerReceived(FIRST, cut(news)))
-        self.assertEqual([], since(node, before))
+        update = next_update(node, node.stored(replica("r1", "s")))
+        node.emit(PeerReceived(FIRST, incomplete(update)))
+        self.assertEqual([], store_and_link_actions(node, before))
         node.request()
         node.request()
         self.assertEqual({"r0", "r1"}, {send.replica.replica_id for send in node.sends})
-        node.emit(PeerReceived(FIRST, news_for(node)))
+        node.emit(PeerReceived(FIRST, next_update(node)))
         self.assertAlmostEqual(1.3 + 0.04, node.last(StartWatch).pause_seconds)
 
-    def test_news_are_not_passed_on(self) -> None:
+    def test_updates_are_not_forwarded(self) -> None:
         node = linked(FIRST, LAST)
-        count = len(told(node))
-        node.emit(PeerReceived(FIRST, news_for(node, node.stored(replica("r1", "s")))))
-        self.assertEqual(count, len(told(node)))
+        count = len(sent_updates(node))
+        node.emit(PeerReceived(FIRST, next_update(node, node.stored(replica("r1", "s")))))
+        self.assertEqual(count, len(sent_updates(node)))
 
-    def test_news_with_a_gap_before_them_are_passed_over(self) -> None:
+    def test_update_after_a_gap_is_skipped(self) -> None:
         node = linked(FIRST)
         before = len(node.actions)
         revision = node.store_revision
         item = node.stored(replica("r1", "s"))
         node.emit(PeerReceived(FIRST, StoreNews(revision + 1, revision + 2, (item,))))
-        self.assertEqual([], since(node, before))
+        self.assertEqual([], store_and_link_actions(node, before))
 
-    def test_a_line_tells_of_news_that_were_passed_over(self) -> None:
+    def test_skipped_update_is_logged(self) -> None:
         node = linked(FIRST)
         node.emit(WatchBroken(node.last_watch_id, "silent"))
         node.advance(0.1)
@@ -195,82 +197,82 @@
         }
         self.assertEqual([expected], node.logs("store_update_skipped"))
 
-    def test_a_configuration_says_who_told_it(self) -> None:
+    def test_configuration_log_names_its_source(self) -> None:
         node = linked(FIRST)
         for version in (2, 3):
             changed = node.stored_table(table(version, single_route()))
             if version == 2:
-                node.emit(PeerReceived(FIRST, news_for(node, changed)))
+                node.emit(PeerReceived(FIRST, next_update(node, changed)))
             else:
                 node.change(values=(changed,))
         lines = node.logs("configuration_adopted")
         self.assertEqual(["listing", FIRST.node_id, "look"], [line["told_by"] for line in lines])
 
-    def test_old_news_put_nothing_off(self) -> None:
+    def test_outdated_update_postpones_no_poll(self) -> None:
         node = linked(FIRST)
         before = len(node.actions)
         gone = (REPLICA_PREFIX + "r0",)
         node.emit(PeerReceived(FIRST, StoreNews(0, node.store_revision - 1, (), gone)))
-        self.assertEqual([], since(node, before))
+        self.assertEqual([], store_and_link_actions(node, before))
         node.request()
         self.assertEqual(1, len(node.sends))
 
-    def test_the_time_that_news_have_taken_is_taken_off(self) -> None:
+    def test_age_of_the_update_shortens_the_postponement(self) -> None:
         node = linked(FIRST, LAST)
         node.change()
         node.advance(0.5)
-        node.emit(PeerReceived(FIRST, older(news_for(node), 0.2)))
+        node.emit(PeerReceived(FIRST, delayed(next_update(node), 0.2)))
         self.assertAlmostEqual(1.3 + 0.04 - 0.2, node.last(StartWatch).pause_seconds)
 
-    def test_news_that_took_long_put_nothing_off(self) -> None:
+    def test_late_update_is_applied_but_postpones_no_poll(self) -> None:
         node = linked(FIRST, LAST)
         node.change()
         before = len(node.actions)
-        node.emit(PeerReceived(FIRST, older(news_for(node), 0.4)))
-        self.assertEqual([], since(node, before))
-        # What they tell counts all the same.
+        node.emit(PeerReceived(FIRST, delayed(next_update(node), 0.4)))
+        self.assertEqual([], store_and_link_actions(node, before))
+        # Its contents are applied.
         item = node.stored(replica("r1", "s"))
-        node.emit(PeerReceived(FIRST, older(news_for(node, item), 0.4)))
+        node.emit(PeerReceived(FIRST, delayed(next_update(node, item), 0.4)))
         node.request()
         node.request()
         self.assertEqual({"r0", "r1"}, {send.replica.replica_id for send in node.sends})
 
-    def test_a_node_that_is_late_with_its_work_looks_itself(self) -> None:
+    def test_lagging_node_postpones_no_poll(self) -> None:
         node = linked(FIRST, LAST)
         node.change()
         node.stall(0.9)
         before = len(node.actions)
-        node.emit(PeerReceived(FIRST, news_for(node)))
-        self.assertEqual([], since(node, before))
+        node.emit(PeerReceived(FIRST, next_update(node)))
+        self.assertEqual([], store_and_link_actions(node, before))
 
-    def test_a_node_that_stood_still_looks_itself_although_its_timers_fire_later(self) -> None:
+    def test_node_with_overdue_timers_postpones_no_poll(self) -> None:
         node = linked(FIRST, LAST)
         node.change()
         node.now += 0.7
         before = len(node.actions)
-        node.emit(PeerReceived(FIRST, news_for(node)))
-        self.assertEqual([], since(node, before))
+        node.emit(PeerReceived(FIRST, next_update(node)))
+        self.assertEqual([], store_and_link_actions(node, before))
 
-    def test_a_look_that_has_begun_is_not_put_off(self) -> None:
+    def test_poll_under_way_is_not_postponed(self) -> None:
         node = linked(FIRST)
         node.change()
         node.advance(1.4)
         before = len(node.actions)
-        node.emit(PeerReceived(FIRST, news_for(node)))
-        self.assertEqual([], since(node, before))
+        node.emit(PeerReceived(FIRST, next_update(node)))
+        self.assertEqual([], store_and_link_actions(node, before))
 
-    def test_a_look_whose_answer_was_cut_goes_on_whatever_is_heard(self) -> None:
+    def test_poll_after_an_incomplete_answer_is_not_postponed(self) -> None:
         node = linked(FIRST)
         watch = node.last(StartWatch).watch_id
         revision = node.store_revision
         node.emit(WatchChanged(watch, (), (), revision + 1, may_have_more=True))
-        self.assertTrue(told(node)[-1][1].may_have_more)
+        self.assertTrue(sent_updates(node)[-1][1].may_have_more)
         node.store_revision = revision + 1
         before = len(node.actions)
-        node.emit(PeerReceived(FIRST, news_for(node)))
-        self.assertEqual([], since(node, before))
+        node.emit(PeerReceived(FIRST, next_update(node)))
+        self.assertEqual([], store_and_link_actions(node, before))
 
-    def test_an_answer_of_the_store_that_is_older_than_the_news_changes_nothing(self) -> None:
+    def test_answer_older_than_the_update_changes_nothing(self) -> None:
         node = linked(FIRST)
         node.change(replica("r1", "s"))
         looking = node.last(StartWatch).watch_id
@@ -278,82 +280,86 @@
         node.advance(1.4)
         draining = node.stored(replica("r1", "s", is_draining=True))
         node.emit(PeerReceived(FIRST, StoreNews(revision, revision + 2, (draining,))))
-        # The look had begun; its answer was given before the replica began to drain.
+        # The poll was answered before the replica started to drain.
         ready = node.stored(replica("r1", "s"))
         node.emit(WatchChanged(looking, (ready,), (), revision + 1))
         for _ in range(8):
             node.request()
         self.assertEqual({"r0"}, {send.replica.replica_id for send in node.sends})
 
-    def test_a_node_that_the_store_turns_away_goes_by_the_news(self) -> None:
+    def test_node_rejected_by_the_store_applies_updates(self) -> None:
         node = linked(FIRST)
         node.emit(WatchBroken(node.last(StartWatch).watch_id, "refused"))
         changed = node.stored_table(table(2, single_route(service="new")))
-        news = news_for(node, changed, node.stored(replica("n0", "new")))
-        node.emit(PeerReceived(FIRST, news))
+        update = next_update(node, changed, node.stored(replica("n0", "new")))
+        node.emit(PeerReceived(FIRST, update))
         node.request()
         self.assertEqual(["n0"], [send.replica.replica_id for send in node.sends])
-        # It goes on asking the store, from where the news ended.
+        # It continues to poll from the update's revision.
         node.advance(1.5)
         self.assertEqual(node.store_revision, node.last(StartWatch).from_store_revision)
 
 
-class WaitingTest(TestCase):
-    """Only the first node of a group lets the store hold its looks."""
+class LongPollTest(TestCase):
+    """Only the first node of a group uses long polls."""
 
-    def look(self, node: OneNode) -> bool:
-        """Let a look show nothing; return whether the next one may be held."""
+    def answer_poll(self, node: OneNode) -> bool:
+        """Answer a poll without changes; return whether the next one is a long poll."""
         node.emit(WatchChanged(node.last_watch_id, (), (), node.store_revision))
         return node.last(StartWatch).hold_seconds > 0.0
 
-    def hear(self, node: OneNode) -> None:
-        """Let the first node tell that nothing has changed."""
+    def receive_update(self, node: OneNode) -> None:
+        """Receive an update of the first node without changes."""
         node.emit(PeerReceived(FIRST, StoreNews(node.store_revision, node.store_revision)))
 
-    def test_the_first_one_waits_at_the_store(self) -> None:
+    def test_first_node_uses_long_polls(self) -> None:
         node = linked(LAST)
-        self.hear(node)
-        self.assertTrue(self.look(node))
+        self.receive_update(node)
+        self.assertTrue(self.answer_poll(node))
 
-    def test_the_others_do_not_while_they_hear_of_it(self) -> None:
+    def test_other_nodes_use_short_polls_while_updates_arrive(self) -> None:
         node = linked(FIRST)
-        self.hear(node)
-        self.assertFalse(self.look(node))
+        self.receive_update(node)
+        self.assertFalse(self.answer_poll(node))
 
-    def test_one_that_hears_nothing_any_more_waits_instead(self) -> None:
+    def test_node_without_updates_uses_long_polls(self) -> None:
         node = linked(FIRST)
-        self.hear(node)
-        self.look(node)
-        self.assertTrue(self.look(node))
-        self.hear(node)
-        self.assertFalse(self.look(node))
+        self.receive_update(node)
+        self.answer_poll(node)
+        self.assertTrue(self.answer_poll(node))
+        self.receive_update(node)
+        self.assertFalse(self.answer_poll(node))
 
-    def test_who_looks_for_others_does_so_more_often(self) -> None:
+    def test_node_that_polls_for_its_group_polls_more_often(self) -> None:
         for other, seconds in ((LAST, 0.8), (FIRST, 1.3)):
             node = linked(other)
-            self.hear(node)
-            self.look(node)
+            self.receive_update(node)
+            self.answer_poll(node)
             self.assertEqual(seconds, node.last(StartWatch).gather_seconds)
 
-    def test_a_node_alone_does(self) -> None:
-        self.assertTrue(self.look(linked()))
+    def test_single_node_uses_long_polls(self) -> None:
+        self.assertTrue(self.answer_poll(linked()))
 
-    def test_a_look_that_showed_nothing_is_told_as_well(self) -> None:
+    def test_poll_without_changes_is_sent_as_well(self) -> None:
         node = linked(FIRST)
-        before = len(told(node))
+        before = len(sent_updates(node))
         revision = node.store_revision
         node.emit(WatchChanged(node.last_watch_id, (), (), revision))
-        self.assertEqual([(FIRST, StoreNews(revision, revision))], told(node)[before:])
+        self.assertEqual([(FIRST, StoreNews(revision, revision))], sent_updates(node)[before:])
 
-    def test_news_put_the_next_look_off_again_and_again(self) -> None:
+    def test_each_update_postpones_the_next_poll(self) -> None:
         node = linked(FIRST)
-        self.hear(node)
-        self.look(node)
+        self.receive_update(node)
+        self.answer_poll(node)
         for _ in range(5):
             node.advance(0.9)
             before = len(node.actions)
             node.emit(PeerReceived(FIRST, StoreNews(node.store_revision, node.store_revision)))
-            started = [item for item in since(node, before) if isinstance(item, StartWatch)]
+            started = [
+                item
+                for item in store_and_link_actions(node, before)
+                if isinstance(item, StartWatch)
+            ]
             self.assertEqual(1, len(started))
-            self.assertGreater(started[0].pause_seconds, GATHER_SECONDS)
+            self.assertGreater(started[0].pause_seconds, POLL_INTERVAL_SECONDS)
             self.assertEqual(0.0, started[0].hold_seconds)
