--- a/tests/forwarding/readiness/test_decision.py
+++ b/tests/forwarding/readiness/test_decision.py
@@ -14,8 +14,8 @@
     decide,
 )
 from wingquay.forwarding.readiness.departure import (
+    FALLBACK_ZONE_AWAY_SECONDS,
     IDLE_CLOSING_SECONDS,
-    LAST_ZONE_AWAY_SECONDS,
     MAX_AWAY_SECONDS,
     MAX_MIN_AWAY_SECONDS,
     MIN_AWAY_SECONDS,
@@ -34,30 +34,30 @@
     usual: dict[str, object] = {
         "other_zones": ("a", "c", "d"),
         "unreachable_zones": ("a", "c", "d"),
-        "own_zone_status": OwnZoneStatus.IN_REACH,
+        "own_zone_status": OwnZoneStatus.REACHABLE,
         "connected_neighbour": "",
         "share_here": 0.1,
         "share_elsewhere": 1.0,
-        "is_last_zone": False,
+        "is_fallback_zone": False,
     }
     return DecisionInputs(**{**usual, **fields})  # type: ignore[arg-type]
 
 
 CASES: tuple[tuple[dict[str, object], DecisionReason], ...] = (
     ({}, DecisionReason.ZONE_CUT_OFF),
-    ({"unreachable_zones": ()}, DecisionReason.IN_REACH),
-    ({"unreachable_zones": ("a", "c")}, DecisionReason.IN_REACH),
-    ({"other_zones": (), "unreachable_zones": ()}, DecisionReason.ONE_ZONE),
+    ({"unreachable_zones": ()}, DecisionReason.OTHERS_REACHABLE),
+    ({"unreachable_zones": ("a", "c")}, DecisionReason.OTHERS_REACHABLE),
+    ({"other_zones": (), "unreachable_zones": ()}, DecisionReason.SINGLE_ZONE),
     ({"other_zones": ("a",), "unreachable_zones": ("a",)}, DecisionReason.FEW_ZONES),
-    ({"connected_neighbour": "b-2"}, DecisionReason.NEIGHBOURS_REACH),
+    ({"connected_neighbour": "b-2"}, DecisionReason.NEIGHBOUR_CONNECTED),
     ({"share_here": 0.9}, DecisionReason.ENOUGH_ANSWERABLE),
     ({"share_here": 0.85}, DecisionReason.ZONE_CUT_OFF),
     ({"share_here": 0.7, "share_elsewhere": 0.75}, DecisionReason.NO_GAIN),
     ({"share_elsewhere": 0.1}, DecisionReason.NO_GAIN),
-    ({"is_last_zone": True}, DecisionReason.LAST_ZONE),
+    ({"is_fallback_zone": True}, DecisionReason.FALLBACK_ZONE),
     ({"own_zone_status": OwnZoneStatus.SILENT, "share_here": 0.0}, DecisionReason.NODE_CUT_OFF),
     (
-        {"own_zone_status": OwnZoneStatus.SILENT, "share_here": 0.0, "is_last_zone": True},
+        {"own_zone_status": OwnZoneStatus.SILENT, "share_here": 0.0, "is_fallback_zone": True},
         DecisionReason.NODE_CUT_OFF,
     ),
     (
@@ -70,7 +70,7 @@
     ),
     (
         {"own_zone_status": OwnZoneStatus.SILENT, "connected_neighbour": "b-2"},
-        DecisionReason.NEIGHBOURS_REACH,
+        DecisionReason.NEIGHBOUR_CONNECTED,
     ),
     ({"own_zone_status": OwnZoneStatus.UNKNOWN}, DecisionReason.UNKNOWN),
 )
@@ -106,13 +106,18 @@
             now += seconds + MIN_READY_SECONDS
 
     def test_node_returns_for_a_trial_whatever_the_decision(self) -> None:
-        for is_first_zone, seconds in ((False, MAX_AWAY_SECONDS), (True, LAST_ZONE_AWAY_SECONDS)):
+        for is_fallback_zone, seconds in (
+            (False, MAX_AWAY_SECONDS),
+            (True, FALLBACK_ZONE_AWAY_SECONDS),
+        ):
             departure = Departure()
-            departure.update(True, 0.0, is_first_zone)
-            self.assertFalse(departure.update(True, seconds - 0.1, is_first_zone))
-            self.assertTrue(departure.update(True, seconds, is_first_zone))
-            self.assertFalse(departure.update(True, seconds + TRIAL_SECONDS - 0.1, is_first_zone))
-            self.assertTrue(departure.update(True, seconds + TRIAL_SECONDS, is_first_zone))
+            departure.update(True, 0.0, is_fallback_zone)
+            self.assertFalse(departure.update(True, seconds - 0.1, is_fallback_zone))
+            self.assertTrue(departure.update(True, seconds, is_fallback_zone))
+            self.assertFalse(
+                departure.update(True, seconds + TRIAL_SECONDS - 0.1, is_fallback_zone)
+            )
+            self.assertTrue(departure.update(True, seconds + TRIAL_SECONDS, is_fallback_zone))
 
     def test_connections_close_only_after_a_while(self) -> None:
         departure = Departure()
--- a/wingquay/forwarding/knowledge/poll_schedule.py
+++ b/wingquay/forwarding/knowledge/poll_schedule.py
@@ -26,9 +26,8 @@
         self._has_received_update = False
         """Whether an update of another node was applied since the last poll."""
         self._got_no_updates = False
-        """Whether no update arrived before that poll: the store may reject the nodes that poll
-        first."""
-        self.wanted_interval_seconds = settings.poll_interval_seconds
+        """Whether none arrived before that poll either, as when the first node's polls fail."""
+        self.requested_interval_seconds = settings.poll_interval_seconds
         """The poll interval that is currently requested."""
         self.failed_polls = 0
         """Consecutive failed polls."""
@@ -36,20 +35,22 @@
     @property
     def is_urgent(self) -> bool:
         """Whether a shorter poll interval than usual is requested."""
-        return self.wanted_interval_seconds < self._settings.poll_interval_seconds
+        return self.requested_interval_seconds < self._settings.poll_interval_seconds
 
     @property
     def interval_seconds(self) -> float:
         """Minimum time between two polls; shorter for a node that polls for its group."""
-        proving = self._proof_manager.poll_times
+        proof_poll_times = self._proof_manager.poll_times
         if self._uses_long_polls and self._hooks.shares_updates():
             shared_seconds = self._settings.shared_poll_interval_seconds
-            if proving is not None:
-                shared_seconds = proving.shared_poll_interval_seconds
-            return min(self.wanted_interval_seconds, shared_seconds)
-        if proving is None:
-            return self.wanted_interval_seconds
-        return min(self.wanted_interval_seconds, proving.own_poll_seconds - self.hold_seconds)
+            if proof_poll_times is not None:
+                shared_seconds = proof_poll_times.shared_poll_interval_seconds
+            return min(self.requested_interval_seconds, shared_seconds)
+        if proof_poll_times is None:
+            return self.requested_interval_seconds
+        return min(
+            self.requested_interval_seconds, proof_poll_times.own_poll_seconds - self.hold_seconds
+        )
 
     @property
     def hold_seconds(self) -> float:
@@ -60,16 +61,24 @@
         """
         if not self._uses_long_polls or self.failed_polls:
             return 0.0
-        proving = self._proof_manager.poll_times
-        return self._settings.poll_times.hold_seconds if proving is None else proving.hold_seconds
+        proof_poll_times = self._proof_manager.poll_times
+        return (
+            self._settings.poll_times.hold_seconds
+            if proof_poll_times is None
+            else proof_poll_times.hold_seconds
+        )
 
     def timeout_seconds(self, hold_seconds: float) -> float:
         """Return the timeout of a poll that the store may hold for ``hold_seconds``."""
-        look = self._proof_manager.poll_times or self._settings.poll_times
-        return look.long_poll_timeout_seconds if hold_seconds > 0.0 else look.timeout_seconds
+        poll_times = self._proof_manager.poll_times or self._settings.poll_times
+        return (
+            poll_times.long_poll_timeout_seconds
+            if hold_seconds > 0.0
+            else poll_times.timeout_seconds
+        )
 
     def max_pause_seconds(self, now: float) -> float:
-        """Return the maximum time by which the next poll may be postponed."""
+        """Return the maximum time until the next poll."""
         return max(self._proof_manager.poll_deadline() - self.hold_seconds - now, 0.0)
 
     def backoff_seconds(self, is_listed: bool) -> float:
@@ -84,10 +93,10 @@
         pause = settings.poll_times.first_backoff_seconds * 2.0 ** min(self.failed_polls, 6)
         if not is_listed:
             return min(pause, settings.initial_backoff_seconds)
-        most = settings.poll_times.max_backoff_seconds
+        max_seconds = settings.poll_times.max_backoff_seconds
         if self.is_urgent:
-            most = min(most, settings.urgent_backoff_seconds)
-        return min(pause, most)
+            max_seconds = min(max_seconds, settings.urgent_backoff_seconds)
+        return min(pause, max_seconds)
 
     def update_received(self) -> None:
         """Record that an update of another node was applied."""
--- a/wingquay/forwarding/knowledge/poll_times.py
+++ b/wingquay/forwarding/knowledge/poll_times.py
@@ -39,8 +39,8 @@
     drain_seconds
         Time after which a replica that the store reports as leaving must receive no more requests.
     """
-    back_seconds = REWRITE_SECONDS + poll_interval_seconds + POLL_SECONDS
-    return max(min(back_seconds, drain_seconds - IN_FLIGHT_RESERVE_SECONDS), 0.0)
+    rewritten_seconds = REWRITE_SECONDS + poll_interval_seconds + POLL_SECONDS
+    return max(min(rewritten_seconds, drain_seconds - IN_FLIGHT_RESERVE_SECONDS), 0.0)
 
 
 DEFAULT_CONTACT_SECONDS = 4.0
--- a/wingquay/forwarding/knowledge/proof_manager.py
+++ b/wingquay/forwarding/knowledge/proof_manager.py
@@ -33,14 +33,16 @@
 
     def __init__(
         self,
-        looks: ProofPollTimes | None,
+        poll_times: ProofPollTimes | None,
         rank_seconds: Callable[[], float],
         next_answer_at: Callable[[float], float],
         first_number: int = 0,
     ) -> None:
-        self._looks = looks
+        self._poll_times = poll_times
         self._rank_seconds = rank_seconds
-        self._timed = None if looks is None else TimedProof(looks.bound_seconds, next_answer_at)
+        self._timed = (
+            None if poll_times is None else TimedProof(poll_times.bound_seconds, next_answer_at)
+        )
         self._sent = SentProofRequests(first_number)
         self._received = ReceivedProofRequests()
         self._has_tenants = False
@@ -56,7 +58,7 @@
     @property
     def poll_times(self) -> ProofPollTimes | None:
         """The polls that keep the bound; ``None``: no proof is required."""
-        return self._looks if self._has_tenants else None
+        return self._poll_times if self._has_tenants else None
 
     def configure(self, table: RoutingTable) -> None:
         """Apply a configuration."""
@@ -83,8 +85,8 @@
         """
         if self._timed is None or begun_at is None:
             return []
-        told = self._received.answers(begun_at, store_revision, now)
-        return [*self._extend_proof(self._timed, begun_at, now), *told]
+        answers = self._received.answers(begun_at, store_revision, now)
+        return [*self._extend_proof(self._timed, begun_at, now), *answers]
 
     def poll_failed(self, reason: str) -> None:
         """Record why the proof may not be extended for a while."""
@@ -107,23 +109,23 @@
         return [] if self.poll_times is None else self._sent.handle_update_from(sender, now)
 
     def handle_request(
-        self, sender: NodeIdentity, ask: AskProof, known_revision: int | None, now: float
+        self, sender: NodeIdentity, request: AskProof, known_revision: int | None, now: float
     ) -> list[Action]:
         """Handle a proof request: record it, and answer at once if the configuration is proven."""
         if self._timed is None:
             return []
-        self._received.record(sender, ask, now)
+        self._received.record(sender, request, now)
         if known_revision is None or not self._timed.is_proven(now):
             return []
         held_seconds = self._timed.proven_as_of - now
-        return [SendToPeer(sender, ProofGiven(ask.number, held_seconds, known_revision))]
+        return [SendToPeer(sender, ProofGiven(request.number, held_seconds, known_revision))]
 
     def handle_proof(
-        self, sender: NodeIdentity, given: ProofGiven, known_revision: int | None, now: float
+        self, sender: NodeIdentity, proof: ProofGiven, known_revision: int | None, now: float
     ) -> list[Action]:
         """Extend the proof by another node's poll, if this node has all its changes."""
-        as_of = self._sent.proven_as_of(sender, given, now)
-        is_known = known_revision is not None and known_revision >= given.store_revision
+        as_of = self._sent.proven_as_of(sender, proof, now)
+        is_known = known_revision is not None and known_revision >= proof.store_revision
         if self._timed is None or as_of is None or not is_known:
             return []
         return self._extend_proof(self._timed, as_of, now)
@@ -142,11 +144,11 @@
         age_seconds = now - timed.proven_as_of
         if not timed.extend(as_of, now):
             return []
-        lines = self.check(now)
+        logs = self.check(now)
         self._reason = NO_POLL_REASON
         if self.poll_times is None or age_seconds == float("inf"):
-            return lines
-        return [*lines, Observe("configuration_proof_age_seconds", age_seconds)]
+            return logs
+        return [*logs, Observe("configuration_proof_age_seconds", age_seconds)]
 
     def check(self, now: float) -> list[Action]:
         """Log and count when the configuration becomes unproven or proven again."""
--- a/wingquay/forwarding/knowledge/proof_poll_times.py
+++ b/wingquay/forwarding/knowledge/proof_poll_times.py
@@ -82,25 +82,25 @@
     timeout_seconds = min(
         LONG_POLL_ANSWER_SECONDS, poll_times.timeout_seconds, bound_seconds * MAX_TIMEOUT_SHARE
     )
-    try_seconds = min(
+    retry_seconds = min(
         timeout_seconds + poll_times.first_backoff_seconds, bound_seconds * MAX_RETRY_SHARE
     )
     reserve_seconds = min(
         RETRY_ANSWER_SECONDS + MAX_RANK_SECONDS + BOUND_RESERVE_SECONDS,
         bound_seconds * MAX_RESERVE_SHARE,
     )
-    own_poll_seconds = bound_seconds - try_seconds - reserve_seconds
+    own_poll_seconds = bound_seconds - retry_seconds - reserve_seconds
     if mode is ProofPollMode.SHORT:
         shared_seconds = own_poll_seconds * SHORT_POLL_SHARE
         return ProofPollTimes(
             bound_seconds, own_poll_seconds, shared_seconds, 0.0, timeout_seconds, timeout_seconds
         )
-    most_seconds = own_poll_seconds * MAX_HOLD_SHARE
-    hold_seconds = min(MAX_PROOF_HOLD_SECONDS, poll_times.hold_seconds, most_seconds)
+    max_period_seconds = own_poll_seconds * MAX_HOLD_SHARE
+    hold_seconds = min(MAX_PROOF_HOLD_SECONDS, poll_times.hold_seconds, max_period_seconds)
     return ProofPollTimes(
         bound_seconds,
         own_poll_seconds,
-        min(shared_poll_interval_seconds, most_seconds),
+        min(shared_poll_interval_seconds, max_period_seconds),
         hold_seconds,
         hold_seconds + timeout_seconds,
         timeout_seconds,
--- a/wingquay/forwarding/knowledge/proof_requests.py
+++ b/wingquay/forwarding/knowledge/proof_requests.py
@@ -1,9 +1,10 @@
 """Requests by which one node's poll of the store proves the configuration of other nodes.
 
-The polling node answers with the time for which it had held the request when its poll started, by
-its own clock. The request was received after it was sent, so by the requester's clock the poll
-started no earlier than that time after the sending. This holds whatever the message delays, and
-also for a poll that started before the request arrived: the held time is then negative.
+The polling node answers each request with ``held_seconds``: the time from the arrival of the
+request to the start of the poll, by its own clock (negative if the poll started first). A request
+arrives after it was sent, so the poll started no earlier than ``held_seconds`` after the sending,
+by the clock of the requesting node. The bound holds whatever the delays of the messages, and the
+two clocks need not agree.
 """
 
 from collections.abc import Collection
@@ -49,7 +50,7 @@
     def send_requests(self, nodes: Collection[NodeIdentity], now: float) -> list[Action]:
         """Send a request to each of the nodes whose last request is old enough."""
         due = [node for node in nodes if self._is_due(node, now)]
-        self._forget_old(now)
+        self._discard_expired(now)
         if not due:
             return []
         self._number += 1
@@ -68,18 +69,18 @@
             del self._peers[node.node_id]
         return self.send_requests([node], now)
 
-    def proven_as_of(self, sender: NodeIdentity, given: ProofGiven, now: float) -> float | None:
+    def proven_as_of(self, sender: NodeIdentity, proof: ProofGiven, now: float) -> float | None:
         """Return the time as of which an answer proves the configuration.
 
         ``None``: it answers no valid request of this incarnation.
         """
-        sent_at = self._sent_at.get(given.number)
+        sent_at = self._sent_at.get(proof.number)
         if sent_at is None or now - sent_at > REQUEST_VALID_SECONDS:
             return None
         peer = self._peers.get(sender.node_id)
         if peer is not None:
             peer.answered_at = now
-        return sent_at + given.held_seconds
+        return sent_at + proof.held_seconds
 
     def link_broken(self, node_id: str) -> None:
         """Discard the requests to a node, which may be lost."""
@@ -89,7 +90,7 @@
         peer = self._peers.get(node.node_id)
         return peer is None or now - peer.requested_at >= REQUEST_INTERVAL_SECONDS
 
-    def _forget_old(self, now: float) -> None:
+    def _discard_expired(self, now: float) -> None:
         for number in [
             key for key, at in self._sent_at.items() if now - at > REQUEST_VALID_SECONDS
         ]:
@@ -117,19 +118,22 @@
     def __init__(self) -> None:
         self._requests: dict[str, _ReceivedRequest] = {}
 
-    def record(self, sender: NodeIdentity, ask: AskProof, now: float) -> None:
+    def record(self, sender: NodeIdentity, request: AskProof, now: float) -> None:
         """Record a request."""
         if sender.node_id in self._requests or len(self._requests) < MAX_REQUESTING_NODES:
-            self._requests[sender.node_id] = _ReceivedRequest(sender, ask.number, now)
+            self._requests[sender.node_id] = _ReceivedRequest(sender, request.number, now)
 
     def answers(self, begun_at: float, store_revision: int, now: float) -> list[Action]:
         """Return the answers to all valid requests after a poll that started at ``begun_at``."""
-        for node_id, ask in list(self._requests.items()):
-            if now - ask.received_at > REQUEST_VALID_SECONDS:
+        for node_id, request in list(self._requests.items()):
+            if now - request.received_at > REQUEST_VALID_SECONDS:
                 del self._requests[node_id]
         return [
-            SendToPeer(ask.node, ProofGiven(ask.number, begun_at - ask.received_at, store_revision))
-            for ask in self._requests.values()
+            SendToPeer(
+                request.node,
+                ProofGiven(request.number, begun_at - request.received_at, store_revision),
+            )
+            for request in self._requests.values()
         ]
 
     def link_broken(self, node_id: str) -> None:
--- a/wingquay/forwarding/knowledge/store_follower.py
+++ b/wingquay/forwarding/knowledge/store_follower.py
@@ -86,16 +86,16 @@
 
     def set_poll_interval(self, seconds: float | None, now: float) -> list[Action]:
         """Set the poll interval; ``None``: the usual one."""
-        wanted = self._settings.poll_interval_seconds if seconds is None else seconds
-        if wanted == self._schedule.wanted_interval_seconds:
+        interval_seconds = self._settings.poll_interval_seconds if seconds is None else seconds
+        if interval_seconds == self._schedule.requested_interval_seconds:
             return []
-        self._schedule.wanted_interval_seconds = wanted
+        self._schedule.requested_interval_seconds = interval_seconds
         if not self._is_watching or now >= self._poll_at:
             # A poll under way returns all changes at once; the next one uses the new interval.
             return []
         return [StopWatch(self._watch_id), *self._watch(now, self._pause_seconds(now))]
 
-    def apply_update(self, news: StoreNews, pause_seconds: float, now: float) -> list[Action]:
+    def apply_update(self, update: StoreNews, pause_seconds: float, now: float) -> list[Action]:
         """Apply an update of another node and postpone the next poll.
 
         Updates that start after the known revision or end before it are ignored: the next poll
@@ -106,16 +106,16 @@
         pause_seconds
             Time until the next poll, unless another update arrives; 0: it is not postponed.
         """
-        seen = self._copy.revision
-        if not self._copy.is_listed or seen is None:
+        known_revision = self._copy.revision
+        if not self._copy.is_listed or known_revision is None:
             return []
-        if news.from_revision > seen:
-            return [self._skipped_update_log(news, seen, now)]
-        if seen > news.store_revision:
+        if update.from_revision > known_revision:
+            return [self._skipped_update_log(update, known_revision, now)]
+        if known_revision > update.store_revision:
             return []
         self._schedule.update_received()
-        self._copy.apply(news.changed, news.deleted, news.store_revision)
-        actions = self._hooks.on_changes(news.changed, news.deleted, now)
+        self._copy.apply(update.changed, update.deleted, update.store_revision)
+        actions = self._hooks.on_changes(update.changed, update.deleted, now)
         return actions + self.postpone_poll(pause_seconds, now)
 
     def postpone_poll(self, pause_seconds: float, now: float) -> list[Action]:
@@ -138,8 +138,8 @@
         answer_at = self._poll_at + self._watch_hold_seconds + USUAL_ANSWER_SECONDS
         if now < answer_at:
             return answer_at
-        lost_at = self._poll_at + self._schedule.timeout_seconds(self._watch_hold_seconds)
-        return lost_at + self._settings.poll_times.first_backoff_seconds + USUAL_ANSWER_SECONDS
+        times_out_at = self._poll_at + self._schedule.timeout_seconds(self._watch_hold_seconds)
+        return times_out_at + self._settings.poll_times.first_backoff_seconds + USUAL_ANSWER_SECONDS
 
     @property
     def known_revision(self) -> int | None:
@@ -245,7 +245,7 @@
         self._copy.apply(event.changed, event.deleted, event.store_revision)
         actions = self._hooks.on_changes(event.changed, event.deleted, now)
         proof_answers = self._proof_manager.poll_answered(begun_at, event.store_revision, now)
-        news = StoreNews(
+        update = StoreNews(
             before,
             event.store_revision,
             event.changed,
@@ -253,7 +253,7 @@
             self._age_seconds(poll_due_at, now),
             event.may_have_more,
         )
-        actions += [*self._hooks.on_poll(news, now), *proof_answers]
+        actions += [*self._hooks.on_poll(update, now), *proof_answers]
         self._schedule.poll_answered()
         is_same_interval = self._watch_interval_seconds == self._schedule.interval_seconds
         is_same_hold = self._watch_hold_seconds == self._schedule.hold_seconds
@@ -300,11 +300,11 @@
             Schedule(due_at, FollowRetryDue(self._operation_id)),
         ]
 
-    def _skipped_update_log(self, news: StoreNews, seen_revision: int, now: float) -> Log:
+    def _skipped_update_log(self, update: StoreNews, known_revision: int, now: float) -> Log:
         """Return the log line for an update that leaves a gap after the known revision."""
         fields = (
-            ("known_revision", seen_revision),
-            ("from_revision", news.from_revision),
+            ("known_revision", known_revision),
+            ("from_revision", update.from_revision),
             ("failures", self._schedule.failed_polls),
             ("since_answer_ms", self._since_answer_ms(now)),
         )
--- a/wingquay/forwarding/knowledge/update_exchange.py
+++ b/wingquay/forwarding/knowledge/update_exchange.py
@@ -45,39 +45,39 @@
         self.rewritten: set[str] = set()
         """Keys of replica entries that the last changes wrote again with the same contents."""
 
-    def send_update(self, news: StoreNews, now: float) -> list[Action]:
+    def send_update(self, changes: StoreNews, now: float) -> list[Action]:
         """Send the changes that this node polled to the other nodes of its group."""
         recipients = self._members.update_recipients()
         if not recipients:
             return []
         update = StoreNews(
-            news.from_revision,
-            news.store_revision,
+            changes.from_revision,
+            changes.store_revision,
             tuple(
                 item
-                for item in news.changed
-                if item.key not in self.rewritten or item.created_at > news.from_revision
+                for item in changes.changed
+                if item.key not in self.rewritten or item.created_at > changes.from_revision
             ),
-            news.deleted,
-            max(news.age_seconds, self._processing_lag.seconds(now)),
-            news.may_have_more,
+            changes.deleted,
+            max(changes.age_seconds, self._processing_lag.seconds(now)),
+            changes.may_have_more,
         )
         sent: list[Action] = [SendToPeer(recipient, update) for recipient in recipients]
         return [*sent, Count("store_news_total", len(recipients), (("side", "told"),))]
 
-    def receive_update(self, news: StoreNews, now: float) -> list[Action]:
+    def receive_update(self, update: StoreNews, now: float) -> list[Action]:
         """Apply an update of another node and postpone the next poll.
 
         The postponement is shortened by the known age of the update: the delay at the sender and
         the lag of this node.
         """
-        age_seconds = news.age_seconds + self._processing_lag.seconds(now)
+        age_seconds = update.age_seconds + self._processing_lag.seconds(now)
         pause_seconds = self._usual_pause_seconds - age_seconds
-        if news.may_have_more or age_seconds >= self._settings.max_update_age_seconds:
+        if update.may_have_more or age_seconds >= self._settings.max_update_age_seconds:
             pause_seconds = 0.0
-        actions = self._follower.apply_update(news, pause_seconds, now)
-        is_put_off = any(isinstance(action, StartWatch) for action in actions)
-        side = "look_put_off" if is_put_off else "heard"
+        actions = self._follower.apply_update(update, pause_seconds, now)
+        is_postponed = any(isinstance(action, StartWatch) for action in actions)
+        side = "look_put_off" if is_postponed else "heard"
         return [*actions, Count("store_news_total", labels=(("side", side),))]
 
     def handle_proof_message(
--- a/wingquay/forwarding/readiness/decision.py
+++ b/wingquay/forwarding/readiness/decision.py
@@ -18,13 +18,13 @@
 class DecisionReason(Enum):
     """Why a node stays in service or leaves it."""
 
-    IN_REACH = "other_zones_in_reach"
-    ONE_ZONE = "no_other_zone"
-    NEIGHBOURS_REACH = "nodes_of_the_zone_reach_others"
+    OTHERS_REACHABLE = "other_zones_in_reach"
+    SINGLE_ZONE = "no_other_zone"
+    NEIGHBOUR_CONNECTED = "nodes_of_the_zone_reach_others"
     ENOUGH_ANSWERABLE = "holds_what_callers_ask"
     NO_GAIN = "others_could_not_answer_more"
     FEW_ZONES = "one_other_zone_may_be_down"
-    LAST_ZONE = "zone_that_stays"
+    FALLBACK_ZONE = "zone_that_stays"
     UNKNOWN = "nobody_else_is_known"
     ZONE_CUT_OFF = "zone_cut_off"
     NODE_CUT_OFF = "node_cut_off"
@@ -38,7 +38,7 @@
 class OwnZoneStatus(Enum):
     """Whether a node reaches its own zone."""
 
-    IN_REACH = "in_reach"
+    REACHABLE = "in_reach"
     """A replica or another node of the zone answers."""
     SILENT = "silent"
     """The zone has replicas or other nodes, but none answers."""
@@ -64,8 +64,9 @@
         Share of recent demand (0 to 1) that the node can answer with the replicas in reach.
     share_elsewhere
         The same for a node in the other zones, provided that these reach each other.
-    is_last_zone
-        Whether this zone must stay in service if all zones lose contact.
+    is_fallback_zone
+        Whether the zone is the one that stays in service if all zones lose contact, and reaches
+        the store.
     """
 
     other_zones: tuple[str, ...]
@@ -74,7 +75,7 @@
     connected_neighbour: str
     share_here: float
     share_elsewhere: float
-    is_last_zone: bool
+    is_fallback_zone: bool
 
 
 def decide(inputs: DecisionInputs) -> DecisionReason:
@@ -84,11 +85,11 @@
     from its neighbours, and those zones can answer more of the demand.
     """
     if not inputs.other_zones:
-        return DecisionReason.ONE_ZONE
+        return DecisionReason.SINGLE_ZONE
     if len(inputs.unreachable_zones) < len(inputs.other_zones):
-        return DecisionReason.IN_REACH
+        return DecisionReason.OTHERS_REACHABLE
     if inputs.connected_neighbour:
-        return DecisionReason.NEIGHBOURS_REACH
+        return DecisionReason.NEIGHBOUR_CONNECTED
     if inputs.share_here >= MIN_ANSWERABLE_SHARE:
         return DecisionReason.ENOUGH_ANSWERABLE
     if inputs.share_elsewhere < inputs.share_here + MIN_SHARE_GAIN:
@@ -105,4 +106,4 @@
             return DecisionReason.UNKNOWN
     if len(inputs.other_zones) < MIN_OTHER_ZONES:
         return DecisionReason.FEW_ZONES
-    return DecisionReason.LAST_ZONE if inputs.is_last_zone else DecisionReason.ZONE_CUT_OFF
+    return DecisionReason.FALLBACK_ZONE if inputs.is_fallback_zone else DecisionReason.ZONE_CUT_OFF
--- a/wingquay/forwarding/readiness/departure.py
+++ b/wingquay/forwarding/readiness/departure.py
@@ -14,7 +14,7 @@
 MAX_AWAY_SECONDS = 10.0
 """Time out of service after which a node returns for a trial whatever its decision, so that an
 unforeseen failure can't take all zones out of service for good."""
-LAST_ZONE_AWAY_SECONDS = 4.0
+FALLBACK_ZONE_AWAY_SECONDS = 4.0
 """The same for the zone that stays in service if all zones lose contact."""
 TRIAL_SECONDS = 2.0
 """Duration of such a trial: two readiness checks of the platform."""
@@ -40,7 +40,7 @@
         self._left_at: float | None = None
         self._returned_at = float("-inf")
         self._is_trial = False
-        self._least_away_seconds = MIN_AWAY_SECONDS
+        self._min_away_seconds = MIN_AWAY_SECONDS
 
     @property
     def is_away(self) -> bool:
@@ -62,22 +62,22 @@
             else ConnectionClosing.KEEP
         )
 
-    def update(self, should_leave: bool, now: float, is_first_zone: bool = False) -> bool:
+    def update(self, should_leave: bool, now: float, is_fallback_zone: bool = False) -> bool:
         """Leave service or return if the time limits allow it; return whether that changed.
 
         Parameters
         ----------
         should_leave
             Whether the current decision requires the node to leave service.
-        is_first_zone
+        is_fallback_zone
             Whether this zone stays in service if all zones lose contact.
         """
         if self._left_at is None:
             return should_leave and self._leave(now)
         away_seconds = now - self._left_at
-        max_seconds = LAST_ZONE_AWAY_SECONDS if is_first_zone else MAX_AWAY_SECONDS
+        max_seconds = FALLBACK_ZONE_AWAY_SECONDS if is_fallback_zone else MAX_AWAY_SECONDS
         is_trial = should_leave and away_seconds >= max_seconds
-        if not is_trial and (should_leave or away_seconds < self._least_away_seconds):
+        if not is_trial and (should_leave or away_seconds < self._min_away_seconds):
             return False
         self._left_at = None
         self._returned_at = now
@@ -89,7 +89,7 @@
         if ready_seconds < (TRIAL_SECONDS if self._is_trial else MIN_READY_SECONDS):
             return False
         is_flapping = ready_seconds < FLAPPING_SECONDS and not self._is_trial
-        longer_seconds = min(self._least_away_seconds * 2.0, MAX_MIN_AWAY_SECONDS)
-        self._least_away_seconds = longer_seconds if is_flapping else MIN_AWAY_SECONDS
+        longer_seconds = min(self._min_away_seconds * 2.0, MAX_MIN_AWAY_SECONDS)
+        self._min_away_seconds = longer_seconds if is_flapping else MIN_AWAY_SECONDS
         self._left_at = now
         return True
--- a/wingquay/forwarding/readiness/node_readiness.py
+++ b/wingquay/forwarding/readiness/node_readiness.py
@@ -30,7 +30,7 @@
 
 
 class RequestServer(Protocol):
-    """Serves requests; it is told when the node stops."""
+    """The part of the node that serves requests."""
 
     is_stopping: bool
 
--- a/wingquay/forwarding/readiness/reachability_monitor.py
+++ b/wingquay/forwarding/readiness/reachability_monitor.py
@@ -99,7 +99,7 @@
         for zone in self._evidence.take_answered_zones():
             actions += self._prober.zone_answered(zone, now)
         if not self._prober.is_checking and self._evidence.suggests_outage(now):
-            actions += self._prober.begin(now)
+            actions += self._prober.begin_check(now)
         may_change_decision = not self._departure.is_away or isinstance(event, ConnectionTried)
         if may_change_decision and self._prober.answering_zones():
             actions += self._update(now)
@@ -155,7 +155,7 @@
         reason = decide(inputs)
         actions: list[Action] = []
         away_seconds = self._departure.away_seconds(now)
-        if self._departure.update(reason.should_leave, now, self._is_first_zone):
+        if self._departure.update(reason.should_leave, now, self._is_fallback_zone):
             actions = self._log_move(reason, inputs, away_seconds, now)
         elif (
             reason is not self._last_reason and not reason.should_leave and inputs.unreachable_zones
@@ -163,10 +163,10 @@
             actions = [_decision_log("node_stays_in_service", LogLevel.INFO, reason, inputs)]
         self._last_reason = reason
         if not self._departure.is_away and reason in (
-            DecisionReason.IN_REACH,
-            DecisionReason.ONE_ZONE,
+            DecisionReason.OTHERS_REACHABLE,
+            DecisionReason.SINGLE_ZONE,
         ):
-            self._prober.end()
+            self._prober.end_check()
             self._last_reason = None
         return reason, actions
 
@@ -187,11 +187,11 @@
             self._share(lost, now),
             self._share({self._zone}, now),
             # Without the store, this zone has lost something that other zones may still have.
-            self._is_first_zone and not self._is_store_away,
+            self._is_fallback_zone and not self._is_store_away,
         )
 
     @property
-    def _is_first_zone(self) -> bool:
+    def _is_fallback_zone(self) -> bool:
         """Whether this zone stays in service if all zones lose contact."""
         return self._zone == self._peers.zones()[0]
 
--- a/wingquay/forwarding/readiness/zone_prober.py
+++ b/wingquay/forwarding/readiness/zone_prober.py
@@ -123,7 +123,7 @@
     def own_zone_status(self) -> OwnZoneStatus:
         """Return whether this node reaches its own zone."""
         if self._zone_state(self._zone).answered_at >= self.checking_since:
-            return OwnZoneStatus.IN_REACH
+            return OwnZoneStatus.REACHABLE
         has_others = self._zone in self._replicas or bool(self._peers.neighbours())
         return OwnZoneStatus.SILENT if has_others else OwnZoneStatus.UNKNOWN
 
@@ -134,8 +134,8 @@
             return ""
         return check.connected_neighbour
 
-    def begin(self, now: float) -> list[Action]:
-        """Start a check, unless one is in progress or a zone has answered just now."""
+    def begin_check(self, now: float) -> list[Action]:
+        """Start a check, unless one is in progress or a zone has answered recently."""
         if self._check is not None or self._fresh_zones(now):
             return []
         self._replicas = self._directory.by_zone(now)
@@ -147,7 +147,7 @@
             zone.failures = 0
         return self.next_round(now)
 
-    def end(self) -> None:
+    def end_check(self) -> None:
         """End the check: other zones are reachable and the node is in service."""
         self._check = None
         self._evidence.end_check()
@@ -191,9 +191,9 @@
 
     def zone_answered(self, zone: str, now: float) -> list[Action]:
         """Record an answer from a zone and notify the nodes that queried this one."""
-        known = self._zone_state(zone)
-        known.failures = 0
-        known.answered_at = now
+        state = self._zone_state(zone)
+        state.failures = 0
+        state.answered_at = now
         check = self._check
         if check is None or zone == self._zone:
             return []
@@ -217,7 +217,7 @@
         """Handle the report of a node of the same zone."""
         for zone in report.out_zones:
             self._zone_state(zone).neighbour_evidence_at = now
-        actions = self.begin(now) if report.out_zones else []
+        actions = self.begin_check(now) if report.out_zones else []
         check = self._check
         if check is None:
             return actions
@@ -266,15 +266,15 @@
 
     def _was_reached(self, zone: str, now: float) -> bool:
         """Whether this node, or recently a neighbour, has ever reached a zone."""
-        known = self._zone_state(zone)
-        if zone in self._zones_seen or known.answered_at > float("-inf"):
+        state = self._zone_state(zone)
+        if zone in self._zones_seen or state.answered_at > float("-inf"):
             return True
-        if now - known.neighbour_evidence_at < NEIGHBOUR_EVIDENCE_SECONDS:
+        if now - state.neighbour_evidence_at < NEIGHBOUR_EVIDENCE_SECONDS:
             return True
         return any(state.answered_at > float("-inf") for state in self._replicas.get(zone, []))
 
     def _fresh_zones(self, now: float) -> tuple[str, ...]:
-        """Return the other zones that have answered just now."""
+        """Return the other zones that have answered within ``FRESH_ANSWER_SECONDS``."""
         return tuple(
             name
             for name, zone in sorted(self._zones.items())
@@ -284,15 +284,15 @@
     def _probe(self, zone: str) -> list[Action]:
         """Open connections to the next replicas of a zone, different ones each round."""
         replicas = self._replicas[zone]
-        known = self._zone_state(zone)
-        if known.next_replica is None:
-            known.next_replica = zlib.crc32(self._name.encode()) % len(replicas)
+        state = self._zone_state(zone)
+        if state.next_replica is None:
+            state.next_replica = zlib.crc32(self._name.encode()) % len(replicas)
         actions: list[Action] = []
         for offset in range(min(PROBES_PER_ZONE, len(replicas))):
-            record = replicas[(known.next_replica + offset) % len(replicas)].record
+            record = replicas[(state.next_replica + offset) % len(replicas)].record
             self._probed[record.life] = zone
             actions.append(OpenConnection(record))
-        known.next_replica += PROBES_PER_ZONE
+        state.next_replica += PROBES_PER_ZONE
         return actions
 
     def _zone_state(self, zone: str) -> ZoneState:
