--- a/wingquay/forwarding/knowledge/node_groups.py
+++ b/wingquay/forwarding/knowledge/node_groups.py
@@ -210,8 +210,8 @@
             return names
         names = sorted(self._members)
         position = names.index(self._name)
-        around = names[position:] + names[:position]
-        return sorted(around[: self._settings.update_max_recipients])
+        ring = names[position:] + names[:position]
+        return sorted(ring[: self._settings.update_max_recipients])
 
     def _group_names(self) -> list[str]:
         """Return the sorted names of this node's group; empty while this node has no address."""
--- a/wingquay/forwarding/readiness/peer_selector.py
+++ b/wingquay/forwarding/readiness/peer_selector.py
@@ -28,9 +28,9 @@
 
     def neighbours(self) -> list[NodeIdentity]:
         """Return the other nodes of the zone in a ring by name, starting after this node."""
-        near = [(name, node) for zone, name, node in self._nodes() if zone == self._zone]
-        after = [node for name, node in near if name > self._name]
-        return after + [node for name, node in near if name < self._name]
+        same_zone = [(name, node) for zone, name, node in self._nodes() if zone == self._zone]
+        after = [node for name, node in same_zone if name > self._name]
+        return after + [node for name, node in same_zone if name < self._name]
 
     def gossip_targets(self) -> list[NodeIdentity]:
         """Return the neighbours at distances 1, 2, 4 and so on in the ring.
--- a/wingquay/forwarding/readiness/reachability_monitor.py
+++ b/wingquay/forwarding/readiness/reachability_monitor.py
@@ -23,7 +23,7 @@
 
 STORE_UNREACHABLE_KINDS = (StoreFailureKind.UNREACHABLE, StoreFailureKind.LOST_REPLY)
 """Failures that mean the store is unreachable; a store that rejects a call is not."""
-LATE_SECONDS = 0.15
+MAX_ROUND_LAG_SECONDS = 0.15
 """Lag of this node from which on the results of a probe round are not used."""
 
 
@@ -63,7 +63,7 @@
         self._peers = PeerSelector(settings.zone, name)
         self._prober = ZoneProber(settings.zone, name, directory, evidence, self._peers)
         self._table: RoutingTable | None = None
-        self._is_store_away = False
+        self._is_store_unreachable = False
         self._last_reason: DecisionReason | None = None
 
     def set_table(self, table: RoutingTable) -> None:
@@ -111,8 +111,8 @@
                 return self._prober.connection_tried(event, now)
             case ForwardRequested():
                 self._record_demand(event, now)
-            case PeerReceived(sender=sender, message=ReachNews() as news):
-                return self._prober.handle_report(sender, news, now)
+            case PeerReceived(sender=sender, message=ReachNews() as report):
+                return self._prober.handle_report(sender, report, now)
             case ProbeRoundDue():
                 return self._end_round(event, now)
             case StoreResponse() | WatchBroken() | WatchChanged():
@@ -127,17 +127,17 @@
     def _record_store_state(self, event: StoreResponse | WatchBroken | WatchChanged) -> None:
         match event:
             case WatchChanged():
-                self._is_store_away = False
+                self._is_store_unreachable = False
             case WatchBroken(history_lost=history_lost):
-                self._is_store_away = not history_lost
+                self._is_store_unreachable = not history_lost
             case StoreResponse(result=result):
                 kind = result.kind if isinstance(result, Failure) else None
-                self._is_store_away = kind in STORE_UNREACHABLE_KINDS
+                self._is_store_unreachable = kind in STORE_UNREACHABLE_KINDS
 
     def _end_round(self, event: ProbeRoundDue, now: float) -> list[Action]:
         if not self._prober.is_current_round(event):
             return []
-        if now - event.due_at >= LATE_SECONDS:
+        if now - event.due_at >= MAX_ROUND_LAG_SECONDS:
             return self._prober.next_round(now, queries_nodes=not self._departure.is_away)
         reason, actions = self._decide(now)
         if not self._prober.is_checking:
@@ -174,7 +174,7 @@
         prober = self._prober
         unreachable_zones = prober.unreachable_zones(now)
         own_zone_status = prober.own_zone_status()
-        lost = (
+        excluded_zones = (
             {*unreachable_zones, self._zone}
             if own_zone_status is OwnZoneStatus.SILENT
             else set(unreachable_zones)
@@ -184,10 +184,10 @@
             unreachable_zones,
             own_zone_status,
             prober.connected_neighbour(now),
-            self._share(lost, now),
+            self._share(excluded_zones, now),
             self._share({self._zone}, now),
             # Without the store, this zone has lost something that other zones may still have.
-            self._is_fallback_zone and not self._is_store_away,
+            self._is_fallback_zone and not self._is_store_unreachable,
         )
 
     @property
@@ -226,7 +226,7 @@
     *fields: tuple[str, float],
 ) -> Log:
     """Return a log line with the inputs of a decision."""
-    known = (
+    input_fields = (
         ("why", reason.value),
         ("unreachable_zones", ",".join(inputs.unreachable_zones) or "none"),
         ("other_zones", len(inputs.other_zones)),
@@ -235,4 +235,4 @@
         ("share_here", round(inputs.share_here, 3)),
         ("share_elsewhere", round(inputs.share_elsewhere, 3)),
     )
-    return Log(message, level, (*known, *fields))
+    return Log(message, level, (*input_fields, *fields))
--- a/wingquay/forwarding/readiness/zone_prober.py
+++ b/wingquay/forwarding/readiness/zone_prober.py
@@ -271,7 +271,7 @@
             return True
         if now - state.neighbour_evidence_at < NEIGHBOUR_EVIDENCE_SECONDS:
             return True
-        return any(state.answered_at > float("-inf") for state in self._replicas.get(zone, []))
+        return any(item.answered_at > float("-inf") for item in self._replicas.get(zone, []))
 
     def _fresh_zones(self, now: float) -> tuple[str, ...]:
         """Return the other zones that have answered within ``FRESH_ANSWER_SECONDS``."""
