--- a/tests/forwarding/readiness/test_partitioned_zone.py
+++ b/tests/forwarding/readiness/test_partitioned_zone.py
@@ -13,7 +13,7 @@
 )
 from wingquay.ports.forwarding import OpenConnection, ReplyFailure, ReplyMerged
 from wingquay.ports.peer_link import PeerLinkBroken, SendToPeer
-from wingquay.ports.reach_news import ReachNews
+from wingquay.ports.reachability_messages import ReachabilityReport
 
 ZONES = ("a", "b", "c", "d")
 SHARDS = 12
@@ -353,7 +353,7 @@
             actions = [action for node in fleet.nodes for action in node.actions]
             counts[is_enabled] = sum(isinstance(action, OpenConnection) for action in actions)
             sent = [action.message for action in actions if isinstance(action, SendToPeer)]
-            self.assertEqual(0, sum(isinstance(message, ReachNews) for message in sent))
+            self.assertEqual(0, sum(isinstance(message, ReachabilityReport) for message in sent))
         self.assertEqual(counts[False], counts[True])
 
 
--- a/tests/forwarding/test_callers_stateful.py
+++ b/tests/forwarding/test_callers_stateful.py
@@ -81,7 +81,7 @@
         routes = (
             single_route(timeout_seconds=1.0),
             single_route("/open/", is_public=True, timeout_seconds=1.0),
-            sharded_route(3, least_share=0.6),
+            sharded_route(3, min_share=0.6),
         )
         plain = table(self.version, *routes)
         if self.holders is None:
@@ -160,7 +160,7 @@
         if answer is OVER_LIMIT and is_open:
             self.rejected.add(number)
         for action in self.node.machine._forwarding.limit_answered(number, answer, self.node.now):
-            self.node._take(action)
+            self.node._apply_action(action)
 
     @rule(data=st.data())
     def caller_leaves(self, data: st.DataObject) -> None:
--- a/tests/forwarding/test_configuration_proof.py
+++ b/tests/forwarding/test_configuration_proof.py
@@ -10,7 +10,7 @@
 from wingquay.model.failure import Failure
 from wingquay.model.routing_table import CallerLimits, RoutingTable
 from wingquay.model.tenants import Tenant, TenantDirectory
-from wingquay.ports.machine import Start, Woken
+from wingquay.ports.machine import ProcessResumed, Start
 from wingquay.ports.peer_snapshot import PeerSnapshot
 from wingquay.ports.store import (
     StartWatch,
@@ -20,7 +20,7 @@
     WatchBroken,
     WatchChanged,
 )
-from wingquay.ports.store_news import StoreNews
+from wingquay.ports.store_update import StoreUpdate
 
 BOUND_SECONDS = 5.0
 SERVED_SECONDS = 4.9
@@ -167,7 +167,7 @@
         node = strict_node()
         for _ in range(40):
             node.advance(0.1)
-            news = StoreNews(node.store_revision, node.store_revision)
+            news = StoreUpdate(node.store_revision, node.store_revision)
             node.machine._follower.apply_update(news, POLL_INTERVAL_SECONDS, node.now)
         self.assertTrue(node.machine._follower.next_answer_at(100.0) < 100.0 + 3.2)
         node.advance(1.0)
@@ -186,7 +186,7 @@
     def test_suspension_ages_the_proof(self) -> None:
         node = strict_node()
         node.now += 8.0
-        node.emit(Woken(8.0))
+        node.emit(ProcessResumed(8.0))
         self.assertFalse(is_proven(node))
         node.advance(0.5)
         expected = [{"age_ms": 8010, "reason": "suspended"}]
--- a/tests/forwarding/test_node_groups.py
+++ b/tests/forwarding/test_node_groups.py
@@ -38,7 +38,7 @@
     groups = NodeGroups(SETTINGS, own)
     for name in names:
         groups.put(name, NodeRecord(identity(name)))
-    groups.set_fan_out(fan_out)
+    groups.set_max_shard_count(fan_out)
     return groups
 
 
@@ -188,19 +188,19 @@
 
     def test_store_is_polled_more_often_while_nodes_join(self) -> None:
         node = self.started(4, StoredValue(CLUSTER_KEY, b"known", 5))
-        usual = node.last(StartWatch).gather_seconds
+        usual = node.last(StartWatch).poll_interval_seconds
         node.advance(0.8)
         self.assertEqual(1, len(self.opened(node)))
         node.emit(PeerLinkOpened(NodeIdentity("node-1-a", "", "a", "10.0.1.1", 7)))
         node.advance(0.5)
-        idle = node.last(StartWatch).gather_seconds
+        idle = node.last(StartWatch).poll_interval_seconds
         node.request("/all/x")
         node.advance(0.5)
         busy = node.last(StartWatch).gather_seconds
         self.assertLess(busy, min(idle, usual))
         node.advance(3.0)
         node.change()
-        self.assertEqual(usual, node.last(StartWatch).gather_seconds)
+        self.assertEqual(usual, node.last(StartWatch).poll_interval_seconds)
 
     def test_polls_are_not_more_frequent_if_node_entries_exist_already(self) -> None:
         others = [
@@ -212,12 +212,12 @@
             for number in range(5)
         ]
         node = self.started(4, StoredValue(CLUSTER_KEY, b"known", 5), *others)
-        usual = node.last(StartWatch).gather_seconds
+        usual = node.last(StartWatch).poll_interval_seconds
         node.advance(0.8)
         node.emit(PeerLinkOpened(NodeIdentity("node-1", "", "a", "10.0.1.1", 7)))
         node.request("/all/x")
         node.advance(1.0)
-        self.assertEqual(usual, node.last(StartWatch).gather_seconds)
+        self.assertEqual(usual, node.last(StartWatch).poll_interval_seconds)
 
     def test_node_entry_is_written_if_the_link_does_not_open(self) -> None:
         node = self.started(4, StoredValue(CLUSTER_KEY, b"known", 5))
--- a/tests/forwarding/test_proof_requests.py
+++ b/tests/forwarding/test_proof_requests.py
@@ -22,9 +22,9 @@
     PeerReceived,
     SendToPeer,
 )
-from wingquay.ports.proof_messages import AskProof, ProofGiven
+from wingquay.ports.proof_messages import ProofReply, ProofRequest
 from wingquay.ports.store import StartWatch, WatchChanged
-from wingquay.ports.store_news import StoreNews
+from wingquay.ports.store_update import StoreUpdate
 
 FIRST_NUMBER = 1_000
 REQUESTED_AT = 100.5
@@ -39,12 +39,12 @@
 def proof_requests_in(actions: list[Action]) -> list[tuple[str, int]]:
     """Return the receivers and numbers of the proof requests."""
     sent = [item for item in actions if isinstance(item, SendToPeer)]
-    return [(i.to.node_id, i.message.number) for i in sent if isinstance(i.message, AskProof)]
+    return [(i.to.node_id, i.message.number) for i in sent if isinstance(i.message, ProofRequest)]
 
 
-def proofs_in(actions: list[Action]) -> list[ProofGiven]:
+def proofs_in(actions: list[Action]) -> list[ProofReply]:
     sent = [item.message for item in actions if isinstance(item, SendToPeer)]
-    return [message for message in sent if isinstance(message, ProofGiven)]
+    return [message for message in sent if isinstance(message, ProofReply)]
 
 
 class SentProofRequestsTest(TestCase):
@@ -76,7 +76,7 @@
         self.assertEqual(1, len(sent_requests.handle_update_from(OTHER_NODE, 0.0)))
         self.assertEqual([], sent_requests.handle_update_from(OTHER_NODE, 2.9))
         self.assertEqual(1, len(sent_requests.handle_update_from(OTHER_NODE, 3.0)))
-        sent_requests.proven_as_of(OTHER_NODE, ProofGiven(FIRST_NUMBER + 2, 1.0, 1), 4.0)
+        sent_requests.proven_as_of(OTHER_NODE, ProofReply(FIRST_NUMBER + 2, 1.0, 1), 4.0)
         self.assertEqual([], sent_requests.handle_update_from(OTHER_NODE, REQUEST_INTERVAL_SECONDS))
 
     def test_only_answers_to_valid_requests_of_this_incarnation_count(self) -> None:
@@ -88,7 +88,7 @@
             (FIRST_NUMBER + 2, 103.0, None),
             (FIRST_NUMBER + 1, 100.1 + REQUEST_VALID_SECONDS, None),
         ):
-            given_proof = ProofGiven(number, 2.5, 1)
+            given_proof = ProofReply(number, 2.5, 1)
             self.assertEqual(expected, sent_requests.proven_as_of(OTHER_NODE, given_proof, now))
 
     def test_incarnations_of_a_node_share_no_request_number(self) -> None:
@@ -106,24 +106,24 @@
 class ReceivedProofRequestsTest(TestCase):
     def test_each_poll_is_answered_with_the_held_time_of_the_latest_request(self) -> None:
         received_requests = ReceivedProofRequests()
-        received_requests.record(OTHER_NODE, AskProof(1), 10.0)
+        received_requests.record(OTHER_NODE, ProofRequest(1), 10.0)
         self.assertEqual(
-            [ProofGiven(1, 2.0, 7)], proofs_in(received_requests.answers(12.0, 7, 13.0))
+            [ProofReply(1, 2.0, 7)], proofs_in(received_requests.answers(12.0, 7, 13.0))
         )
         self.assertEqual(
-            [ProofGiven(1, 5.0, 8)], proofs_in(received_requests.answers(15.0, 8, 15.1))
+            [ProofReply(1, 5.0, 8)], proofs_in(received_requests.answers(15.0, 8, 15.1))
         )
-        received_requests.record(OTHER_NODE, AskProof(2), 16.0)
+        received_requests.record(OTHER_NODE, ProofRequest(2), 16.0)
         self.assertEqual(
-            [ProofGiven(2, -0.5, 9)], proofs_in(received_requests.answers(15.5, 9, 16.1))
+            [ProofReply(2, -0.5, 9)], proofs_in(received_requests.answers(15.5, 9, 16.1))
         )
 
     def test_requests_expire_and_end_with_their_link(self) -> None:
         received_requests = ReceivedProofRequests()
-        received_requests.record(OTHER_NODE, AskProof(1), 10.0)
+        received_requests.record(OTHER_NODE, ProofRequest(1), 10.0)
         received_requests.link_broken(OTHER_NODE.node_id)
         self.assertEqual([], received_requests.answers(11.0, 7, 11.0))
-        received_requests.record(OTHER_NODE, AskProof(2), 12.0)
+        received_requests.record(OTHER_NODE, ProofRequest(2), 12.0)
         late = 12.1 + REQUEST_VALID_SECONDS
         self.assertEqual([], received_requests.answers(late, 7, late))
 
@@ -131,7 +131,7 @@
         received_requests = ReceivedProofRequests()
         for number in range(MAX_REQUESTING_NODES + 5):
             node = NodeIdentity(f"n{number}", "", "a", "10.0.0.1", number)
-            received_requests.record(node, AskProof(number), 1.0)
+            received_requests.record(node, ProofRequest(number), 1.0)
         self.assertEqual(MAX_REQUESTING_NODES, len(received_requests.answers(2.0, 1, 2.0)))
 
     @given(
@@ -155,7 +155,9 @@
         received = sent + delay_there
         sent_requests, received_requests = SentProofRequests(FIRST_NUMBER), ReceivedProofRequests()
         sent_requests.send_requests([OTHER_NODE], sent)
-        received_requests.record(OTHER_NODE, AskProof(FIRST_NUMBER + 1), received + clock_offset)
+        received_requests.record(
+            OTHER_NODE, ProofRequest(FIRST_NUMBER + 1), received + clock_offset
+        )
         answered_at = max(received, begun) + answered
         for message in proofs_in(
             received_requests.answers(begun + clock_offset, 1, answered_at + clock_offset)
@@ -184,7 +186,7 @@
         """Send the node a proof by a poll that started ``age_seconds`` ago."""
         number = proof_requests_in(node.actions)[-1][1]
         held_seconds = node.now - age_seconds - REQUESTED_AT
-        message = ProofGiven(number, held_seconds, revision or node.store_revision)
+        message = ProofReply(number, held_seconds, revision or node.store_revision)
         node.emit(PeerReceived(OTHERS[0], message))
 
     def test_proof_of_another_node_postpones_the_next_poll(self) -> None:
@@ -202,7 +204,7 @@
         self.send_proof(node, 0.1, node.store_revision + 1)
         node.advance(1.0)
         self.assertFalse(node.machine.proof.is_proven(node.now))
-        news = StoreNews(node.store_revision, node.store_revision + 1)
+        news = StoreUpdate(node.store_revision, node.store_revision + 1)
         node.emit(PeerReceived(OTHERS[0], news))
         self.send_proof(node, 1.1, node.store_revision + 1)
         self.assertTrue(node.machine.proof.is_proven(node.now))
@@ -213,7 +215,7 @@
         before = len(node.actions)
         for _ in range(29):
             node.advance(0.1)
-            news = StoreNews(node.store_revision, node.store_revision)
+            news = StoreUpdate(node.store_revision, node.store_revision)
             node.emit(PeerReceived(OTHERS[0], news))
             look_at = node.machine._follower.next_answer_at(node.now) - 0.1
             self.assertTrue(look_at <= begun_at + 3.0 + RANK_SECONDS + 1e-6, look_at - begun_at)
@@ -222,7 +224,7 @@
 
     def test_polling_node_sends_proofs_after_updates(self) -> None:
         node = self.recipient_node()
-        node.emit(PeerReceived(OTHERS[1], AskProof(77)))
+        node.emit(PeerReceived(OTHERS[1], ProofRequest(77)))
         node.advance(1.0)
         before = len(node.actions)
         watch_id = node.last_watch_id
@@ -235,18 +237,18 @@
         ]
         self.assertEqual((OTHERS[1], "ProofGiven"), sent[-1])
         self.assertEqual([(other, "StoreNews") for other in OTHERS], sent[:-1])
-        self.assertEqual([ProofGiven(77, 0.75, revision)], proofs_in(node.actions[before:]))
+        self.assertEqual([ProofReply(77, 0.75, revision)], proofs_in(node.actions[before:]))
 
     def test_request_is_answered_at_once_while_proven(self) -> None:
         node = self.recipient_node()
         node.advance(1.5)
         before = len(node.actions)
-        node.emit(PeerReceived(OTHERS[1], AskProof(77)))
-        expected = [ProofGiven(77, -1.5, node.store_revision)]
+        node.emit(PeerReceived(OTHERS[1], ProofRequest(77)))
+        expected = [ProofReply(77, -1.5, node.store_revision)]
         self.assertEqual(expected, proofs_in(node.actions[before:]))
         node.advance(4.0)
         before = len(node.actions)
-        node.emit(PeerReceived(OTHERS[1], AskProof(78)))
+        node.emit(PeerReceived(OTHERS[1], ProofRequest(78)))
         self.assertEqual([], proofs_in(node.actions[before:]))
 
     def test_request_is_repeated_after_a_broken_link(self) -> None:
@@ -261,7 +263,7 @@
     def test_request_is_sent_to_an_unknown_sender_of_updates(self) -> None:
         node = self.recipient_node()
         before = len(node.actions)
-        news = StoreNews(node.store_revision, node.store_revision)
+        news = StoreUpdate(node.store_revision, node.store_revision)
         node.emit(PeerReceived(OTHER_NODE, news))
         requested = [name for name, _ in proof_requests_in(node.actions[before:])]
         self.assertEqual([OTHER_NODE.node_id], requested)
@@ -271,8 +273,8 @@
         node.start(tenants_table(1), replica("r0", "s"))
         node.emit(PeerLinkOpened(OWN))
         join(node, *OTHERS)
-        node.emit(PeerReceived(OTHERS[0], AskProof(77)))
+        node.emit(PeerReceived(OTHERS[0], ProofRequest(77)))
         node.advance(1.0)
         node.emit(WatchChanged(node.last_watch_id, (), (), 9, begun_at=node.now))
         kinds = {type(i.message) for i in node.actions if isinstance(i, SendToPeer)}
-        self.assertEqual(set(), kinds & {AskProof, ProofGiven})
+        self.assertEqual(set(), kinds & {ProofRequest, ProofReply})
--- a/tests/forwarding/test_store_updates.py
+++ b/tests/forwarding/test_store_updates.py
@@ -20,7 +20,7 @@
     SendToPeer,
 )
 from wingquay.ports.store import StartWatch, StopWatch, StoredValue, WatchBroken, WatchChanged
-from wingquay.ports.store_news import StoreNews
+from wingquay.ports.store_update import StoreUpdate
 
 FIRST = NodeIdentity("node-0-a", "", "a", "node-0", 7)
 OWN = NodeIdentity("node-1-a", "", "a", "node-1", 7)
@@ -38,29 +38,29 @@
     return node
 
 
-def sent_updates(node: OneNode) -> list[tuple[NodeIdentity, StoreNews]]:
+def sent_updates(node: OneNode) -> list[tuple[NodeIdentity, StoreUpdate]]:
     """Return the updates that the node has sent."""
     sent = [action for action in node.actions if isinstance(action, SendToPeer)]
-    return [(item.to, item.message) for item in sent if isinstance(item.message, StoreNews)]
+    return [(item.to, item.message) for item in sent if isinstance(item.message, StoreUpdate)]
 
 
-def next_update(node: OneNode, *changed: StoredValue, deleted: tuple[str, ...] = ()) -> StoreNews:
+def next_update(node: OneNode, *changed: StoredValue, deleted: tuple[str, ...] = ()) -> StoreUpdate:
     """Return an update that starts at the node's revision."""
     revision = node.store_revision
     node.store_revision += 1
-    return StoreNews(revision, revision + 1, changed, deleted)
+    return StoreUpdate(revision, revision + 1, changed, deleted)
 
 
-def delayed(update: StoreNews, age_seconds: float) -> StoreNews:
+def delayed(update: StoreUpdate, age_seconds: float) -> StoreUpdate:
     """Return the same update with an age."""
-    return StoreNews(
+    return StoreUpdate(
         update.from_revision, update.store_revision, update.changed, update.deleted, age_seconds
     )
 
 
-def incomplete(update: StoreNews) -> StoreNews:
+def incomplete(update: StoreUpdate) -> StoreUpdate:
     """Return the same update, marked as possibly incomplete."""
-    return StoreNews(
+    return StoreUpdate(
         update.from_revision, update.store_revision, update.changed, update.deleted, 0.0, True
     )
 
@@ -77,7 +77,7 @@
         before = node.store_revision
         item = StoredValue(NODE_PREFIX + "else", b"1", before + 1)
         node.emit(WatchChanged(self.watch_id(node), (item,), (), before + 1))
-        expected = StoreNews(before, before + 1, (item,), ())
+        expected = StoreUpdate(before, before + 1, (item,), ())
         self.assertEqual([(FIRST, expected), (LAST, expected)], sent_updates(node)[-2:])
 
     def test_unchanged_entries_are_left_out(self) -> None:
@@ -131,10 +131,10 @@
 
     def test_slow_poll_adds_to_the_age_of_the_update(self) -> None:
         node = linked(FIRST)
-        node.emit(PeerReceived(FIRST, StoreNews(node.store_revision, node.store_revision)))
+        node.emit(PeerReceived(FIRST, StoreUpdate(node.store_revision, node.store_revision)))
         node.emit(WatchChanged(node.last_watch_id, (), (), node.store_revision))
         self.assertEqual(0.0, node.last(StartWatch).hold_seconds)
-        node.advance(node.last(StartWatch).gather_seconds + 1.2)
+        node.advance(node.last(StartWatch).poll_interval_seconds + 1.2)
         node.emit(WatchChanged(node.last_watch_id, (), (), node.store_revision))
         self.assertAlmostEqual(1.2, sent_updates(node)[-1][1].age_seconds)
 
@@ -180,7 +180,7 @@
         before = len(node.actions)
         revision = node.store_revision
         item = node.stored(replica("r1", "s"))
-        node.emit(PeerReceived(FIRST, StoreNews(revision + 1, revision + 2, (item,))))
+        node.emit(PeerReceived(FIRST, StoreUpdate(revision + 1, revision + 2, (item,))))
         self.assertEqual([], store_and_link_actions(node, before))
 
     def test_skipped_update_is_logged(self) -> None:
@@ -188,7 +188,7 @@
         node.emit(WatchBroken(node.last_watch_id, "silent"))
         node.advance(0.1)
         revision = node.store_revision
-        node.emit(PeerReceived(FIRST, StoreNews(revision + 1, revision + 2)))
+        node.emit(PeerReceived(FIRST, StoreUpdate(revision + 1, revision + 2)))
         expected = {
             "known_revision": revision,
             "from_revision": revision + 1,
@@ -206,13 +206,13 @@
             else:
                 node.change(values=(changed,))
         lines = node.logs("configuration_adopted")
-        self.assertEqual(["listing", FIRST.node_id, "look"], [line["told_by"] for line in lines])
+        self.assertEqual(["listing", FIRST.node_id, "poll"], [line["source"] for line in lines])
 
     def test_outdated_update_postpones_no_poll(self) -> None:
         node = linked(FIRST)
         before = len(node.actions)
         gone = (REPLICA_PREFIX + "r0",)
-        node.emit(PeerReceived(FIRST, StoreNews(0, node.store_revision - 1, (), gone)))
+        node.emit(PeerReceived(FIRST, StoreUpdate(0, node.store_revision - 1, (), gone)))
         self.assertEqual([], store_and_link_actions(node, before))
         node.request()
         self.assertEqual(1, len(node.sends))
@@ -279,7 +279,7 @@
         revision = node.store_revision
         node.advance(1.4)
         draining = node.stored(replica("r1", "s", is_draining=True))
-        node.emit(PeerReceived(FIRST, StoreNews(revision, revision + 2, (draining,))))
+        node.emit(PeerReceived(FIRST, StoreUpdate(revision, revision + 2, (draining,))))
         # The poll was answered before the replica started to drain.
         ready = node.stored(replica("r1", "s"))
         node.emit(WatchChanged(looking, (ready,), (), revision + 1))
@@ -310,7 +310,7 @@
 
     def receive_update(self, node: OneNode) -> None:
         """Receive an update of the first node without changes."""
-        node.emit(PeerReceived(FIRST, StoreNews(node.store_revision, node.store_revision)))
+        node.emit(PeerReceived(FIRST, StoreUpdate(node.store_revision, node.store_revision)))
 
     def test_first_node_uses_long_polls(self) -> None:
         node = linked(LAST)
@@ -345,7 +345,7 @@
         before = len(sent_updates(node))
         revision = node.store_revision
         node.emit(WatchChanged(node.last_watch_id, (), (), revision))
-        self.assertEqual([(FIRST, StoreNews(revision, revision))], sent_updates(node)[before:])
+        self.assertEqual([(FIRST, StoreUpdate(revision, revision))], sent_updates(node)[before:])
 
     def test_each_update_postpones_the_next_poll(self) -> None:
         node = linked(FIRST)
@@ -354,7 +354,7 @@
         for _ in range(5):
             node.advance(0.9)
             before = len(node.actions)
-            node.emit(PeerReceived(FIRST, StoreNews(node.store_revision, node.store_revision)))
+            node.emit(PeerReceived(FIRST, StoreUpdate(node.store_revision, node.store_revision)))
             started = [
                 item
                 for item in store_and_link_actions(node, before)
--- a/wingquay/forwarding/exchange_opening.py
+++ b/wingquay/forwarding/exchange_opening.py
@@ -1,4 +1,4 @@
-"""From a request that may run to its first sendings, or to its refusal if none can be made."""
+"""Opens exchanges for admitted requests and makes their first sends, or rejects them."""
 
 import random
 from collections.abc import Callable
@@ -14,20 +14,20 @@
 from .sending.latencies import RouteLatencies
 from .sending.waiting_policy import WaitingPolicy
 from .settings import ForwardingSettings
-from .settling.cutoff import in_time_seconds
+from .settling.cutoff import compute_cutoff_seconds
 from .settling.settlement import Settlement
 from .timers import CutoffDue, ExchangeEndDue, HedgeDue, RetryDue
 
 
 class ExchangeOpening:
-    """Opens exchanges and begins them, or holds them while records of replicas are missing.
+    """Opens exchanges and begins them, or holds them while replica records are missing.
 
     Parameters
     ----------
     waiting
-        Decides on requests that no replica can take.
+        Decides whether requests that no replica can take wait or are rejected.
     random_source
-        Starts the rounds of weighted routes.
+        Sets the starting points of weighted routes.
     """
 
     def __init__(
@@ -48,31 +48,33 @@
         self._sequential = sequential
         self._weights = WeightedRoundRobin(random_source)
         self._held: set[int] = set()
-        self.ask_nodes: Callable[[Exchange, list[ServiceCall], float], list[Action]] | None = None
-        """Asks other nodes for shards, once the link to them is open."""
+        self.delegate_calls: Callable[[Exchange, list[ServiceCall], float], list[Action]] | None = (
+            None
+        )
+        """Delegates calls to other nodes; ``None`` until the links to them are open."""
 
     @property
     def held(self) -> int:
-        """The number of requests that are held for missing records of replicas."""
+        """Number of exchanges that are held because replica records are missing."""
         return len(self._held)
 
     def set_table(self, table: RoutingTable) -> None:
-        """Use a configuration for requests that arrive from now on."""
+        """Apply a configuration to requests that arrive from now on."""
         self._weights.keep_only(table.routes)
 
     def open(self, arrival: Arrival, is_suspect: bool, now: float) -> list[Action]:
-        """Open a request and begin it.
+        """Open an exchange for a request and begin it.
 
         Parameters
         ----------
         is_suspect
-            Whether replicas ended under an earlier attempt of its caller.
+            Whether replicas crashed during an earlier request with the same identity.
         """
         event = arrival.event
         route = arrival.route
         ends_at = max(self.ends_at(arrival), now)
-        in_time = in_time_seconds(route, event.transit_seconds, self._settings)
-        cutoff_at = min(arrival.arrived_at + in_time, ends_at)
+        cutoff_seconds = compute_cutoff_seconds(route, event.transit_seconds, self._settings)
+        cutoff_at = min(arrival.arrived_at + cutoff_seconds, ends_at)
         exchange = Exchange(event, arrival.table, route, arrival.arrived_at, cutoff_at, ends_at)
         exchange.tenant = arrival.tenant
         exchange.is_suspect = is_suspect
@@ -82,29 +84,29 @@
         return self.begin_or_hold(exchange, now)
 
     def ends_at(self, arrival: Arrival) -> float:
-        """Return when a request is given up on."""
+        """Return the time at which a request times out."""
         seconds = arrival.route.timeout_seconds
         deadline_seconds = arrival.event.deadline_seconds
         if deadline_seconds is not None:
             seconds = min(seconds, deadline_seconds)
-        return arrival.sent_at + max(seconds - self._settings.end_margin_seconds, seconds / 2)
+        return arrival.sent_at + max(seconds - self._settings.timeout_margin_seconds, seconds / 2)
 
     def begin_or_hold(self, exchange: Exchange, now: float) -> list[Action]:
-        """Begin a request if replicas can be asked; hold it while records are missing."""
-        if self._settlement.can_be_enough(exchange, now):
+        """Begin an exchange if enough services have replicas; hold it while records are missing."""
+        if self._settlement.can_meet_min_share(exchange, now):
             return self.begin(exchange, now)
-        return self._hold_or_refuse(exchange, now)
+        return self._hold_or_reject(exchange, now)
 
     def begin(self, exchange: Exchange, now: float) -> list[Action]:
-        """Send all calls and set the timers."""
+        """Send all calls of an exchange and schedule its timers."""
         event = exchange.event
         route = exchange.route
         self._held.discard(exchange.exchange_id)
         actions: list[Action] = []
         if exchange.is_sequential and exchange.origin is None:
             actions += self._sequential.send_next(exchange, now)
-        elif self.ask_nodes is not None and route.shards and exchange.origin is None:
-            actions += self.ask_nodes(exchange, exchange.calls, now)
+        elif self.delegate_calls is not None and route.shards and exchange.origin is None:
+            actions += self.delegate_calls(exchange, exchange.calls, now)
         else:
             actions += self._starter.begin_all(exchange.calls, now)
         actions.append(Schedule(exchange.ends_at, ExchangeEndDue(event.exchange_id)))
@@ -115,8 +117,8 @@
             actions.append(Schedule(hedge_at, HedgeDue(event.exchange_id)))
         return actions + self._settlement.settle(exchange, now)
 
-    def _hold_or_refuse(self, exchange: Exchange, now: float) -> list[Action]:
-        """Hold a request that no replica can take, as long as that is better than coming back."""
+    def _hold_or_reject(self, exchange: Exchange, now: float) -> list[Action]:
+        """Hold an exchange that no replica can take, or reject it if a retry is better."""
         match self._waiting.decide(exchange, now):
             case Reject() as rejection:
                 self._held.discard(exchange.exchange_id)
@@ -126,9 +128,9 @@
         return [Schedule(due_at, RetryDue(exchange.exchange_id))]
 
     def is_held(self, exchange: Exchange) -> bool:
-        """Whether a request is held for missing records of replicas."""
+        """Return whether an exchange is held because replica records are missing."""
         return exchange.exchange_id in self._held
 
-    def not_held(self, exchange: Exchange) -> None:
-        """Take in that a request ends."""
+    def stop_holding(self, exchange: Exchange) -> None:
+        """Remove an exchange that ends from the held ones."""
         self._held.discard(exchange.exchange_id)
--- a/wingquay/forwarding/knowledge/follower_settings.py
+++ b/wingquay/forwarding/knowledge/follower_settings.py
@@ -5,13 +5,13 @@
 from ...model.value import value
 from ...ports.machine import Action, Event
 from ...ports.store import StoredValue
-from ...ports.store_news import StoreNews
-from .poll_times import DEFAULT_CONTACT_SECONDS, PollTimes, poll_times_within
+from ...ports.store_update import StoreUpdate
+from .poll_times import DEFAULT_RECOVERY_SECONDS, PollTimes, poll_times_within
 from .proof_poll_times import ProofPollTimes
 
 
 @value
-class FollowRetryDue(Event):
+class PollRetryDue(Event):
     """Poll the store again after a failure."""
 
     watch_id: str
@@ -44,7 +44,7 @@
     prefix: str = ""
     poll_interval_seconds: float = 1.3
     shared_poll_interval_seconds: float = 0.8
-    poll_times: PollTimes = poll_times_within(DEFAULT_CONTACT_SECONDS)
+    poll_times: PollTimes = poll_times_within(DEFAULT_RECOVERY_SECONDS)
     urgent_backoff_seconds: float = 1.0
     initial_backoff_seconds: float = 0.2
     proof_poll_times: ProofPollTimes | None = None
@@ -75,7 +75,7 @@
     on_listing: Callable[[tuple[StoredValue, ...], float], list[Action]]
     on_changes: Callable[[tuple[StoredValue, ...], tuple[str, ...], float], list[Action]]
     on_failure: Callable[[float], None]
-    on_poll: Callable[[StoreNews, float], list[Action]]
+    on_poll: Callable[[StoreUpdate, float], list[Action]]
     shares_updates: Callable[[], bool]
     is_first_in_group: Callable[[], bool]
     is_sufficient: Callable[[], bool]
--- a/wingquay/forwarding/knowledge/node_groups.py
+++ b/wingquay/forwarding/knowledge/node_groups.py
@@ -63,7 +63,7 @@
         return self._name
 
     @property
-    def fan_out(self) -> int:
+    def max_shard_count(self) -> int:
         """The maximum number of shards of a route."""
         return self._fan_out
 
@@ -114,7 +114,7 @@
         for name in [name for name in self._members if name not in names]:
             self.remove(name)
 
-    def set_fan_out(self, shards: int) -> None:
+    def set_max_shard_count(self, shards: int) -> None:
         """Set the maximum number of shards of a route."""
         self._fan_out = shards
 
@@ -172,7 +172,7 @@
                 by_zone.setdefault(zone, []).append(GroupNode(name, member.record))
         return by_zone
 
-    def reachable(self, now: float) -> list[NodeIdentity]:
+    def usable_others(self, now: float) -> list[NodeIdentity]:
         """Return the other nodes that are not suspect, sorted by name."""
         return [
             member.record.identity
@@ -198,7 +198,7 @@
         present = [self._members[name].record.identity for name in names]
         return present + [item for item in self._departed.values() if item not in present]
 
-    def rank(self) -> int:
+    def group_position(self) -> int:
         """Return this node's position in its group, from 0."""
         names = self._update_group_names()
         return names.index(self._name) if self._name in names else 0
--- a/wingquay/forwarding/knowledge/poll_times.py
+++ b/wingquay/forwarding/knowledge/poll_times.py
@@ -43,7 +43,7 @@
     return max(min(rewritten_seconds, drain_seconds - IN_FLIGHT_RESERVE_SECONDS), 0.0)
 
 
-DEFAULT_CONTACT_SECONDS = 4.0
+DEFAULT_RECOVERY_SECONDS = 4.0
 """Default for the time after a store outage at which the bounds apply again."""
 CONTACT_RESERVE_SECONDS = 0.4
 """Time left for the answer to the first poll after an outage and for requests under way."""
--- a/wingquay/forwarding/knowledge/presence.py
+++ b/wingquay/forwarding/knowledge/presence.py
@@ -203,7 +203,7 @@
         """Remove a node."""
         self._names.discard(name)
 
-    def rank(self, name: str, salt: str) -> int | None:
+    def hashed_position(self, name: str, salt: str) -> int | None:
         """Return a node's position in an order of all nodes that depends on the salt.
 
         ``None``: the node has no entry.
--- a/wingquay/forwarding/knowledge/proof_manager.py
+++ b/wingquay/forwarding/knowledge/proof_manager.py
@@ -5,7 +5,7 @@
 from ...model.routing_table import RoutingTable
 from ...ports.machine import Action, Count, Log, LogLevel, Observe
 from ...ports.peer_link import NodeIdentity, PeerLinkBroken, SendToPeer
-from ...ports.proof_messages import AskProof, ProofGiven
+from ...ports.proof_messages import ProofReply, ProofRequest
 from .configuration_proof import AlwaysProven, TimedProof
 from .proof_poll_times import MAX_RANK_SECONDS, ProofPollTimes
 from .proof_requests import ReceivedProofRequests, SentProofRequests
@@ -109,7 +109,7 @@
         return [] if self.poll_times is None else self._sent.handle_update_from(sender, now)
 
     def handle_request(
-        self, sender: NodeIdentity, request: AskProof, known_revision: int | None, now: float
+        self, sender: NodeIdentity, request: ProofRequest, known_revision: int | None, now: float
     ) -> list[Action]:
         """Handle a proof request: record it, and answer at once if the configuration is proven."""
         if self._timed is None:
@@ -118,10 +118,10 @@
         if known_revision is None or not self._timed.is_proven(now):
             return []
         held_seconds = self._timed.proven_as_of - now
-        return [SendToPeer(sender, ProofGiven(request.number, held_seconds, known_revision))]
+        return [SendToPeer(sender, ProofReply(request.number, held_seconds, known_revision))]
 
     def handle_proof(
-        self, sender: NodeIdentity, proof: ProofGiven, known_revision: int | None, now: float
+        self, sender: NodeIdentity, proof: ProofReply, known_revision: int | None, now: float
     ) -> list[Action]:
         """Extend the proof by another node's poll, if this node has all its changes."""
         as_of = self._sent.proven_as_of(sender, proof, now)
--- a/wingquay/forwarding/knowledge/proof_requests.py
+++ b/wingquay/forwarding/knowledge/proof_requests.py
@@ -13,7 +13,7 @@
 from ...model.value import value
 from ...ports.machine import Action
 from ...ports.peer_link import NodeIdentity, SendToPeer
-from ...ports.proof_messages import AskProof, ProofGiven
+from ...ports.proof_messages import ProofReply, ProofRequest
 
 REQUEST_INTERVAL_SECONDS = 25.0
 """Time between two proof requests to the same node."""
@@ -57,7 +57,7 @@
         self._sent_at[self._number] = now
         for node in due:
             self._peers[node.node_id] = _PeerState(now)
-        return [SendToPeer(node, AskProof(self._number)) for node in due]
+        return [SendToPeer(node, ProofRequest(self._number)) for node in due]
 
     def handle_update_from(self, node: NodeIdentity, now: float) -> list[Action]:
         """Request proofs from a node that sends updates but does not answer requests."""
@@ -69,7 +69,7 @@
             del self._peers[node.node_id]
         return self.send_requests([node], now)
 
-    def proven_as_of(self, sender: NodeIdentity, proof: ProofGiven, now: float) -> float | None:
+    def proven_as_of(self, sender: NodeIdentity, proof: ProofReply, now: float) -> float | None:
         """Return the time as of which an answer proves the configuration.
 
         ``None``: it answers no valid request of this incarnation.
@@ -118,7 +118,7 @@
     def __init__(self) -> None:
         self._requests: dict[str, _ReceivedRequest] = {}
 
-    def record(self, sender: NodeIdentity, request: AskProof, now: float) -> None:
+    def record(self, sender: NodeIdentity, request: ProofRequest, now: float) -> None:
         """Record a request."""
         if sender.node_id in self._requests or len(self._requests) < MAX_REQUESTING_NODES:
             self._requests[sender.node_id] = _ReceivedRequest(sender, request.number, now)
@@ -131,7 +131,7 @@
         return [
             SendToPeer(
                 request.node,
-                ProofGiven(request.number, begun_at - request.received_at, store_revision),
+                ProofReply(request.number, begun_at - request.received_at, store_revision),
             )
             for request in self._requests.values()
         ]
--- a/wingquay/forwarding/knowledge/store_follower.py
+++ b/wingquay/forwarding/knowledge/store_follower.py
@@ -2,7 +2,7 @@
 
 from ...model.failure import Failure
 from ...ports.machine import Action, Event, Log, LogLevel, Schedule, Start
-from ...ports.peer_snapshot import AskPeers, PeerSnapshot
+from ...ports.peer_snapshot import PeerSnapshot, RequestPeerSnapshot
 from ...ports.store import (
     Read,
     ReadResult,
@@ -14,10 +14,10 @@
     WatchBroken,
     WatchChanged,
 )
-from ...ports.store_news import StoreNews
+from ...ports.store_update import StoreUpdate
 from .follower_settings import FollowerHooks as FollowerHooks
 from .follower_settings import FollowerSettings as FollowerSettings
-from .follower_settings import FollowRetryDue as FollowRetryDue
+from .follower_settings import PollRetryDue as PollRetryDue
 from .poll_schedule import PollSchedule
 from .proof_manager import ProofManager
 from .store_copy import StoreCopy
@@ -76,7 +76,7 @@
             return self._apply_peer_snapshot(event, now)
         if isinstance(event, Start):
             return self._poll(now)
-        if isinstance(event, FollowRetryDue) and event.watch_id == self._operation_id:
+        if isinstance(event, PollRetryDue) and event.watch_id == self._operation_id:
             return self._poll(now)
         return []
 
@@ -95,7 +95,7 @@
             return []
         return [StopWatch(self._watch_id), *self._watch(now, self._pause_seconds(now))]
 
-    def apply_update(self, update: StoreNews, pause_seconds: float, now: float) -> list[Action]:
+    def apply_update(self, update: StoreUpdate, pause_seconds: float, now: float) -> list[Action]:
         """Apply an update of another node and postpone the next poll.
 
         Updates that start after the known revision or end before it are ignored: the next poll
@@ -164,7 +164,7 @@
             return self._watch(now)
         self._reads += 1
         self._poll_at = now
-        operation = Read(self._settings.prefix, prefix=True, may_lag_at_first=True)
+        operation = Read(self._settings.prefix, prefix=True, may_start_stale=True)
         timeout = self._settings.poll_times.timeout_seconds
         return [StoreRequest(self._operation_id, operation, timeout)]
 
@@ -245,7 +245,7 @@
         self._copy.apply(event.changed, event.deleted, event.store_revision)
         actions = self._hooks.on_changes(event.changed, event.deleted, now)
         proof_answers = self._proof_manager.poll_answered(begun_at, event.store_revision, now)
-        update = StoreNews(
+        update = StoreUpdate(
             before,
             event.store_revision,
             event.changed,
@@ -284,7 +284,7 @@
         self._proof_manager.poll_failed(reason)
         is_listed = self._copy.is_listed
         due_at = now + self._schedule.backoff_seconds(is_listed)
-        snapshot_requests: list[Action] = [] if is_listed else [AskPeers()]
+        snapshot_requests: list[Action] = [] if is_listed else [RequestPeerSnapshot()]
         self._schedule.failed_polls += 1
         fields = (
             ("reason", reason),
@@ -297,10 +297,10 @@
         return [
             Log("store_unreachable", LogLevel.WARNING, fields),
             *snapshot_requests,
-            Schedule(due_at, FollowRetryDue(self._operation_id)),
+            Schedule(due_at, PollRetryDue(self._operation_id)),
         ]
 
-    def _skipped_update_log(self, update: StoreNews, known_revision: int, now: float) -> Log:
+    def _skipped_update_log(self, update: StoreUpdate, known_revision: int, now: float) -> Log:
         """Return the log line for an update that leaves a gap after the known revision."""
         fields = (
             ("known_revision", known_revision),
--- a/wingquay/forwarding/knowledge/update_exchange.py
+++ b/wingquay/forwarding/knowledge/update_exchange.py
@@ -2,9 +2,9 @@
 
 from ...ports.machine import Action, Count
 from ...ports.peer_link import NodeIdentity, SendToPeer
-from ...ports.proof_messages import AskProof, ProofGiven
+from ...ports.proof_messages import ProofReply, ProofRequest
 from ...ports.store import StartWatch
-from ...ports.store_news import StoreNews
+from ...ports.store_update import StoreUpdate
 from ..settings import ForwardingSettings
 from .node_membership import NodeMembership
 from .processing_lag import ProcessingLag
@@ -42,21 +42,21 @@
         self._follower = follower
         self._processing_lag = processing_lag
         self._proof_manager = proof_manager
-        self.rewritten: set[str] = set()
+        self.rewritten_keys: set[str] = set()
         """Keys of replica entries that the last changes wrote again with the same contents."""
 
-    def send_update(self, changes: StoreNews, now: float) -> list[Action]:
+    def send_update(self, changes: StoreUpdate, now: float) -> list[Action]:
         """Send the changes that this node polled to the other nodes of its group."""
         recipients = self._members.update_recipients()
         if not recipients:
             return []
-        update = StoreNews(
+        update = StoreUpdate(
             changes.from_revision,
             changes.store_revision,
             tuple(
                 item
                 for item in changes.changed
-                if item.key not in self.rewritten or item.created_at > changes.from_revision
+                if item.key not in self.rewritten_keys or item.created_at > changes.from_revision
             ),
             changes.deleted,
             max(changes.age_seconds, self._processing_lag.seconds(now)),
@@ -65,7 +65,7 @@
         sent: list[Action] = [SendToPeer(recipient, update) for recipient in recipients]
         return [*sent, Count("store_news_total", len(recipients), (("side", "told"),))]
 
-    def receive_update(self, update: StoreNews, now: float) -> list[Action]:
+    def receive_update(self, update: StoreUpdate, now: float) -> list[Action]:
         """Apply an update of another node and postpone the next poll.
 
         The postponement is shortened by the known age of the update: the delay at the sender and
@@ -81,11 +81,11 @@
         return [*actions, Count("store_news_total", labels=(("side", side),))]
 
     def handle_proof_message(
-        self, sender: NodeIdentity, message: AskProof | ProofGiven, now: float
+        self, sender: NodeIdentity, message: ProofRequest | ProofReply, now: float
     ) -> list[Action]:
         """Handle a proof request, or a proof, after which the next poll is postponed."""
         known_revision = self._follower.known_revision
-        if isinstance(message, AskProof):
+        if isinstance(message, ProofRequest):
             return self._proof_manager.handle_request(sender, message, known_revision, now)
         actions = self._proof_manager.handle_proof(sender, message, known_revision, now)
         pause_seconds = self._usual_pause_seconds - self._proof_manager.age_seconds(now)
@@ -97,5 +97,5 @@
 
         It grows with the node's position in its group, so that the nodes do not poll together.
         """
-        rank_seconds = self._settings.poll_rank_delay_seconds * self._members.rank()
+        rank_seconds = self._settings.poll_rank_delay_seconds * self._members.group_position()
         return self._follower.usual_poll_interval_seconds + rank_seconds
--- /dev/null
+++ b/wingquay/forwarding/periodic_work.py
@@ -0,0 +1,141 @@
+"""Timer-driven work of a node: sweeps, lag checks, resuming, and the interval of store polls."""
+
+from ..model.value import value
+from ..ports.machine import Action, Count, Event, Log, LogLevel, ProcessResumed, Schedule
+from .choice.replica_directory import ReplicaDirectory
+from .forwarding_machine import ForwardingMachine
+from .knowledge.node_membership import NodeMembership
+from .knowledge.processing_lag import ProcessingLag
+from .knowledge.proof_manager import ProofManager
+from .knowledge.store_follower import StoreFollower
+from .settings import ForwardingSettings
+from .timers import PeerConnectDue
+
+SWEEP_INTERVAL_SECONDS = 0.5
+"""Time between two sweeps, which remove replicas whose grace period is over."""
+LAG_CHECK_SECONDS = 0.2
+"""Time between two checks of the processing lag; more frequent checks cost noticeable processor
+time on small nodes."""
+RESUME_SECONDS = 0.05
+"""Time after a suspension for which requests that are read count as having waited during it."""
+
+
+@value
+class SweepDue(Event):
+    """Remove replicas whose grace period is over, and measure the lag of this timer."""
+
+    due_at: float
+
+
+@value
+class LagDue(Event):
+    """Measure the processing lag of this node."""
+
+    due_at: float
+
+
+class PeriodicWork:
+    """Performs the timer-driven work of a node.
+
+    Parameters
+    ----------
+    directory
+        Removes replicas whose grace period is over.
+    forwarding
+        Holds exchanges while replica records are missing, and opens connections to other nodes.
+    members
+        Provides whether nodes are still joining.
+    follower
+        Polls the store at the interval set here.
+    processing_lag
+        Stores the measured lag of the timers.
+    proof_manager
+        Detects that the proof of the configuration has expired.
+    """
+
+    def __init__(
+        self,
+        settings: ForwardingSettings,
+        directory: ReplicaDirectory,
+        forwarding: ForwardingMachine,
+        members: NodeMembership,
+        follower: StoreFollower,
+        processing_lag: ProcessingLag,
+        proof_manager: ProofManager,
+    ) -> None:
+        self._settings = settings
+        self._directory = directory
+        self._forwarding = forwarding
+        self._members = members
+        self._follower = follower
+        self._processing_lag = processing_lag
+        self._proof_manager = proof_manager
+
+    def start(self, now: float) -> list[Action]:
+        """Schedule the first sweep and the first lag check."""
+        return [
+            Schedule(now + SWEEP_INTERVAL_SECONDS, SweepDue(now + SWEEP_INTERVAL_SECONDS)),
+            *self._schedule_lag(now),
+        ]
+
+    def handle(self, event: SweepDue | LagDue | ProcessResumed, now: float) -> list[Action]:
+        """Handle a timer or the end of a suspension."""
+        match event:
+            case SweepDue():
+                self._processing_lag.timer_lag_seconds = max(now - event.due_at, 0.0)
+                self._directory.remove_expired(now)
+                due_at = now + SWEEP_INTERVAL_SECONDS
+                peer_connects = self._forwarding.handle(PeerConnectDue(), now)
+                proof_actions = self._proof_manager.sweep(self._members.update_recipients, now)
+                sweep = Schedule(due_at, SweepDue(due_at))
+                return [*peer_connects, *proof_actions, *self.adjust_poll_interval(now), sweep]
+            case LagDue():
+                return self._lag_due(event, now)
+            case ProcessResumed():
+                return self._resumed(event, now)
+
+    def adjust_poll_interval(self, now: float) -> list[Action]:
+        """Poll the store more often while records of replicas or nodes are missing."""
+        has_stale_records = self._directory.found_stale_recently(now)
+        if has_stale_records or self._forwarding.held_exchanges > 0:
+            return self._follower.set_poll_interval(
+                self._settings.settle_poll_interval_seconds, now
+            )
+        if self._members.is_joining(now):
+            seconds = self._settings.join_idle_poll_interval_seconds
+            if self._forwarding.has_received_request:
+                seconds = self._settings.join_poll_interval_seconds
+            return self._follower.set_poll_interval(seconds, now)
+        return self._follower.set_poll_interval(None, now)
+
+    def _resumed(self, event: ProcessResumed, now: float) -> list[Action]:
+        """Treat the suspension as an equally long store outage, and end overdue exchanges."""
+        self._directory.on_outage(now)
+        self._processing_lag.timer_lag_seconds = event.seconds
+        self._proof_manager.poll_failed("suspended")
+        open_requests = self._forwarding.open_exchanges
+        actions = self._forwarding.resumed(event, now)
+        fields = (
+            ("suspended_seconds", round(event.seconds, 3)),
+            ("open_requests", open_requests),
+            ("given_up", open_requests - self._forwarding.open_exchanges),
+        )
+        return [
+            Log("woken", LogLevel.WARNING, fields),
+            Count("suspensions_total"),
+            *actions,
+            *self._follower.poll_now(now),
+            *self._schedule_lag(now, RESUME_SECONDS),
+        ]
+
+    def _lag_due(self, event: LagDue, now: float) -> list[Action]:
+        if event.due_at != self._processing_lag.timer_due_at:
+            return []
+        self._forwarding.lag.seconds = max(now - event.due_at, 0.0)
+        return self._schedule_lag(now)
+
+    def _schedule_lag(self, now: float, seconds: float = LAG_CHECK_SECONDS) -> list[Action]:
+        self._processing_lag.timer_due_at = now + seconds
+        return [
+            Schedule(self._processing_lag.timer_due_at, LagDue(self._processing_lag.timer_due_at))
+        ]
--- a/wingquay/forwarding/readiness/reachability_monitor.py
+++ b/wingquay/forwarding/readiness/reachability_monitor.py
@@ -7,7 +7,7 @@
 from ...ports.forwarding import ConnectionTried, ForwardRequested
 from ...ports.machine import Action, Count, Event, Log, LogLevel
 from ...ports.peer_link import PeerReceived
-from ...ports.reach_news import ReachNews
+from ...ports.reachability_messages import ReachabilityReport
 from ...ports.store import StoreFailureKind, StoreResponse, WatchBroken, WatchChanged
 from ..choice.replica_directory import ReplicaDirectory
 from ..knowledge.reachability_evidence import ReachabilityEvidence
@@ -74,7 +74,7 @@
         """Start to query other nodes in reachability checks."""
         self._peers.groups = groups
 
-    def is_relevant(self, event: Event, now: float) -> bool:
+    def observe(self, event: Event, now: float) -> bool:
         """Whether ``handle`` must be called for an event."""
         if not self._is_enabled:
             return False
@@ -82,7 +82,7 @@
             case (
                 ConnectionTried()
                 | ForwardRequested()
-                | PeerReceived(message=ReachNews())
+                | PeerReceived(message=ReachabilityReport())
                 | ProbeRoundDue()
                 | StoreResponse()
                 | WatchBroken()
@@ -111,7 +111,7 @@
                 return self._prober.connection_tried(event, now)
             case ForwardRequested():
                 self._record_demand(event, now)
-            case PeerReceived(sender=sender, message=ReachNews() as report):
+            case PeerReceived(sender=sender, message=ReachabilityReport() as report):
                 return self._prober.handle_report(sender, report, now)
             case ProbeRoundDue():
                 return self._end_round(event, now)
--- a/wingquay/forwarding/readiness/route_demand.py
+++ b/wingquay/forwarding/readiness/route_demand.py
@@ -64,7 +64,7 @@
                 is_available[service] = any(zone not in excluded_zones for zone in zones)
         if route.shards:
             available_share = sum(is_available[shard] for shard in route.shards) / len(route.shards)
-            return 1.0 if available_share >= route.least_share - SHARE_TOLERANCE else 0.0
+            return 1.0 if available_share >= route.min_share - SHARE_TOLERANCE else 0.0
         total_weight = sum(part.weight for part in route.services)
         if not total_weight:
             return 0.0
--- a/wingquay/forwarding/readiness/zone_prober.py
+++ b/wingquay/forwarding/readiness/zone_prober.py
@@ -11,7 +11,7 @@
 from ...ports.forwarding import ConnectionTried, OpenConnection
 from ...ports.machine import Action, Event, Schedule
 from ...ports.peer_link import NodeIdentity, SendToPeer
-from ...ports.reach_news import ReachNews
+from ...ports.reachability_messages import ReachabilityReport
 from ..choice.replica_directory import ReplicaDirectory
 from ..choice.replica_state import ReplicaState
 from ..knowledge.reachability_evidence import ReachabilityEvidence
@@ -181,7 +181,7 @@
 
     def connection_tried(self, event: ConnectionTried, now: float) -> list[Action]:
         """Handle the result of a connection attempt."""
-        zone = self._probed.pop(event.life, None)
+        zone = self._probed.pop(event.incarnation, None)
         if zone is None:
             return []
         if event.is_open:
@@ -198,33 +198,37 @@
         if check is None or zone == self._zone:
             return []
         waiting_nodes, check.waiting_nodes = check.waiting_nodes, {}
-        return [SendToPeer(node, ReachNews((), (zone,))) for node in waiting_nodes.values()]
+        return [
+            SendToPeer(node, ReachabilityReport((), (zone,))) for node in waiting_nodes.values()
+        ]
 
-    def handle_report(self, sender: NodeIdentity, report: ReachNews, now: float) -> list[Action]:
+    def handle_report(
+        self, sender: NodeIdentity, report: ReachabilityReport, now: float
+    ) -> list[Action]:
         """Handle another node's reachability report, and answer if it is a query."""
         actions = self.zone_answered(sender.zone, now)
         is_neighbour = sender.zone == self._zone
         if is_neighbour:
             actions += self._handle_neighbour_report(sender, report, now)
-        if report.is_question:
+        if report.wants_reply:
             recent = self._fresh_zones(now) if is_neighbour else ()
-            actions.append(SendToPeer(sender, ReachNews((), recent)))
+            actions.append(SendToPeer(sender, ReachabilityReport((), recent)))
         return actions
 
     def _handle_neighbour_report(
-        self, sender: NodeIdentity, report: ReachNews, now: float
+        self, sender: NodeIdentity, report: ReachabilityReport, now: float
     ) -> list[Action]:
         """Handle the report of a node of the same zone."""
-        for zone in report.out_zones:
+        for zone in report.unreachable_zones:
             self._zone_state(zone).neighbour_evidence_at = now
-        actions = self.begin_check(now) if report.out_zones else []
+        actions = self.begin_check(now) if report.unreachable_zones else []
         check = self._check
         if check is None:
             return actions
-        if report.in_zones:
+        if report.reachable_zones:
             check.connected_neighbour = sender.node_id
             check.connected_at = now
-        if report.is_question and len(check.waiting_nodes) < MAX_PENDING_QUERIES:
+        if report.wants_reply and len(check.waiting_nodes) < MAX_PENDING_QUERIES:
             check.waiting_nodes[sender.node_id] = sender
         # The report may supply the only missing evidence that a zone was reachable before.
         return [*actions, *self._query_nodes(now)]
@@ -236,7 +240,7 @@
         if check is None or not check.may_query_nodes or unreachable != self.other_zones():
             return []
         check.may_query_nodes = False
-        question = ReachNews(unreachable, (), is_question=True)
+        question = ReachabilityReport(unreachable, (), wants_reply=True)
         nodes = [*self._peers.gossip_targets(), *self._peers.one_of_each_zone()]
         actions: list[Action] = [SendToPeer(node, question) for node in nodes]
         if self._round_ends_at < now + ROUND_SECONDS:
@@ -290,7 +294,7 @@
         actions: list[Action] = []
         for offset in range(min(PROBES_PER_ZONE, len(replicas))):
             record = replicas[(state.next_replica + offset) % len(replicas)].record
-            self._probed[record.life] = zone
+            self._probed[record.incarnation] = zone
             actions.append(OpenConnection(record))
         state.next_replica += PROBES_PER_ZONE
         return actions
