--- a/tests/forwarding/readiness/test_decision.py
+++ b/tests/forwarding/readiness/test_decision.py
@@ -17,7 +17,7 @@
     FALLBACK_ZONE_AWAY_SECONDS,
     IDLE_CLOSING_SECONDS,
     MAX_AWAY_SECONDS,
-    MAX_MIN_AWAY_SECONDS,
+    MAX_FLAPPING_AWAY_SECONDS,
     MIN_AWAY_SECONDS,
     MIN_READY_SECONDS,
     TRIAL_SECONDS,
@@ -35,10 +35,10 @@
         "other_zones": ("a", "c", "d"),
         "unreachable_zones": ("a", "c", "d"),
         "own_zone_status": OwnZoneStatus.REACHABLE,
-        "connected_neighbour": "",
-        "share_here": 0.1,
-        "share_elsewhere": 1.0,
-        "is_fallback_zone": False,
+        "connected_zone_peer": "",
+        "answerable_share": 0.1,
+        "answerable_share_elsewhere": 1.0,
+        "stays_as_fallback": False,
     }
     return DecisionInputs(**{**usual, **fields})  # type: ignore[arg-type]
 
@@ -49,15 +49,22 @@
     ({"unreachable_zones": ("a", "c")}, DecisionReason.OTHERS_REACHABLE),
     ({"other_zones": (), "unreachable_zones": ()}, DecisionReason.SINGLE_ZONE),
     ({"other_zones": ("a",), "unreachable_zones": ("a",)}, DecisionReason.FEW_ZONES),
-    ({"connected_neighbour": "b-2"}, DecisionReason.NEIGHBOUR_CONNECTED),
-    ({"share_here": 0.9}, DecisionReason.ENOUGH_ANSWERABLE),
-    ({"share_here": 0.85}, DecisionReason.ZONE_CUT_OFF),
-    ({"share_here": 0.7, "share_elsewhere": 0.75}, DecisionReason.NO_GAIN),
-    ({"share_elsewhere": 0.1}, DecisionReason.NO_GAIN),
-    ({"is_fallback_zone": True}, DecisionReason.FALLBACK_ZONE),
-    ({"own_zone_status": OwnZoneStatus.SILENT, "share_here": 0.0}, DecisionReason.NODE_CUT_OFF),
+    ({"connected_zone_peer": "b-2"}, DecisionReason.ZONE_PEER_CONNECTED),
+    ({"answerable_share": 0.9}, DecisionReason.ENOUGH_ANSWERABLE),
+    ({"answerable_share": 0.85}, DecisionReason.ZONE_CUT_OFF),
+    ({"answerable_share": 0.7, "answerable_share_elsewhere": 0.75}, DecisionReason.NO_GAIN),
+    ({"answerable_share_elsewhere": 0.1}, DecisionReason.NO_GAIN),
+    ({"stays_as_fallback": True}, DecisionReason.FALLBACK_ZONE),
     (
-        {"own_zone_status": OwnZoneStatus.SILENT, "share_here": 0.0, "is_fallback_zone": True},
+        {"own_zone_status": OwnZoneStatus.SILENT, "answerable_share": 0.0},
+        DecisionReason.NODE_CUT_OFF,
+    ),
+    (
+        {
+            "own_zone_status": OwnZoneStatus.SILENT,
+            "answerable_share": 0.0,
+            "stays_as_fallback": True,
+        },
         DecisionReason.NODE_CUT_OFF,
     ),
     (
@@ -69,8 +76,8 @@
         DecisionReason.NODE_CUT_OFF,
     ),
     (
-        {"own_zone_status": OwnZoneStatus.SILENT, "connected_neighbour": "b-2"},
-        DecisionReason.NEIGHBOUR_CONNECTED,
+        {"own_zone_status": OwnZoneStatus.SILENT, "connected_zone_peer": "b-2"},
+        DecisionReason.ZONE_PEER_CONNECTED,
     ),
     ({"own_zone_status": OwnZoneStatus.UNKNOWN}, DecisionReason.UNKNOWN),
 )
@@ -98,7 +105,7 @@
     def test_flapping_doubles_the_time_out_of_service(self) -> None:
         departure = Departure()
         now = 10.0
-        for seconds in (2.0, 4.0, MAX_MIN_AWAY_SECONDS, MAX_MIN_AWAY_SECONDS):
+        for seconds in (2.0, 4.0, MAX_FLAPPING_AWAY_SECONDS, MAX_FLAPPING_AWAY_SECONDS):
             self.assertTrue(departure.update(True, now))
             self.assertFalse(departure.update(False, now + seconds - 0.01))
             self.assertTrue(departure.update(False, now + seconds))
--- a/tests/forwarding/readiness/test_partition_history.py
+++ b/tests/forwarding/readiness/test_partition_history.py
@@ -8,7 +8,7 @@
 from tests.forwarding.readiness.zone_fleet import (
     STORE,
     FleetNode,
-    PacketLoss,
+    PartitionFailure,
     ZoneFleet,
     spread_replicas,
 )
@@ -35,7 +35,7 @@
 
     @initialize(copies=st.integers(2, 3))
     def start(self, copies: int) -> None:
-        route = sharded_route(SHARDS, least_share=MIN_ANSWERABLE_SHARE)
+        route = sharded_route(SHARDS, min_share=MIN_ANSWERABLE_SHARE)
         records = spread_replicas(route.shards, ZONES, copies)
         self.fleet = ZoneFleet(ZONES, NODES, table(1, route), records)
         self.fleet.start()
@@ -62,27 +62,31 @@
     @rule(
         sides=st.lists(st.integers(0, 3), min_size=4, max_size=4),
         store_side=st.integers(0, 4),
-        kind=st.sampled_from(PacketLoss),
+        kind=st.sampled_from(PartitionFailure),
     )
-    def partition(self, sides: list[int], store_side: int, kind: PacketLoss) -> None:
+    def partition(self, sides: list[int], store_side: int, kind: PartitionFailure) -> None:
         """Partition the zones and the store."""
-        self.fleet.kind = kind
+        self.fleet.partition_failure = kind
         self.sides = dict(zip(ZONES, sides, strict=True))
         self.store_side = store_side
         self.load(0.4)
 
-    @rule(store_zone=st.sampled_from(ZONES), kind=st.sampled_from(PacketLoss))
-    def partition_all_zones(self, store_zone: str, kind: PacketLoss) -> None:
+    @rule(store_zone=st.sampled_from(ZONES), kind=st.sampled_from(PartitionFailure))
+    def partition_all_zones(self, store_zone: str, kind: PartitionFailure) -> None:
         """Partition all zones from each other; one of them keeps the store."""
-        self.fleet.kind = kind
+        self.fleet.partition_failure = kind
         self.sides = {zone: number for number, zone in enumerate(ZONES)}
         self.store_side = self.sides[store_zone]
         self.compare_service()
 
-    @rule(zone=st.sampled_from(ZONES), with_store=st.booleans(), kind=st.sampled_from(PacketLoss))
-    def partition_one_zone(self, zone: str, with_store: bool, kind: PacketLoss) -> None:
+    @rule(
+        zone=st.sampled_from(ZONES),
+        with_store=st.booleans(),
+        kind=st.sampled_from(PartitionFailure),
+    )
+    def partition_one_zone(self, zone: str, with_store: bool, kind: PartitionFailure) -> None:
         """Partition one zone from all others."""
-        self.fleet.kind = kind
+        self.fleet.partition_failure = kind
         self.sides = {name: int(name == zone) for name in ZONES}
         self.store_side = int(with_store)
         self.load(1.0)
@@ -118,7 +122,7 @@
             # Allowed only if each zone is isolated and the one that stays has also lost the store.
             assert self.is_every_zone_isolated(), self.sides
         for zone in out_of_service:
-            share_in_zone = max(self.share(node) for node in self.fleet.of(zone))
+            share_in_zone = max(self.share(node) for node in self.fleet.nodes_in(zone))
             others = [node for node in self.fleet.nodes if node.is_ready]
             share_elsewhere = min([self.share(node) for node in others], default=0.0)
             assert share_elsewhere >= share_in_zone, (zone, share_in_zone, share_elsewhere)
@@ -131,7 +135,7 @@
 
     def has_nodes(self, zone: str) -> bool:
         """Whether any node of the zone is not isolated."""
-        return any(node.name not in self.isolated for node in self.fleet.of(zone))
+        return any(node.name not in self.isolated for node in self.fleet.nodes_in(zone))
 
     def share(self, node: FleetNode) -> float:
         """Return 1 if a node can answer wide requests, else 0."""
--- a/tests/forwarding/readiness/test_partitioned_zone.py
+++ b/tests/forwarding/readiness/test_partitioned_zone.py
@@ -6,7 +6,7 @@
 from tests.forwarding.readiness.zone_fleet import (
     STORE,
     FleetNode,
-    PacketLoss,
+    PartitionFailure,
     ZoneFleet,
     partition_zone,
     spread_replicas,
@@ -25,7 +25,7 @@
 
 def wide_fleet(nodes: int = NODES, zones: tuple[str, ...] = ZONES, **settings: object) -> ZoneFleet:
     """Return a fleet with replicas of each shard in all zones but one."""
-    route = sharded_route(SHARDS, least_share=0.85)
+    route = sharded_route(SHARDS, min_share=0.85)
     records = spread_replicas(route.shards, zones, max(1, len(zones) - 1))
     fleet = ZoneFleet(zones, nodes, table(1, route), records, **settings)
     fleet.start()
@@ -45,12 +45,12 @@
 
 class PartitionedZoneTest(TestCase):
     def test_all_nodes_of_a_partitioned_zone_leave_within_the_limit(self) -> None:
-        for kind in PacketLoss:
+        for kind in PartitionFailure:
             for zone in ("b", "d"):
                 with self.subTest(kind=kind, zone=zone):
                     fleet = wide_fleet()
                     send_wide_requests(fleet, 1.0)
-                    fleet.kind = kind
+                    fleet.partition_failure = kind
                     fleet.is_lost = partition_zone(fleet, zone)
                     send_wide_requests(fleet, LEAVE_SECONDS)
                     self.assertEqual(0, fleet.ready(zone))
@@ -82,15 +82,15 @@
         for step in range(20):
             fleet.is_lost = partition if step % 2 == 0 else lambda _sender, _receiver: False
             send_wide_requests(fleet, 0.6)
-        for node in fleet.of("b"):
+        for node in fleet.nodes_in("b"):
             self.assertLessEqual(len(node.logs("node_left_service")), 3)
 
     def test_long_partition_is_interrupted_by_trials(self) -> None:
         fleet = wide_fleet()
         send_wide_requests(fleet, 1.0)
         fleet.is_lost = partition_zone(fleet, "b")
-        send_wide_requests(fleet, 30.0, fleet.of("b"))
-        times = [at for at, _ in fleet.of("b")[0].changes[1:]]
+        send_wide_requests(fleet, 30.0, fleet.nodes_in("b"))
+        times = [at for at, _ in fleet.nodes_in("b")[0].changes[1:]]
         gaps = [round(later - at) for at, later in zip(times, times[1:], strict=False)]
         self.assertEqual([10, 2, 10, 2], gaps[:4])
 
@@ -98,7 +98,7 @@
         fleet = wide_fleet()
         send_wide_requests(fleet, 1.0)
         fleet.is_lost = partition_zone(fleet, "b")
-        send_wide_requests(fleet, LEAVE_SECONDS, fleet.of("b")[:1])
+        send_wide_requests(fleet, LEAVE_SECONDS, fleet.nodes_in("b")[:1])
         self.assertEqual(0, fleet.ready("b"))
 
     def test_zone_leaves_even_if_it_still_reaches_the_store(self) -> None:
@@ -116,11 +116,11 @@
         self.assertEqual([0, NODES, NODES, NODES], [fleet.ready(zone) for zone in ZONES])
 
     def test_zone_returns_soon_after_the_partition(self) -> None:
-        for kind in PacketLoss:
+        for kind in PartitionFailure:
             with self.subTest(kind=kind):
                 fleet = wide_fleet()
                 send_wide_requests(fleet, 1.0)
-                fleet.kind = kind
+                fleet.partition_failure = kind
                 fleet.is_lost = partition_zone(fleet, "b")
                 send_wide_requests(fleet, PARTITION_SECONDS)
                 self.assertEqual(0, fleet.ready("b"))
@@ -128,7 +128,7 @@
                 fleet.advance(RETURN_SECONDS)
                 self.assertEqual(NODES, fleet.ready("b"))
                 send_wide_requests(fleet, 1.0)
-                node, number = fleet.request(fleet.of("b")[0], "/all/x")
+                node, number = fleet.request(fleet.nodes_in("b")[0], "/all/x")
                 fleet.advance(0.5)
                 self.assertIsInstance(node.replies[number], ReplyMerged)
 
@@ -137,7 +137,7 @@
         send_wide_requests(fleet, 1.0)
         fleet.is_lost = partition_zone(fleet, "b")
         send_wide_requests(fleet, 1.0)
-        node = fleet.of("b")[0]
+        node = fleet.nodes_in("b")[0]
         left_at = node.changes[-1][0]
         self.assertFalse(node.answers_close)
         send_wide_requests(fleet, left_at + 1.4 - fleet.now)
@@ -158,14 +158,14 @@
         send_wide_requests(fleet, PARTITION_SECONDS)
         fleet.is_lost = lambda _sender, _receiver: False
         fleet.advance(1.0)
-        for node in fleet.of("b"):
+        for node in fleet.nodes_in("b"):
             (left,) = node.logs("node_left_service")
-            self.assertEqual("zone_cut_off", left["why"])
+            self.assertEqual("zone_cut_off", left["reason"])
             self.assertEqual("a,c,d", left["unreachable_zones"])
-            self.assertEqual(0.0, left["share_here"])
-            self.assertEqual(1.0, left["share_elsewhere"])
+            self.assertEqual(0.0, left["answerable_share"])
+            self.assertEqual(1.0, left["answerable_share_elsewhere"])
             (back,) = node.logs("node_returned_to_service")
-            self.assertEqual("other_zones_in_reach", back["why"])
+            self.assertEqual("other_zones_in_reach", back["reason"])
 
     def test_setting_disables_leaving(self) -> None:
         fleet = wide_fleet(leaves_when_cut_off=False)
@@ -183,7 +183,7 @@
             fleet.is_lost = partition_zone(fleet, "b")
             sent = []
             for second in range(6):
-                nodes = fleet.of("b") if fleet.ready("b") else fleet.of("c")
+                nodes = fleet.nodes_in("b") if fleet.ready("b") else fleet.nodes_in("c")
                 for _ in range(10):
                     sent += [fleet.request(node, "/all/x") for node in nodes]
                     fleet.advance(0.1)
@@ -203,12 +203,14 @@
             self.assertTrue(node.is_ready, node.name)
 
     def test_store_outage_for_all_or_some_zones(self) -> None:
-        for away in (set(ZONES), {"b"}, {"b", "c"}):
+        for zones_without_store in (set(ZONES), {"b"}, {"b", "c"}):
             fleet = wide_fleet()
             send_wide_requests(fleet, 1.0)
 
-            def is_lost(sender: str, receiver: str, away: set[str] = away) -> bool:
-                return receiver == STORE and sender[0] in away
+            def is_lost(
+                sender: str, receiver: str, zones_without_store: set[str] = zones_without_store
+            ) -> bool:
+                return receiver == STORE and sender[0] in zones_without_store
 
             fleet.is_lost = is_lost
             send_wide_requests(fleet, 5.0)
@@ -231,7 +233,7 @@
     def test_partition_of_some_nodes_of_a_zone(self) -> None:
         fleet = wide_fleet()
         send_wide_requests(fleet, 1.0)
-        partitioned = {node.name for node in fleet.of("b")[:1]}
+        partitioned = {node.name for node in fleet.nodes_in("b")[:1]}
 
         def is_lost(sender: str, receiver: str) -> bool:
             is_partitioned = sender in partitioned or receiver in partitioned
@@ -254,7 +256,7 @@
         self.assert_all_stay(fleet)
 
     def test_zone_with_replicas_for_all_recent_demand(self) -> None:
-        routes = (sharded_route(SHARDS, least_share=0.85), single_route("/one/", "one"))
+        routes = (sharded_route(SHARDS, min_share=0.85), single_route("/one/", "one"))
         records = spread_replicas(routes[0].shards, ZONES, 3)
         records += spread_replicas(["one"], ZONES, 4)
         fleet = ZoneFleet(ZONES, NODES, table(1, *routes), records)
@@ -268,11 +270,12 @@
             for node in fleet.nodes:
                 fleet.request(node, "/one/x")
             if step % 10 == 0:
-                fleet.request(fleet.of("b")[0], "/all/x")
+                fleet.request(fleet.nodes_in("b")[0], "/all/x")
             fleet.advance(0.1)
         self.assert_all_stay(fleet)
         self.assertEqual(
-            "holds_what_callers_ask", fleet.of("b")[0].logs("node_stays_in_service")[0]["why"]
+            "holds_what_callers_ask",
+            fleet.nodes_in("b")[0].logs("node_stays_in_service")[0]["reason"],
         )
 
     def test_deployment_with_one_zone(self) -> None:
@@ -320,7 +323,7 @@
         self.assert_all_stay(fleet)
 
     def test_start_of_all_nodes_while_all_replicas_are_down(self) -> None:
-        route = sharded_route(SHARDS, least_share=0.85)
+        route = sharded_route(SHARDS, min_share=0.85)
         records = spread_replicas(route.shards, ZONES, 3)
         fleet = ZoneFleet(ZONES, NODES, table(1, route), records)
         fleet.dead = {record.replica_id for record in records}
@@ -346,7 +349,7 @@
             fleet.dead = {fleet.records[0].replica_id}
             for node in fleet.nodes:
                 # Restarts of nodes in the same zone must not start a check either.
-                for other in fleet.of(node.zone):
+                for other in fleet.nodes_in(node.zone):
                     if other is not node:
                         node.emit(PeerLinkBroken(other.name, "the node crashed"))
             send_wide_requests(fleet, 3.0)
@@ -367,7 +370,7 @@
         away = {node.name for node in fleet.nodes if not node.is_ready}
         self.assertEqual(isolated, away)
         node = next(node for node in fleet.nodes if node.name == "b-1")
-        self.assertEqual("node_cut_off", node.logs("node_left_service")[0]["why"])
+        self.assertEqual("node_cut_off", node.logs("node_left_service")[0]["reason"])
         fleet.is_lost = lambda _sender, _receiver: False
         send_wide_requests(fleet, 1.0)
         self.assertTrue(all(node.is_ready for node in fleet.nodes))
@@ -377,6 +380,6 @@
         send_wide_requests(fleet, 1.0)
         fleet.is_lost = partition_zone(fleet, "b")
         send_wide_requests(fleet, 1.0)
-        node, number = fleet.request(fleet.of("b")[0], "/all/x")
+        node, number = fleet.request(fleet.nodes_in("b")[0], "/all/x")
         fleet.advance(0.3)
         self.assertIsInstance(node.replies[number], ReplyFailure)
--- a/tests/forwarding/readiness/zone_fleet.py
+++ b/tests/forwarding/readiness/zone_fleet.py
@@ -70,7 +70,7 @@
 """The name of the store in ``ZoneFleet.is_lost``."""
 
 
-class PacketLoss(Enum):
+class PartitionFailure(Enum):
     """How a connection across a partition fails."""
 
     SILENT = "silent"
@@ -184,10 +184,10 @@
             seconds += 2 * fleet.delay(self.name, record.replica_id)
             fleet.after(seconds, self._outcome, event)
             return
-        if is_connected and failure is PacketLoss.SILENT:
+        if is_connected and failure is PartitionFailure.SILENT:
             return
         kind = SendFailureKind.BROKEN if is_connected else SendFailureKind.NOT_SENT
-        seconds = CONNECT_SECONDS if failure is PacketLoss.SILENT else NETWORK_SECONDS
+        seconds = CONNECT_SECONDS if failure is PartitionFailure.SILENT else NETWORK_SECONDS
         self._connected.discard(record.replica_id)
         fleet.after(seconds, self._outcome, SendFailed(action.attempt_id, kind, failure.value))
 
@@ -204,13 +204,13 @@
         failure = self.fleet.failure_to(self, record)
         seconds = 2 * (NETWORK_SECONDS + self.fleet.delay(self.name, record.replica_id))
         if failure is None and seconds >= CONNECT_SECONDS:
-            failure = PacketLoss.SILENT
+            failure = PartitionFailure.SILENT
         if failure is None:
             self._connected.add(record.replica_id)
             self.fleet.after(seconds, self.emit, ConnectionTried(record.replica_id))
             return
-        seconds = CONNECT_SECONDS if failure is PacketLoss.SILENT else NETWORK_SECONDS
-        is_refused = failure is PacketLoss.REFUSED
+        seconds = CONNECT_SECONDS if failure is PartitionFailure.SILENT else NETWORK_SECONDS
+        is_refused = failure is PartitionFailure.REFUSED
         event = ConnectionTried(record.replica_id, failure.value, is_refused)
         self.fleet.after(seconds, self.emit, event)
 
@@ -231,7 +231,7 @@
         self.records = records
         self.dead: set[str] = set()
         """Ids of crashed replicas: nothing listens at their addresses."""
-        self.kind = PacketLoss.SILENT
+        self.partition_failure = PartitionFailure.SILENT
         self.is_lost: Callable[[str, str], bool] = _never_lost
         """Returns whether packets from one place to another are lost. Places are node names,
         replica ids and the store."""
@@ -284,13 +284,13 @@
             node.emit(PeerLinkOpened(node.identity))
         self.advance(0.1)
 
-    def of(self, zone: str) -> list[FleetNode]:
+    def nodes_in(self, zone: str) -> list[FleetNode]:
         """Return the nodes of a zone."""
         return [node for node in self.nodes if node.zone == zone]
 
     def ready(self, zone: str) -> int:
         """Return the number of ready nodes of a zone."""
-        return sum(node.is_ready for node in self.of(zone))
+        return sum(node.is_ready for node in self.nodes_in(zone))
 
     def request(self, node: FleetNode, path: str) -> tuple[FleetNode, int]:
         """Send a caller's request to a node."""
@@ -305,20 +305,20 @@
 
     # Network
 
-    def failure_to(self, node: FleetNode, record: ReplicaRecord) -> PacketLoss | None:
+    def failure_to(self, node: FleetNode, record: ReplicaRecord) -> PartitionFailure | None:
         """Return how a connection to a replica fails; ``None``: it succeeds."""
         there = self.is_lost(node.name, record.replica_id)
         back = self.is_lost(record.replica_id, node.name)
         if there or back:
-            return self.kind
-        return PacketLoss.REFUSED if record.replica_id in self.dead else None
+            return self.partition_failure
+        return PartitionFailure.REFUSED if record.replica_id in self.dead else None
 
     def deliver(self, sender: FleetNode, action: SendToPeer) -> None:
         """Deliver a message to another node, unless it is lost."""
         target = next(node for node in self.nodes if node.name == action.to.node_id)
         if self.is_lost(sender.name, target.name) or self.is_lost(target.name, sender.name):
-            if self.kind is not PacketLoss.SILENT:
-                event = PeerLinkBroken(action.to.node_id, self.kind.value)
+            if self.partition_failure is not PartitionFailure.SILENT:
+                event = PeerLinkBroken(action.to.node_id, self.partition_failure.value)
                 self.after(NETWORK_SECONDS, sender.emit, event)
             return
         received = PeerReceived(sender.identity, action.message)
@@ -354,7 +354,7 @@
             return
         event = WatchChanged(watch.watch_id, tuple(self._changed), tuple(self._deleted), 2)
         node.emit(event)
-        self.after(max(watch.gather_seconds, 0.5), self._poll, node, watch, self.now)
+        self.after(max(watch.poll_interval_seconds, 0.5), self._poll, node, watch, self.now)
 
     def _listing(self) -> list[StoredValue]:
         nodes = [
--- a/tests/forwarding/test_configuration_proof.py
+++ b/tests/forwarding/test_configuration_proof.py
@@ -98,7 +98,9 @@
                 proof_poll_times = proof_poll_times_within(bound_seconds, mode, poll_times, 0.8)
                 retry_seconds = proof_poll_times.timeout_seconds + poll_times.first_backoff_seconds
                 self.assertTrue(
-                    0.0 < proof_poll_times.own_poll_seconds + retry_seconds < bound_seconds - 0.1,
+                    0.0
+                    < proof_poll_times.poll_at_age_seconds + retry_seconds
+                    < bound_seconds - 0.1,
                     proof_poll_times,
                 )
                 # Updates of the polling node must arrive before the others poll.
@@ -106,7 +108,7 @@
                     proof_poll_times.hold_seconds, proof_poll_times.shared_poll_interval_seconds
                 )
                 self.assertTrue(
-                    proof_poll_times.hold_seconds + period < proof_poll_times.own_poll_seconds,
+                    proof_poll_times.hold_seconds + period < proof_poll_times.poll_at_age_seconds,
                     proof_poll_times,
                 )
 
@@ -178,9 +180,9 @@
             node = strict_node(mode)
             for _ in range(3):
                 watch = node.last(StartWatch)
-                self.assertTrue(watch.gather_seconds <= max_seconds, watch)
+                self.assertTrue(watch.poll_interval_seconds <= max_seconds, watch)
                 self.assertTrue(watch.pause_seconds + watch.hold_seconds <= 3.0, watch)
-                node.advance(watch.gather_seconds + watch.hold_seconds)
+                node.advance(watch.poll_interval_seconds + watch.hold_seconds)
                 answer_poll(node, watch.hold_seconds)
 
     def test_suspension_ages_the_proof(self) -> None:
@@ -269,7 +271,7 @@
         node.list_store(tenants_table(1, tenants), replica("r0", "s"), begun_at=node.now - 0.01)
         for _ in range(4):
             watch = node.last(StartWatch)
-            node.advance(watch.gather_seconds + watch.hold_seconds)
+            node.advance(watch.poll_interval_seconds + watch.hold_seconds)
             answer_poll(node, watch.hold_seconds)
         node.emit(WatchBroken(node.last_watch_id, "down"))
         node.advance(5.0)
--- a/tests/forwarding/test_node_groups.py
+++ b/tests/forwarding/test_node_groups.py
@@ -48,26 +48,26 @@
 
     def test_nodes_without_an_address_are_left_out(self) -> None:
         groups = groups_of("n00", NAMES[:4])
-        groups.put("far", NodeRecord(identity("far", "b")))
+        groups.put("other", NodeRecord(identity("other", "b")))
         groups.put("n03", None)
         by_zone = groups.usable_by_zone(0.0)
         found = {zone: [node.name for node in nodes] for zone, nodes in by_zone.items()}
-        self.assertEqual({"a": ["n00", "n01", "n02"], "b": ["far"]}, found)
+        self.assertEqual({"a": ["n00", "n01", "n02"], "b": ["other"]}, found)
         self.assertEqual((4, 2), (groups.node_count, groups.zone_count))
 
     def test_suspicion_lasts_longer_with_each_failure(self) -> None:
         groups = groups_of("n00", NAMES[:5])
 
-        def is_there(now: float) -> bool:
+        def is_usable(now: float) -> bool:
             return "n01" in self.usable_names(groups, now)
 
         groups.suspect("n01-1", 10.0)
-        self.assertEqual([False, False, True], [is_there(now) for now in (10.0, 10.9, 11.0)])
+        self.assertEqual([False, False, True], [is_usable(now) for now in (10.0, 10.9, 11.0)])
         groups.suspect("n01-1", 11.0)
-        self.assertEqual([False, True], [is_there(now) for now in (12.9, 13.0)])
+        self.assertEqual([False, True], [is_usable(now) for now in (12.9, 13.0)])
         groups.clear_suspicion("n01-1")
         groups.suspect("n01-1", 13.0)
-        self.assertEqual([False, True], [is_there(now) for now in (13.9, 14.0)])
+        self.assertEqual([False, True], [is_usable(now) for now in (13.9, 14.0)])
 
     def test_version_changes_with_the_set_of_usable_nodes(self) -> None:
         groups = groups_of("n00", NAMES[:3])
@@ -132,13 +132,13 @@
         wide = self.started(4, known)
         wide.advance(0.2)
         self.assertEqual(1, len(self.opened(wide)))
-        far = OneNode()
+        remote = OneNode()
         records = [replica(f"r{number}", f"s{number}", "b") for number in range(6)]
-        far.start(table(1, sharded_route(6)), *records, values=(known,))
-        far.advance(0.4)
-        self.assertEqual([], self.opened(far))
-        far.advance(0.5)
-        self.assertEqual(1, len(self.opened(far)))
+        remote.start(table(1, sharded_route(6)), *records, values=(known,))
+        remote.advance(0.4)
+        self.assertEqual([], self.opened(remote))
+        remote.advance(0.5)
+        self.assertEqual(1, len(self.opened(remote)))
 
     def test_node_waits_for_a_late_configuration(self) -> None:
         node = OneNode(delegate_min_shards=4)
@@ -196,7 +196,7 @@
         idle = node.last(StartWatch).poll_interval_seconds
         node.request("/all/x")
         node.advance(0.5)
-        busy = node.last(StartWatch).gather_seconds
+        busy = node.last(StartWatch).poll_interval_seconds
         self.assertLess(busy, min(idle, usual))
         node.advance(3.0)
         node.change()
--- a/tests/forwarding/test_poll_times.py
+++ b/tests/forwarding/test_poll_times.py
@@ -4,8 +4,8 @@
 
 from tests.forwarding.one_node import OneNode, replica, single_route, table
 from wingquay.forwarding.knowledge.poll_times import (
-    CONTACT_RESERVE_SECONDS,
     LONG_POLL_ANSWER_SECONDS,
+    RECOVERY_RESERVE_SECONDS,
     poll_interval_within,
     poll_times_within,
 )
@@ -23,15 +23,15 @@
 
 class PollTimesTest(TestCase):
     def test_failed_poll_and_backoff_end_before_the_bounds_apply(self) -> None:
-        for contact_seconds in (1.0, 1.5, 2.0, 3.0, 4.0, 5.0, 6.0, 60.0):
-            poll_times = poll_times_within(contact_seconds)
-            max_seconds = contact_seconds - CONTACT_RESERVE_SECONDS + 1e-9
+        for recovery_seconds in (1.0, 1.5, 2.0, 3.0, 4.0, 5.0, 6.0, 60.0):
+            poll_times = poll_times_within(recovery_seconds)
+            max_seconds = recovery_seconds - RECOVERY_RESERVE_SECONDS + 1e-9
             long_poll_seconds = (
                 poll_times.long_poll_timeout_seconds + poll_times.first_backoff_seconds
             )
-            self.assertLessEqual(long_poll_seconds, max_seconds, contact_seconds)
+            self.assertLessEqual(long_poll_seconds, max_seconds, recovery_seconds)
             short_poll_seconds = poll_times.timeout_seconds + poll_times.max_backoff_seconds
-            self.assertLessEqual(short_poll_seconds, max_seconds, contact_seconds)
+            self.assertLessEqual(short_poll_seconds, max_seconds, recovery_seconds)
             self.assertGreater(poll_times.timeout_seconds, 0.2)
             self.assertGreaterEqual(
                 poll_times.max_backoff_seconds, poll_times.first_backoff_seconds
@@ -39,8 +39,8 @@
             self.assertGreaterEqual(poll_times.hold_seconds, 0.0)
 
     def test_poll_times_for_common_bounds(self) -> None:
-        for contact_seconds, hold_seconds in ((4.0, 2.45), (5.0, 3.0), (6.0, 3.0)):
-            poll_times = poll_times_within(contact_seconds)
+        for recovery_seconds, hold_seconds in ((4.0, 2.45), (5.0, 3.0), (6.0, 3.0)):
+            poll_times = poll_times_within(recovery_seconds)
             self.assertAlmostEqual(hold_seconds, poll_times.hold_seconds)
             self.assertAlmostEqual(
                 hold_seconds + LONG_POLL_ANSWER_SECONDS, poll_times.long_poll_timeout_seconds
--- a/tests/forwarding/test_presence.py
+++ b/tests/forwarding/test_presence.py
@@ -141,7 +141,7 @@
         self.assertEqual(9, nodes.get(100.0))
 
 
-class ArrivalBudgetTest(TestCase):
+class ExtraRequestBudgetTest(TestCase):
     def test_all_nodes_together_stay_within_the_slack(self) -> None:
         for count in (1, 8, 12, 60, 300):
             budgets = [ExtraRequestBudget(0.0, 56.0, 10.0) for _ in range(count)]
@@ -155,7 +155,7 @@
                 in_window = sum(start <= at < start + 10 for at in spent)
                 self.assertLessEqual(in_window, 56, count)
 
-    def test_share_of_the_slack_below_one_accumulates(self) -> None:
+    def test_quota_below_one_accumulates(self) -> None:
         budget = ExtraRequestBudget(0.0, 168.0, 10.0)
         nodes = 80
         self.assertFalse(budget.spend(nodes, 0.0))
@@ -166,8 +166,8 @@
 
     def test_time_of_the_next_available_request(self) -> None:
         rows = {
-            "share of the slack below one": (56.0, 0.0, 0, float("inf")),
-            "share of the slack that accumulates": (168.0, 0.0, 0, 0.4),
+            "quota below one": (56.0, 0.0, 0, float("inf")),
+            "quota that accumulates": (168.0, 0.0, 0, 0.4),
             "earned by requests": (0.0, 0.2, 10, 0.0),
             "too few requests": (0.0, 0.2, 4, 0.5),
             "nothing": (0.0, 0.2, 0, float("inf")),
--- a/tests/forwarding/test_proof_fleet.py
+++ b/tests/forwarding/test_proof_fleet.py
@@ -24,7 +24,7 @@
 
 def age_seconds(node: FleetNode) -> float:
     """Return the age of a node's proof."""
-    return node.machine._keeper.age_seconds(node.now)
+    return node.machine._proof_manager.age_seconds(node.now)
 
 
 def overdue_nodes(fleet: Fleet) -> list[tuple[int, int]]:
--- a/tests/forwarding/test_proof_requests.py
+++ b/tests/forwarding/test_proof_requests.py
@@ -235,8 +235,8 @@
             for item in node.actions[before:]
             if isinstance(item, SendToPeer)
         ]
-        self.assertEqual((OTHERS[1], "ProofGiven"), sent[-1])
-        self.assertEqual([(other, "StoreNews") for other in OTHERS], sent[:-1])
+        self.assertEqual((OTHERS[1], "ProofReply"), sent[-1])
+        self.assertEqual([(other, "StoreUpdate") for other in OTHERS], sent[:-1])
         self.assertEqual([ProofReply(77, 0.75, revision)], proofs_in(node.actions[before:]))
 
     def test_request_is_answered_at_once_while_proven(self) -> None:
--- a/tests/forwarding/test_store_following.py
+++ b/tests/forwarding/test_store_following.py
@@ -113,12 +113,12 @@
         node.emit(WatchBroken(node.last_watch_id, "no answer"))
         expected = {
             "reason": "no answer",
-            "failures": 1,
+            "consecutive_failures": 1,
             "waited_ms": 2700,
             "since_answer_ms": 4000,
             "pause_ms": 150,
         }
-        self.assertEqual([expected], node.logs("store_unreachable"))
+        self.assertEqual([expected], node.logs("store_poll_failed"))
 
 
 class MissingRecordsTest(TestCase):
@@ -359,10 +359,10 @@
 
     def test_expiry_grace_period_ends_within_the_drain_time(self) -> None:
         for drain_seconds in (0.3, 1.0, 3.0, 5.0, 30.0):
-            gather_seconds = poll_interval_within(drain_seconds)
-            grace_seconds = expiry_grace_seconds(gather_seconds, drain_seconds)
+            poll_interval_seconds = poll_interval_within(drain_seconds)
+            grace_seconds = expiry_grace_seconds(poll_interval_seconds, drain_seconds)
             self.assertLess(grace_seconds, drain_seconds)
-            self.assertLessEqual(grace_seconds, 2.3 + gather_seconds)
+            self.assertLessEqual(grace_seconds, 2.3 + poll_interval_seconds)
         self.assertEqual(2.5, expiry_grace_seconds(poll_interval_within(3.0), 3.0))
 
     def test_records_missing_after_a_store_outage_are_gone(self) -> None:
--- a/tests/forwarding/test_store_updates.py
+++ b/tests/forwarding/test_store_updates.py
@@ -192,7 +192,7 @@
         expected = {
             "known_revision": revision,
             "from_revision": revision + 1,
-            "failures": 1,
+            "consecutive_failures": 1,
             "since_answer_ms": 5100,
         }
         self.assertEqual([expected], node.logs("store_update_skipped"))
@@ -335,7 +335,7 @@
             node = linked(other)
             self.receive_update(node)
             self.answer_poll(node)
-            self.assertEqual(seconds, node.last(StartWatch).gather_seconds)
+            self.assertEqual(seconds, node.last(StartWatch).poll_interval_seconds)
 
     def test_single_node_uses_long_polls(self) -> None:
         self.assertTrue(self.answer_poll(linked()))
--- a/wingquay/forwarding/knowledge/configuration_proof.py
+++ b/wingquay/forwarding/knowledge/configuration_proof.py
@@ -39,7 +39,7 @@
     """
 
     def __init__(self, bound_seconds: float, next_answer_at: Callable[[float], float]) -> None:
-        self._served_seconds = max(bound_seconds - BOUND_RESERVE_SECONDS, 0.0)
+        self._max_age_seconds = max(bound_seconds - BOUND_RESERVE_SECONDS, 0.0)
         self._next_answer_at = next_answer_at
         self._proven_as_of = float("-inf")
 
@@ -64,7 +64,7 @@
 
     def is_proven(self, now: float) -> bool:
         """Whether the configuration is recent enough to serve requests with keys."""
-        return now - self._proven_as_of <= self._served_seconds
+        return now - self._proven_as_of <= self._max_age_seconds
 
     def retry_after_seconds(self, now: float) -> float:
         """Return the seconds after which a rejected caller should retry."""
--- a/wingquay/forwarding/knowledge/follower_settings.py
+++ b/wingquay/forwarding/knowledge/follower_settings.py
@@ -14,7 +14,7 @@
 class PollRetryDue(Event):
     """Poll the store again after a failure."""
 
-    watch_id: str
+    read_id: str
 
 
 @value
--- a/wingquay/forwarding/knowledge/node_groups.py
+++ b/wingquay/forwarding/knowledge/node_groups.py
@@ -114,9 +114,9 @@
         for name in [name for name in self._members if name not in names]:
             self.remove(name)
 
-    def set_max_shard_count(self, shards: int) -> None:
+    def set_max_shard_count(self, max_shard_count: int) -> None:
         """Set the maximum number of shards of a route."""
-        self._fan_out = shards
+        self._fan_out = max_shard_count
 
     def suspect(self, node_id: str, now: float, is_absent: bool = False) -> None:
         """Mark a node as suspect; the period doubles with each failure in a row.
--- a/wingquay/forwarding/knowledge/node_membership.py
+++ b/wingquay/forwarding/knowledge/node_membership.py
@@ -8,7 +8,7 @@
 from ...ports.store import StoredValue, StoreResponse
 from ..settings import ForwardingSettings
 from ..store_formats import StoreFormats
-from .peer_setup import PeerSetup, widest_route
+from .peer_setup import PeerSetup, count_max_shards
 from .presence import NodeCount, Presence, PresenceDue
 
 if TYPE_CHECKING:
@@ -46,17 +46,17 @@
         formats: StoreFormats,
         nodes: NodeCount,
         presence: Presence,
-        candidate: bytes,
+        new_cluster_key: bytes,
     ) -> None:
         self._name = name
         self._settings = settings
         self._formats = formats
         self._nodes = nodes
         self._presence = presence
-        self._setup = PeerSetup(settings, formats.cluster_key, candidate)
+        self._setup = PeerSetup(settings, formats.cluster_key, new_cluster_key)
         self._link_waits = 0
         self._table_waits = 0
-        self._has_not_waited = True
+        self._needs_initial_delay = True
         """Whether the delay before the first write of the entry is still ahead."""
         self._opened_at = float("-inf")
         self._known_at_opening = 0
@@ -92,8 +92,8 @@
             self._table_waits += 1
             return [Schedule(now + TABLE_WAIT_SECONDS, event)]
         if table is None:
-            return self._without_link(event, now)
-        if self._has_not_waited and not self._setup.needs_early_link(table):
+            return self._write_without_address(event, now)
+        if self._needs_initial_delay and not self._setup.needs_early_link(table):
             settings = self._settings
             return self._wait_once(settings.join_delay_seconds, event, now)
         if is_open:
@@ -103,15 +103,15 @@
             return self._presence.handle(event, now)
         return [*self._setup.request_link(), Schedule(now + LINK_WAIT_SECONDS, event)]
 
-    def _without_link(self, event: PresenceDue, now: float) -> list[Action]:
+    def _write_without_address(self, event: PresenceDue, now: float) -> list[Action]:
         """Write the entry without an address, because there is no configuration."""
-        if self._has_not_waited:
+        if self._needs_initial_delay:
             return self._wait_once(self._settings.presence_delay_seconds, event, now)
         return self._presence.handle(event, now)
 
     def _wait_once(self, delay_seconds: float, event: PresenceDue, now: float) -> list[Action]:
         """Delay the first write until so many seconds after the start, once."""
-        self._has_not_waited = False
+        self._needs_initial_delay = False
         delay_left_seconds = delay_seconds - self._settings.join_wide_delay_seconds
         return [Schedule(now + max(0.0, delay_left_seconds), event)]
 
@@ -163,7 +163,7 @@
     def configure(self, table: RoutingTable) -> None:
         """Apply a configuration."""
         if self._groups is not None:
-            self._groups.set_max_shard_count(widest_route(table))
+            self._groups.set_max_shard_count(count_max_shards(table))
 
     def set_cluster_key(self, cluster_key: bytes) -> None:
         """Record the cluster key found in the store."""
--- a/wingquay/forwarding/knowledge/peer_setup.py
+++ b/wingquay/forwarding/knowledge/peer_setup.py
@@ -33,10 +33,10 @@
         The key to write if there is none; random, at least 16 bytes.
     """
 
-    def __init__(self, settings: ForwardingSettings, key_name: str, candidate: bytes) -> None:
+    def __init__(self, settings: ForwardingSettings, key_name: str, new_cluster_key: bytes) -> None:
         self._settings = settings
         self._key_name = key_name
-        self._candidate = candidate
+        self._new_cluster_key = new_cluster_key
         self._cluster_key: bytes | None = None
         self._is_requested = False
         self._operations = 0
@@ -50,7 +50,7 @@
         """Whether requests depend on other nodes, for delegation or for a tenant's limit."""
         if table.tenants is not None and table.tenants.is_limited:
             return True
-        return widest_route(table) >= self._settings.delegate_min_shards
+        return count_max_shards(table) >= self._settings.delegate_min_shards
 
     def set_cluster_key(self, cluster_key: bytes) -> None:
         """Record the cluster key found in the store."""
@@ -68,7 +68,7 @@
             self._is_requested = True
             return [OpenPeerLink(self._cluster_key)]
         self._operations += 1
-        operation = CompareAndSwap(self._key_name, 0, self._candidate)
+        operation = CompareAndSwap(self._key_name, 0, self._new_cluster_key)
         return [StoreRequest(self._operation_id, operation, TIMEOUT_SECONDS)]
 
     def handle_result(self, result: StoreResult | Failure[StoreFailureKind]) -> list[Action]:
@@ -76,7 +76,7 @@
         if not isinstance(result, SwapResult):
             return []
         if result.succeeded:
-            self._cluster_key = self._candidate
+            self._cluster_key = self._new_cluster_key
         elif result.current is not None:
             self._cluster_key = result.current.value
         return self.request_link() if self._cluster_key is not None else []
@@ -86,6 +86,6 @@
         return f"{OPERATION_PREFIX}{self._operations}"
 
 
-def widest_route(table: RoutingTable) -> int:
+def count_max_shards(table: RoutingTable) -> int:
     """Return the maximum number of shards of a route."""
     return max([len(route.shards) for route in table.routes], default=0)
--- a/wingquay/forwarding/knowledge/poll_schedule.py
+++ b/wingquay/forwarding/knowledge/poll_schedule.py
@@ -25,7 +25,7 @@
         self._proof_manager = proof_manager
         self._has_received_update = False
         """Whether an update of another node was applied since the last poll."""
-        self._got_no_updates = False
+        self._no_updates_between_polls = False
         """Whether none arrived before that poll either, as when the first node's polls fail."""
         self.requested_interval_seconds = settings.poll_interval_seconds
         """The poll interval that is currently requested."""
@@ -40,7 +40,7 @@
     @property
     def interval_seconds(self) -> float:
         """Minimum time between two polls; shorter for a node that polls for its group."""
-        proof_poll_times = self._proof_manager.poll_times
+        proof_poll_times = self._proof_manager.proof_poll_times
         if self._uses_long_polls and self._hooks.shares_updates():
             shared_seconds = self._settings.shared_poll_interval_seconds
             if proof_poll_times is not None:
@@ -49,7 +49,8 @@
         if proof_poll_times is None:
             return self.requested_interval_seconds
         return min(
-            self.requested_interval_seconds, proof_poll_times.own_poll_seconds - self.hold_seconds
+            self.requested_interval_seconds,
+            proof_poll_times.poll_at_age_seconds - self.hold_seconds,
         )
 
     @property
@@ -61,7 +62,7 @@
         """
         if not self._uses_long_polls or self.failed_polls:
             return 0.0
-        proof_poll_times = self._proof_manager.poll_times
+        proof_poll_times = self._proof_manager.proof_poll_times
         return (
             self._settings.poll_times.hold_seconds
             if proof_poll_times is None
@@ -70,7 +71,7 @@
 
     def timeout_seconds(self, hold_seconds: float) -> float:
         """Return the timeout of a poll that the store may hold for ``hold_seconds``."""
-        poll_times = self._proof_manager.poll_times or self._settings.poll_times
+        poll_times = self._proof_manager.proof_poll_times or self._settings.poll_times
         return (
             poll_times.long_poll_timeout_seconds
             if hold_seconds > 0.0
@@ -81,31 +82,31 @@
         """Return the maximum time until the next poll."""
         return max(self._proof_manager.poll_deadline() - self.hold_seconds - now, 0.0)
 
-    def backoff_seconds(self, is_listed: bool) -> float:
+    def backoff_seconds(self, has_listing: bool) -> float:
         """Return the pause after a failed poll, doubled with each failure in a row.
 
         Parameters
         ----------
-        is_listed
+        has_listing
             Whether the node has contents to work with in the meantime.
         """
         settings = self._settings
         pause = settings.poll_times.first_backoff_seconds * 2.0 ** min(self.failed_polls, 6)
-        if not is_listed:
+        if not has_listing:
             return min(pause, settings.initial_backoff_seconds)
         max_seconds = settings.poll_times.max_backoff_seconds
         if self.is_urgent:
             max_seconds = min(max_seconds, settings.urgent_backoff_seconds)
         return min(pause, max_seconds)
 
-    def update_received(self) -> None:
+    def record_update(self) -> None:
         """Record that an update of another node was applied."""
         self._has_received_update = True
-        self._got_no_updates = False
+        self._no_updates_between_polls = False
 
-    def poll_answered(self) -> None:
+    def record_poll_answer(self) -> None:
         """Record that a poll of this node was answered."""
-        self._got_no_updates = not self._has_received_update
+        self._no_updates_between_polls = not self._has_received_update
         self._has_received_update = False
 
     @property
@@ -115,4 +116,4 @@
         One node of a group does and sends the changes to the others, which postpone their own
         polls. Polls of the others must not be held, because a poll under way cannot be postponed.
         """
-        return self._hooks.is_first_in_group() or self._got_no_updates
+        return self._hooks.is_first_in_group() or self._no_updates_between_polls
--- a/wingquay/forwarding/knowledge/poll_times.py
+++ b/wingquay/forwarding/knowledge/poll_times.py
@@ -45,7 +45,7 @@
 
 DEFAULT_RECOVERY_SECONDS = 4.0
 """Default for the time after a store outage at which the bounds apply again."""
-CONTACT_RESERVE_SECONDS = 0.4
+RECOVERY_RESERVE_SECONDS = 0.4
 """Time left for the answer to the first poll after an outage and for requests under way."""
 MAX_HOLD_SECONDS = 3.0
 """Maximum hold time of a long poll; a longer one saves calls but detects failures later."""
@@ -84,7 +84,7 @@
     max_backoff_seconds: float
 
 
-def poll_times_within(contact_seconds: float) -> PollTimes:
+def poll_times_within(recovery_seconds: float) -> PollTimes:
     """Return poll times that keep the bounds again soon enough after a store outage.
 
     A poll may fail just before the outage ends. Its timeout and the backoff must both be over
@@ -94,10 +94,10 @@
 
     Parameters
     ----------
-    contact_seconds
+    recovery_seconds
         Time after the end of an outage at which the bounds apply to a node again.
     """
-    within_seconds = max(contact_seconds - CONTACT_RESERVE_SECONDS, contact_seconds / 2.0)
+    within_seconds = max(recovery_seconds - RECOVERY_RESERVE_SECONDS, recovery_seconds / 2.0)
     first_backoff_seconds = min(FIRST_BACKOFF_SECONDS, within_seconds / 4.0)
     timeout_seconds = min(MAX_ANSWER_SECONDS, within_seconds * MAX_ANSWER_SHARE)
     long_poll_timeout_seconds = min(
--- a/wingquay/forwarding/knowledge/presence.py
+++ b/wingquay/forwarding/knowledge/presence.py
@@ -104,12 +104,12 @@
     def handle(self, event: Event, now: float) -> list[Action]:
         """Handle a store response or a timer."""
         if isinstance(event, Start):
-            return self._after(self._settings.join_wide_delay_seconds, now)
+            return self._schedule_next_step(self._settings.join_wide_delay_seconds, now)
         if isinstance(event, PresenceDue) and event.step == self._step:
             self._sent_at = now
             return [self._request(self._next_operation())]
         if isinstance(event, StoreResponse) and event.operation_id == self._operation_id:
-            return self._done(event.result, now)
+            return self._handle_result(event.result, now)
         return []
 
     def handles(self, event: StoreResponse) -> bool:
@@ -140,41 +140,45 @@
     def _request(self, operation: StoreOperation) -> StoreRequest:
         return StoreRequest(self._operation_id, operation, TIMEOUT_SECONDS)
 
-    def _done(self, result: StoreResult | Failure[StoreFailureKind], now: float) -> list[Action]:
+    def _handle_result(
+        self, result: StoreResult | Failure[StoreFailureKind], now: float
+    ) -> list[Action]:
         if isinstance(result, LeaseState):
-            return self._lease_answered(result, now)
+            return self._handle_lease(result, now)
         if isinstance(result, SwapResult):
-            return self._swapped(result, now)
+            return self._handle_swap(result, now)
         # The lease may have expired, or the entry may have been written: start with a new lease.
         if not self._is_written:
             self._lease_id = None
-        return self._after(self._settings.presence_retry_seconds, now)
+        return self._schedule_next_step(self._settings.presence_retry_seconds, now)
 
-    def _lease_answered(self, lease: LeaseState, now: float) -> list[Action]:
+    def _handle_lease(self, lease: LeaseState, now: float) -> list[Action]:
         if not lease.time_to_live_seconds:
             self._lease_id = None
             self._stored = None
             self._is_written = False
             self._reused_key = False
-            return self._after(0.0, now)
+            return self._schedule_next_step(0.0, now)
         if self._lease_id is None:
             self._lease_id = lease.lease_id
             self._lease_sent_at = self._sent_at
-            return self._after(0.0, now)
+            return self._schedule_next_step(0.0, now)
         self._lease_sent_at = self._sent_at
         self._listed_until = self._lease_sent_at + self._settings.presence_lease_seconds
-        return self._after(self._settings.presence_lease_seconds * RENEWAL_SHARE, now)
+        return self._schedule_next_step(self._settings.presence_lease_seconds * RENEWAL_SHARE, now)
 
-    def _swapped(self, result: SwapResult, now: float) -> list[Action]:
+    def _handle_swap(self, result: SwapResult, now: float) -> list[Action]:
         if result.succeeded:
             self._is_written = True
             self._listed_until = self._lease_sent_at + self._settings.presence_lease_seconds
-            return self._after(self._settings.presence_lease_seconds * RENEWAL_SHARE, now)
+            return self._schedule_next_step(
+                self._settings.presence_lease_seconds * RENEWAL_SHARE, now
+            )
         current = result.current
         self._expected_revision = 0 if current is None else current.modified_at
-        return self._after(0.0, now)
+        return self._schedule_next_step(0.0, now)
 
-    def _after(self, seconds: float, now: float) -> list[Action]:
+    def _schedule_next_step(self, seconds: float, now: float) -> list[Action]:
         self._step += 1
         due_at = now + seconds * self._random.uniform(0.8, 1.2)
         return [Schedule(due_at, PresenceDue(self._step))]
@@ -191,35 +195,35 @@
 
     def __init__(self, settings: ForwardingSettings) -> None:
         self._settings = settings
-        self._names: set[str] = set()
+        self._keys: set[str] = set()
         self._max_count = 0
         self._max_count_at = float("-inf")
 
-    def put(self, name: str) -> None:
+    def put(self, key: str) -> None:
         """Add a node."""
-        self._names.add(name)
+        self._keys.add(key)
 
-    def remove(self, name: str) -> None:
+    def remove(self, key: str) -> None:
         """Remove a node."""
-        self._names.discard(name)
+        self._keys.discard(key)
 
-    def hashed_position(self, name: str, salt: str) -> int | None:
+    def hashed_position(self, key: str, salt: str) -> int | None:
         """Return a node's position in an order of all nodes that depends on the salt.
 
         ``None``: the node has no entry.
         """
-        if name not in self._names:
+        if key not in self._keys:
             return None
-        own = (zlib.crc32((salt + name).encode()), name)
-        return sum((zlib.crc32((salt + other).encode()), other) < own for other in self._names)
+        own = (zlib.crc32((salt + key).encode()), key)
+        return sum((zlib.crc32((salt + other).encode()), other) < own for other in self._keys)
 
-    def keep_only(self, names: set[str]) -> None:
+    def keep_only(self, keys: set[str]) -> None:
         """Apply a complete listing."""
-        self._names = names
+        self._keys = keys
 
     def get(self, now: float) -> int:
         """Return the maximum recent number of nodes."""
-        present = len(self._names)
+        present = len(self._keys)
         is_old = now - self._max_count_at > self._settings.node_count_memory_seconds
         if present >= self._max_count or is_old:
             self._max_count = present
--- a/wingquay/forwarding/knowledge/proof_manager.py
+++ b/wingquay/forwarding/knowledge/proof_manager.py
@@ -7,7 +7,7 @@
 from ...ports.peer_link import NodeIdentity, PeerLinkBroken, SendToPeer
 from ...ports.proof_messages import ProofReply, ProofRequest
 from .configuration_proof import AlwaysProven, TimedProof
-from .proof_poll_times import MAX_RANK_SECONDS, ProofPollTimes
+from .proof_poll_times import MAX_POLL_SPREAD_SECONDS, ProofPollTimes
 from .proof_requests import ReceivedProofRequests, SentProofRequests
 
 NO_POLL_REASON = "no poll was answered and no proof received"
@@ -23,7 +23,7 @@
     ----------
     poll_times
         The bound and the polls that keep it; ``None``: no bound is stated.
-    rank_seconds
+    poll_delay_seconds
         Returns the delay of this node's own polls, which grows with its position in the group.
     next_answer_at
         Returns, for a time, when the store may answer next.
@@ -33,15 +33,17 @@
 
     def __init__(
         self,
-        poll_times: ProofPollTimes | None,
-        rank_seconds: Callable[[], float],
+        proof_poll_times: ProofPollTimes | None,
+        poll_delay_seconds: Callable[[], float],
         next_answer_at: Callable[[float], float],
         first_number: int = 0,
     ) -> None:
-        self._poll_times = poll_times
-        self._rank_seconds = rank_seconds
+        self._proof_poll_times = proof_poll_times
+        self._poll_delay_seconds = poll_delay_seconds
         self._timed = (
-            None if poll_times is None else TimedProof(poll_times.bound_seconds, next_answer_at)
+            None
+            if proof_poll_times is None
+            else TimedProof(proof_poll_times.bound_seconds, next_answer_at)
         )
         self._sent = SentProofRequests(first_number)
         self._received = ReceivedProofRequests()
@@ -56,9 +58,9 @@
         return self._timed or AlwaysProven()
 
     @property
-    def poll_times(self) -> ProofPollTimes | None:
+    def proof_poll_times(self) -> ProofPollTimes | None:
         """The polls that keep the bound; ``None``: no proof is required."""
-        return self._poll_times if self._has_tenants else None
+        return self._proof_poll_times if self._has_tenants else None
 
     def configure(self, table: RoutingTable) -> None:
         """Apply a configuration."""
@@ -66,12 +68,16 @@
 
     def poll_deadline(self) -> float:
         """Return when this node's own poll must start to leave time for one retry."""
-        if self._timed is None or self.poll_times is None:
+        if self._timed is None or self.proof_poll_times is None:
             return float("inf")
-        rank_seconds = min(self._rank_seconds(), MAX_RANK_SECONDS)
-        return self._timed.proven_as_of + self.poll_times.own_poll_seconds + rank_seconds
+        poll_delay_seconds = min(self._poll_delay_seconds(), MAX_POLL_SPREAD_SECONDS)
+        return (
+            self._timed.proven_as_of
+            + self.proof_poll_times.poll_at_age_seconds
+            + poll_delay_seconds
+        )
 
-    def poll_answered(
+    def handle_poll_answer(
         self, begun_at: float | None, store_revision: int, now: float
     ) -> list[Action]:
         """Handle an answered poll of this node.
@@ -100,13 +106,13 @@
         recipients
             Returns the nodes that share store updates.
         """
-        if self.poll_times is None:
+        if self.proof_poll_times is None:
             return []
         return [*self.check(now), *self._sent.send_requests(recipients(), now)]
 
     def handle_update_from(self, sender: NodeIdentity, now: float) -> list[Action]:
         """Handle the arrival of another node's store update."""
-        return [] if self.poll_times is None else self._sent.handle_update_from(sender, now)
+        return [] if self.proof_poll_times is None else self._sent.handle_update_from(sender, now)
 
     def handle_request(
         self, sender: NodeIdentity, request: ProofRequest, known_revision: int | None, now: float
@@ -146,13 +152,13 @@
             return []
         logs = self.check(now)
         self._reason = NO_POLL_REASON
-        if self.poll_times is None or age_seconds == float("inf"):
+        if self.proof_poll_times is None or age_seconds == float("inf"):
             return logs
         return [*logs, Observe("configuration_proof_age_seconds", age_seconds)]
 
     def check(self, now: float) -> list[Action]:
         """Log and count when the configuration becomes unproven or proven again."""
-        if self._timed is None or self.poll_times is None:
+        if self._timed is None or self.proof_poll_times is None:
             return []
         if self._timed.is_proven(now):
             return self._proof_regained(now)
--- a/wingquay/forwarding/knowledge/proof_poll_times.py
+++ b/wingquay/forwarding/knowledge/proof_poll_times.py
@@ -22,17 +22,17 @@
 """Maximum share of the bound for a failed poll and the pause after it."""
 RETRY_ANSWER_SECONDS = 0.3
 """Time for the answer to the poll that follows a failed one."""
-MAX_RANK_SECONDS = 0.45
+MAX_POLL_SPREAD_SECONDS = 0.45
 """Maximum time over which the polls of a group's nodes are spread."""
 MAX_PROOF_HOLD_SECONDS = 1.2
 """Maximum hold time. A long poll proves the configuration as of its start, so holding it ages the
 proof."""
 MAX_RESERVE_SHARE = 0.2
 """Maximum share of the bound reserved for that answer, the spread and clock drift."""
-MAX_HOLD_SHARE = 0.4
-"""Share of ``own_poll_seconds`` for the hold time, so that two long polls fit into it."""
+MAX_LONG_POLL_SHARE = 0.4
+"""Share of ``poll_at_age_seconds`` for the hold time, so that two long polls fit into it."""
 SHORT_POLL_SHARE = 0.67
-"""Share of ``own_poll_seconds`` after which the node that polls for its group polls, so that its
+"""Share of ``poll_at_age_seconds`` after which the node that polls for its group polls, so that its
 update arrives before the others poll, even if one poll is late."""
 
 
@@ -44,7 +44,7 @@
     ----------
     bound_seconds
         Time after the store acknowledged a key's revocation by which the key must be rejected.
-    own_poll_seconds
+    poll_at_age_seconds
         Age of the proof at which a node polls by itself, early enough for one retry.
     shared_poll_interval_seconds
         Minimum time between two polls of a node that polls for its group.
@@ -55,7 +55,7 @@
     """
 
     bound_seconds: float
-    own_poll_seconds: float
+    poll_at_age_seconds: float
     shared_poll_interval_seconds: float
     hold_seconds: float
     long_poll_timeout_seconds: float
@@ -86,21 +86,26 @@
         timeout_seconds + poll_times.first_backoff_seconds, bound_seconds * MAX_RETRY_SHARE
     )
     reserve_seconds = min(
-        RETRY_ANSWER_SECONDS + MAX_RANK_SECONDS + BOUND_RESERVE_SECONDS,
+        RETRY_ANSWER_SECONDS + MAX_POLL_SPREAD_SECONDS + BOUND_RESERVE_SECONDS,
         bound_seconds * MAX_RESERVE_SHARE,
     )
-    own_poll_seconds = bound_seconds - retry_seconds - reserve_seconds
+    poll_at_age_seconds = bound_seconds - retry_seconds - reserve_seconds
     if mode is ProofPollMode.SHORT:
-        shared_seconds = own_poll_seconds * SHORT_POLL_SHARE
+        shared_seconds = poll_at_age_seconds * SHORT_POLL_SHARE
         return ProofPollTimes(
-            bound_seconds, own_poll_seconds, shared_seconds, 0.0, timeout_seconds, timeout_seconds
+            bound_seconds,
+            poll_at_age_seconds,
+            shared_seconds,
+            0.0,
+            timeout_seconds,
+            timeout_seconds,
         )
-    max_period_seconds = own_poll_seconds * MAX_HOLD_SHARE
-    hold_seconds = min(MAX_PROOF_HOLD_SECONDS, poll_times.hold_seconds, max_period_seconds)
+    max_long_poll_seconds = poll_at_age_seconds * MAX_LONG_POLL_SHARE
+    hold_seconds = min(MAX_PROOF_HOLD_SECONDS, poll_times.hold_seconds, max_long_poll_seconds)
     return ProofPollTimes(
         bound_seconds,
-        own_poll_seconds,
-        min(shared_poll_interval_seconds, max_period_seconds),
+        poll_at_age_seconds,
+        min(shared_poll_interval_seconds, max_long_poll_seconds),
         hold_seconds,
         hold_seconds + timeout_seconds,
         timeout_seconds,
--- a/wingquay/forwarding/knowledge/store_copy.py
+++ b/wingquay/forwarding/knowledge/store_copy.py
@@ -8,13 +8,13 @@
 
     def __init__(self) -> None:
         self._items: dict[str, StoredValue] = {}
-        self._is_listed = False
+        self._has_listing = False
         self._revision: int | None = None
 
     @property
-    def is_listed(self) -> bool:
+    def has_listing(self) -> bool:
         """Whether a complete listing was ever received."""
-        return self._is_listed
+        return self._has_listing
 
     @property
     def revision(self) -> int | None:
@@ -23,13 +23,13 @@
 
     def snapshot(self) -> ReadResult | None:
         """Return all items with the revision; ``None``: none is valid."""
-        if not self._is_listed or self._revision is None:
+        if not self._has_listing or self._revision is None:
             return None
         return ReadResult(tuple(self._items.values()), self._revision)
 
     def replace_all(self, values: tuple[StoredValue, ...], revision: int) -> None:
         """Replace the contents by a complete listing."""
-        self._is_listed = True
+        self._has_listing = True
         self._revision = revision
         self._items = {item.key: item for item in values}
 
--- a/wingquay/forwarding/knowledge/store_follower.py
+++ b/wingquay/forwarding/knowledge/store_follower.py
@@ -67,17 +67,17 @@
     def handle(self, event: Event, now: float) -> list[Action]:
         """Handle a store event or a timer."""
         if isinstance(event, WatchChanged):
-            return self._changed(event, now)
+            return self._handle_watch_changed(event, now)
         if isinstance(event, StoreResponse):
-            return self._read_done(event, now)
+            return self._handle_read(event, now)
         if isinstance(event, WatchBroken):
-            return self._broken(event, now)
+            return self._handle_watch_broken(event, now)
         if isinstance(event, PeerSnapshot):
             return self._apply_peer_snapshot(event, now)
         if isinstance(event, Start):
-            return self._poll(now)
-        if isinstance(event, PollRetryDue) and event.watch_id == self._operation_id:
-            return self._poll(now)
+            return self._read_or_watch(now)
+        if isinstance(event, PollRetryDue) and event.read_id == self._operation_id:
+            return self._read_or_watch(now)
         return []
 
     def snapshot(self) -> ReadResult | None:
@@ -107,13 +107,13 @@
             Time until the next poll, unless another update arrives; 0: it is not postponed.
         """
         known_revision = self._copy.revision
-        if not self._copy.is_listed or known_revision is None:
+        if not self._copy.has_listing or known_revision is None:
             return []
         if update.from_revision > known_revision:
             return [self._skipped_update_log(update, known_revision, now)]
         if known_revision > update.store_revision:
             return []
-        self._schedule.update_received()
+        self._schedule.record_update()
         self._copy.apply(update.changed, update.deleted, update.store_revision)
         actions = self._hooks.on_changes(update.changed, update.deleted, now)
         return actions + self.postpone_poll(pause_seconds, now)
@@ -159,7 +159,7 @@
     def _watch_id(self) -> str:
         return f"follow-{self._watches}"
 
-    def _poll(self, now: float) -> list[Action]:
+    def _read_or_watch(self, now: float) -> list[Action]:
         if self._copy.revision is not None:
             return self._watch(now)
         self._reads += 1
@@ -193,28 +193,28 @@
             )
         ]
 
-    def _read_done(self, event: StoreResponse, now: float) -> list[Action]:
+    def _handle_read(self, event: StoreResponse, now: float) -> list[Action]:
         if event.operation_id != self._operation_id:
             return []
         result = event.result
         if not isinstance(result, ReadResult):
             reason = result.reason if isinstance(result, Failure) else "unexpected result"
-            return self._failed(reason, now)
+            return self._handle_failure(reason, now)
         self._schedule.failed_polls = 0
         self._answered_at = now
-        return self._listed(result.values, result.store_revision, now, result.begun_at)
+        return self._apply_listing(result.values, result.store_revision, now, result.begun_at)
 
     def _apply_peer_snapshot(self, event: PeerSnapshot, now: float) -> list[Action]:
         """Start with the contents received from another node; polls of the store follow."""
-        if self._copy.is_listed:
+        if self._copy.has_listing:
             return []
         # The answer to a read under way must not count as a second listing.
         self._reads += 1
         fields = (("store_revision", event.store_revision), ("values", len(event.values)))
         line = Log("store_contents_from_peer", LogLevel.WARNING, fields)
-        return [line, *self._listed(event.values, event.store_revision, now)]
+        return [line, *self._apply_listing(event.values, event.store_revision, now)]
 
-    def _listed(
+    def _apply_listing(
         self,
         values: tuple[StoredValue, ...],
         store_revision: int,
@@ -223,11 +223,11 @@
     ) -> list[Action]:
         self._copy.replace_all(values, store_revision)
         actions = self._hooks.on_listing(values, now)
-        actions += self._proof_manager.poll_answered(begun_at, store_revision, now)
+        actions += self._proof_manager.handle_poll_answer(begun_at, store_revision, now)
         pause_seconds = self._pause_seconds(now) if self._hooks.is_sufficient() else 0.0
         return actions + self._watch(now, pause_seconds)
 
-    def _changed(self, event: WatchChanged, now: float) -> list[Action]:
+    def _handle_watch_changed(self, event: WatchChanged, now: float) -> list[Action]:
         if event.watch_id != self._watch_id:
             return []
         before = self._copy.revision
@@ -241,20 +241,20 @@
         begun_at = None if event.may_have_more else event.begun_at
         if event.store_revision < before:
             # Updates of other nodes have already brought a later revision.
-            return self._proof_manager.poll_answered(begun_at, event.store_revision, now)
+            return self._proof_manager.handle_poll_answer(begun_at, event.store_revision, now)
         self._copy.apply(event.changed, event.deleted, event.store_revision)
         actions = self._hooks.on_changes(event.changed, event.deleted, now)
-        proof_answers = self._proof_manager.poll_answered(begun_at, event.store_revision, now)
+        proof_answers = self._proof_manager.handle_poll_answer(begun_at, event.store_revision, now)
         update = StoreUpdate(
             before,
             event.store_revision,
             event.changed,
             event.deleted,
-            self._age_seconds(poll_due_at, now),
+            self._answer_age_seconds(poll_due_at, now),
             event.may_have_more,
         )
         actions += [*self._hooks.on_poll(update, now), *proof_answers]
-        self._schedule.poll_answered()
+        self._schedule.record_poll_answer()
         is_same_interval = self._watch_interval_seconds == self._schedule.interval_seconds
         is_same_hold = self._watch_hold_seconds == self._schedule.hold_seconds
         if event.may_have_more or (is_same_interval and is_same_hold):
@@ -265,37 +265,37 @@
             *self._watch(now, self._schedule.interval_seconds),
         ]
 
-    def _age_seconds(self, poll_due_at: float, now: float) -> float:
+    def _answer_age_seconds(self, poll_due_at: float, now: float) -> float:
         """Return the maximum age of an answer; a long poll's answer counts as new."""
         return 0.0 if self._watch_hold_seconds > 0.0 else max(now - poll_due_at, 0.0)
 
-    def _broken(self, event: WatchBroken, now: float) -> list[Action]:
+    def _handle_watch_broken(self, event: WatchBroken, now: float) -> list[Action]:
         if event.watch_id != self._watch_id:
             return []
         self._is_watching = False
         if event.history_lost:
             self._copy.invalidate_revision()
             line = Log("store_history_lost", LogLevel.WARNING, (("reason", event.reason),))
-            return [line, *self._poll(now)]
-        return self._failed(event.reason, now)
+            return [line, *self._read_or_watch(now)]
+        return self._handle_failure(event.reason, now)
 
-    def _failed(self, reason: str, now: float) -> list[Action]:
+    def _handle_failure(self, reason: str, now: float) -> list[Action]:
         self._hooks.on_failure(now)
         self._proof_manager.poll_failed(reason)
-        is_listed = self._copy.is_listed
-        due_at = now + self._schedule.backoff_seconds(is_listed)
-        snapshot_requests: list[Action] = [] if is_listed else [RequestPeerSnapshot()]
+        has_listing = self._copy.has_listing
+        due_at = now + self._schedule.backoff_seconds(has_listing)
+        snapshot_requests: list[Action] = [] if has_listing else [RequestPeerSnapshot()]
         self._schedule.failed_polls += 1
         fields = (
             ("reason", reason),
-            ("failures", self._schedule.failed_polls),
+            ("consecutive_failures", self._schedule.failed_polls),
             ("waited_ms", _milliseconds(now - self._poll_at)),
             ("since_answer_ms", self._since_answer_ms(now)),
             ("pause_ms", _milliseconds(due_at - now)),
         )
         self._poll_at = due_at
         return [
-            Log("store_unreachable", LogLevel.WARNING, fields),
+            Log("store_poll_failed", LogLevel.WARNING, fields),
             *snapshot_requests,
             Schedule(due_at, PollRetryDue(self._operation_id)),
         ]
@@ -305,7 +305,7 @@
         fields = (
             ("known_revision", known_revision),
             ("from_revision", update.from_revision),
-            ("failures", self._schedule.failed_polls),
+            ("consecutive_failures", self._schedule.failed_polls),
             ("since_answer_ms", self._since_answer_ms(now)),
         )
         return Log("store_update_skipped", LogLevel.INFO, fields)
--- a/wingquay/forwarding/knowledge/update_exchange.py
+++ b/wingquay/forwarding/knowledge/update_exchange.py
@@ -97,5 +97,5 @@
 
         It grows with the node's position in its group, so that the nodes do not poll together.
         """
-        rank_seconds = self._settings.poll_rank_delay_seconds * self._members.group_position()
-        return self._follower.usual_poll_interval_seconds + rank_seconds
+        poll_delay_seconds = self._settings.poll_rank_delay_seconds * self._members.group_position()
+        return self._follower.usual_poll_interval_seconds + poll_delay_seconds
--- a/wingquay/forwarding/readiness/decision.py
+++ b/wingquay/forwarding/readiness/decision.py
@@ -20,7 +20,7 @@
 
     OTHERS_REACHABLE = "other_zones_in_reach"
     SINGLE_ZONE = "no_other_zone"
-    NEIGHBOUR_CONNECTED = "nodes_of_the_zone_reach_others"
+    ZONE_PEER_CONNECTED = "nodes_of_the_zone_reach_others"
     ENOUGH_ANSWERABLE = "holds_what_callers_ask"
     NO_GAIN = "others_could_not_answer_more"
     FEW_ZONES = "one_other_zone_may_be_down"
@@ -38,7 +38,7 @@
 class OwnZoneStatus(Enum):
     """Whether a node reaches its own zone."""
 
-    REACHABLE = "in_reach"
+    REACHABLE = "reachable"
     """A replica or another node of the zone answers."""
     SILENT = "silent"
     """The zone has replicas or other nodes, but none answers."""
@@ -58,11 +58,11 @@
         The other zones that were reachable before and are not any more.
     own_zone_status
         Whether the node reaches its own zone.
-    connected_neighbour
+    connected_zone_peer
         A node of the same zone that reaches another zone; empty: none.
-    share_here
+    answerable_share
         Share of recent demand (0 to 1) that the node can answer with the replicas in reach.
-    share_elsewhere
+    answerable_share_elsewhere
         The same for a node in the other zones, provided that these reach each other.
     is_fallback_zone
         Whether the zone is the one that stays in service if all zones lose contact, and reaches
@@ -72,10 +72,10 @@
     other_zones: tuple[str, ...]
     unreachable_zones: tuple[str, ...]
     own_zone_status: OwnZoneStatus
-    connected_neighbour: str
-    share_here: float
-    share_elsewhere: float
-    is_fallback_zone: bool
+    connected_zone_peer: str
+    answerable_share: float
+    answerable_share_elsewhere: float
+    stays_as_fallback: bool
 
 
 def decide(inputs: DecisionInputs) -> DecisionReason:
@@ -88,11 +88,11 @@
         return DecisionReason.SINGLE_ZONE
     if len(inputs.unreachable_zones) < len(inputs.other_zones):
         return DecisionReason.OTHERS_REACHABLE
-    if inputs.connected_neighbour:
-        return DecisionReason.NEIGHBOUR_CONNECTED
-    if inputs.share_here >= MIN_ANSWERABLE_SHARE:
+    if inputs.connected_zone_peer:
+        return DecisionReason.ZONE_PEER_CONNECTED
+    if inputs.answerable_share >= MIN_ANSWERABLE_SHARE:
         return DecisionReason.ENOUGH_ANSWERABLE
-    if inputs.share_elsewhere < inputs.share_here + MIN_SHARE_GAIN:
+    if inputs.answerable_share_elsewhere < inputs.answerable_share + MIN_SHARE_GAIN:
         return DecisionReason.NO_GAIN
     return _locate_partition(inputs)
 
@@ -106,4 +106,4 @@
             return DecisionReason.UNKNOWN
     if len(inputs.other_zones) < MIN_OTHER_ZONES:
         return DecisionReason.FEW_ZONES
-    return DecisionReason.FALLBACK_ZONE if inputs.is_fallback_zone else DecisionReason.ZONE_CUT_OFF
+    return DecisionReason.FALLBACK_ZONE if inputs.stays_as_fallback else DecisionReason.ZONE_CUT_OFF
--- a/wingquay/forwarding/readiness/departure.py
+++ b/wingquay/forwarding/readiness/departure.py
@@ -5,7 +5,7 @@
 MIN_AWAY_SECONDS = 2.0
 """Minimum time out of service. The platform checks readiness once a second and needs two failures
 in a row, so a shorter absence has no effect."""
-MAX_MIN_AWAY_SECONDS = 4.0
+MAX_FLAPPING_AWAY_SECONDS = 4.0
 """Limit up to which the minimum time doubles while the node flaps."""
 MIN_READY_SECONDS = 1.0
 """Minimum time in service between a return and the next departure."""
@@ -89,7 +89,7 @@
         if ready_seconds < (TRIAL_SECONDS if self._is_trial else MIN_READY_SECONDS):
             return False
         is_flapping = ready_seconds < FLAPPING_SECONDS and not self._is_trial
-        longer_seconds = min(self._min_away_seconds * 2.0, MAX_MIN_AWAY_SECONDS)
-        self._min_away_seconds = longer_seconds if is_flapping else MIN_AWAY_SECONDS
+        doubled_seconds = min(self._min_away_seconds * 2.0, MAX_FLAPPING_AWAY_SECONDS)
+        self._min_away_seconds = doubled_seconds if is_flapping else MIN_AWAY_SECONDS
         self._left_at = now
         return True
--- a/wingquay/forwarding/readiness/node_readiness.py
+++ b/wingquay/forwarding/readiness/node_readiness.py
@@ -72,7 +72,7 @@
         self._departure = departure
         self._servable_since: float | None = None
         """When the node first had both a configuration and a replica."""
-        self._has_started = False
+        self._is_start_wait_over = False
         self._closing = ConnectionClosing.KEEP
         self._table: RoutingTable | None = None
         self._idle_seconds = 0.0
@@ -88,7 +88,7 @@
     @property
     def is_ready(self) -> bool:
         """Whether new callers are accepted."""
-        return self.can_serve and self._has_started and not self._departure.is_away
+        return self.can_serve and self._is_start_wait_over and not self._departure.is_away
 
     def set_table(self, table: RoutingTable) -> None:
         """Apply a configuration."""
@@ -97,21 +97,21 @@
 
     def update(self, now: float) -> list[Action]:
         """Return the actions that follow from a change of readiness or of connection closing."""
-        waiting = self._start(now)
+        start_timer = self._check_start_wait(now)
         is_ready = self.is_ready
         closing = self._departure.connection_closing(now)
         if is_ready == self._was_ready:
             if closing is self._closing:
-                return waiting
+                return start_timer
             self._closing = closing
             return [
-                *waiting,
+                *start_timer,
                 self.current_forwarding(closes_idle=closing is ConnectionClosing.CLOSE_IDLE),
             ]
         self._was_ready = is_ready
         self._closing = closing
         line = Log("ready_changed", LogLevel.INFO, (("is_ready", int(is_ready)),))
-        return [*waiting, line, self.current_forwarding()]
+        return [*start_timer, line, self.current_forwarding()]
 
     def current_forwarding(self, closes_idle: bool = False) -> SetForwarding:
         """Return the settings that are in force for callers."""
@@ -128,19 +128,19 @@
         closes_connections = is_stopping or self._closing is not ConnectionClosing.KEEP
         return SetForwarding(self.is_ready, closes_connections, limits, closes_idle)
 
-    def _start(self, now: float) -> list[Action]:
+    def _check_start_wait(self, now: float) -> list[Action]:
         """Become ready once most of the demand can be answered, or after the maximum wait."""
-        if self._has_started or not self.can_serve or self._table is None:
+        if self._is_start_wait_over or not self.can_serve or self._table is None:
             return []
-        waiting: list[Action] = []
+        start_timer: list[Action] = []
         if self._servable_since is None:
             self._servable_since = now
-            waiting.append(Schedule(now + MAX_START_WAIT_SECONDS, ReadyDue()))
+            start_timer.append(Schedule(now + MAX_START_WAIT_SECONDS, ReadyDue()))
         is_due = now >= self._servable_since + MAX_START_WAIT_SECONDS
         if is_due or self._demand.share(self._table, (), now) >= MIN_ANSWERABLE_SHARE:
-            self._has_started = True
+            self._is_start_wait_over = True
             return []
-        return waiting
+        return start_timer
 
     def stop(self, now: float) -> list[Action]:
         """Stop accepting callers and start to wait for the requests under way."""
--- a/wingquay/forwarding/readiness/peer_selector.py
+++ b/wingquay/forwarding/readiness/peer_selector.py
@@ -26,7 +26,7 @@
         """Return the zones that have nodes, including this node's own."""
         return tuple(sorted({self._zone, *(zone for zone, _, _ in self._nodes())}))
 
-    def neighbours(self) -> list[NodeIdentity]:
+    def zone_peers(self) -> list[NodeIdentity]:
         """Return the other nodes of the zone in a ring by name, starting after this node."""
         same_zone = [(name, node) for zone, name, node in self._nodes() if zone == self._zone]
         after = [node for name, node in same_zone if name > self._name]
@@ -38,11 +38,11 @@
         If each node forwards a message to these, it reaches all nodes of the zone in a logarithmic
         number of steps.
         """
-        neighbours = self.neighbours()
+        zone_peers = self.zone_peers()
         chosen: list[NodeIdentity] = []
         distance = 1
-        while distance <= len(neighbours):
-            chosen.append(neighbours[distance - 1])
+        while distance <= len(zone_peers):
+            chosen.append(zone_peers[distance - 1])
             distance *= 2
         return chosen
 
--- a/wingquay/forwarding/readiness/reachability_check.py
+++ b/wingquay/forwarding/readiness/reachability_check.py
@@ -12,7 +12,7 @@
     failures: int = 0
     """Failed probes since the zone's last answer."""
     answered_at: float = float("-inf")
-    neighbour_evidence_at: float = float("-inf")
+    zone_peer_evidence_at: float = float("-inf")
     """When a neighbour last reported that it had reached the zone before and does not now."""
     next_replica: int | None = None
 
@@ -24,6 +24,6 @@
     begun_at: float
     may_query_nodes: bool = True
     """Whether other nodes may still be queried in this round."""
-    connected_neighbour: str = ""
-    connected_at: float = float("-inf")
-    waiting_nodes: dict[str, NodeIdentity] = field(default_factory=dict)
+    connected_zone_peer: str = ""
+    connected_reported_at: float = float("-inf")
+    querying_nodes: dict[str, NodeIdentity] = field(default_factory=dict)
--- a/wingquay/forwarding/readiness/reachability_monitor.py
+++ b/wingquay/forwarding/readiness/reachability_monitor.py
@@ -90,25 +90,25 @@
             ):
                 return True
             case PeerReceived(sender=sender):
-                self._prober.zone_seen(sender.zone)
+                self._prober.record_zone_seen(sender.zone)
         return self._prober.is_checking or self._evidence.suggests_outage(now)
 
     def handle(self, event: Event, now: float) -> list[Action]:
         """Handle an event, after all other handlers."""
         actions = self._dispatch(event, now)
         for zone in self._evidence.take_answered_zones():
-            actions += self._prober.zone_answered(zone, now)
+            actions += self._prober.record_zone_answer(zone, now)
         if not self._prober.is_checking and self._evidence.suggests_outage(now):
             actions += self._prober.begin_check(now)
-        may_change_decision = not self._departure.is_away or isinstance(event, ConnectionTried)
-        if may_change_decision and self._prober.answering_zones():
-            actions += self._update(now)
+        decides_now = not self._departure.is_away or isinstance(event, ConnectionTried)
+        if decides_now and self._prober.answering_zones():
+            actions += self._decide_actions(now)
         return actions
 
     def _dispatch(self, event: Event, now: float) -> list[Action]:
         match event:
             case ConnectionTried():
-                return self._prober.connection_tried(event, now)
+                return self._prober.handle_connection_tried(event, now)
             case ForwardRequested():
                 self._record_demand(event, now)
             case PeerReceived(sender=sender, message=ReachabilityReport() as report):
@@ -146,7 +146,7 @@
         seconds = ROUND_SECONDS if is_away or reason.should_leave else SLOW_ROUND_SECONDS
         return [*actions, *self._prober.next_round(now, seconds, queries_nodes=not is_away)]
 
-    def _update(self, now: float) -> list[Action]:
+    def _decide_actions(self, now: float) -> list[Action]:
         return self._decide(now)[1]
 
     def _decide(self, now: float) -> tuple[DecisionReason, list[Action]]:
@@ -156,7 +156,7 @@
         actions: list[Action] = []
         away_seconds = self._departure.away_seconds(now)
         if self._departure.update(reason.should_leave, now, self._is_fallback_zone):
-            actions = self._log_move(reason, inputs, away_seconds, now)
+            actions = self._log_service_change(reason, inputs, away_seconds, now)
         elif (
             reason is not self._last_reason and not reason.should_leave and inputs.unreachable_zones
         ):
@@ -183,7 +183,7 @@
             prober.other_zones(),
             unreachable_zones,
             own_zone_status,
-            prober.connected_neighbour(now),
+            prober.connected_zone_peer(now),
             self._share(excluded_zones, now),
             self._share({self._zone}, now),
             # Without the store, this zone has lost something that other zones may still have.
@@ -198,7 +198,7 @@
     def _share(self, excluded_zones: set[str], now: float) -> float:
         return 1.0 if self._table is None else self._demand.share(self._table, excluded_zones, now)
 
-    def _log_move(
+    def _log_service_change(
         self, reason: DecisionReason, inputs: DecisionInputs, away_seconds: float, now: float
     ) -> list[Action]:
         """Log and count that this node left service or returned."""
@@ -227,12 +227,12 @@
 ) -> Log:
     """Return a log line with the inputs of a decision."""
     input_fields = (
-        ("why", reason.value),
+        ("reason", reason.value),
         ("unreachable_zones", ",".join(inputs.unreachable_zones) or "none"),
         ("other_zones", len(inputs.other_zones)),
         ("own_zone", inputs.own_zone_status.value),
-        ("connected_neighbour", inputs.connected_neighbour or "none"),
-        ("share_here", round(inputs.share_here, 3)),
-        ("share_elsewhere", round(inputs.share_elsewhere, 3)),
+        ("connected_zone_peer", inputs.connected_zone_peer or "none"),
+        ("answerable_share", round(inputs.answerable_share, 3)),
+        ("answerable_share_elsewhere", round(inputs.answerable_share_elsewhere, 3)),
     )
     return Log(message, level, (*input_fields, *fields))
--- a/wingquay/forwarding/readiness/zone_prober.py
+++ b/wingquay/forwarding/readiness/zone_prober.py
@@ -30,9 +30,9 @@
 PROBE_PAUSE_SECONDS = 0.9
 """Time after an answer for which a zone is not probed again, which saves connections at
 replicas."""
-NEIGHBOUR_REPORT_SECONDS = 1.5
+ZONE_PEER_REPORT_SECONDS = 1.5
 """Time for which a neighbour's report that it reaches other zones is valid."""
-NEIGHBOUR_EVIDENCE_SECONDS = 8.0
+ZONE_PEER_EVIDENCE_SECONDS = 8.0
 """Time for which a neighbour's report that it reached a zone before is valid; longer than the
 partitions that must be handled."""
 MAX_PENDING_QUERIES = 16
@@ -124,15 +124,15 @@
         """Return whether this node reaches its own zone."""
         if self._zone_state(self._zone).answered_at >= self.checking_since:
             return OwnZoneStatus.REACHABLE
-        has_others = self._zone in self._replicas or bool(self._peers.neighbours())
+        has_others = self._zone in self._replicas or bool(self._peers.zone_peers())
         return OwnZoneStatus.SILENT if has_others else OwnZoneStatus.UNKNOWN
 
-    def connected_neighbour(self, now: float) -> str:
+    def connected_zone_peer(self, now: float) -> str:
         """Return a node of the same zone that reaches other zones; empty: none reported so."""
         check = self._check
-        if check is None or now - check.connected_at >= NEIGHBOUR_REPORT_SECONDS:
+        if check is None or now - check.connected_reported_at >= ZONE_PEER_REPORT_SECONDS:
             return ""
-        return check.connected_neighbour
+        return check.connected_zone_peer
 
     def begin_check(self, now: float) -> list[Action]:
         """Start a check, unless one is in progress or a zone has answered recently."""
@@ -175,21 +175,21 @@
         """Whether an event belongs to the current round."""
         return self._check is not None and event.round_number == self._round
 
-    def zone_seen(self, zone: str) -> None:
+    def record_zone_seen(self, zone: str) -> None:
         """Record a message from a node of a zone: the zone was reachable."""
         self._zones_seen.add(zone)
 
-    def connection_tried(self, event: ConnectionTried, now: float) -> list[Action]:
+    def handle_connection_tried(self, event: ConnectionTried, now: float) -> list[Action]:
         """Handle the result of a connection attempt."""
         zone = self._probed.pop(event.incarnation, None)
         if zone is None:
             return []
         if event.is_open:
-            return self.zone_answered(zone, now)
+            return self.record_zone_answer(zone, now)
         self._zone_state(zone).failures += 1
         return self._query_nodes(now)
 
-    def zone_answered(self, zone: str, now: float) -> list[Action]:
+    def record_zone_answer(self, zone: str, now: float) -> list[Action]:
         """Record an answer from a zone and notify the nodes that queried this one."""
         state = self._zone_state(zone)
         state.failures = 0
@@ -197,39 +197,39 @@
         check = self._check
         if check is None or zone == self._zone:
             return []
-        waiting_nodes, check.waiting_nodes = check.waiting_nodes, {}
+        querying_nodes, check.querying_nodes = check.querying_nodes, {}
         return [
-            SendToPeer(node, ReachabilityReport((), (zone,))) for node in waiting_nodes.values()
+            SendToPeer(node, ReachabilityReport((), (zone,))) for node in querying_nodes.values()
         ]
 
     def handle_report(
         self, sender: NodeIdentity, report: ReachabilityReport, now: float
     ) -> list[Action]:
         """Handle another node's reachability report, and answer if it is a query."""
-        actions = self.zone_answered(sender.zone, now)
-        is_neighbour = sender.zone == self._zone
-        if is_neighbour:
-            actions += self._handle_neighbour_report(sender, report, now)
+        actions = self.record_zone_answer(sender.zone, now)
+        is_zone_peer = sender.zone == self._zone
+        if is_zone_peer:
+            actions += self._handle_zone_peer_report(sender, report, now)
         if report.wants_reply:
-            recent = self._fresh_zones(now) if is_neighbour else ()
+            recent = self._fresh_zones(now) if is_zone_peer else ()
             actions.append(SendToPeer(sender, ReachabilityReport((), recent)))
         return actions
 
-    def _handle_neighbour_report(
+    def _handle_zone_peer_report(
         self, sender: NodeIdentity, report: ReachabilityReport, now: float
     ) -> list[Action]:
         """Handle the report of a node of the same zone."""
         for zone in report.unreachable_zones:
-            self._zone_state(zone).neighbour_evidence_at = now
+            self._zone_state(zone).zone_peer_evidence_at = now
         actions = self.begin_check(now) if report.unreachable_zones else []
         check = self._check
         if check is None:
             return actions
         if report.reachable_zones:
-            check.connected_neighbour = sender.node_id
-            check.connected_at = now
-        if report.wants_reply and len(check.waiting_nodes) < MAX_PENDING_QUERIES:
-            check.waiting_nodes[sender.node_id] = sender
+            check.connected_zone_peer = sender.node_id
+            check.connected_reported_at = now
+        if report.wants_reply and len(check.querying_nodes) < MAX_PENDING_QUERIES:
+            check.querying_nodes[sender.node_id] = sender
         # The report may supply the only missing evidence that a zone was reachable before.
         return [*actions, *self._query_nodes(now)]
 
@@ -273,7 +273,7 @@
         state = self._zone_state(zone)
         if zone in self._zones_seen or state.answered_at > float("-inf"):
             return True
-        if now - state.neighbour_evidence_at < NEIGHBOUR_EVIDENCE_SECONDS:
+        if now - state.zone_peer_evidence_at < ZONE_PEER_EVIDENCE_SECONDS:
             return True
         return any(item.answered_at > float("-inf") for item in self._replicas.get(zone, []))
 
