--- a/wingquay/forwarding/knowledge/configuration_proof.py
+++ b/wingquay/forwarding/knowledge/configuration_proof.py
@@ -1,9 +1,9 @@
 """Tracks the time as of which a node's configuration is proven to be complete.
 
 A read of the store returns everything that the store had acknowledged when the read began, so each
-read proves the configuration as of its start. A key that was revoked later may still be accepted.
-Once the proof is older than the revocation bound, no request with a key is served. Times are those
-of a clock that includes suspension of the machine.
+read proves the configuration as of its start. A key whose revocation was acknowledged after that
+start may still be accepted. Once the proof is older than the revocation bound, no request with a
+key is served. Times are those of a clock that includes suspension of the machine.
 """
 
 from collections.abc import Callable
--- a/wingquay/forwarding/knowledge/loop_lag.py
+++ b/wingquay/forwarding/knowledge/loop_lag.py
@@ -9,7 +9,7 @@
 
 @dataclass(slots=True)
 class LoopLag:
-    """The latest measured event loop lag.
+    """The latest event loop lag, measured by the lag timer.
 
     Parameters
     ----------
--- a/wingquay/forwarding/knowledge/node_groups.py
+++ b/wingquay/forwarding/knowledge/node_groups.py
@@ -1,7 +1,8 @@
 """The other nodes: their addresses, their suspicion state, and the group that shares store updates.
 
 The nodes of a zone form groups whose size is about the square root of the number of shards of the
-widest route. The nodes of a group send each other what they read from the store.
+widest route, which is the route with the most shards. The nodes of a group send each other what
+they read from the store.
 """
 
 import math
@@ -32,7 +33,7 @@
 
 
 class NodeGroups:
-    """The nodes with a known address, and the group of this node.
+    """All nodes with a known address, and the group of this node.
 
     A node that fails is suspect for a while and gets no messages in that time.
 
@@ -49,7 +50,7 @@
         self._name = name
         self._members: dict[str, _Member] = {}
         self._departed: dict[str, NodeIdentity] = {}
-        """Nodes whose store entry was deleted while their link to this node is still open."""
+        """Nodes removed from the store that have not failed since; they still get updates."""
         self.evidence: ReachabilityEvidence | None = None
         """Receives failures of nodes in other zones."""
         self._fan_out = 0
@@ -191,8 +192,9 @@
     def update_recipients(self) -> list[NodeIdentity]:
         """Return the nodes to which this node sends store updates.
 
-        They include nodes whose store entry is gone while their link is open. Such a node may have
-        lost its entry because the store rejects it, and then depends on updates from other nodes.
+        They include nodes whose store entry is gone but that have not failed since. Such a node may
+        still run: if the store rejects its calls, its entry expires and it depends on updates from
+        other nodes.
         """
         names = [name for name in self._update_group_names() if name != self._name]
         present = [self._members[name].record.identity for name in names]
--- a/wingquay/forwarding/knowledge/node_membership.py
+++ b/wingquay/forwarding/knowledge/node_membership.py
@@ -35,7 +35,7 @@
         Counts the node entries.
     presence
         Maintains this node's own entry.
-    candidate
+    new_cluster_key
         The cluster key to write if the store has none.
     """
 
@@ -57,7 +57,7 @@
         self._link_waits = 0
         self._table_waits = 0
         self._needs_initial_delay = True
-        """Whether the delay before the first write of the entry is still ahead."""
+        """Whether the delay before the first write of the entry has not been scheduled yet."""
         self._opened_at = float("-inf")
         self._known_at_opening = 0
         self._records: dict[str, NodeRecord | None] = {}
@@ -84,7 +84,7 @@
     ) -> list[Action]:
         """Open the link to other nodes, then write this node's entry with its address.
 
-        The link is opened however narrow the routes are, because nodes also use it to report
+        The link is opened even if all routes have few shards, because nodes also use it to report
         requests that crash replicas, even during a store outage.
         """
         is_open = self._groups is not None
@@ -95,7 +95,7 @@
             return self._write_without_address(event, now)
         if self._needs_initial_delay and not self._setup.needs_early_link(table):
             settings = self._settings
-            return self._wait_once(settings.join_delay_seconds, event, now)
+            return self._schedule_first_write(settings.join_delay_seconds, event, now)
         if is_open:
             return self._presence.handle(event, now)
         self._link_waits += 1
@@ -104,13 +104,18 @@
         return [*self._setup.request_link(), Schedule(now + LINK_WAIT_SECONDS, event)]
 
     def _write_without_address(self, event: PresenceDue, now: float) -> list[Action]:
-        """Write the entry without an address, because there is no configuration."""
+        """Write the entry of a node without a configuration, after the initial delay."""
         if self._needs_initial_delay:
-            return self._wait_once(self._settings.presence_delay_seconds, event, now)
+            return self._schedule_first_write(self._settings.presence_delay_seconds, event, now)
         return self._presence.handle(event, now)
 
-    def _wait_once(self, delay_seconds: float, event: PresenceDue, now: float) -> list[Action]:
-        """Delay the first write until so many seconds after the start, once."""
+    def _schedule_first_write(
+        self, delay_seconds: float, event: PresenceDue, now: float
+    ) -> list[Action]:
+        """Schedule the first write ``delay_seconds`` after the start.
+
+        The timer that led here already fired ``join_wide_delay_seconds`` after the start.
+        """
         self._needs_initial_delay = False
         delay_left_seconds = delay_seconds - self._settings.join_wide_delay_seconds
         return [Schedule(now + max(0.0, delay_left_seconds), event)]
@@ -139,7 +144,7 @@
         return self._presence.is_listed(now)
 
     def reused_key(self) -> bool:
-        """Whether the entry of this node's previous incarnation was found unchanged and renewed."""
+        """Whether the entry of this node's previous incarnation was found unchanged and reused."""
         return self._presence.reused_key
 
     def update_recipients(self) -> list[NodeIdentity]:
@@ -153,8 +158,8 @@
     def is_joining(self, now: float) -> bool:
         """Whether entries of nodes that started together with this one may still appear.
 
-        If enough entries were present when the link opened, the group is complete: a node keeps its
-        id and address across restarts.
+        They are not waited for if enough entries were present when the link opened, because a node
+        keeps its id and address when it restarts.
         """
         if self._known_at_opening >= self._settings.update_group_min_nodes:
             return False
--- a/wingquay/forwarding/knowledge/peer_setup.py
+++ b/wingquay/forwarding/knowledge/peer_setup.py
@@ -29,7 +29,7 @@
     ----------
     key_name
         The name of the cluster key in the store.
-    candidate
+    new_cluster_key
         The key to write if there is none; random, at least 16 bytes.
     """
 
--- a/wingquay/forwarding/knowledge/poll_schedule.py
+++ b/wingquay/forwarding/knowledge/poll_schedule.py
@@ -26,7 +26,7 @@
         self._has_received_update = False
         """Whether an update of another node was applied since the last poll."""
         self._no_updates_between_polls = False
-        """Whether none arrived before that poll either, as when the first node's polls fail."""
+        """Whether no update of another node arrived between the last two polls."""
         self.requested_interval_seconds = settings.poll_interval_seconds
         """The poll interval that is currently requested."""
         self.failed_polls = 0
@@ -113,7 +113,8 @@
     def _uses_long_polls(self) -> bool:
         """Whether this node uses long polls, by which it receives changes at once.
 
-        One node of a group does and sends the changes to the others, which postpone their own
-        polls. Polls of the others must not be held, because a poll under way cannot be postponed.
+        The first node of a group uses long polls and sends the changes to the others. A node that
+        receives no updates uses them as well. Other nodes use short polls, because only a poll that
+        has not started can be postponed.
         """
         return self._hooks.is_first_in_group() or self._no_updates_between_polls
--- a/wingquay/forwarding/knowledge/poll_times.py
+++ b/wingquay/forwarding/knowledge/poll_times.py
@@ -29,8 +29,8 @@
 def expiry_grace_seconds(poll_interval_seconds: float, drain_seconds: float) -> float:
     """Return how long a replica whose entry expired in a store outage may still receive requests.
 
-    The period lasts until the entry should be back and read, but ends within the time after which a
-    replica that the store reports as gone must receive no more requests.
+    The period lasts until the replica should have written its entry again and this node has read
+    it, but at most ``drain_seconds`` less a reserve.
 
     Parameters
     ----------
@@ -85,12 +85,12 @@
 
 
 def poll_times_within(recovery_seconds: float) -> PollTimes:
-    """Return poll times that keep the bounds again soon enough after a store outage.
+    """Return poll times with which a node meets its bounds again in time after a store outage.
 
     A poll may fail just before the outage ends. Its timeout and the backoff must both be over
-    before the bounds apply again. After a failed poll only short polls are used until one is
-    answered, so a long poll can fail only if the outage began during it, and then the first backoff
-    follows.
+    within the recovery time. After a failed poll only short polls are used until one is answered,
+    so only the poll during which the outage began can be a long one: its timeout plus the first
+    backoff must fit into the recovery time.
 
     Parameters
     ----------
--- a/wingquay/forwarding/knowledge/presence.py
+++ b/wingquay/forwarding/knowledge/presence.py
@@ -1,7 +1,8 @@
 """Maintains this node's entry in the store, under a lease, and counts all nodes.
 
-Connections to replicas and the slack of the budget are divided by the number of nodes. The entry of
-a node that stopped remains until its lease expires, so the count tends to be too high.
+The allowed connections to replicas and the fixed part of the extra-request budget are divided by
+the number of nodes. The entry of a node that stopped remains until its lease expires, so the count
+tends to be too high.
 """
 
 import random
@@ -88,7 +89,7 @@
 
     @property
     def reused_key(self) -> bool:
-        """Whether the entry of the previous incarnation was renewed instead of written anew."""
+        """Whether the entry of the previous incarnation is renewed instead of written anew."""
         return self._reused_key
 
     def set_stored(self, stored: StoredValue) -> None:
@@ -147,7 +148,7 @@
             return self._handle_lease(result, now)
         if isinstance(result, SwapResult):
             return self._handle_swap(result, now)
-        # The lease may have expired, or the entry may have been written: start with a new lease.
+        # The outcome of the write is unknown: get a new lease and write again.
         if not self._is_written:
             self._lease_id = None
         return self._schedule_next_step(self._settings.presence_retry_seconds, now)
@@ -208,7 +209,7 @@
         self._keys.discard(key)
 
     def hashed_position(self, key: str, salt: str) -> int | None:
-        """Return a node's position in an order of all nodes that depends on the salt.
+        """Return the position of a node's key in an order of all keys that depends on the salt.
 
         ``None``: the node has no entry.
         """
@@ -222,7 +223,10 @@
         self._keys = keys
 
     def get(self, now: float) -> int:
-        """Return the maximum recent number of nodes."""
+        """Return the recent maximum of the number of nodes, at least the minimum in the settings.
+
+        Without any entries it is at least ``max_nodes``.
+        """
         present = len(self._keys)
         is_old = now - self._max_count_at > self._settings.node_count_memory_seconds
         if present >= self._max_count or is_old:
--- a/wingquay/forwarding/knowledge/processing_lag.py
+++ b/wingquay/forwarding/knowledge/processing_lag.py
@@ -5,12 +5,14 @@
 
 @dataclass(slots=True)
 class ProcessingLag:
-    """The lag of this node, measured by its timers.
+    """The lag of this node, from its sweep timer and its lag timer.
+
+    ``LoopLag`` is the last value of the lag timer alone.
 
     Parameters
     ----------
     timer_lag_seconds
-        How late the last regular timer fired.
+        How late the last sweep timer fired, or how long the node was suspended.
     timer_due_at
         When the next lag timer is due.
     """
--- a/wingquay/forwarding/knowledge/proof_manager.py
+++ b/wingquay/forwarding/knowledge/proof_manager.py
@@ -16,17 +16,17 @@
 class ProofManager:
     """Extends the configuration proof by this node's polls and by proofs of other nodes.
 
-    Without a revocation bound, or while the configuration has no tenants, it requires no calls and
-    sends no messages.
+    Without a revocation bound, or while the configuration has no tenants, it sends no proof
+    requests and requires no additional polls.
 
     Parameters
     ----------
-    poll_times
+    proof_poll_times
         The bound and the polls that keep it; ``None``: no bound is stated.
     poll_delay_seconds
         Returns the delay of this node's own polls, which grows with its position in the group.
     next_answer_at
-        Returns, for a time, when the store may answer next.
+        Returns, for a time, when the store may answer the next poll.
     first_number
         Number of the first proof request; random, so that no two incarnations of a node share one.
     """
@@ -67,7 +67,7 @@
         self._has_tenants = table.tenants is not None
 
     def poll_deadline(self) -> float:
-        """Return when this node's own poll must start to leave time for one retry."""
+        """Return by when this node's next poll must start, or end its hold time, to allow a retry."""
         if self._timed is None or self.proof_poll_times is None:
             return float("inf")
         poll_delay_seconds = min(self._poll_delay_seconds(), MAX_POLL_SPREAD_SECONDS)
--- a/wingquay/forwarding/knowledge/proof_poll_times.py
+++ b/wingquay/forwarding/knowledge/proof_poll_times.py
@@ -13,7 +13,8 @@
     HELD = "held"
     """Long polls with a shorter hold time: changes arrive at once."""
     SHORT = "short"
-    """Short polls: an answer proves a later time, so fewer polls are needed."""
+    """Short polls: an answer proves the configuration as of its arrival, so polls can be further
+    apart than long polls, whose answers prove it as of up to ``hold_seconds`` before."""
 
 
 MAX_TIMEOUT_SHARE = 0.2
@@ -28,12 +29,13 @@
 """Maximum hold time. A long poll proves the configuration as of its start, so holding it ages the
 proof."""
 MAX_RESERVE_SHARE = 0.2
-"""Maximum share of the bound reserved for that answer, the spread and clock drift."""
+"""Maximum share of the bound reserved for the sum of ``RETRY_ANSWER_SECONDS``,
+``MAX_POLL_SPREAD_SECONDS`` and ``BOUND_RESERVE_SECONDS``."""
 MAX_LONG_POLL_SHARE = 0.4
-"""Share of ``poll_at_age_seconds`` for the hold time, so that two long polls fit into it."""
+"""Maximum share of ``poll_at_age_seconds`` for the hold time and for the interval of long polls."""
 SHORT_POLL_SHARE = 0.67
-"""Share of ``poll_at_age_seconds`` after which the node that polls for its group polls, so that its
-update arrives before the others poll, even if one poll is late."""
+"""Interval of short polls as a share of ``poll_at_age_seconds``: updates then arrive before the
+polls of the other nodes are due, even if one poll is late."""
 
 
 @value
--- a/wingquay/forwarding/knowledge/proof_requests.py
+++ b/wingquay/forwarding/knowledge/proof_requests.py
@@ -1,10 +1,9 @@
 """Requests by which one node's poll of the store proves the configuration of other nodes.
 
-The polling node answers each request with ``held_seconds``: the time from the arrival of the
-request to the start of the poll, by its own clock (negative if the poll started first). A request
-arrives after it was sent, so the poll started no earlier than ``held_seconds`` after the sending,
-by the clock of the requesting node. The bound holds whatever the delays of the messages, and the
-two clocks need not agree.
+The polling node replies with ``held_seconds``: its poll's start minus the arrival of the request,
+both by its own clock. By the clock of the requesting node, the poll then started at or after
+``sent_at + held_seconds``, because the request arrived no earlier than it was sent. The result
+depends neither on message delays nor on the offset of the clocks.
 """
 
 from collections.abc import Collection
--- a/wingquay/forwarding/knowledge/store_follower.py
+++ b/wingquay/forwarding/knowledge/store_follower.py
@@ -29,7 +29,8 @@
 class StoreFollower:
     """Reads a prefix once and then polls it for changes.
 
-    If the store no longer has the history since the last poll, the prefix is read again.
+    A watch is a series of polls with one interval and one hold time. If the store no longer has the
+    history since the last poll, the prefix is read again.
 
     Parameters
     ----------
--- a/wingquay/forwarding/knowledge/update_exchange.py
+++ b/wingquay/forwarding/knowledge/update_exchange.py
@@ -43,7 +43,8 @@
         self._processing_lag = processing_lag
         self._proof_manager = proof_manager
         self.rewritten_keys: set[str] = set()
-        """Keys of replica entries that the last changes wrote again with the same contents."""
+        """Keys of replica entries that were written again with an unchanged value; updates omit
+        them."""
 
     def send_update(self, changes: StoreUpdate, now: float) -> list[Action]:
         """Send the changes that this node polled to the other nodes of its group."""
--- a/wingquay/forwarding/readiness/decision.py
+++ b/wingquay/forwarding/readiness/decision.py
@@ -5,9 +5,8 @@
 from ...model.value import value
 
 MIN_ANSWERABLE_SHARE = 0.9
-"""Share of recent demand that a node must be able to answer to stay in service. Below it, callers
-lose more by refused requests than by the longer path to another zone. All nodes of a zone have to
-decide alike on small samples, so the threshold is far from common route mixes."""
+"""Share of recent demand that a node must be able to answer to stay in service. The nodes of a zone
+see different samples of the demand, and must still reach the same decision."""
 MIN_OTHER_ZONES = 2
 """Minimum number of other zones, all unreachable, for a zone to leave. A single other zone may be
 down itself, or both zones may leave at once."""
@@ -55,7 +54,7 @@
     other_zones
         Other zones that have replicas.
     unreachable_zones
-        The other zones that were reachable before and are not any more.
+        The other zones whose latest probes all failed; empty if none of these was ever reached.
     own_zone_status
         Whether the node reaches its own zone.
     connected_zone_peer
@@ -64,9 +63,9 @@
         Share of recent demand (0 to 1) that the node can answer with the replicas in reach.
     answerable_share_elsewhere
         The same for a node in the other zones, provided that these reach each other.
-    is_fallback_zone
-        Whether the zone is the one that stays in service if all zones lose contact, and reaches
-        the store.
+    stays_as_fallback
+        Whether the zone is the fallback zone, which stays in service if all zones lose contact, and
+        reaches the store.
     """
 
     other_zones: tuple[str, ...]
@@ -82,7 +81,7 @@
     """Return whether the node should leave service, with the reason.
 
     It leaves only if the failure is on its own side: all other zones are unreachable from it and
-    from its neighbours, and those zones can answer more of the demand.
+    from the other nodes of its zone, and those zones can answer more of the demand.
     """
     if not inputs.other_zones:
         return DecisionReason.SINGLE_ZONE
--- a/wingquay/forwarding/readiness/departure.py
+++ b/wingquay/forwarding/readiness/departure.py
@@ -15,7 +15,7 @@
 """Time out of service after which a node returns for a trial whatever its decision, so that an
 unforeseen failure can't take all zones out of service for good."""
 FALLBACK_ZONE_AWAY_SECONDS = 4.0
-"""The same for the zone that stays in service if all zones lose contact."""
+"""The same for the fallback zone, which stays in service if all zones lose contact."""
 TRIAL_SECONDS = 2.0
 """Duration of such a trial: two readiness checks of the platform."""
 CLOSING_SECONDS = 1.0
--- a/wingquay/forwarding/readiness/peer_selector.py
+++ b/wingquay/forwarding/readiness/peer_selector.py
@@ -33,7 +33,7 @@
         return after + [node for name, node in same_zone if name < self._name]
 
     def gossip_targets(self) -> list[NodeIdentity]:
-        """Return the neighbours at distances 1, 2, 4 and so on in the ring.
+        """Return the zone peers at distances 1, 2, 4 and so on in the ring.
 
         If each node forwards a message to these, it reaches all nodes of the zone in a logarithmic
         number of steps.
--- a/wingquay/forwarding/readiness/reachability_monitor.py
+++ b/wingquay/forwarding/readiness/reachability_monitor.py
@@ -75,7 +75,7 @@
         self._peers.groups = groups
 
     def observe(self, event: Event, now: float) -> bool:
-        """Whether ``handle`` must be called for an event."""
+        """Record the sender's zone, and return whether ``handle`` must be called for the event."""
         if not self._is_enabled:
             return False
         match event:
@@ -186,13 +186,14 @@
             prober.connected_zone_peer(now),
             self._share(excluded_zones, now),
             self._share({self._zone}, now),
-            # Without the store, this zone has lost something that other zones may still have.
+            # A zone that cannot reach the store does not stay, because another zone may still reach
+            # it.
             self._is_fallback_zone and not self._is_store_unreachable,
         )
 
     @property
     def _is_fallback_zone(self) -> bool:
-        """Whether this zone stays in service if all zones lose contact."""
+        """Whether this is the fallback zone: the first by name, which stays if all are partitioned."""
         return self._zone == self._peers.zones()[0]
 
     def _share(self, excluded_zones: set[str], now: float) -> float:
--- a/wingquay/forwarding/readiness/zone_prober.py
+++ b/wingquay/forwarding/readiness/zone_prober.py
@@ -1,8 +1,8 @@
 """Checks which other zones are reachable, only after signs of failure.
 
-A check starts after failures of regular traffic or on the report of a neighbour. The node first
-probes replicas with its own connections and queries other nodes only if all probes fail, so a
-failure of a single node causes few messages.
+A check starts after failures of regular traffic or on the report of another node of the zone (a
+zone peer). The node first probes replicas with its own connections and queries other nodes only if
+all probes fail, so a failure of a single node causes few messages.
 """
 
 import zlib
@@ -31,9 +31,9 @@
 """Time after an answer for which a zone is not probed again, which saves connections at
 replicas."""
 ZONE_PEER_REPORT_SECONDS = 1.5
-"""Time for which a neighbour's report that it reaches other zones is valid."""
+"""Time for which a zone peer's report that it reaches other zones is valid."""
 ZONE_PEER_EVIDENCE_SECONDS = 8.0
-"""Time for which a neighbour's report that it reached a zone before is valid; longer than the
+"""Time for which a zone peer's report that it reached a zone before is valid; longer than the
 partitions that must be handled."""
 MAX_PENDING_QUERIES = 16
 """Maximum number of querying nodes that are notified when a zone answers."""
@@ -103,8 +103,8 @@
     def unreachable_zones(self, now: float) -> tuple[str, ...]:
         """Return the other zones that are unreachable; none if none of them was ever reachable.
 
-        One zone with earlier contact is enough, because a node may have contacted only a few zones.
-        A node that has just started must not count replicas as lost that start with it.
+        Right after a start, silent zones may not have started yet. So at least one of them must
+        have been reached before. One suffices, because a node may have contacted only a few zones.
         """
         silent = tuple(zone for zone in self.other_zones() if self._is_silent(zone))
         return silent if any(self._was_reached(zone, now) for zone in silent) else ()
@@ -269,7 +269,7 @@
         return self._zone_state(zone).failures >= probes
 
     def _was_reached(self, zone: str, now: float) -> bool:
-        """Whether this node, or recently a neighbour, has ever reached a zone."""
+        """Whether this node, or recently a zone peer, has ever reached a zone."""
         state = self._zone_state(zone)
         if zone in self._zones_seen or state.answered_at > float("-inf"):
             return True
