--- a/wingquay/forwarding/knowledge/proof_manager.py
+++ b/wingquay/forwarding/knowledge/proof_manager.py
@@ -67,7 +67,7 @@
         self._has_tenants = table.tenants is not None
 
     def poll_deadline(self) -> float:
-        """Return by when this node's next poll must start, or end its hold time, to allow a retry."""
+        """Return by when the next poll must start, or end its hold time, to allow a retry."""
         if self._timed is None or self.proof_poll_times is None:
             return float("inf")
         poll_delay_seconds = min(self._poll_delay_seconds(), MAX_POLL_SPREAD_SECONDS)
--- a/wingquay/forwarding/readiness/reachability_monitor.py
+++ b/wingquay/forwarding/readiness/reachability_monitor.py
@@ -193,7 +193,7 @@
 
     @property
     def _is_fallback_zone(self) -> bool:
-        """Whether this is the fallback zone: the first by name, which stays if all are partitioned."""
+        """Whether this is the fallback zone: the first by name, which stays in any partition."""
         return self._zone == self._peers.zones()[0]
 
     def _share(self, excluded_zones: set[str], now: float) -> float:
