--- a/tests/forwarding/readiness/test_partition_history.py
+++ b/tests/forwarding/readiness/test_partition_history.py
@@ -16,7 +16,7 @@
 ZONES = ("a", "b", "c", "d")
 NODES = 2
 SHARDS = 4
-MIN_ANSWERABLE_SHARE = 0.85
+ROUTE_MIN_SHARE = 0.85
 SETTLE_SECONDS = 5.0
 """Time after which every node has decided on a change, including its minimum time away."""
 
@@ -35,11 +35,11 @@
 
     @initialize(copies=st.integers(2, 3))
     def start(self, copies: int) -> None:
-        route = sharded_route(SHARDS, min_share=MIN_ANSWERABLE_SHARE)
+        route = sharded_route(SHARDS, min_share=ROUTE_MIN_SHARE)
         records = spread_replicas(route.shards, ZONES, copies)
         self.fleet = ZoneFleet(ZONES, NODES, table(1, route), records)
         self.fleet.start()
-        self.load(1.0)
+        self.send_requests(1.0)
         self.fleet.is_lost = self.is_lost
 
     def is_lost(self, sender: str, receiver: str) -> bool:
@@ -52,7 +52,7 @@
         """Return the side of the partition on which a place is."""
         return self.store_side if place == STORE else self.sides[self.fleet.zone_of[place]]
 
-    def load(self, seconds: float) -> None:
+    def send_requests(self, seconds: float) -> None:
         """Send requests to all nodes."""
         for _ in range(round(seconds * 5)):
             for node in self.fleet.nodes:
@@ -69,7 +69,7 @@
         self.fleet.partition_failure = kind
         self.sides = dict(zip(ZONES, sides, strict=True))
         self.store_side = store_side
-        self.load(0.4)
+        self.send_requests(0.4)
 
     @rule(store_zone=st.sampled_from(ZONES), kind=st.sampled_from(PartitionFailure))
     def partition_all_zones(self, store_zone: str, kind: PartitionFailure) -> None:
@@ -89,13 +89,13 @@
         self.fleet.partition_failure = kind
         self.sides = {name: int(name == zone) for name in ZONES}
         self.store_side = int(with_store)
-        self.load(1.0)
+        self.send_requests(1.0)
 
     @rule(names=st.sets(st.sampled_from([f"{zone}-0" for zone in ZONES]), max_size=3))
     def isolate_nodes(self, names: set[str]) -> None:
         """Isolate single nodes; nodes isolated before are connected again."""
         self.isolated = names
-        self.load(0.4)
+        self.send_requests(0.4)
 
     @rule()
     def heal(self) -> None:
@@ -103,7 +103,7 @@
         self.sides = dict.fromkeys(ZONES, 0)
         self.store_side = 0
         self.isolated = set()
-        self.load(0.4)
+        self.send_requests(0.4)
 
     @rule(zones=st.sets(st.sampled_from(ZONES), max_size=4))
     def crash_replicas(self, zones: set[str]) -> None:
@@ -111,12 +111,12 @@
         self.fleet.dead = {
             record.replica_id for record in self.fleet.records if record.zone in zones
         }
-        self.load(0.4)
+        self.send_requests(0.4)
 
     @rule()
     def compare_service(self) -> None:
         """Check that callers get at least the service they would get if every node stayed."""
-        self.load(SETTLE_SECONDS)
+        self.send_requests(SETTLE_SECONDS)
         out_of_service = [zone for zone in ZONES if not self.fleet.ready(zone)]
         if len(out_of_service) == len(ZONES):
             # Allowed only if each zone is isolated and the one that stays has also lost the store.
@@ -144,7 +144,7 @@
             for record in self.fleet.records
             if self.fleet.failure_to(node, record) is None
         }
-        return float(len(reachable) / SHARDS >= MIN_ANSWERABLE_SHARE)
+        return float(len(reachable) / SHARDS >= ROUTE_MIN_SHARE)
 
 
 PartitionHistoryTest = PartitionHistory.TestCase
--- a/tests/forwarding/test_configuration_proof.py
+++ b/tests/forwarding/test_configuration_proof.py
@@ -169,8 +169,8 @@
         node = strict_node()
         for _ in range(40):
             node.advance(0.1)
-            news = StoreUpdate(node.store_revision, node.store_revision)
-            node.machine._follower.apply_update(news, POLL_INTERVAL_SECONDS, node.now)
+            update = StoreUpdate(node.store_revision, node.store_revision)
+            node.machine._follower.apply_update(update, POLL_INTERVAL_SECONDS, node.now)
         self.assertTrue(node.machine._follower.next_answer_at(100.0) < 100.0 + 3.2)
         node.advance(1.0)
         self.assertFalse(is_proven(node))
--- a/tests/forwarding/test_node_groups.py
+++ b/tests/forwarding/test_node_groups.py
@@ -34,11 +34,11 @@
     return NodeIdentity(f"{name}-1", "", zone, name, 7)
 
 
-def groups_of(own: str, names: list[str], fan_out: int = 100) -> NodeGroups:
+def groups_of(own: str, names: list[str], max_shard_count: int = 100) -> NodeGroups:
     groups = NodeGroups(SETTINGS, own)
     for name in names:
         groups.put(name, NodeRecord(identity(name)))
-    groups.set_max_shard_count(fan_out)
+    groups.set_max_shard_count(max_shard_count)
     return groups
 
 
--- a/tests/forwarding/test_proof_requests.py
+++ b/tests/forwarding/test_proof_requests.py
@@ -204,8 +204,8 @@
         self.send_proof(node, 0.1, node.store_revision + 1)
         node.advance(1.0)
         self.assertFalse(node.machine.proof.is_proven(node.now))
-        news = StoreUpdate(node.store_revision, node.store_revision + 1)
-        node.emit(PeerReceived(OTHERS[0], news))
+        update = StoreUpdate(node.store_revision, node.store_revision + 1)
+        node.emit(PeerReceived(OTHERS[0], update))
         self.send_proof(node, 1.1, node.store_revision + 1)
         self.assertTrue(node.machine.proof.is_proven(node.now))
 
@@ -215,8 +215,8 @@
         before = len(node.actions)
         for _ in range(29):
             node.advance(0.1)
-            news = StoreUpdate(node.store_revision, node.store_revision)
-            node.emit(PeerReceived(OTHERS[0], news))
+            update = StoreUpdate(node.store_revision, node.store_revision)
+            node.emit(PeerReceived(OTHERS[0], update))
             look_at = node.machine._follower.next_answer_at(node.now) - 0.1
             self.assertTrue(look_at <= begun_at + 3.0 + RANK_SECONDS + 1e-6, look_at - begun_at)
         watches = [item for item in node.actions[before:] if isinstance(item, StartWatch)]
@@ -263,8 +263,8 @@
     def test_request_is_sent_to_an_unknown_sender_of_updates(self) -> None:
         node = self.recipient_node()
         before = len(node.actions)
-        news = StoreUpdate(node.store_revision, node.store_revision)
-        node.emit(PeerReceived(OTHER_NODE, news))
+        update = StoreUpdate(node.store_revision, node.store_revision)
+        node.emit(PeerReceived(OTHER_NODE, update))
         requested = [name for name, _ in proof_requests_in(node.actions[before:])]
         self.assertEqual([OTHER_NODE.node_id], requested)
 
--- a/tests/forwarding/test_revocation.py
+++ b/tests/forwarding/test_revocation.py
@@ -79,8 +79,8 @@
         node.emit(WatchBroken(node.last_watch_id, "the store answered 429"))
 
     def update_without_proof(self, node: OneNode) -> None:
-        news = StoreUpdate(node.store_revision, node.store_revision + 1)
-        node.emit(PeerReceived(OTHER, news))
+        update = StoreUpdate(node.store_revision, node.store_revision + 1)
+        node.emit(PeerReceived(OTHER, update))
 
     def incomplete_answer(self, node: OneNode) -> None:
         answer_poll(node, 0.0, may_have_more=True)
--- a/wingquay/forwarding/knowledge/node_groups.py
+++ b/wingquay/forwarding/knowledge/node_groups.py
@@ -53,7 +53,7 @@
         """Nodes removed from the store that have not failed since; they still get updates."""
         self.evidence: ReachabilityEvidence | None = None
         """Receives failures of nodes in other zones."""
-        self._fan_out = 0
+        self._max_shard_count = 0
         self._version = 0
         self._valid_until = float("inf")
         """When the first suspicion ends, which changes the set of usable nodes."""
@@ -66,7 +66,7 @@
     @property
     def max_shard_count(self) -> int:
         """The maximum number of shards of a route."""
-        return self._fan_out
+        return self._max_shard_count
 
     @property
     def node_count(self) -> int:
@@ -117,7 +117,7 @@
 
     def set_max_shard_count(self, max_shard_count: int) -> None:
         """Set the maximum number of shards of a route."""
-        self._fan_out = max_shard_count
+        self._max_shard_count = max_shard_count
 
     def suspect(self, node_id: str, now: float, is_absent: bool = False) -> None:
         """Mark a node as suspect; the period doubles with each failure in a row.
@@ -217,13 +217,13 @@
 
     def _group_names(self) -> list[str]:
         """Return the sorted names of this node's group; empty while this node has no address."""
-        if self._name not in self._members or not self._fan_out:
+        if self._name not in self._members or not self._max_shard_count:
             return []
         zone = self._members[self._name].record.identity.zone
         names = sorted(
             name for name, member in self._members.items() if member.record.identity.zone == zone
         )
-        groups = max(1, round(len(names) / math.sqrt(self._fan_out)))
+        groups = max(1, round(len(names) / math.sqrt(self._max_shard_count)))
         own = names.index(self._name) * groups // len(names)
         return [
             name for position, name in enumerate(names) if position * groups // len(names) == own
