--- a/wingquay/forwarding/knowledge/poll_schedule.py
+++ b/wingquay/forwarding/knowledge/poll_schedule.py
@@ -1,109 +1,120 @@
-"""How soon a node looks at the store again, and how long the store may hold the look."""
+"""Schedule of one node's polls of the store."""
 
 from .follower_settings import FollowerHooks, FollowerSettings
 from .proof_manager import ProofManager
 
 
 class PollSchedule:
-    """The pace of one node's looks, by what it hears of others and what it waits for.
+    """Decides when a node polls the store next and how long the store may hold the poll.
 
     Parameters
     ----------
     settings
-        The usual pace, and how long a look may take.
+        The usual poll interval, timeouts and backoff.
     hooks
-        Tell this node's place among those that tell each other what they read.
-    keeper
-        Knows how soon the configuration has to be proven again.
+        Tell whether this node polls for its group.
+    proof_manager
+        Provides the time by which the configuration must be proven again.
     """
 
     def __init__(
-        self, settings: FollowerSettings, hooks: FollowerHooks, keeper: ProofManager
+        self, settings: FollowerSettings, hooks: FollowerHooks, proof_manager: ProofManager
     ) -> None:
         self._settings = settings
         self._hooks = hooks
-        self._keeper = keeper
-        self._has_heard = False
-        """Whether news of another node were taken in since the last look."""
-        self._is_left_alone = False
-        """Whether none were before that look: those that go first may be turned away."""
-        self.gather_seconds = settings.poll_interval_seconds
-        """Time between two looks that is wanted at present."""
-        self.failures = 0
-        """Looks that were lost, one after the other."""
+        self._proof_manager = proof_manager
+        self._has_received_update = False
+        """Whether an update of another node was applied since the last poll."""
+        self._no_updates_between_polls = False
+        """Whether no update of another node arrived between the last two polls."""
+        self.requested_interval_seconds = settings.poll_interval_seconds
+        """The poll interval that is currently requested."""
+        self.failed_polls = 0
+        """Consecutive failed polls."""
 
     @property
-    def is_hurried(self) -> bool:
-        """Whether looks are wanted more often than usual."""
-        return self.gather_seconds < self._settings.poll_interval_seconds
+    def is_urgent(self) -> bool:
+        """Whether a shorter poll interval than usual is requested."""
+        return self.requested_interval_seconds < self._settings.poll_interval_seconds
 
     @property
-    def seconds(self) -> float:
-        """Least time between two looks, shorter where others go by what this node reads."""
-        proving = self._keeper.looks
-        if self._may_wait and self._hooks.tells_others():
+    def interval_seconds(self) -> float:
+        """Minimum time between two polls; shorter for a node that polls for its group."""
+        proof_poll_times = self._proof_manager.proof_poll_times
+        if self._uses_long_polls and self._hooks.shares_updates():
             shared_seconds = self._settings.shared_poll_interval_seconds
-            if proving is not None:
-                shared_seconds = proving.shared_poll_interval_seconds
-            return min(self.gather_seconds, shared_seconds)
-        if proving is None:
-            return self.gather_seconds
-        return min(self.gather_seconds, proving.own_seconds - self.hold_seconds)
+            if proof_poll_times is not None:
+                shared_seconds = proof_poll_times.shared_poll_interval_seconds
+            return min(self.requested_interval_seconds, shared_seconds)
+        if proof_poll_times is None:
+            return self.requested_interval_seconds
+        return min(
+            self.requested_interval_seconds,
+            proof_poll_times.poll_at_age_seconds - self.hold_seconds,
+        )
 
     @property
     def hold_seconds(self) -> float:
-        """How long the store may hold the next look.
+        """How long the store may hold the next poll.
 
-        Not at all after one that was lost: a held one that an outage swallows is noticed late, and
-        the configuration of 4 outages in 60 came up to 0.4 s after its bound (simulated).
+        Zero after a failed poll, because the failure of a long poll is detected later than that of
+        a short poll.
         """
-        if not self._may_wait or self.failures:
+        if not self._uses_long_polls or self.failed_polls:
             return 0.0
-        proving = self._keeper.looks
-        return self._settings.poll_times.hold_seconds if proving is None else proving.hold_seconds
+        proof_poll_times = self._proof_manager.proof_poll_times
+        return (
+            self._settings.poll_times.hold_seconds
+            if proof_poll_times is None
+            else proof_poll_times.hold_seconds
+        )
 
     def timeout_seconds(self, hold_seconds: float) -> float:
-        """Return after which time a look counts as lost that the store may hold for so long."""
-        look = self._keeper.looks or self._settings.poll_times
-        return look.held_timeout_seconds if hold_seconds > 0.0 else look.timeout_seconds
+        """Return the timeout of a poll that the store may hold for ``hold_seconds``."""
+        poll_times = self._proof_manager.proof_poll_times or self._settings.poll_times
+        return (
+            poll_times.long_poll_timeout_seconds
+            if hold_seconds > 0.0
+            else poll_times.timeout_seconds
+        )
 
-    def most_pause_seconds(self, now: float) -> float:
-        """Return for how long the next look may be put off."""
-        return max(self._keeper.look_by() - self.hold_seconds - now, 0.0)
+    def max_pause_seconds(self, now: float) -> float:
+        """Return the maximum time until the next poll."""
+        return max(self._proof_manager.poll_deadline() - self.hold_seconds - now, 0.0)
 
-    def backoff_seconds(self, is_listed: bool) -> float:
-        """Return the pause after a look that was lost, longer each time in a row.
+    def backoff_seconds(self, has_listing: bool) -> float:
+        """Return the pause after a failed poll, doubled with each failure in a row.
 
         Parameters
         ----------
-        is_listed
-            Whether anything is known to go by meanwhile.
+        has_listing
+            Whether the node has contents to work with in the meantime.
         """
         settings = self._settings
-        pause = settings.poll_times.first_backoff_seconds * 2.0 ** min(self.failures, 6)
-        if not is_listed:
-            return min(pause, settings.unknown_backoff_seconds)
-        most = settings.poll_times.most_backoff_seconds
-        if self.is_hurried:
-            most = min(most, settings.hurried_backoff_seconds)
-        return min(pause, most)
-
-    def heard(self) -> None:
-        """Take in that another node has told news."""
-        self._has_heard = True
-        self._is_left_alone = False
-
-    def looked(self) -> None:
-        """Take in that a look of this node was answered."""
-        self._is_left_alone = not self._has_heard
-        self._has_heard = False
+        pause = settings.poll_times.first_backoff_seconds * 2.0 ** min(self.failed_polls, 6)
+        if not has_listing:
+            return min(pause, settings.initial_backoff_seconds)
+        max_seconds = settings.poll_times.max_backoff_seconds
+        if self.is_urgent:
+            max_seconds = min(max_seconds, settings.urgent_backoff_seconds)
+        return min(pause, max_seconds)
+
+    def record_update(self) -> None:
+        """Record that an update of another node was applied."""
+        self._has_received_update = True
+        self._no_updates_between_polls = False
+
+    def record_poll_answer(self) -> None:
+        """Record that a poll of this node was answered."""
+        self._no_updates_between_polls = not self._has_received_update
+        self._has_received_update = False
 
     @property
-    def _may_wait(self) -> bool:
-        """Whether this node lets the store hold its looks, and so hears of changes at once.
+    def _uses_long_polls(self) -> bool:
+        """Whether this node uses long polls, by which it receives changes at once.
 
-        One node of a group does, and tells the others. If all did, their looks would have begun
-        when its news come, and none would be put off: 8 looks a node and minute, where one node in
-        ten needs 18.
+        The first node of a group uses long polls and sends the changes to the others. A node that
+        receives no updates uses them as well. Other nodes use short polls, because only a poll that
+        has not started can be postponed.
         """
-        return self._hooks.is_first() or self._is_left_alone
+        return self._hooks.is_first_in_group() or self._no_updates_between_polls
--- a/wingquay/forwarding/knowledge/proof_manager.py
+++ b/wingquay/forwarding/knowledge/proof_manager.py
@@ -1,4 +1,4 @@
-"""Keeps the proof of the configuration: what renews it, how soon it must be, what is told of it."""
+"""Maintains the proof that the configuration is fresh and requests proofs from other nodes."""
 
 from collections.abc import Callable, Collection
 
@@ -7,161 +7,171 @@
 from ...ports.peer_link import NodeIdentity, PeerLinkBroken, SendToPeer
 from ...ports.proof_messages import ProofReply, ProofRequest
 from .configuration_proof import AlwaysProven, TimedProof
-from .proof_poll_times import MOST_RANK_SECONDS, ProofPollTimes
-from .proof_requests import HeardAsks, ProofAsks
+from .proof_poll_times import MAX_POLL_SPREAD_SECONDS, ProofPollTimes
+from .proof_requests import ReceivedProofRequests, SentProofRequests
 
-LATE_REASON = "no look was answered and nobody told of one"
+NO_POLL_REASON = "no poll was answered and no proof received"
 
 
 class ProofManager:
-    """Takes in what proves the configuration, for deployments that state the strict bound.
+    """Extends the configuration proof by this node's polls and by proofs of other nodes.
 
-    Nothing is paid for it, neither calls nor messages, by other deployments and as long as the
-    configuration has no tenants.
+    Without a revocation bound, or while the configuration has no tenants, it sends no proof
+    requests and requires no additional polls.
 
     Parameters
     ----------
-    looks
-        The bound and the looks that keep it; ``None``: no bound is stated.
-    rank_seconds
-        How much later than the first of its group this node looks by itself.
+    proof_poll_times
+        The bound and the polls that keep it; ``None``: no bound is stated.
+    poll_delay_seconds
+        Returns the delay of this node's own polls, which grows with its position in the group.
     next_answer_at
-        Tells, for a moment, when the store may answer.
+        Returns, for a time, when the store may answer the next poll.
     first_number
-        Number of the first ask to another node; random, so that no two lives of a node share one.
+        Number of the first proof request; random, so that no two incarnations of a node share one.
     """
 
     def __init__(
         self,
-        looks: ProofPollTimes | None,
-        rank_seconds: Callable[[], float],
+        proof_poll_times: ProofPollTimes | None,
+        poll_delay_seconds: Callable[[], float],
         next_answer_at: Callable[[float], float],
         first_number: int = 0,
     ) -> None:
-        self._looks = looks
-        self._rank_seconds = rank_seconds
-        self._timed = None if looks is None else TimedProof(looks.bound_seconds, next_answer_at)
-        self._asks = ProofAsks(first_number)
-        self._heard = HeardAsks()
+        self._proof_poll_times = proof_poll_times
+        self._poll_delay_seconds = poll_delay_seconds
+        self._timed = (
+            None
+            if proof_poll_times is None
+            else TimedProof(proof_poll_times.bound_seconds, next_answer_at)
+        )
+        self._sent = SentProofRequests(first_number)
+        self._received = ReceivedProofRequests()
         self._has_tenants = False
         self._lost_at: float | None = None
-        """When it was noticed that the configuration is not proven; ``None``: it is."""
-        self._reason = "nothing was read yet"
+        """When the proof was found to be too old; ``None``: the configuration is proven."""
+        self._reason = "no poll answered yet"
 
     @property
     def proof(self) -> AlwaysProven | TimedProof:
-        """What arriving requests are judged by."""
+        """The proof by which arriving requests are admitted."""
         return self._timed or AlwaysProven()
 
     @property
-    def looks(self) -> ProofPollTimes | None:
-        """The looks that keep the bound; ``None``: there is nothing to prove."""
-        return self._looks if self._has_tenants else None
+    def proof_poll_times(self) -> ProofPollTimes | None:
+        """The polls that keep the bound; ``None``: no proof is required."""
+        return self._proof_poll_times if self._has_tenants else None
 
     def configure(self, table: RoutingTable) -> None:
-        """Take in a configuration."""
+        """Apply a configuration."""
         self._has_tenants = table.tenants is not None
 
-    def look_by(self) -> float:
-        """Return when this node's own look must have begun, so that it may fail once."""
-        if self._timed is None or self.looks is None:
+    def poll_deadline(self) -> float:
+        """Return by when the next poll must start, or end its hold time, to allow a retry."""
+        if self._timed is None or self.proof_poll_times is None:
             return float("inf")
-        rank_seconds = min(self._rank_seconds(), MOST_RANK_SECONDS)
-        return self._timed.proven_as_of + self.looks.own_seconds + rank_seconds
-
-    def looked(self, begun_at: float | None, store_revision: int, now: float) -> list[Action]:
-        """Take in that a look of this node was answered.
+        poll_delay_seconds = min(self._poll_delay_seconds(), MAX_POLL_SPREAD_SECONDS)
+        return (
+            self._timed.proven_as_of
+            + self.proof_poll_times.poll_at_age_seconds
+            + poll_delay_seconds
+        )
+
+    def handle_poll_answer(
+        self, begun_at: float | None, store_revision: int, now: float
+    ) -> list[Action]:
+        """Handle an answered poll of this node.
 
         Parameters
         ----------
         begun_at
-            When it was begun; ``None``: it proves nothing.
+            When the poll started; ``None``: it proves nothing.
         store_revision
-            Up to which revision it told everything.
+            The revision up to which the answer is complete.
         """
         if self._timed is None or begun_at is None:
             return []
-        told = self._heard.answers(begun_at, store_revision, now)
-        return [*self._prove(self._timed, begun_at, now), *told]
+        answers = self._received.answers(begun_at, store_revision, now)
+        return [*self._extend_proof(self._timed, begun_at, now), *answers]
 
     def poll_failed(self, reason: str) -> None:
-        """Take in why nothing may be proven for a while."""
+        """Record why the proof may not be extended for a while."""
         self._reason = reason
 
-    def sweep(self, listeners: Callable[[], Collection[NodeIdentity]], now: float) -> list[Action]:
-        """Ask other nodes to prove what they read, and tell if the proof was lost.
+    def sweep(self, recipients: Callable[[], Collection[NodeIdentity]], now: float) -> list[Action]:
+        """Request proofs from other nodes and log whether the proof was lost.
 
         Parameters
         ----------
-        listeners
-            Returns the nodes that tell each other what they read.
+        recipients
+            Returns the nodes that share store updates.
         """
-        if self.looks is None:
+        if self.proof_poll_times is None:
             return []
-        return [*self.check(now), *self._asks.ask(listeners(), now)]
+        return [*self.check(now), *self._sent.send_requests(recipients(), now)]
 
     def handle_update_from(self, sender: NodeIdentity, now: float) -> list[Action]:
-        """Take in that another node has told what it has read."""
-        return [] if self.looks is None else self._asks.news_from(sender, now)
+        """Handle the arrival of another node's store update."""
+        return [] if self.proof_poll_times is None else self._sent.handle_update_from(sender, now)
 
-    def asked(
-        self, sender: NodeIdentity, ask: ProofRequest, known_revision: int | None, now: float
+    def handle_request(
+        self, sender: NodeIdentity, request: ProofRequest, known_revision: int | None, now: float
     ) -> list[Action]:
-        """Take in that another node asks, and tell it at once what is proven here."""
+        """Handle a proof request: record it, and answer at once if the configuration is proven."""
         if self._timed is None:
             return []
-        self._heard.heard(sender, ask, now)
+        self._received.record(sender, request, now)
         if known_revision is None or not self._timed.is_proven(now):
             return []
         held_seconds = self._timed.proven_as_of - now
-        return [SendToPeer(sender, ProofReply(ask.number, held_seconds, known_revision))]
+        return [SendToPeer(sender, ProofReply(request.number, held_seconds, known_revision))]
 
-    def given(
-        self, sender: NodeIdentity, given: ProofReply, known_revision: int | None, now: float
+    def handle_proof(
+        self, sender: NodeIdentity, proof: ProofReply, known_revision: int | None, now: float
     ) -> list[Action]:
-        """Take in what another node's look proves, if all that it has told is known."""
-        as_of = self._asks.proven_as_of(sender, given, now)
-        is_known = known_revision is not None and known_revision >= given.store_revision
+        """Extend the proof by another node's poll, if this node has all its changes."""
+        as_of = self._sent.proven_as_of(sender, proof, now)
+        is_known = known_revision is not None and known_revision >= proof.store_revision
         if self._timed is None or as_of is None or not is_known:
             return []
-        return self._prove(self._timed, as_of, now)
+        return self._extend_proof(self._timed, as_of, now)
 
     def link_broken(self, event: PeerLinkBroken) -> None:
-        """Take in that a link broke: what was asked over it may be lost."""
+        """Discard the requests that may be lost because a link broke."""
         if event.was_open:
-            self._asks.link_broken(event.node_id)
-            self._heard.link_broken(event.node_id)
+            self._sent.link_broken(event.node_id)
+            self._received.link_broken(event.node_id)
 
     def age_seconds(self, now: float) -> float:
-        """Return how long ago the configuration was the one in force at least."""
+        """Return the age of the proof."""
         return float("inf") if self._timed is None else now - self._timed.proven_as_of
 
-    def _prove(self, timed: TimedProof, as_of: float, now: float) -> list[Action]:
+    def _extend_proof(self, timed: TimedProof, as_of: float, now: float) -> list[Action]:
         age_seconds = now - timed.proven_as_of
-        if not timed.prove(as_of, now):
+        if not timed.extend(as_of, now):
             return []
-        lines = self.check(now)
-        self._reason = LATE_REASON
-        if self.looks is None or age_seconds == float("inf"):
-            return lines
-        return [*lines, Observe("configuration_proof_age_seconds", age_seconds)]
+        logs = self.check(now)
+        self._reason = NO_POLL_REASON
+        if self.proof_poll_times is None or age_seconds == float("inf"):
+            return logs
+        return [*logs, Observe("configuration_proof_age_seconds", age_seconds)]
 
     def check(self, now: float) -> list[Action]:
-        """Tell if the configuration has ceased to be proven, or is so again."""
-        if self._timed is None or self.looks is None:
+        """Log and count when the configuration becomes unproven or proven again."""
+        if self._timed is None or self.proof_poll_times is None:
             return []
         if self._timed.is_proven(now):
-            return self._back(now)
-        return self._lost(self._timed, now) if self._lost_at is None else []
+            return self._proof_regained(now)
+        return self._proof_lost(self._timed, now) if self._lost_at is None else []
 
-    def _back(self, now: float) -> list[Action]:
+    def _proof_regained(self, now: float) -> list[Action]:
         lost_at, self._lost_at = self._lost_at, None
         if lost_at is None:
             return []
         fields = (("unproven_ms", _milliseconds(now - lost_at)),)
         return [Log("configuration_proven", LogLevel.INFO, fields)]
 
-    def _lost(self, timed: TimedProof, now: float) -> list[Action]:
+    def _proof_lost(self, timed: TimedProof, now: float) -> list[Action]:
         self._lost_at = now
         age_seconds = now - timed.proven_as_of
         age_ms = -1 if age_seconds == float("inf") else _milliseconds(age_seconds)
--- a/wingquay/forwarding/knowledge/proof_poll_times.py
+++ b/wingquay/forwarding/knowledge/proof_poll_times.py
@@ -1,100 +1,113 @@
-"""How a node looks at the store so that its configuration stays proven within a bound."""
+"""Polls of the store that keep the configuration proven within the revocation bound."""
 
 from enum import Enum
 
 from ...model.value import value
 from .configuration_proof import BOUND_RESERVE_SECONDS
-from .poll_times import HELD_ANSWER_SECONDS, PollTimes
+from .poll_times import LONG_POLL_ANSWER_SECONDS, PollTimes
 
 
 class ProofPollMode(Enum):
-    """How the node that looks for its group keeps the configuration proven."""
+    """How the node that polls for its group keeps the configuration proven."""
 
     HELD = "held"
-    """The store holds each look, but for less time: changes are heard of at once."""
+    """Long polls with a shorter hold time: changes arrive at once."""
     SHORT = "short"
-    """The store answers each look at once: the answer proves more, so fewer looks are needed."""
+    """Short polls: an answer proves the configuration as of its arrival, so polls can be further
+    apart than long polls, whose answers prove it as of up to ``hold_seconds`` before."""
 
 
-MOST_TIMEOUT_SHARE = 0.2
-"""Share of the bound that one look may take where the bound is short."""
-MOST_TRY_SHARE = 0.3
-"""Share of a short bound that is left for a look that is lost and the pause after it."""
-PROVING_ANSWER_SECONDS = 0.3
-"""Time for the answer to the look that follows one that was lost: a busy store takes a tenth."""
-MOST_RANK_SECONDS = 0.45
-"""Most time by which the looks of a group's nodes are spread."""
-MOST_PROVING_HOLD_SECONDS = 1.2
-"""A held look proves what was so when it began, and the next one is answered as much later."""
-MOST_RESERVE_SHARE = 0.2
-"""Share of a short bound that is left for such an answer, the spread and clocks."""
-MOST_HOLD_SHARE = 0.4
-"""Share of the time to an own look for which a look is held: two follow each other before that."""
-SHORT_LOOK_SHARE = 0.67
-"""Share of the time to an own look after which the node that looks for others looks: what it reads
-reaches them before their own looks are due, also when one of its looks is late."""
+MAX_TIMEOUT_SHARE = 0.2
+"""Maximum share of the bound for the timeout of one poll."""
+MAX_RETRY_SHARE = 0.3
+"""Maximum share of the bound for a failed poll and the pause after it."""
+RETRY_ANSWER_SECONDS = 0.3
+"""Time for the answer to the poll that follows a failed one."""
+MAX_POLL_SPREAD_SECONDS = 0.45
+"""Maximum time over which the polls of a group's nodes are spread."""
+MAX_PROOF_HOLD_SECONDS = 1.2
+"""Maximum hold time. A long poll proves the configuration as of its start, so holding it ages the
+proof."""
+MAX_RESERVE_SHARE = 0.2
+"""Maximum share of the bound reserved for the sum of ``RETRY_ANSWER_SECONDS``,
+``MAX_POLL_SPREAD_SECONDS`` and ``BOUND_RESERVE_SECONDS``."""
+MAX_LONG_POLL_SHARE = 0.4
+"""Maximum share of ``poll_at_age_seconds`` for the hold time and for the interval of long polls."""
+SHORT_POLL_SHARE = 0.67
+"""Interval of short polls as a share of ``poll_at_age_seconds``: updates then arrive before the
+polls of the other nodes are due, even if one poll is late."""
 
 
 @value
 class ProofPollTimes:
-    """Looks that keep the configuration proven within a bound.
+    """Poll times that keep the configuration proven within a bound.
 
     Parameters
     ----------
     bound_seconds
-        Time after the store acknowledged that a key is taken away from which on it is not served.
-    own_seconds
-        Age of the proof at which a node looks by itself, so that a look may fail once.
+        Time after the store acknowledged a key's revocation by which the key must be rejected.
+    poll_at_age_seconds
+        Age of the proof at which a node polls by itself, early enough for one retry.
     shared_poll_interval_seconds
-        Least time between two looks of a node that looks for others.
+        Minimum time between two polls of a node that polls for its group.
     hold_seconds
-        How long the store may hold a look on which nothing has changed.
-    held_timeout_seconds, timeout_seconds
-        Time after which a look that is held, or is not, counts as lost.
+        How long the store may hold a poll while nothing changes.
+    long_poll_timeout_seconds, timeout_seconds
+        Timeouts of long and short polls.
     """
 
     bound_seconds: float
-    own_seconds: float
+    poll_at_age_seconds: float
     shared_poll_interval_seconds: float
     hold_seconds: float
-    held_timeout_seconds: float
+    long_poll_timeout_seconds: float
     timeout_seconds: float
 
 
 def proof_poll_times_within(
-    bound_seconds: float, way: ProofPollMode, look: PollTimes, shared_poll_interval_seconds: float
+    bound_seconds: float,
+    mode: ProofPollMode,
+    poll_times: PollTimes,
+    shared_poll_interval_seconds: float,
 ) -> ProofPollTimes:
-    """Return looks by which one may fail and be tried again before the bound.
+    """Return poll times by which one poll may fail and be retried before the bound.
 
     Parameters
     ----------
-    way
-        How the node that looks for its group does.
-    look
-        Times of looks without the bound, which they do not exceed.
+    mode
+        How the node polls that polls for its group.
+    poll_times
+        Poll times without the bound, which are upper limits here.
     shared_poll_interval_seconds
-        Least time between two looks of a node that looks for others without the bound.
+        Minimum time between two polls of a node that polls for its group without the bound.
     """
     timeout_seconds = min(
-        HELD_ANSWER_SECONDS, look.timeout_seconds, bound_seconds * MOST_TIMEOUT_SHARE
+        LONG_POLL_ANSWER_SECONDS, poll_times.timeout_seconds, bound_seconds * MAX_TIMEOUT_SHARE
+    )
+    retry_seconds = min(
+        timeout_seconds + poll_times.first_backoff_seconds, bound_seconds * MAX_RETRY_SHARE
     )
-    try_seconds = min(timeout_seconds + look.first_backoff_seconds, bound_seconds * MOST_TRY_SHARE)
     reserve_seconds = min(
-        PROVING_ANSWER_SECONDS + MOST_RANK_SECONDS + BOUND_RESERVE_SECONDS,
-        bound_seconds * MOST_RESERVE_SHARE,
+        RETRY_ANSWER_SECONDS + MAX_POLL_SPREAD_SECONDS + BOUND_RESERVE_SECONDS,
+        bound_seconds * MAX_RESERVE_SHARE,
     )
-    own_seconds = bound_seconds - try_seconds - reserve_seconds
-    if way is ProofPollMode.SHORT:
-        shared_seconds = own_seconds * SHORT_LOOK_SHARE
+    poll_at_age_seconds = bound_seconds - retry_seconds - reserve_seconds
+    if mode is ProofPollMode.SHORT:
+        shared_seconds = poll_at_age_seconds * SHORT_POLL_SHARE
         return ProofPollTimes(
-            bound_seconds, own_seconds, shared_seconds, 0.0, timeout_seconds, timeout_seconds
+            bound_seconds,
+            poll_at_age_seconds,
+            shared_seconds,
+            0.0,
+            timeout_seconds,
+            timeout_seconds,
         )
-    most_seconds = own_seconds * MOST_HOLD_SHARE
-    hold_seconds = min(MOST_PROVING_HOLD_SECONDS, look.hold_seconds, most_seconds)
+    max_long_poll_seconds = poll_at_age_seconds * MAX_LONG_POLL_SHARE
+    hold_seconds = min(MAX_PROOF_HOLD_SECONDS, poll_times.hold_seconds, max_long_poll_seconds)
     return ProofPollTimes(
         bound_seconds,
-        own_seconds,
-        min(shared_poll_interval_seconds, most_seconds),
+        poll_at_age_seconds,
+        min(shared_poll_interval_seconds, max_long_poll_seconds),
         hold_seconds,
         hold_seconds + timeout_seconds,
         timeout_seconds,
--- a/wingquay/forwarding/knowledge/store_follower.py
+++ b/wingquay/forwarding/knowledge/store_follower.py
@@ -1,4 +1,4 @@
-"""Keeps up with everything under one prefix of the key-value store."""
+"""Maintains a copy of one prefix of the key-value store."""
 
 from ...model.failure import Failure
 from ...ports.machine import Action, Event, Log, LogLevel, Schedule, Start
@@ -23,130 +23,133 @@
 from .store_copy import StoreCopy
 
 USUAL_ANSWER_SECONDS = 0.1
-"""Time in which the store usually answers, also when it is busy."""
+"""Usual response time of the store."""
 
 
 class StoreFollower:
-    """Reads a prefix once, then watches it; reads it anew when history is lost.
+    """Reads a prefix once and then polls it for changes.
+
+    A watch is a series of polls with one interval and one hold time. If the store no longer has the
+    history since the last poll, the prefix is read again.
 
     Parameters
     ----------
     settings
-        What is followed and how often.
+        The prefix and the poll times.
     hooks
-        Take the news.
-    keeper
-        Keeps the proof of the configuration by the looks that are answered; ``None``: nobody does.
+        Callbacks that receive the changes.
+    proof_manager
+        Extends the configuration proof by answered polls; ``None``: no proof is required.
     """
 
     def __init__(
         self,
         settings: FollowerSettings,
         hooks: FollowerHooks,
-        keeper: ProofManager | None = None,
+        proof_manager: ProofManager | None = None,
     ) -> None:
         self._settings = settings
         self._hooks = hooks
         self._reads = 0
         self._watches = 0
-        self._keeper = keeper or ProofManager(None, lambda: 0.0, self.next_answer_at)
-        self._pace = PollSchedule(settings, hooks, self._keeper)
+        self._proof_manager = proof_manager or ProofManager(None, lambda: 0.0, self.next_answer_at)
+        self._schedule = PollSchedule(settings, hooks, self._proof_manager)
         self._copy = StoreCopy()
         self._is_watching = False
-        self._watch_gather_seconds = settings.poll_interval_seconds
-        """The pace of the watch under way."""
+        self._watch_interval_seconds = settings.poll_interval_seconds
+        """The poll interval of the current watch."""
         self._watch_hold_seconds = 0.0
-        """How long the store may hold its looks."""
-        self._looked_at = float("-inf")
-        """When the store last told what there is."""
-        self._look_at = 0.0
-        """When the next look begins; one that has begun is not put off."""
+        """How long the store may hold the polls of the current watch."""
+        self._answered_at = float("-inf")
+        """When the store last answered."""
+        self._poll_at = 0.0
+        """When the next poll starts; a poll under way is not postponed."""
 
     def handle(self, event: Event, now: float) -> list[Action]:
-        """Take in an event of the store or a timer."""
+        """Handle a store event or a timer."""
         if isinstance(event, WatchChanged):
-            return self._changed(event, now)
+            return self._handle_watch_changed(event, now)
         if isinstance(event, StoreResponse):
-            return self._read_done(event, now)
+            return self._handle_read(event, now)
         if isinstance(event, WatchBroken):
-            return self._broken(event, now)
+            return self._handle_watch_broken(event, now)
         if isinstance(event, PeerSnapshot):
-            return self._peer_told(event, now)
+            return self._apply_peer_snapshot(event, now)
         if isinstance(event, Start):
-            return self._look(now)
-        if isinstance(event, PollRetryDue) and event.watch_id == self._operation_id:
-            return self._look(now)
+            return self._read_or_watch(now)
+        if isinstance(event, PollRetryDue) and event.read_id == self._operation_id:
+            return self._read_or_watch(now)
         return []
 
     def snapshot(self) -> ReadResult | None:
-        """Return everything under the prefix as far as it is known; ``None``: nothing is."""
+        """Return all items under the prefix with the revision; ``None``: none is valid."""
         return self._copy.snapshot()
 
     def set_poll_interval(self, seconds: float | None, now: float) -> list[Action]:
-        """Look at the store at another pace; ``None``: the usual one."""
-        wanted = self._settings.poll_interval_seconds if seconds is None else seconds
-        if wanted == self._pace.gather_seconds:
+        """Set the poll interval; ``None``: the usual one."""
+        interval_seconds = self._settings.poll_interval_seconds if seconds is None else seconds
+        if interval_seconds == self._schedule.requested_interval_seconds:
             return []
-        self._pace.gather_seconds = wanted
-        if not self._is_watching or now >= self._look_at:
-            # A look that has begun tells every change at once; the next one keeps the new pace.
+        self._schedule.requested_interval_seconds = interval_seconds
+        if not self._is_watching or now >= self._poll_at:
+            # A poll under way returns all changes at once; the next one uses the new interval.
             return []
         return [StopWatch(self._watch_id), *self._watch(now, self._pause_seconds(now))]
 
-    def absorb(self, news: StoreUpdate, pause_seconds: float, now: float) -> list[Action]:
-        """Take in what another node has read; put the own look off.
+    def apply_update(self, update: StoreUpdate, pause_seconds: float, now: float) -> list[Action]:
+        """Apply an update of another node and postpone the next poll.
 
-        News that begin after what is known here, or end before it, are passed over: the own look
-        shows what they told, as it does when no more news come.
+        Updates that start after the known revision or end before it are ignored: the next poll
+        returns their changes.
 
         Parameters
         ----------
         pause_seconds
-            Time until the own look, if nothing more is heard by then; 0: it is not put off.
+            Time until the next poll, unless another update arrives; 0: it is not postponed.
         """
-        seen = self._copy.revision
-        if not self._copy.is_listed or seen is None:
+        known_revision = self._copy.revision
+        if not self._copy.has_listing or known_revision is None:
             return []
-        if news.from_revision > seen:
-            return [self._passed_over(news, seen, now)]
-        if seen > news.store_revision:
+        if update.from_revision > known_revision:
+            return [self._skipped_update_log(update, known_revision, now)]
+        if known_revision > update.store_revision:
             return []
-        self._pace.heard()
-        self._copy.change(news.changed, news.deleted, news.store_revision)
-        actions = self._hooks.on_changes(news.changed, news.deleted, now)
-        return actions + self.put_off(pause_seconds, now)
-
-    def put_off(self, pause_seconds: float, now: float) -> list[Action]:
-        """Look so much later, unless a look is wanted or has begun."""
-        pause_seconds = min(pause_seconds, self._pace.most_pause_seconds(now))
-        if not self._is_watching or self._pace.is_hurried or now >= self._look_at:
+        self._schedule.record_update()
+        self._copy.apply(update.changed, update.deleted, update.store_revision)
+        actions = self._hooks.on_changes(update.changed, update.deleted, now)
+        return actions + self.postpone_poll(pause_seconds, now)
+
+    def postpone_poll(self, pause_seconds: float, now: float) -> list[Action]:
+        """Postpone the next poll, unless it is urgent or already under way."""
+        pause_seconds = min(pause_seconds, self._schedule.max_pause_seconds(now))
+        if not self._is_watching or self._schedule.is_urgent or now >= self._poll_at:
             return []
-        if now + pause_seconds <= self._look_at:
+        if now + pause_seconds <= self._poll_at:
             return []
         return [StopWatch(self._watch_id), *self._watch(now, pause_seconds)]
 
     def poll_now(self, now: float) -> list[Action]:
-        """Look at the store at once, in place of a look under way that may be lost."""
+        """Poll the store at once, and abandon a poll under way, which may be lost."""
         if not self._is_watching:
             return []
         return [StopWatch(self._watch_id), *self._watch(now, 0.0)]
 
     def next_answer_at(self, now: float) -> float:
-        """Return when the store may answer the look that is due or under way."""
-        answer_at = self._look_at + self._watch_hold_seconds + USUAL_ANSWER_SECONDS
+        """Return when the store may answer the poll that is due or under way."""
+        answer_at = self._poll_at + self._watch_hold_seconds + USUAL_ANSWER_SECONDS
         if now < answer_at:
             return answer_at
-        lost_at = self._look_at + self._pace.timeout_seconds(self._watch_hold_seconds)
-        return lost_at + self._settings.poll_times.first_backoff_seconds + USUAL_ANSWER_SECONDS
+        times_out_at = self._poll_at + self._schedule.timeout_seconds(self._watch_hold_seconds)
+        return times_out_at + self._settings.poll_times.first_backoff_seconds + USUAL_ANSWER_SECONDS
 
     @property
     def known_revision(self) -> int | None:
-        """The store's revision up to which everything is known."""
+        """The store revision up to which the copy is complete."""
         return self._copy.revision
 
     @property
-    def usual_gather_seconds(self) -> float:
-        """The time between two looks when nothing is missing."""
+    def usual_poll_interval_seconds(self) -> float:
+        """The usual time between two polls."""
         return self._settings.poll_interval_seconds
 
     @property
@@ -157,26 +160,26 @@
     def _watch_id(self) -> str:
         return f"follow-{self._watches}"
 
-    def _look(self, now: float) -> list[Action]:
+    def _read_or_watch(self, now: float) -> list[Action]:
         if self._copy.revision is not None:
             return self._watch(now)
         self._reads += 1
-        self._look_at = now
+        self._poll_at = now
         operation = Read(self._settings.prefix, prefix=True, may_start_stale=True)
         timeout = self._settings.poll_times.timeout_seconds
         return [StoreRequest(self._operation_id, operation, timeout)]
 
     def _pause_seconds(self, now: float) -> float:
-        """Return the time until the next look is due at the present pace."""
-        return max(0.0, self._looked_at + self._pace.seconds - now)
+        """Return the time until the next poll at the current interval."""
+        return max(0.0, self._answered_at + self._schedule.interval_seconds - now)
 
     def _watch(self, now: float, pause_seconds: float = 0.0) -> list[Action]:
         revision = self._copy.revision
         assert revision is not None
-        self._watch_gather_seconds = self._pace.seconds
-        self._watch_hold_seconds = self._pace.hold_seconds
-        pause_seconds = min(pause_seconds, self._pace.most_pause_seconds(now))
-        self._look_at = now + pause_seconds
+        self._watch_interval_seconds = self._schedule.interval_seconds
+        self._watch_hold_seconds = self._schedule.hold_seconds
+        pause_seconds = min(pause_seconds, self._schedule.max_pause_seconds(now))
+        self._poll_at = now + pause_seconds
         self._watches += 1
         self._is_watching = True
         return [
@@ -184,131 +187,135 @@
                 self._watch_id,
                 self._settings.prefix,
                 revision,
-                self._watch_gather_seconds,
+                self._watch_interval_seconds,
                 pause_seconds,
                 self._watch_hold_seconds,
-                self._pace.timeout_seconds(self._watch_hold_seconds),
+                self._schedule.timeout_seconds(self._watch_hold_seconds),
             )
         ]
 
-    def _read_done(self, event: StoreResponse, now: float) -> list[Action]:
+    def _handle_read(self, event: StoreResponse, now: float) -> list[Action]:
         if event.operation_id != self._operation_id:
             return []
         result = event.result
         if not isinstance(result, ReadResult):
             reason = result.reason if isinstance(result, Failure) else "unexpected result"
-            return self._failed(reason, now)
-        self._pace.failures = 0
-        self._looked_at = now
-        return self._listed(result.values, result.store_revision, now, result.begun_at)
-
-    def _peer_told(self, event: PeerSnapshot, now: float) -> list[Action]:
-        """Begin with what another node knows; the store's own word follows by the watch."""
-        if self._copy.is_listed:
+            return self._handle_failure(reason, now)
+        self._schedule.failed_polls = 0
+        self._answered_at = now
+        return self._apply_listing(result.values, result.store_revision, now, result.begun_at)
+
+    def _apply_peer_snapshot(self, event: PeerSnapshot, now: float) -> list[Action]:
+        """Start with the contents received from another node; polls of the store follow."""
+        if self._copy.has_listing:
             return []
-        # The answer to a read under way would be taken for a second listing.
+        # The answer to a read under way must not count as a second listing.
         self._reads += 1
         fields = (("store_revision", event.store_revision), ("values", len(event.values)))
-        line = Log("store_known_from_peer", LogLevel.WARNING, fields)
-        return [line, *self._listed(event.values, event.store_revision, now)]
+        line = Log("store_contents_from_peer", LogLevel.WARNING, fields)
+        return [line, *self._apply_listing(event.values, event.store_revision, now)]
 
-    def _listed(
+    def _apply_listing(
         self,
         values: tuple[StoredValue, ...],
         store_revision: int,
         now: float,
         begun_at: float | None = None,
     ) -> list[Action]:
-        self._copy.list_anew(values, store_revision)
+        self._copy.replace_all(values, store_revision)
         actions = self._hooks.on_listing(values, now)
-        actions += self._keeper.looked(begun_at, store_revision, now)
-        pause_seconds = self._pause_seconds(now) if self._hooks.is_enough() else 0.0
+        actions += self._proof_manager.handle_poll_answer(begun_at, store_revision, now)
+        pause_seconds = self._pause_seconds(now) if self._hooks.is_sufficient() else 0.0
         return actions + self._watch(now, pause_seconds)
 
-    def _changed(self, event: WatchChanged, now: float) -> list[Action]:
+    def _handle_watch_changed(self, event: WatchChanged, now: float) -> list[Action]:
         if event.watch_id != self._watch_id:
             return []
         before = self._copy.revision
         assert before is not None
-        self._pace.failures = 0
-        self._looked_at = now
-        look_due_at = self._look_at
-        # An answer that was cut is followed up at once: that look has begun already.
-        self._look_at = now if event.may_have_more else now + self._pace.seconds
-        # What an answer holds that was cut is not all that was there when the look began.
+        self._schedule.failed_polls = 0
+        self._answered_at = now
+        poll_due_at = self._poll_at
+        # After an incomplete answer the next poll has already started.
+        self._poll_at = now if event.may_have_more else now + self._schedule.interval_seconds
+        # An incomplete answer does not contain everything that existed when the poll started.
         begun_at = None if event.may_have_more else event.begun_at
         if event.store_revision < before:
-            # News of another node have told all of it since this look began, and more.
-            return self._keeper.looked(begun_at, event.store_revision, now)
-        self._copy.change(event.changed, event.deleted, event.store_revision)
+            # Updates of other nodes have already brought a later revision.
+            return self._proof_manager.handle_poll_answer(begun_at, event.store_revision, now)
+        self._copy.apply(event.changed, event.deleted, event.store_revision)
         actions = self._hooks.on_changes(event.changed, event.deleted, now)
-        told_proofs = self._keeper.looked(begun_at, event.store_revision, now)
-        news = StoreUpdate(
+        proof_answers = self._proof_manager.handle_poll_answer(begun_at, event.store_revision, now)
+        update = StoreUpdate(
             before,
             event.store_revision,
             event.changed,
             event.deleted,
-            self._age_seconds(look_due_at, now),
+            self._answer_age_seconds(poll_due_at, now),
             event.may_have_more,
         )
-        actions += [*self._hooks.on_look(news, now), *told_proofs]
-        self._pace.looked()
-        is_same_pace = self._watch_gather_seconds == self._pace.seconds
-        is_same_place = self._watch_hold_seconds == self._pace.hold_seconds
-        if event.may_have_more or (is_same_pace and is_same_place):
+        actions += [*self._hooks.on_poll(update, now), *proof_answers]
+        self._schedule.record_poll_answer()
+        is_same_interval = self._watch_interval_seconds == self._schedule.interval_seconds
+        is_same_hold = self._watch_hold_seconds == self._schedule.hold_seconds
+        if event.may_have_more or (is_same_interval and is_same_hold):
             return actions
-        return [*actions, StopWatch(self._watch_id), *self._watch(now, self._pace.seconds)]
+        return [
+            *actions,
+            StopWatch(self._watch_id),
+            *self._watch(now, self._schedule.interval_seconds),
+        ]
 
-    def _age_seconds(self, look_due_at: float, now: float) -> float:
-        """Return how old an answer may be; that of a held look may be as new as it is late."""
-        return 0.0 if self._watch_hold_seconds > 0.0 else max(now - look_due_at, 0.0)
+    def _answer_age_seconds(self, poll_due_at: float, now: float) -> float:
+        """Return the maximum age of an answer; a long poll's answer counts as new."""
+        return 0.0 if self._watch_hold_seconds > 0.0 else max(now - poll_due_at, 0.0)
 
-    def _broken(self, event: WatchBroken, now: float) -> list[Action]:
+    def _handle_watch_broken(self, event: WatchBroken, now: float) -> list[Action]:
         if event.watch_id != self._watch_id:
             return []
         self._is_watching = False
         if event.history_lost:
-            self._copy.forget_revision()
+            self._copy.invalidate_revision()
             line = Log("store_history_lost", LogLevel.WARNING, (("reason", event.reason),))
-            return [line, *self._look(now)]
-        return self._failed(event.reason, now)
-
-    def _failed(self, reason: str, now: float) -> list[Action]:
-        self._hooks.on_trouble(now)
-        self._keeper.poll_failed(reason)
-        is_listed = self._copy.is_listed
-        due_at = now + self._pace.backoff_seconds(is_listed)
-        asking: list[Action] = [] if is_listed else [RequestPeerSnapshot()]
-        self._pace.failures += 1
+            return [line, *self._read_or_watch(now)]
+        return self._handle_failure(event.reason, now)
+
+    def _handle_failure(self, reason: str, now: float) -> list[Action]:
+        self._hooks.on_failure(now)
+        self._proof_manager.poll_failed(reason)
+        has_listing = self._copy.has_listing
+        due_at = now + self._schedule.backoff_seconds(has_listing)
+        snapshot_requests: list[Action] = [] if has_listing else [RequestPeerSnapshot()]
+        self._schedule.failed_polls += 1
         fields = (
             ("reason", reason),
-            ("failures", self._pace.failures),
-            ("waited_ms", _milliseconds(now - self._look_at)),
-            ("silent_ms", self._silent_ms(now)),
+            ("consecutive_failures", self._schedule.failed_polls),
+            ("waited_ms", _milliseconds(now - self._poll_at)),
+            ("since_answer_ms", self._since_answer_ms(now)),
             ("pause_ms", _milliseconds(due_at - now)),
         )
-        self._look_at = due_at
+        self._poll_at = due_at
         return [
-            Log("store_unreachable", LogLevel.WARNING, fields),
-            *asking,
+            Log("store_poll_failed", LogLevel.WARNING, fields),
+            *snapshot_requests,
             Schedule(due_at, PollRetryDue(self._operation_id)),
         ]
 
-    def _passed_over(self, news: StoreUpdate, seen_revision: int, now: float) -> Log:
-        """Return the line that tells of news with a gap before them."""
+    def _skipped_update_log(self, update: StoreUpdate, known_revision: int, now: float) -> Log:
+        """Return the log line for an update that leaves a gap after the known revision."""
         fields = (
-            ("known_revision", seen_revision),
-            ("from_revision", news.from_revision),
-            ("failures", self._pace.failures),
-            ("silent_ms", self._silent_ms(now)),
+            ("known_revision", known_revision),
+            ("from_revision", update.from_revision),
+            ("consecutive_failures", self._schedule.failed_polls),
+            ("since_answer_ms", self._since_answer_ms(now)),
         )
-        return Log("store_news_passed_over", LogLevel.INFO, fields)
+        return Log("store_update_skipped", LogLevel.INFO, fields)
 
-    def _silent_ms(self, now: float) -> int:
-        """Return for how long the store itself has told nothing; -1: it never did."""
-        if self._looked_at == float("-inf"):
+    def _since_answer_ms(self, now: float) -> int:
+        """Return the milliseconds since the store itself last answered; -1: it never did."""
+        if self._answered_at == float("-inf"):
             return -1
-        return _milliseconds(now - self._looked_at)
+        return _milliseconds(now - self._answered_at)
 
 
 def _milliseconds(seconds: float) -> int:
--- a/wingquay/forwarding/knowledge/update_exchange.py
+++ b/wingquay/forwarding/knowledge/update_exchange.py
@@ -1,4 +1,4 @@
-"""Nodes tell each other what they read of the store, so that one look serves several."""
+"""Exchanges store updates between nodes, so that one poll serves a group."""
 
 from ...ports.machine import Action, Count
 from ...ports.peer_link import NodeIdentity, SendToPeer
@@ -13,20 +13,20 @@
 
 
 class UpdateExchange:
-    """Tells news of the store and takes in those of others.
+    """Sends store updates to other nodes and applies those received.
 
     Parameters
     ----------
     settings
-        How long nodes wait for each other's looks.
+        How long nodes wait for each other's polls.
     members
-        Knows the nodes that are told.
+        Provides the nodes to which updates are sent.
     follower
-        Takes in news, and puts its own look off.
-    lateness
-        How late this node is, and so the news that it tells and hears.
-    keeper
-        Asks for proof of the configuration, and takes in what is given.
+        Applies updates and postpones its next poll.
+    processing_lag
+        The lag of this node, which adds to the age of updates.
+    proof_manager
+        Handles proof requests and proofs.
     """
 
     def __init__(
@@ -34,68 +34,69 @@
         settings: ForwardingSettings,
         members: NodeMembership,
         follower: StoreFollower,
-        lateness: ProcessingLag,
-        keeper: ProofManager,
+        processing_lag: ProcessingLag,
+        proof_manager: ProofManager,
     ) -> None:
         self._settings = settings
         self._members = members
         self._follower = follower
-        self._lateness = lateness
-        self._keeper = keeper
+        self._processing_lag = processing_lag
+        self._proof_manager = proof_manager
         self.rewritten_keys: set[str] = set()
-        """Keys of replicas' entries that the last changes left as they were but for the writing."""
+        """Keys of replica entries that were written again with an unchanged value; updates omit
+        them."""
 
-    def send_update(self, news: StoreUpdate, now: float) -> list[Action]:
-        """Tell the nodes that would look at the same what this one has seen."""
-        listeners = self._members.update_recipients()
-        if not listeners:
+    def send_update(self, changes: StoreUpdate, now: float) -> list[Action]:
+        """Send the changes that this node polled to the other nodes of its group."""
+        recipients = self._members.update_recipients()
+        if not recipients:
             return []
-        told = StoreUpdate(
-            news.from_revision,
-            news.store_revision,
+        update = StoreUpdate(
+            changes.from_revision,
+            changes.store_revision,
             tuple(
                 item
-                for item in news.changed
-                if item.key not in self.rewritten_keys or item.created_at > news.from_revision
+                for item in changes.changed
+                if item.key not in self.rewritten_keys or item.created_at > changes.from_revision
             ),
-            news.deleted,
-            max(news.age_seconds, self._lateness.seconds(now)),
-            news.may_have_more,
+            changes.deleted,
+            max(changes.age_seconds, self._processing_lag.seconds(now)),
+            changes.may_have_more,
         )
-        sent: list[Action] = [SendToPeer(listener, told) for listener in listeners]
-        return [*sent, Count("store_news_total", len(listeners), (("side", "told"),))]
+        sent: list[Action] = [SendToPeer(recipient, update) for recipient in recipients]
+        return [*sent, Count("store_news_total", len(recipients), (("side", "told"),))]
 
-    def receive_update(self, news: StoreUpdate, now: float) -> list[Action]:
-        """Take in what another node has read.
+    def receive_update(self, update: StoreUpdate, now: float) -> list[Action]:
+        """Apply an update of another node and postpone the next poll.
 
-        The own look is put off, but for the time that the news have taken, as far as it is known:
-        at the sender, and behind other work of this node.
+        The postponement is shortened by the known age of the update: the delay at the sender and
+        the lag of this node.
         """
-        taken_seconds = news.age_seconds + self._lateness.seconds(now)
-        pause_seconds = self._usual_pause_seconds - taken_seconds
-        if news.may_have_more or taken_seconds >= self._settings.max_update_age_seconds:
+        age_seconds = update.age_seconds + self._processing_lag.seconds(now)
+        pause_seconds = self._usual_pause_seconds - age_seconds
+        if update.may_have_more or age_seconds >= self._settings.max_update_age_seconds:
             pause_seconds = 0.0
-        actions = self._follower.absorb(news, pause_seconds, now)
-        is_put_off = any(isinstance(action, StartWatch) for action in actions)
-        side = "look_put_off" if is_put_off else "heard"
+        actions = self._follower.apply_update(update, pause_seconds, now)
+        is_postponed = any(isinstance(action, StartWatch) for action in actions)
+        side = "look_put_off" if is_postponed else "heard"
         return [*actions, Count("store_news_total", labels=(("side", side),))]
 
     def handle_proof_message(
         self, sender: NodeIdentity, message: ProofRequest | ProofReply, now: float
     ) -> list[Action]:
-        """Take in that another node asks, or what its look proves; then put the own look off."""
+        """Handle a proof request, or a proof, after which the next poll is postponed."""
         known_revision = self._follower.known_revision
         if isinstance(message, ProofRequest):
-            return self._keeper.asked(sender, message, known_revision, now)
-        actions = self._keeper.given(sender, message, known_revision, now)
-        pause_seconds = self._usual_pause_seconds - self._keeper.age_seconds(now)
-        return [*actions, *self._follower.put_off(pause_seconds, now)]
+            return self._proof_manager.handle_request(sender, message, known_revision, now)
+        actions = self._proof_manager.handle_proof(sender, message, known_revision, now)
+        pause_seconds = self._usual_pause_seconds - self._proof_manager.age_seconds(now)
+        return [*actions, *self._follower.postpone_poll(pause_seconds, now)]
 
     @property
     def _usual_pause_seconds(self) -> float:
-        """The time between two own looks while others tell what they read.
+        """The time between two polls of this node while other nodes send updates.
 
-        Each node looks a little later than the one before it in its group.
+        It grows with the node's position in its group, so that the nodes do not poll together.
         """
-        rank_seconds = self._settings.poll_rank_delay_seconds * self._members.group_position()
-        return self._follower.usual_gather_seconds + rank_seconds
+        poll_delay_seconds = self._settings.poll_rank_delay_seconds * self._members.group_position()
+        return self._follower.usual_poll_interval_seconds + poll_delay_seconds
--- a/wingquay/forwarding/readiness/decision.py
+++ b/wingquay/forwarding/readiness/decision.py
@@ -1,109 +1,108 @@
-"""Whether a node should take callers: one decision on what it knows."""
+"""Decision whether a node should leave service because its zone or itself is cut off."""
 
 from enum import Enum
 
 from ...model.value import value
 
-LEAST_SHARE = 0.9
-"""Share of what callers ask that a node must be able to answer. Elsewhere callers are answered in
-full, at the price of the way there and of a new connection, a few milliseconds: one request in ten
-that is refused costs callers more. All nodes of a cut zone must come to the same, and each has seen
-some twenty requests only, so the threshold is far from usual mixes of what is asked."""
-LEAST_OTHER_ZONES = 2
-"""Other zones that must be out of reach for a zone to leave. A single one may itself be down, or
-the two may have lost each other: callers of both would then find nobody."""
-LEAST_GAIN = 0.1
-"""Share by which others must be able to answer more: otherwise moving gains callers nothing."""
-
-
-class Why(Enum):
-    """Why a node takes callers, or does not."""
-
-    IN_REACH = "other_zones_in_reach"
-    ONE_ZONE = "no_other_zone"
-    NEIGHBOURS_REACH = "nodes_of_the_zone_reach_others"
-    HOLDS_ENOUGH = "holds_what_callers_ask"
+MIN_ANSWERABLE_SHARE = 0.9
+"""Share of recent demand that a node must be able to answer to stay in service. The nodes of a zone
+see different samples of the demand, and must still reach the same decision."""
+MIN_OTHER_ZONES = 2
+"""Minimum number of other zones, all unreachable, for a zone to leave. A single other zone may be
+down itself, or both zones may leave at once."""
+MIN_SHARE_GAIN = 0.1
+"""Minimum share of demand by which other zones must be able to answer more than this node."""
+
+
+class DecisionReason(Enum):
+    """Why a node stays in service or leaves it."""
+
+    OTHERS_REACHABLE = "other_zones_in_reach"
+    SINGLE_ZONE = "no_other_zone"
+    ZONE_PEER_CONNECTED = "nodes_of_the_zone_reach_others"
+    ENOUGH_ANSWERABLE = "holds_what_callers_ask"
     NO_GAIN = "others_could_not_answer_more"
     FEW_ZONES = "one_other_zone_may_be_down"
-    LAST_ZONE = "zone_that_stays"
+    FALLBACK_ZONE = "zone_that_stays"
     UNKNOWN = "nobody_else_is_known"
     ZONE_CUT_OFF = "zone_cut_off"
     NODE_CUT_OFF = "node_cut_off"
 
     @property
-    def is_to_leave(self) -> bool:
-        """Whether the node should take no callers."""
-        return self in (Why.ZONE_CUT_OFF, Why.NODE_CUT_OFF)
+    def should_leave(self) -> bool:
+        """Whether the reason requires the node to leave service."""
+        return self in (DecisionReason.ZONE_CUT_OFF, DecisionReason.NODE_CUT_OFF)
 
 
-class OwnSide(Enum):
-    """What a node finds of its own zone."""
+class OwnZoneStatus(Enum):
+    """Whether a node reaches its own zone."""
 
-    IN_REACH = "in_reach"
-    """A replica or a node of it answers."""
+    REACHABLE = "reachable"
+    """A replica or another node of the zone answers."""
     SILENT = "silent"
-    """There are replicas or nodes of it, and none answers."""
+    """The zone has replicas or other nodes, but none answers."""
     UNKNOWN = "unknown"
-    """Nothing is known of it but this node."""
+    """No replica or other node of the zone is known."""
 
 
 @value
-class Situation:
-    """What a node knows when it decides.
+class DecisionInputs:
+    """Inputs of the decision.
 
     Parameters
     ----------
     other_zones
         Other zones that have replicas.
-    zones_out
-        Those of them that were in reach and are not any more.
-    own_side
-        What it finds of its own zone.
-    contradicted_by
-        A node of its zone that reaches another zone; empty: none says so.
-    share_here
-        Share of what callers lately asked that it can answer by what is in reach.
-    share_elsewhere
-        The same for a node in the other zones, if these reach each other.
-    is_last_zone
-        Whether its zone must stay: if all zones lose each other, one has to take callers.
+    unreachable_zones
+        The other zones whose latest probes all failed; empty if none of these was ever reached.
+    own_zone_status
+        Whether the node reaches its own zone.
+    connected_zone_peer
+        A node of the same zone that reaches another zone; empty: none.
+    answerable_share
+        Share of recent demand (0 to 1) that the node can answer with the replicas in reach.
+    answerable_share_elsewhere
+        The same for a node in the other zones, provided that these reach each other.
+    stays_as_fallback
+        Whether the zone is the fallback zone, which stays in service if all zones lose contact, and
+        reaches the store.
     """
 
     other_zones: tuple[str, ...]
-    zones_out: tuple[str, ...]
-    own_side: OwnSide
-    contradicted_by: str
-    share_here: float
-    share_elsewhere: float
-    is_last_zone: bool
+    unreachable_zones: tuple[str, ...]
+    own_zone_status: OwnZoneStatus
+    connected_zone_peer: str
+    answerable_share: float
+    answerable_share_elsewhere: float
+    stays_as_fallback: bool
 
 
-def judge(situation: Situation) -> Why:
-    """Return whether the node should take callers, by its reason.
+def decide(inputs: DecisionInputs) -> DecisionReason:
+    """Return whether the node should leave service, with the reason.
 
-    It leaves only for a trouble of its own side: every other zone is out of reach, nobody near it
-    reaches one, and those zones hold more of what callers ask than it does.
+    It leaves only if the failure is on its own side: all other zones are unreachable from it and
+    from the other nodes of its zone, and those zones can answer more of the demand.
     """
-    if not situation.other_zones:
-        return Why.ONE_ZONE
-    if len(situation.zones_out) < len(situation.other_zones):
-        return Why.IN_REACH
-    if situation.contradicted_by:
-        return Why.NEIGHBOURS_REACH
-    if situation.share_here >= LEAST_SHARE:
-        return Why.HOLDS_ENOUGH
-    if situation.share_elsewhere < situation.share_here + LEAST_GAIN:
-        return Why.NO_GAIN
-    return _where_the_cut_is(situation)
-
-
-def _where_the_cut_is(situation: Situation) -> Why:
-    """Return whether this node or its zone has lost the others, or others may have been lost."""
-    match situation.own_side:
-        case OwnSide.SILENT:
-            return Why.NODE_CUT_OFF
-        case OwnSide.UNKNOWN:
-            return Why.UNKNOWN
-    if len(situation.other_zones) < LEAST_OTHER_ZONES:
-        return Why.FEW_ZONES
-    return Why.LAST_ZONE if situation.is_last_zone else Why.ZONE_CUT_OFF
+    if not inputs.other_zones:
+        return DecisionReason.SINGLE_ZONE
+    if len(inputs.unreachable_zones) < len(inputs.other_zones):
+        return DecisionReason.OTHERS_REACHABLE
+    if inputs.connected_zone_peer:
+        return DecisionReason.ZONE_PEER_CONNECTED
+    if inputs.answerable_share >= MIN_ANSWERABLE_SHARE:
+        return DecisionReason.ENOUGH_ANSWERABLE
+    if inputs.answerable_share_elsewhere < inputs.answerable_share + MIN_SHARE_GAIN:
+        return DecisionReason.NO_GAIN
+    return _locate_partition(inputs)
+
+
+def _locate_partition(inputs: DecisionInputs) -> DecisionReason:
+    """Decide whether this node, its zone or the other zones are cut off."""
+    match inputs.own_zone_status:
+        case OwnZoneStatus.SILENT:
+            return DecisionReason.NODE_CUT_OFF
+        case OwnZoneStatus.UNKNOWN:
+            return DecisionReason.UNKNOWN
+    if len(inputs.other_zones) < MIN_OTHER_ZONES:
+        return DecisionReason.FEW_ZONES
+    return DecisionReason.FALLBACK_ZONE if inputs.stays_as_fallback else DecisionReason.ZONE_CUT_OFF
--- a/wingquay/forwarding/readiness/reachability_monitor.py
+++ b/wingquay/forwarding/readiness/reachability_monitor.py
@@ -1,4 +1,4 @@
-"""Joins what a node finds out about other zones with the decision whether it takes callers."""
+"""Combines the reachability of zones with the decision whether this node is in service."""
 
 from typing import TYPE_CHECKING
 
@@ -12,38 +12,38 @@
 from ..choice.replica_directory import ReplicaDirectory
 from ..knowledge.reachability_evidence import ReachabilityEvidence
 from ..settings import ForwardingSettings
-from .decision import OwnSide, Situation, Why, judge
+from .decision import DecisionInputs, DecisionReason, OwnZoneStatus, decide
 from .departure import Departure
-from .peer_selector import Contacts
+from .peer_selector import PeerSelector
 from .route_demand import RouteDemand
-from .zone_prober import ROUND_SECONDS, SLOW_ROUND_SECONDS, ReachCheckDue, ZoneWatch
+from .zone_prober import ROUND_SECONDS, SLOW_ROUND_SECONDS, ProbeRoundDue, ZoneProber
 
 if TYPE_CHECKING:
     from ..knowledge.node_groups import NodeGroups
 
-SILENT_STORE = (StoreFailureKind.UNREACHABLE, StoreFailureKind.LOST_REPLY)
-"""How calls to a store that is out of reach end; one that refuses a call has answered."""
-LATE_SECONDS = 0.15
-"""Lateness of this node from which on the tries of a round tell more of itself than of zones."""
+STORE_UNREACHABLE_KINDS = (StoreFailureKind.UNREACHABLE, StoreFailureKind.LOST_REPLY)
+"""Failures that mean the store is unreachable; a store that rejects a call is not."""
+MAX_ROUND_LAG_SECONDS = 0.15
+"""Lag of this node from which on the results of a probe round are not used."""
 
 
 class ReachabilityMonitor:
-    """Decides whether this node leaves its callers to other zones.
+    """Takes this node out of service while its zone or the node is cut off.
 
     Parameters
     ----------
     settings
-        The zone of this node, and whether it leaves at all.
+        The zone of this node, and whether leaving service is enabled.
     name
         This node's name.
     directory
         The replicas.
     evidence
-        What requests have shown.
-    asked
-        What callers ask.
+        Failures of regular traffic.
+    demand
+        The recent demand by route.
     departure
-        Is moved by what is decided here.
+        Tracks whether the node is out of service.
     """
 
     def __init__(
@@ -52,169 +52,188 @@
         name: str,
         directory: ReplicaDirectory,
         evidence: ReachabilityEvidence,
-        asked: RouteDemand,
+        demand: RouteDemand,
         departure: Departure,
     ) -> None:
         self._zone = settings.zone
-        self._is_on = settings.leaves_when_cut_off
+        self._is_enabled = settings.leaves_when_cut_off
         self._evidence = evidence
-        self._asked = asked
+        self._demand = demand
         self._departure = departure
-        self._contacts = Contacts(settings.zone, name)
-        self._watch = ZoneWatch(settings.zone, name, directory, evidence, self._contacts)
+        self._peers = PeerSelector(settings.zone, name)
+        self._prober = ZoneProber(settings.zone, name, directory, evidence, self._peers)
         self._table: RoutingTable | None = None
-        self._is_store_away = False
-        self._last_why: Why | None = None
+        self._is_store_unreachable = False
+        self._last_reason: DecisionReason | None = None
 
     def set_table(self, table: RoutingTable) -> None:
-        """Take in a configuration."""
+        """Apply a configuration."""
         self._table = table
 
     def enable_peers(self, groups: "NodeGroups") -> None:
-        """Ask other nodes from now on."""
-        self._contacts.groups = groups
+        """Start to query other nodes in reachability checks."""
+        self._peers.groups = groups
 
     def observe(self, event: Event, now: float) -> bool:
-        """Whether something is to be done after an event."""
-        if not self._is_on:
+        """Record the sender's zone, and return whether ``handle`` must be called for the event."""
+        if not self._is_enabled:
             return False
         match event:
             case (
                 ConnectionTried()
                 | ForwardRequested()
                 | PeerReceived(message=ReachabilityReport())
-                | ReachCheckDue()
+                | ProbeRoundDue()
                 | StoreResponse()
                 | WatchBroken()
                 | WatchChanged()
             ):
                 return True
             case PeerReceived(sender=sender):
-                self._watch.met(sender.zone)
-        return self._watch.is_in_doubt or self._evidence.suggests_outage(now)
+                self._prober.record_zone_seen(sender.zone)
+        return self._prober.is_checking or self._evidence.suggests_outage(now)
 
     def handle(self, event: Event, now: float) -> list[Action]:
-        """Take in an event after everything else has."""
-        actions = self._take_in(event, now)
-        for zone in self._evidence.take_answered():
-            actions += self._watch.heard(zone, now)
-        if not self._watch.is_in_doubt and self._evidence.suggests_outage(now):
-            actions += self._watch.begin(now)
-        is_news = not self._departure.is_away or isinstance(event, ConnectionTried)
-        if is_news and self._watch.answering_zones():
-            actions += self._settle(now)
+        """Handle an event, after all other handlers."""
+        actions = self._dispatch(event, now)
+        for zone in self._evidence.take_answered_zones():
+            actions += self._prober.record_zone_answer(zone, now)
+        if not self._prober.is_checking and self._evidence.suggests_outage(now):
+            actions += self._prober.begin_check(now)
+        decides_now = not self._departure.is_away or isinstance(event, ConnectionTried)
+        if decides_now and self._prober.answering_zones():
+            actions += self._decide_actions(now)
         return actions
 
-    def _take_in(self, event: Event, now: float) -> list[Action]:
+    def _dispatch(self, event: Event, now: float) -> list[Action]:
         match event:
             case ConnectionTried():
-                return self._watch.tried(event, now)
+                return self._prober.handle_connection_tried(event, now)
             case ForwardRequested():
-                self._count(event, now)
-            case PeerReceived(sender=sender, message=ReachabilityReport() as news):
-                return self._watch.news(sender, news, now)
-            case ReachCheckDue():
-                return self._round_over(event, now)
+                self._record_demand(event, now)
+            case PeerReceived(sender=sender, message=ReachabilityReport() as report):
+                return self._prober.handle_report(sender, report, now)
+            case ProbeRoundDue():
+                return self._end_round(event, now)
             case StoreResponse() | WatchBroken() | WatchChanged():
-                self._note_store(event)
+                self._record_store_state(event)
         return []
 
-    def _count(self, event: ForwardRequested, now: float) -> None:
+    def _record_demand(self, event: ForwardRequested, now: float) -> None:
         route = None if self._table is None else self._table.find(event.host, event.path)
         if route is not None:
-            self._asked.count(route, now)
+            self._demand.record(route, now)
 
-    def _note_store(self, event: StoreResponse | WatchBroken | WatchChanged) -> None:
+    def _record_store_state(self, event: StoreResponse | WatchBroken | WatchChanged) -> None:
         match event:
             case WatchChanged():
-                self._is_store_away = False
+                self._is_store_unreachable = False
             case WatchBroken(history_lost=history_lost):
-                self._is_store_away = not history_lost
+                self._is_store_unreachable = not history_lost
             case StoreResponse(result=result):
                 kind = result.kind if isinstance(result, Failure) else None
-                self._is_store_away = kind in SILENT_STORE
+                self._is_store_unreachable = kind in STORE_UNREACHABLE_KINDS
 
-    def _round_over(self, event: ReachCheckDue, now: float) -> list[Action]:
-        if not self._watch.is_present(event):
+    def _end_round(self, event: ProbeRoundDue, now: float) -> list[Action]:
+        if not self._prober.is_current_round(event):
             return []
-        if now - event.due_at >= LATE_SECONDS:
-            return self._watch.next_round(now, asks=not self._departure.is_away)
-        why, actions = self._settled(now)
-        if not self._watch.is_in_doubt:
+        if now - event.due_at >= MAX_ROUND_LAG_SECONDS:
+            return self._prober.next_round(now, queries_nodes=not self._departure.is_away)
+        reason, actions = self._decide(now)
+        if not self._prober.is_checking:
             return actions
         is_away = self._departure.is_away
-        seconds = ROUND_SECONDS if is_away or why.is_to_leave else SLOW_ROUND_SECONDS
-        return [*actions, *self._watch.next_round(now, seconds, asks=not is_away)]
+        seconds = ROUND_SECONDS if is_away or reason.should_leave else SLOW_ROUND_SECONDS
+        return [*actions, *self._prober.next_round(now, seconds, queries_nodes=not is_away)]
 
-    def _settle(self, now: float) -> list[Action]:
-        return self._settled(now)[1]
+    def _decide_actions(self, now: float) -> list[Action]:
+        return self._decide(now)[1]
 
-    def _settled(self, now: float) -> tuple[Why, list[Action]]:
-        """Decide, and leave or return if that is what follows."""
-        situation = self._situation(now)
-        why = judge(situation)
+    def _decide(self, now: float) -> tuple[DecisionReason, list[Action]]:
+        """Decide, and leave service or return accordingly."""
+        inputs = self._decision_inputs(now)
+        reason = decide(inputs)
         actions: list[Action] = []
         away_seconds = self._departure.away_seconds(now)
-        if self._departure.move(why.is_to_leave, now, self._is_first_zone):
-            actions = self._moved(why, situation, away_seconds, now)
-        elif why is not self._last_why and not why.is_to_leave and situation.zones_out:
-            actions = [_line("callers_kept", LogLevel.INFO, why, situation)]
-        self._last_why = why
-        if not self._departure.is_away and why in (Why.IN_REACH, Why.ONE_ZONE):
-            self._watch.end()
-            self._last_why = None
-        return why, actions
-
-    def _situation(self, now: float) -> Situation:
-        watch = self._watch
-        zones_out = watch.zones_out(now)
-        own_side = watch.own_side()
-        lost = {*zones_out, self._zone} if own_side is OwnSide.SILENT else set(zones_out)
-        return Situation(
-            watch.other_zones(),
-            zones_out,
-            own_side,
-            watch.contradicted_by(now),
-            self._share(lost, now),
+        if self._departure.update(reason.should_leave, now, self._is_fallback_zone):
+            actions = self._log_service_change(reason, inputs, away_seconds, now)
+        elif (
+            reason is not self._last_reason and not reason.should_leave and inputs.unreachable_zones
+        ):
+            actions = [_decision_log("node_stays_in_service", LogLevel.INFO, reason, inputs)]
+        self._last_reason = reason
+        if not self._departure.is_away and reason in (
+            DecisionReason.OTHERS_REACHABLE,
+            DecisionReason.SINGLE_ZONE,
+        ):
+            self._prober.end_check()
+            self._last_reason = None
+        return reason, actions
+
+    def _decision_inputs(self, now: float) -> DecisionInputs:
+        prober = self._prober
+        unreachable_zones = prober.unreachable_zones(now)
+        own_zone_status = prober.own_zone_status()
+        excluded_zones = (
+            {*unreachable_zones, self._zone}
+            if own_zone_status is OwnZoneStatus.SILENT
+            else set(unreachable_zones)
+        )
+        return DecisionInputs(
+            prober.other_zones(),
+            unreachable_zones,
+            own_zone_status,
+            prober.connected_zone_peer(now),
+            self._share(excluded_zones, now),
             self._share({self._zone}, now),
-            # Without the store it has certainly lost something that is there for others.
-            self._is_first_zone and not self._is_store_away,
+            # A zone that cannot reach the store does not stay, because another zone may still reach
+            # it.
+            self._is_fallback_zone and not self._is_store_unreachable,
         )
 
     @property
-    def _is_first_zone(self) -> bool:
-        """Whether this zone is the one that stays if all zones lose each other."""
-        return self._zone == self._contacts.zones()[0]
+    def _is_fallback_zone(self) -> bool:
+        """Whether this is the fallback zone: the first by name, which stays in any partition."""
+        return self._zone == self._peers.zones()[0]
 
-    def _share(self, zones_out: set[str], now: float) -> float:
-        return 1.0 if self._table is None else self._asked.share(self._table, zones_out, now)
+    def _share(self, excluded_zones: set[str], now: float) -> float:
+        return 1.0 if self._table is None else self._demand.share(self._table, excluded_zones, now)
 
-    def _moved(
-        self, why: Why, situation: Situation, away_seconds: float, now: float
+    def _log_service_change(
+        self, reason: DecisionReason, inputs: DecisionInputs, away_seconds: float, now: float
     ) -> list[Action]:
-        """Say that this node has left, or has come back."""
+        """Log and count that this node left service or returned."""
         if self._departure.is_away:
-            doubt = ("doubt_seconds", round(now - self._watch.began_at, 3))
-            line = _line("callers_left_to_others", LogLevel.WARNING, why, situation, doubt)
-            change = "left"
+            check_time = ("check_seconds", round(now - self._prober.checking_since, 3))
+            line = _decision_log("node_left_service", LogLevel.WARNING, reason, inputs, check_time)
+            direction = "left"
         else:
-            away = ("away_seconds", round(away_seconds, 3))
-            line = _line("callers_taken_back", LogLevel.WARNING, why, situation, away)
-            change = "returned"
-        return [line, Count("callers_moves_total", labels=(("change", change), ("why", why.value)))]
-
-
-def _line(
-    message: str, level: str, why: Why, situation: Situation, *fields: tuple[str, float]
+            away_time = ("away_seconds", round(away_seconds, 3))
+            line = _decision_log(
+                "node_returned_to_service", LogLevel.WARNING, reason, inputs, away_time
+            )
+            direction = "returned"
+        return [
+            line,
+            Count("callers_moves_total", labels=(("change", direction), ("why", reason.value))),
+        ]
+
+
+def _decision_log(
+    message: str,
+    level: str,
+    reason: DecisionReason,
+    inputs: DecisionInputs,
+    *fields: tuple[str, float],
 ) -> Log:
-    """Return a log line with what was decided on."""
-    known = (
-        ("why", why.value),
-        ("zones_out", ",".join(situation.zones_out) or "none"),
-        ("other_zones", len(situation.other_zones)),
-        ("own_side", situation.own_side.value),
-        ("contradicted_by", situation.contradicted_by or "none"),
-        ("share_here", round(situation.share_here, 3)),
-        ("share_elsewhere", round(situation.share_elsewhere, 3)),
+    """Return a log line with the inputs of a decision."""
+    input_fields = (
+        ("reason", reason.value),
+        ("unreachable_zones", ",".join(inputs.unreachable_zones) or "none"),
+        ("other_zones", len(inputs.other_zones)),
+        ("own_zone", inputs.own_zone_status.value),
+        ("connected_zone_peer", inputs.connected_zone_peer or "none"),
+        ("answerable_share", round(inputs.answerable_share, 3)),
+        ("answerable_share_elsewhere", round(inputs.answerable_share_elsewhere, 3)),
     )
-    return Log(message, level, (*known, *fields))
+    return Log(message, level, (*input_fields, *fields))
