--- a/tests/simulation/forwarding/test_tenants.py
+++ b/tests/simulation/forwarding/test_tenants.py
@@ -50,7 +50,7 @@
         self.assertTrue([text for text in violations if words in text], violations[:3])
 
     def test_a_key_that_is_passed_on(self) -> None:
-        self.patch(request_arrival, "bare_event", _unchanged)
+        self.patch(request_arrival, "strip_credentials", _unchanged)
         self.assert_seen("passed on what says who calls")
 
     def test_an_unknown_key_that_is_served(self) -> None:
