--- a/tests/forwarding/test_line_order.py
+++ b/tests/forwarding/test_line_order.py
@@ -112,7 +112,7 @@
         names = {}
         for tenants in ((), (HOT, CALM)):
             played = service(WAYS["node"], 1, 10.0, *tenants)
-            lines = played.node.machine._forwarding._line._lines.values()
+            lines = played.node.machine._forwarding._queue._lines.values()
             ranks = [rank for line in lines for rank in line._ranks.values()]
             names[len(tenants)] = [name for rank in ranks for name in rank.flows]
         self.assertEqual({0: [], 2: ["hot"]}, names)
