--- a/tests/forwarding/test_awaiting_limits.py
+++ b/tests/forwarding/test_awaiting_limits.py
@@ -20,7 +20,7 @@
 from wingquay.forwarding.arrival.pending_arrivals import MOST_KEPT, MOST_KEPT_BYTES, PendingArrivals
 from wingquay.forwarding.arrival.pending_arrivals import Arrival as KeptArrival
 from wingquay.forwarding.arrival.request_identity import compute_identity
-from wingquay.forwarding.settling.ending import HELD_REASON
+from wingquay.forwarding.settling.reply_builder import HELD_REASON
 from wingquay.model.tenants import Tenant
 from wingquay.ports.crash_messages import CrashReport
 from wingquay.ports.forwarding import (
--- a/tests/simulation/forwarding/test_crashing_request.py
+++ b/tests/simulation/forwarding/test_crashing_request.py
@@ -24,7 +24,7 @@
 from testtools import TestCase
 
 from wingquay.forwarding.crashing.suspects import SuspicionLevel
-from wingquay.forwarding.settling.ending import HELD_REASON
+from wingquay.forwarding.settling.reply_builder import HELD_REASON
 from wingquay.ports.forwarding import OpaqueRequest, ReplyFailure
 from wingquay.simulation.forwarding.callers import LEAD_SECONDS, PATHS
 from wingquay.simulation.forwarding.crash_oracle import CrashedUnder, CrashOracle
--- a/tests/simulation/forwarding/test_forwarding_simulation.py
+++ b/tests/simulation/forwarding/test_forwarding_simulation.py
@@ -13,8 +13,8 @@
 from wingquay.forwarding.sending.call_starter import CallStarter
 from wingquay.forwarding.sending.extra_request_budget import ExtraRequestBudget
 from wingquay.forwarding.sending.latencies import RouteLatencies
-from wingquay.forwarding.settling import ending
-from wingquay.forwarding.settling.ending import ExchangeEnding
+from wingquay.forwarding.settling import reply_builder
+from wingquay.forwarding.settling.reply_builder import ReplyBuilder
 from wingquay.forwarding.settling.settlement import Settlement
 from wingquay.model.routing_table import RoutingTable
 from wingquay.ports.delegation import DelegatedRequest
@@ -184,11 +184,11 @@
         self.assertIn("unrepeatable", self.violations(replica_refuses))
 
     def test_a_refusal_of_what_may_have_run_is_caught(self) -> None:
-        self.replace(ExchangeEnding, "reply_failed", _refuse_instead)
+        self.replace(ReplyBuilder, "reply_failed", _refuse_instead)
         self.assertIn("refused as not run, but it ran", self.violations(replica_refuses))
 
     def test_a_merged_answer_that_leaves_records_out_is_caught(self) -> None:
-        self.replace_in(ending, "merge_top_records", lambda bodies, most: b"")
+        self.replace_in(reply_builder, "merge_top_records", lambda bodies, most: b"")
         self.assertIn("not the greatest records", self.violations(replica_slow))
 
     def test_extra_arrivals_beyond_the_budget_are_caught(self) -> None:
@@ -224,7 +224,7 @@
 
 
 def _refuse_instead(
-    ending: ExchangeEnding, exchange: Exchange, _call: object, now: float
+    ending: ReplyBuilder, exchange: Exchange, _call: object, now: float
 ) -> list[Action]:
     return ending.reject_not_run(exchange, "test", 0.1, now)
 
--- a/wingquay/forwarding/exchange.py
+++ b/wingquay/forwarding/exchange.py
@@ -32,7 +32,7 @@
         """Return the message with the answers that were not reported yet, if there are any."""
         ...
 
-    def give_back(self, exchange: "Exchange") -> list[Action]:
+    def return_calls(self, exchange: "Exchange") -> list[Action]:
         """Hand the calls that are not in flight back to the delegating node; return the message."""
         ...
 
@@ -75,7 +75,7 @@
     """Incarnations of replicas that received the request and may have run it."""
     refused_incarnations: set[str] = field(default_factory=set)
     """Incarnations that were unreachable or did not run the request, since the last retry timer."""
-    arrivals: int = 0
+    send_count: int = 0
     """Number of sends that may have arrived at a replica."""
     answer: ReplicaAnswer | None = None
     answered_at: float = 0.0
@@ -91,7 +91,7 @@
     """Number of replicas to which a delegate may send the request."""
     is_delegate_lost: bool = False
     """Whether no answer of the delegate is expected any more."""
-    is_owned: bool = False
+    is_owned_by_this_node: bool = False
     """Whether this node owns the service in its node group."""
     history: list[str] = field(default_factory=list)
     """Outcomes of the attempts, for the log."""
--- a/wingquay/forwarding/forwarding_machine.py
+++ b/wingquay/forwarding/forwarding_machine.py
@@ -33,9 +33,9 @@
 from .sending.waiting_policy import WaitingPolicy
 from .sending.waiting_settings import DEFAULT_WAITING, WaitingSettings
 from .settings import ForwardingSettings
-from .settling.ending import ExchangeEnding
+from .settling.attempt_outcomes import AttemptOutcomeHandler
 from .settling.hedging import Hedging
-from .settling.replica_outcomes import ReplicaOutcomes
+from .settling.reply_builder import ReplyBuilder
 from .settling.settlement import Settlement
 from .timers import (
     AbandonDue,
@@ -94,12 +94,12 @@
         self._quotas = SendingQuotas(settings, directory, nodes, key, waiting)
         self._sender = AttemptSender(settings, directory, self._latencies, self._quotas)
         self._random = random_source
-        ending = ExchangeEnding(random_source)
+        replies = ReplyBuilder(random_source)
         self._queue = CallQueue(self._latencies)
         self._waiting = WaitingPolicy(
             waiting, settings, directory, self._latencies, self._quotas, self._queue
         )
-        self._settlement = Settlement(self._waiting, directory, self._sender, ending)
+        self._settlement = Settlement(self._waiting, directory, self._sender, replies)
         self._starter = CallStarter(self._sender, self._waiting, self._queue)
         self.lag = LoopLag()
         """Processing lag of this node; updated by the owner."""
@@ -109,7 +109,7 @@
         sequential = SequentialSending(self._starter)
         self._sequential = sequential
         self._hedging = Hedging(self._latencies, self._sender, self._settlement, sequential)
-        self._outcomes = ReplicaOutcomes(
+        self._outcomes = AttemptOutcomeHandler(
             settings,
             directory,
             self._sender,
@@ -128,7 +128,7 @@
             random_source,
         )
         self._arrival = RequestArrival(
-            self._settlement, self._opening, self.guard, self.lag, ending
+            self._settlement, self._opening, self.guard, self.lag, replies
         )
         self.admission = self._arrival.admission
         """Admits arriving requests; the owner of this machine sets what it consults."""
--- a/wingquay/forwarding/peers/delegated_work.py
+++ b/wingquay/forwarding/peers/delegated_work.py
@@ -57,7 +57,7 @@
         )
         return [SendToPeer(self.node, message)]
 
-    def give_back(self, exchange: Exchange) -> list[Action]:
+    def return_calls(self, exchange: Exchange) -> list[Action]:
         """Leave the calls that are not under way to the node; return the message that says so."""
         given = [call for call in exchange.calls if call.answer is None and not call.attempts]
         exchange.calls = [call for call in exchange.calls if call not in given]
@@ -66,7 +66,7 @@
         message = DelegatedAnswer(
             self.delegation_id,
             given_back=tuple(self.positions[call.service] for call in given),
-            arrivals=tuple(call.arrivals for call in given),
+            arrivals=tuple(call.send_count for call in given),
         )
         return [SendToPeer(self.node, message)] if given else []
 
@@ -136,7 +136,7 @@
             if position not in declined
         ]
         for call in exchange.calls:
-            call.is_owned = message.is_group_share
+            call.is_owned_by_this_node = message.is_group_share
         self._settlement.add(exchange)
         self._forget_ended()
         self._open[(sender.node_id, message.delegation_id)] = exchange
--- a/wingquay/forwarding/peers/delegation_dispatcher.py
+++ b/wingquay/forwarding/peers/delegation_dispatcher.py
@@ -78,7 +78,7 @@
         for node_id, share in shares.items():
             actions += self._delegate(exchange, nodes[node_id], share, is_wide, now)
         for call in own:
-            call.is_owned = is_wide and call.service in owners
+            call.is_owned_by_this_node = is_wide and call.service in owners
         return own, actions
 
     def _delegate(
@@ -95,7 +95,7 @@
         for call in calls:
             call.is_begun = True
             call.delegated_attempts = 1
-            call.arrivals += 1
+            call.send_count += 1
             call.history.append(f"asked through {node.node_id}")
         in_time_seconds = exchange.cutoff_at - now - settings.delegate_return_seconds
         message = DelegatedRequest(
--- a/wingquay/forwarding/peers/delegation_reports.py
+++ b/wingquay/forwarding/peers/delegation_reports.py
@@ -69,7 +69,7 @@
         delegation.given_back.update(call.service for call in calls)
         for call in calls:
             call.delegated_attempts = 0
-            call.arrivals -= 1
+            call.send_count -= 1
             call.history.append("declined")
         return self._starter.send_or_queue_all(calls, now)
 
@@ -83,7 +83,7 @@
         calls = [delegation.calls[position] for position in message.given_back]
         delegation.given_back.update(call.service for call in calls)
         for call, arrivals in zip(calls, message.arrivals, strict=True):
-            call.arrivals += arrivals - 1
+            call.send_count += arrivals - 1
             call.delegated_attempts = arrivals
             call.is_delegate_lost = arrivals > 0
             call.history.append(f"given back after {arrivals}")
--- a/wingquay/forwarding/peers/delegation_takeover.py
+++ b/wingquay/forwarding/peers/delegation_takeover.py
@@ -71,7 +71,7 @@
         """Forget a delegation for which nobody was asked."""
         for call in delegation.open_calls:
             call.delegated_attempts = 0
-            call.arrivals -= 1
+            call.send_count -= 1
         self._open.forget(delegation)
 
     def _can_ask_again(self, call: ServiceCall) -> bool:
--- a/wingquay/forwarding/request_arrival.py
+++ b/wingquay/forwarding/request_arrival.py
@@ -16,7 +16,7 @@
 from .exchange_opening import ExchangeOpening
 from .knowledge.loop_lag import LoopLag
 from .sending.retry_after import MIN_RETRY_AFTER_SECONDS
-from .settling.ending import HELD_REASON, ExchangeEnding
+from .settling.reply_builder import HELD_REASON, ReplyBuilder
 from .settling.settlement import Settlement
 from .timers import LimitAnswerDue
 
@@ -43,12 +43,12 @@
         opening: ExchangeOpening,
         guard: CrashGuard,
         lag: LoopLag,
-        ending: ExchangeEnding,
+        replies: ReplyBuilder,
     ) -> None:
         self._opening = opening
         self._guard = guard
         self._lag = lag
-        self._ending = ending
+        self._replies = replies
         self._priorities = TenantPriorities()
         self._metrics = TenantMetrics()
         self._pending = PendingArrivals()
@@ -78,15 +78,15 @@
         if table is None:
             reason = "no configuration yet"
             stripped_event = strip_credentials(event)
-            return self._ending.reject_arrival_not_run(
+            return self._replies.reject_arrival_not_run(
                 stripped_event, reason, UNCONFIGURED_RETRY_SECONDS
             )
         stripped_event = event if table.tenants is None else strip_credentials(event)
         route = table.find(event.host, event.path)
         if route is None:
-            return self._ending.reject_no_route(stripped_event, table.version)
+            return self._replies.reject_no_route(stripped_event, table.version)
         if self._is_too_late(event):
-            return self._ending.reject_arrival_not_run(
+            return self._replies.reject_arrival_not_run(
                 stripped_event, LATE_REASON, MIN_RETRY_AFTER_SECONDS
             )
         tenant = self.admission.identify_caller(event.key, table, route, now)
@@ -107,7 +107,7 @@
         if rejected.kind is ForwardFailureKind.NOT_RUN:
             outcome = "refused" if tenant else "unproven"
         return [
-            *self._ending.reject_arrival(event, rejected, tenant),
+            *self._replies.reject_arrival(event, rejected, tenant),
             self._metrics.count(tenant, outcome),
         ]
 
@@ -140,7 +140,7 @@
         name = _tenant_name(arrival)
         identity = compute_identity(event.request, name)
         held_seconds = self._guard.held_seconds(identity, now)
-        actions = self._ending.reject_arrival_not_run(event, HELD_REASON, held_seconds, name)
+        actions = self._replies.reject_arrival_not_run(event, HELD_REASON, held_seconds, name)
         if arrival.tenant is not None:
             actions.append(self._metrics.count(name, "held"))
         return [*actions, *self._guard.held_request_repeated(identity, event, now)]
@@ -195,7 +195,7 @@
     def _abandon(self, arrival: Arrival, now: float) -> list[Action]:
         self._give_back_arrival(arrival, now)
         name = _tenant_name(arrival)
-        actions = self._ending.close_abandoned_arrival(arrival.event, name)
+        actions = self._replies.close_abandoned_arrival(arrival.event, name)
         return [*actions, self._metrics.count(name, "caller_left")]
 
     def _give_back_arrival(self, arrival: Arrival, now: float) -> None:
--- a/wingquay/forwarding/sending/attempts.py
+++ b/wingquay/forwarding/sending/attempts.py
@@ -81,18 +81,25 @@
         prefers_proven = not route.is_repeatable
         task = Task(route.objective_seconds, self._latencies.median_seconds(route))
         replica = self._directory.choose(
-            call.service, excluded, limit, now, with_blocked, prefers_proven, call.is_owned, task
+            call.service,
+            excluded,
+            limit,
+            now,
+            with_blocked,
+            prefers_proven,
+            call.is_owned_by_this_node,
+            task,
         )
         if replica is None:
             return []
-        if call.arrivals and not self._limits.may_arrive_again(call, now):
+        if call.send_count and not self._limits.may_arrive_again(call, now):
             return []
         counted = self._count(call, replica, is_hedge, now)
         attempt_id = next(self._ids)
         attempt = Attempt(attempt_id, call, replica, now, is_hedge, len(replica.in_flight))
         call.attempts[attempt_id] = attempt
         call.tried_incarnations.add(replica.incarnation)
-        call.arrivals += 1
+        call.send_count += 1
         call.is_waiting = False
         if replica.is_cold(now):
             replica.on_sent_cold(now)
@@ -103,7 +110,7 @@
     def _count(self, call: ServiceCall, replica: ReplicaState, is_hedge: bool, now: float) -> Count:
         """Return the count of a choice: where, how fast by what is known, and which attempt."""
         attempt = "first"
-        if call.arrivals:
+        if call.send_count:
             attempt = "hedge" if is_hedge else "again"
         labels = (
             ("place", "near" if replica.record.zone == self._settings.zone else "far"),
@@ -115,9 +122,9 @@
     def on_not_arrived(self, attempt: Attempt) -> None:
         """Take back that a replica may have got the request: no byte of it left."""
         call = attempt.call
-        call.arrivals -= 1
+        call.send_count -= 1
         self._not_run(attempt)
-        if call.arrivals:
+        if call.send_count:
             self._limits.give_back(call.service)
 
     def on_not_run(self, attempt: Attempt) -> None:
--- a/wingquay/forwarding/sending/sending_quotas.py
+++ b/wingquay/forwarding/sending/sending_quotas.py
@@ -128,7 +128,7 @@
         known = call.exchange.table.services.get(call.service)
         limit = DEFAULT_CONNECTION_LIMIT if known is None else known.connection_limit
         if now - self._first_sent_at < self._settings.first_connections_seconds:
-            if not call.is_owned:
+            if not call.is_owned_by_this_node:
                 return 1
             limit //= LIVES
         return max(1, limit // self._sharing_nodes(call, now))
@@ -136,7 +136,7 @@
     def _sharing_nodes(self, call: ServiceCall, now: float) -> int:
         """Return among how many nodes the limits of a call's service are divided."""
         nodes = self._nodes.get(now)
-        if self.placement is None or not call.is_owned:
+        if self.placement is None or not call.is_owned_by_this_node:
             return nodes
         return min(nodes, OWNERS_LIMIT_RESERVE * self.placement.sharing_nodes(call.service, now))
 
@@ -145,7 +145,7 @@
         nodes = self._nodes.get(now)
         if self.placement is None:
             return nodes, 1.0
-        if call.is_owned:
+        if call.is_owned_by_this_node:
             owners = self.placement.sharing_nodes(call.service, now)
             return min(nodes, owners * OWNERS_RESERVE), 1.0
         is_wide = len(call.exchange.route.shards) >= self._settings.delegate_min_shards
--- a/wingquay/forwarding/sending/waiting_policy.py
+++ b/wingquay/forwarding/sending/waiting_policy.py
@@ -58,7 +58,7 @@
             self._directory.is_settling(now),
             exchange.may_have_run,
             exchange.is_repeatable and call.attempts_left > 0,
-            repeat_at=self._limits.repeat_at(call, now) if call.arrivals else now,
+            repeat_at=self._limits.repeat_at(call, now) if call.send_count else now,
         )
         return decide(request, room, self._settings, now)
 
--- a/wingquay/forwarding/settling/replica_outcomes.py
+++ b/wingquay/forwarding/settling/attempt_outcomes.py
@@ -23,7 +23,7 @@
 MILLISECONDS_PER_SECOND = 1000.0
 
 
-class ReplicaOutcomes:
+class AttemptOutcomeHandler:
     """Handles the end of an attempt: records the answer, retries the call or ends the exchange."""
 
     def __init__(
@@ -140,7 +140,7 @@
             if was_sent and not call.exchange.is_repeatable:
                 actions += self._settlement.settle(call.exchange, now)
             elif call.exchange.is_sequential and call.exchange.origin is not None:
-                actions += self._settlement.give_back(call.exchange, now)
+                actions += self._settlement.return_calls(call.exchange, now)
             else:
                 actions += self._retry(call, now)
         return actions + self._starter.send_queued(call.service, now)
--- a/wingquay/forwarding/settling/ending.py
+++ b/wingquay/forwarding/settling/reply_builder.py
@@ -25,7 +25,7 @@
 HELD_REASON = "replicas crashed while running this request; it is held"
 
 
-class ExchangeEnding:
+class ReplyBuilder:
     """Builds the actions that end an exchange.
 
     Parameters
@@ -192,7 +192,7 @@
         ("total_ms", round(seconds * MILLISECONDS_PER_SECOND, 1)),
         ("answered", len(exchange.answered_calls)),
         ("of", len(exchange.calls)),
-        ("arrivals", sum(call.arrivals for call in exchange.calls)),
+        ("arrivals", sum(call.send_count for call in exchange.calls)),
     )
     fields += (("digest", exchange.identity.hex()),)
     fields += exchange.tenant_fields
--- a/wingquay/forwarding/settling/settlement.py
+++ b/wingquay/forwarding/settling/settlement.py
@@ -9,7 +9,7 @@
 from ..sending.decision import Reject
 from ..sending.waiting_policy import WaitingPolicy
 from .cutoff import meets_min_share
-from .ending import ExchangeEnding
+from .reply_builder import ReplyBuilder
 
 TIME_TOLERANCE_SECONDS = 1e-6
 
@@ -34,12 +34,12 @@
         waiting: WaitingPolicy,
         directory: ReplicaDirectory,
         sender: AttemptSender,
-        ending: ExchangeEnding,
+        replies: ReplyBuilder,
     ) -> None:
         self._waiting = waiting
         self._directory = directory
         self._sender = sender
-        self._ending = ending
+        self._replies = replies
         self._exchanges: dict[int, Exchange] = {}
         self.on_closed: Callable[[Exchange], list[Action]] = _no_actions
         """Returns further actions for an exchange that has ended."""
@@ -65,8 +65,8 @@
     def on_caller_left(self, exchange: Exchange, now: float) -> list[Action]:
         """End an exchange whose caller has left."""
         if exchange.origin is not None:
-            return self._close(exchange, self._ending.close_delegated(exchange, now), now)
-        return self._close(exchange, self._ending.close_abandoned(exchange, now), now)
+            return self._close(exchange, self._replies.close_delegated(exchange, now), now)
+        return self._close(exchange, self._replies.close_abandoned(exchange, now), now)
 
     def end_timed_out(self, exchange: Exchange, now: float) -> list[Action]:
         """End an exchange at its deadline, with a partial answer if it meets the minimum share."""
@@ -75,9 +75,9 @@
             return settled
         if exchange.origin is not None:
             return self._close(
-                exchange, [*settled, *self._ending.close_delegated(exchange, now)], now
+                exchange, [*settled, *self._replies.close_delegated(exchange, now)], now
             )
-        return self._close(exchange, self._ending.reply_timed_out(exchange, now), now)
+        return self._close(exchange, self._replies.reply_timed_out(exchange, now), now)
 
     def end_overdue(self, now: float) -> list[Action]:
         """End every exchange whose deadline has passed."""
@@ -89,7 +89,7 @@
 
     def reject(self, exchange: Exchange, rejection: Reject, now: float) -> list[Action]:
         """End an exchange that no replica has run; the reply states when to retry."""
-        return self._close(exchange, self._ending.reject(exchange, rejection, now), now)
+        return self._close(exchange, self._replies.reject(exchange, rejection, now), now)
 
     def end_held(self, identity: bytes, held_seconds: float, now: float) -> list[Action]:
         """End all open exchanges of a request that is now held because it crashes replicas."""
@@ -106,13 +106,13 @@
             actions += self._sender.cancel(attempt, now)
         if exchange.origin is not None:
             return self._close(exchange, actions + exchange.origin.report_held(held_seconds), now)
-        ended = self._ending.reply_held(exchange, held_seconds, now)
+        ended = self._replies.reply_held(exchange, held_seconds, now)
         return self._close(exchange, actions + ended, now)
 
-    def give_back(self, exchange: Exchange, now: float) -> list[Action]:
+    def return_calls(self, exchange: Exchange, now: float) -> list[Action]:
         """Return the calls that are not in flight to the delegating node."""
         assert exchange.origin is not None
-        actions = exchange.origin.give_back(exchange)
+        actions = exchange.origin.return_calls(exchange)
         if not exchange.calls:
             return self._close(exchange, actions, now)
         return actions + self.settle(exchange, now)
@@ -154,9 +154,9 @@
             )
         if not is_over:
             if self._is_unattainable(exchange):
-                return self._close(exchange, self._ending.reply_too_few_shards(exchange, now), now)
+                return self._close(exchange, self._replies.reply_too_few_shards(exchange, now), now)
             return self._reject_if_unsent(exchange, now)
-        merged = self._ending.reply_merged(exchange, exchange.answered_calls, now)
+        merged = self._replies.reply_merged(exchange, exchange.answered_calls, now)
         return self._close(exchange, merged, now)
 
     def _is_unattainable(self, exchange: Exchange) -> bool:
@@ -175,13 +175,13 @@
         call = exchange.calls[0]
         if call.answer is not None:
             return self._close(
-                exchange, self._ending.reply_unchanged(exchange, call.answer, now), now
+                exchange, self._replies.reply_unchanged(exchange, call.answer, now), now
             )
         if call.attempts or not call.may_have_run:
             return self._reject_if_unsent(exchange, now)
         match self._waiting.decide(exchange, now):
             case Reject():
-                return self._close(exchange, self._ending.reply_failed(exchange, call, now), now)
+                return self._close(exchange, self._replies.reply_failed(exchange, call, now), now)
             case _:
                 return []
 
