--- a/wingquay/forwarding/sending/sending_quotas.py
+++ b/wingquay/forwarding/sending/sending_quotas.py
@@ -151,7 +151,7 @@
             else service_settings.connection_limit
         )
         if now - self._reduced_since < self._settings.first_connections_seconds:
-            if not call.is_owned:
+            if not call.is_owned_by_this_node:
                 return 1
             limit //= MAX_COUNTED_INCARNATIONS
         return max(1, limit // self._sharing_nodes(call, now))
@@ -159,7 +159,7 @@
     def _sharing_nodes(self, call: ServiceCall, now: float) -> int:
         """Return the number of nodes among which the limits of a call's service are divided."""
         nodes = self._nodes.get(now)
-        if self.placement is None or not call.is_owned:
+        if self.placement is None or not call.is_owned_by_this_node:
             return nodes
         return min(
             nodes, OWNERS_CONNECTION_DIVISOR * self.placement.sharing_nodes(call.service, now)
@@ -170,7 +170,7 @@
         nodes = self._nodes.get(now)
         if self.placement is None:
             return nodes, 1.0
-        if call.is_owned:
+        if call.is_owned_by_this_node:
             owners = self.placement.sharing_nodes(call.service, now)
             return min(nodes, owners * OWNERS_SLACK_DIVISOR), 1.0
         is_wide = len(call.exchange.route.shards) >= self._settings.delegate_min_shards
