--- a/wingquay/forwarding/sending/attempts.py
+++ b/wingquay/forwarding/sending/attempts.py
@@ -88,19 +88,19 @@
             now,
             with_blocked,
             prefers_reliable,
-            call.is_owned,
+            call.is_owned_by_this_node,
             target,
         )
         if replica is None:
             return []
-        if call.arrivals and not self._quotas.take_extra_request(call, now):
+        if call.send_count and not self._quotas.take_extra_request(call, now):
             return []
         choice_count = self._choice_count(call, replica, is_hedge, now)
         attempt_id = next(self._ids)
         attempt = Attempt(attempt_id, call, replica, now, is_hedge, len(replica.in_flight))
         call.attempts[attempt_id] = attempt
         call.tried_incarnations.add(replica.incarnation)
-        call.arrivals += 1
+        call.send_count += 1
         call.is_waiting = False
         if replica.is_cold(now):
             replica.on_cold_send(now)
@@ -113,7 +113,7 @@
     ) -> Count:
         """Return the metric for a chosen replica, labeled by zone, slowdown and attempt."""
         attempt = "first"
-        if call.arrivals:
+        if call.send_count:
             attempt = "hedge" if is_hedge else "again"
         labels = (
             ("place", "near" if replica.record.zone == self._settings.zone else "far"),
@@ -128,9 +128,9 @@
     def on_not_arrived(self, attempt: Attempt) -> None:
         """Record that no byte of the request was sent, and refund the extra request."""
         call = attempt.call
-        call.arrivals -= 1
+        call.send_count -= 1
         self._mark_not_run(attempt)
-        if call.arrivals:
+        if call.send_count:
             self._quotas.refund(call.service)
 
     def on_not_run(self, attempt: Attempt) -> None:
--- a/wingquay/forwarding/sending/waiting_policy.py
+++ b/wingquay/forwarding/sending/waiting_policy.py
@@ -66,7 +66,7 @@
             self._directory.is_settling(now),
             exchange.may_have_run,
             exchange.is_repeatable and call.attempts_left > 0,
-            extra_request_at=self._quotas.extra_request_at(call, now) if call.arrivals else now,
+            extra_request_at=self._quotas.extra_request_at(call, now) if call.send_count else now,
         )
         return decide(request, expected, self._settings, now)
 
