--- a/tests/forwarding/crashing/test_guard.py
+++ b/tests/forwarding/crashing/test_guard.py
@@ -264,14 +264,14 @@
 
     def test_a_delegate_reports_a_hold_and_the_delegating_node_stops(self) -> None:
         owner = node_with_held_request()
-        asking = node_in_group()
-        number = asking.request("/all/crash")
-        to, message = delegated(asking)[0]
+        delegating = node_in_group()
+        number = delegating.request("/all/crash")
+        to, message = delegated(delegating)[0]
         held = DelegatedAnswer(message.delegation_id, held_seconds=9.0)
-        asking.emit(PeerReceived(to, held))
-        self.assertIsInstance(asking.replies[number], ReplyFailure)
-        self.assertIsInstance(asking.replies[asking.request("/all/crash")], ReplyFailure)
-        self.assertEqual([], asking.sends)
+        delegating.emit(PeerReceived(to, held))
+        self.assertIsInstance(delegating.replies[number], ReplyFailure)
+        self.assertIsInstance(delegating.replies[delegating.request("/all/crash")], ReplyFailure)
+        self.assertEqual([], delegating.sends)
         request = DelegatedRequest(1, "id", opaque_of(owner), "one", ("s",), 0, 0, 1.0, 1.0, 1.0)
         owner.emit(PeerReceived(OTHERS[0], request))
         (answer,) = told(owner, DelegatedAnswer)
@@ -299,7 +299,7 @@
         one.emit(PeerReceived(OTHERS[0], request))
         for send in list(one.sends):
             one.disconnect(send)
-        returned = [place for item in told(one, DelegatedAnswer) for place in item.given_back]  # type: ignore[attr-defined]
+        returned = [position for item in told(one, DelegatedAnswer) for position in item.given_back]  # type: ignore[attr-defined]
         # Also after the first disconnect, the delegate may not send to a second replica.
         self.assertEqual(list(range(SHARDS)), sorted(returned))
         self.assertEqual([], one.sends)
@@ -348,7 +348,7 @@
         one.request("/one/crash")
         self.assertEqual(1, len(one.sends))
 
-    def test_the_hold_ends_when_a_listing_lacks_its_key(self) -> None:
+    def test_a_known_key_that_a_listing_lacks_is_reported_as_missing(self) -> None:
         one = node_with_held_request()
         value = self.stored(one, self.held_identity(one))
         one.change(values=(value,))
--- a/tests/forwarding/crashing/test_suspects.py
+++ b/tests/forwarding/crashing/test_suspects.py
@@ -25,7 +25,7 @@
 
 
 def consecutive_crashes(number: int, sent_at: float = 0.0) -> list[ReplicaCrash]:
-    return [crash(f"r{place}", sent_at + place) for place in range(number)]
+    return [crash(f"r{position}", sent_at + position) for position in range(number)]
 
 
 class IndependentCrashesTest(TestCase):
@@ -67,7 +67,7 @@
         self.assertEqual([usual, suspect, suspect, held], levels)
 
     def test_simultaneous_crashes_start_no_hold(self) -> None:
-        crashes = [crash(f"r{place}", 0.001 * place) for place in range(20)]
+        crashes = [crash(f"r{position}", 0.001 * position) for position in range(20)]
         self.suspects.add(IDENTITY, crashes, 0.1)
         self.assertEqual(SuspicionLevel.SUSPECT, self.level(1.0))
 
@@ -79,8 +79,8 @@
         self.assertFalse(self.suspects.add(IDENTITY, reports, 3.0))
 
     def test_crashes_at_several_nodes_add_up(self) -> None:
-        for place in range(3):
-            self.suspects.add(IDENTITY, [crash(f"r{place}", place, f"n{place}")], 3.0)
+        for position in range(3):
+            self.suspects.add(IDENTITY, [crash(f"r{position}", position, f"n{position}")], 3.0)
         self.assertEqual(SuspicionLevel.HELD, self.level(3.0))
 
     def test_an_answer_clears_a_request_and_late_reports_of_older_crashes_are_ignored(self) -> None:
--- a/tests/forwarding/test_replica_lives.py
+++ b/tests/forwarding/test_replica_lives.py
@@ -415,7 +415,7 @@
         for number, life in enumerate(lives[1:]):
             node.request("/one/deadly")
             node.crash_replica(node.sends[0])
-            self.assertEqual(number + 1, node.logs("replica_ended_under_request")[-1]["ends"])
+            self.assertEqual(number + 1, node.logs("replica_ended_under_request")[-1]["crashes"])
             node.advance(1.0)
             node.change(life)
         self.assertEqual(1, len(node.logs("request_held")))
--- a/tests/forwarding/test_suspension.py
+++ b/tests/forwarding/test_suspension.py
@@ -38,7 +38,7 @@
         (line,) = one.logs("woken")
         self.assertEqual(
             (3.0, 1, 1),
-            tuple(line[name] for name in ("suspended_seconds", "open_requests", "given_up")),
+            tuple(line[name] for name in ("suspended_seconds", "open_requests", "ended_requests")),
         )
 
     def test_requests_that_can_still_be_in_time_continue(self) -> None:
--- a/wingquay/forwarding/crashing/crash_prober.py
+++ b/wingquay/forwarding/crashing/crash_prober.py
@@ -24,7 +24,7 @@
 
     exchange: Exchange
     replica: ReplicaState
-    crash: ReplicaCrash
+    possible_crash: ReplicaCrash
 
 
 class CrashProber:
@@ -42,9 +42,12 @@
         """Disconnected attempts by the incarnation of the replica that is being probed."""
 
     def start_probe(self, attempt: Attempt, now: float) -> list[Action]:
-        """Probe the replica of a closed connection unless it was already leaving."""
+        """Probe the replica of a closed connection.
+
+        A replica is not probed if it was already leaving or a limit of probes is reached.
+        """
         exchange = attempt.call.exchange
-        disconnected = self.describe_crash(attempt, now)
+        disconnected = self.to_disconnected_attempt(attempt, now)
         if disconnected is None or exchange.open_probes >= MAX_PROBES_PER_EXCHANGE:
             return []
         incarnation = attempt.replica.incarnation
@@ -58,8 +61,8 @@
         self._pending[incarnation] = [disconnected]
         return [OpenConnection(attempt.replica.record)]
 
-    def describe_crash(self, attempt: Attempt, now: float) -> DisconnectedAttempt | None:
-        """Return the crash as seen by an attempt; ``None`` if its replica was already leaving."""
+    def to_disconnected_attempt(self, attempt: Attempt, now: float) -> DisconnectedAttempt | None:
+        """Return an attempt with its possible crash; ``None`` if its replica was leaving."""
         replica = attempt.replica
         if replica.record.is_draining or replica.vanished_at is not None:
             return None
--- a/wingquay/forwarding/crashing/guard.py
+++ b/wingquay/forwarding/crashing/guard.py
@@ -22,8 +22,7 @@
 from .suspects import SuspectTable, SuspicionLevel
 
 MAX_REPORT_PEERS = 8
-"""Nodes that receive a report; each of them forwards a new report to as many others, which reaches
-500 nodes in three steps."""
+"""Maximum number of nodes to which a new report is sent or forwarded."""
 REPORT_DELAY_SECONDS = 0.2
 """Time after a crash in which an answer may clear the request before other nodes are notified."""
 MAX_REPORTS_PER_SECOND = 50
@@ -40,7 +39,7 @@
     random_source
         Selects the nodes that receive reports.
     lag
-        Processing lag of this node, by which received reports are older than stated.
+        Lag of this node's event loop; added to the age of received reports.
     """
 
     def __init__(
@@ -60,7 +59,7 @@
         """Returns the nodes that can receive reports."""
         self.on_held: Callable[[bytes, float], list[Action]] = _no_open_exchanges
         """Ends the open exchanges of a request that is held from now on."""
-        self.write: Callable[[bytes, HeldRequest, float], list[Action]] = _write_nothing
+        self.store_hold: Callable[[bytes, HeldRequest, float], list[Action]] = _store_nothing
         """Writes a held request to the store, for nodes that start later."""
 
     def suspicion_level(
@@ -75,11 +74,11 @@
         """Return the remaining hold period of a request; 0 if it is not held."""
         return self._suspects.held_seconds(identity, now)
 
-    def held_request_repeated(
+    def on_held_request_repeated(
         self, identity: bytes, event: ForwardRequested, now: float
     ) -> list[Action]:
         """Ensure that a held request that has arrived again is in the store."""
-        return self._write(identity, event, now)
+        return self._store_hold(identity, event, now)
 
     # Crashes observed by this node
 
@@ -93,7 +92,7 @@
             # The delegating node probes the replica: it sees all calls of the request.
             return []
         if attempt.replica.is_superseded:
-            disconnected = self._prober.describe_crash(attempt, now)
+            disconnected = self._prober.to_disconnected_attempt(attempt, now)
             return [] if disconnected is None else self._add_crash(disconnected, now)
         return self._prober.start_probe(attempt, now)
 
@@ -118,12 +117,12 @@
         if exchange.is_cleared:
             return []
         was_held = self._is_held(exchange.identity, now)
-        if not self._suspects.add(exchange.identity, [disconnected.crash], now):
+        if not self._suspects.add(exchange.identity, [disconnected.possible_crash], now):
             return []
         fields = (
             *_log_fields(exchange),
-            ("replica", disconnected.crash.incarnation),
-            ("ends", self._crash_count(exchange.identity)),
+            ("replica", disconnected.possible_crash.incarnation),
+            ("crashes", self._crash_count(exchange.identity)),
         )
         actions: list[Action] = [
             Log("replica_ended_under_request", LogLevel.WARNING, fields),
@@ -169,14 +168,14 @@
             return []
         actions = self._report(identity, now, sender)
         if not was_held and self._is_held(identity, now):
-            actions += self._hold_started(identity, sender.node_id, now)
+            actions += self._announce_hold(identity, sender.node_id, now)
         return actions
 
     def hold(self, identity: bytes, seconds: float, reported_by: str, now: float) -> list[Action]:
         """Hold a request that another node or the store reports as held."""
         if not self._suspects.hold(identity, seconds, now):
             return []
-        return [*self._hold_started(identity, reported_by, now), *self._report(identity, now)]
+        return [*self._announce_hold(identity, reported_by, now), *self._report(identity, now)]
 
     def release(self, identity: bytes, now: float) -> list[Action]:
         """End the hold of a request; it may be sent again to one replica at a time."""
@@ -188,20 +187,20 @@
 
     def _start_hold(self, exchange: Exchange, now: float) -> list[Action]:
         """Hold a request that this node has identified as crashing replicas."""
-        write_actions = self._write(exchange.identity, exchange.event, now)
+        write_actions = self._store_hold(exchange.identity, exchange.event, now)
         report_actions = self._report(exchange.identity, now)
         return [
-            *self._hold_started(exchange.identity, self._node_id, now, exchange),
+            *self._announce_hold(exchange.identity, self._node_id, now, exchange),
             *report_actions,
             *write_actions,
         ]
 
-    def _write(self, identity: bytes, event: ForwardRequested, now: float) -> list[Action]:
+    def _store_hold(self, identity: bytes, event: ForwardRequested, now: float) -> list[Action]:
         seconds = self._suspects.held_seconds(identity, now)
         held = HeldRequest(seconds, _target_text(event), event.caller, self._node_id)
-        return self.write(identity, held, now)
+        return self.store_hold(identity, held, now)
 
-    def _hold_started(
+    def _announce_hold(
         self, identity: bytes, reported_by: str, now: float, exchange: Exchange | None = None
     ) -> list[Action]:
         fields: tuple[tuple[str, str | int | float], ...] = (("digest", identity.hex()),)
@@ -209,7 +208,7 @@
             fields = _log_fields(exchange)
         fields += (
             ("reported_by", reported_by),
-            ("ends", self._crash_count(identity)),
+            ("crashes", self._crash_count(identity)),
             ("seconds", round(self._suspects.held_seconds(identity, now), 1)),
             ("held", self._suspects.count_held(now)),
         )
@@ -301,5 +300,5 @@
     return []
 
 
-def _write_nothing(_identity: bytes, _held: HeldRequest, _now: float) -> list[Action]:
+def _store_nothing(_identity: bytes, _held: HeldRequest, _now: float) -> list[Action]:
     return []
--- a/wingquay/forwarding/crashing/held_request_keys.py
+++ b/wingquay/forwarding/crashing/held_request_keys.py
@@ -25,7 +25,7 @@
 OPERATION_PREFIX = "held-request-"
 TIMEOUT_SECONDS = 2.0
 MAX_WRITE_ATTEMPTS = 3
-"""Failed store requests after which a write is given up until the request is rejected again."""
+"""Maximum number of tries of one write; the next rejection of the request starts a new write."""
 MIN_REWRITE_SECONDS = 10.0
 """Minimum time between two writes of the same key by this node."""
 MAX_KEYS = 64
@@ -98,7 +98,11 @@
         return [] if identity is None else self._release(identity, now)
 
     def write(self, identity: bytes, held: HeldRequest, now: float) -> list[Action]:
-        """Write the key of a held request unless it exists or was written recently."""
+        """Write the key of a held request.
+
+        Nothing is written if the key exists or was written recently, or if there are ``MAX_KEYS``
+        keys or writes already.
+        """
         key = self._formats.held_prefix + identity.hex()
         previous = self._writes.get(key)
         is_recent = previous is not None and now - previous.started_at < MIN_REWRITE_SECONDS
--- a/wingquay/forwarding/crashing/replica_crash.py
+++ b/wingquay/forwarding/crashing/replica_crash.py
@@ -5,8 +5,8 @@
 from ...model.value import value
 
 REPORT_TOLERANCE_SECONDS = 0.1
-"""Minimum time between two crashes that different nodes observed, if both are to count; it covers
-the transmission delay of the reports."""
+"""Minimum time from a crash to the send of the next attempt that counts, if different nodes
+observed them; covers the delay of reports."""
 
 
 @value
@@ -32,9 +32,8 @@
 def select_independent_crashes(crashes: Iterable[ReplicaCrash]) -> list[ReplicaCrash]:
     """Return the crashes whose request was sent after the previous crash, in order of time.
 
-    Of crashes that overlap in time, only one is kept. If several replicas crash together for
-    another reason, any frequent request is in flight at some of them; only a request that causes
-    crashes is also in flight at later ones.
+    Crashes that overlap in time count once, as they may have a common external cause. Crashes in
+    consecutive attempts are evidence that the request causes them.
     """
     independent: list[ReplicaCrash] = []
     for crash in sorted(crashes, key=lambda item: item.crashed_at):
--- a/wingquay/forwarding/crashing/sequential_sending.py
+++ b/wingquay/forwarding/crashing/sequential_sending.py
@@ -12,8 +12,8 @@
 
     def __init__(self, starter: CallStarter) -> None:
         self._starter = starter
-        self.begin_all: Callable[[Exchange, list[ServiceCall], float], list[Action]] = self._begin
-        """Begins calls of a request in the usual way."""
+        self.begin_calls: Callable[[Exchange, list[ServiceCall], float], list[Action]] = self._begin
+        """Begins calls in parallel, by delegation once links to other nodes are open."""
 
     def send_next(self, exchange: Exchange, now: float) -> list[Action]:
         """Send one call, unless a recent attempt of the exchange is still in flight."""
@@ -31,7 +31,7 @@
         open_calls = _open_calls(exchange)
         begun = [call for call in open_calls if call.is_begun]
         not_begun = [call for call in open_calls if not call.is_begun]
-        actions = self.begin_all(exchange, not_begun, now) if not_begun else []
+        actions = self.begin_calls(exchange, not_begun, now) if not_begun else []
         return actions + self._starter.send_or_queue_all(begun, now)
 
     def _start(self, call: ServiceCall, now: float) -> list[Action]:
--- a/wingquay/forwarding/crashing/suspects.py
+++ b/wingquay/forwarding/crashing/suspects.py
@@ -11,9 +11,9 @@
 
 With two, an unrelated request that is in flight at two crashing replicas would be held as well."""
 HOLD_SECONDS = 300.0
-"""First hold period of a request. The attempt after it crashes at most one replica."""
+"""Hold period of the first hold of a request."""
 MAX_HOLD_SECONDS = 600.0
-"""Hold period after a further crash; also the longest lease of the store."""
+"""Hold period after a further crash; also the maximum lease of a held request's key."""
 EXPIRY_SECONDS = 600.0
 """Time after the last change or the end of the hold after which a request is removed."""
 CLEARED_EXPIRY_SECONDS = 10.0
@@ -59,7 +59,11 @@
 
 
 class SuspectTable:
-    """A table of suspect and held requests by their identity, of bounded size."""
+    """A bounded table of suspect and held requests by their identity.
+
+    Releasing a request ends its hold, after which it is suspect. Clearing it removes it, because a
+    replica has answered it without crashing.
+    """
 
     def __init__(self) -> None:
         self._by_identity: dict[bytes, Suspect] = {}
--- a/wingquay/forwarding/exchange.py
+++ b/wingquay/forwarding/exchange.py
@@ -11,8 +11,7 @@
 from .choice.replica_state import ReplicaState
 
 SEQUENTIAL_AFTER_DISCONNECTS = 2
-"""Disconnects of an unanswered request from which on it is sent to one replica at a time, so that a
-request that crashes replicas spares the second replica of most shards."""
+"""Number of unexplained disconnects after which a request is sent to one replica at a time."""
 
 
 class Origin(Protocol):
@@ -74,7 +73,7 @@
     tried_incarnations: set[str] = field(default_factory=set)
     """Incarnations of replicas that received the request and may have run it."""
     refused_incarnations: set[str] = field(default_factory=set)
-    """Incarnations that were unreachable or did not run the request, since the last retry timer."""
+    """Incarnations that were unreachable or did not run the request; cleared at ``RetryDue``."""
     send_count: int = 0
     """Number of sends that may have arrived at a replica."""
     answer: ReplicaAnswer | None = None
@@ -86,7 +85,8 @@
     is_waiting: bool = False
     """Whether the call waits for a replica with capacity."""
     is_queued: bool = False
-    """Whether the call is in the queue, or was when it stopped waiting."""
+    """Whether the queue has an entry for the call; entries of calls that no longer wait are removed
+    later."""
     delegated_attempts: int = 0
     """Number of replicas to which a delegate may send the request."""
     is_delegate_lost: bool = False
@@ -153,8 +153,9 @@
     answered_shards: int = 0
     """Number of calls with an answer."""
     failures: int = 0
-    """Number of failed attempts and delegates; an upper bound of the exhausted calls."""
+    """Number of failed attempts and delegates; never lower than the number of exhausted calls."""
     is_retry_scheduled: bool = False
+    """Whether a ``RetryDue`` timer is pending."""
     origin: Origin | None = None
     """The delegating node; ``None`` if a caller waits for the answer."""
     tenant: Tenant | None = None
--- a/wingquay/forwarding/exchange_opening.py
+++ b/wingquay/forwarding/exchange_opening.py
@@ -20,7 +20,7 @@
 
 
 class ExchangeOpening:
-    """Opens exchanges and begins them, or holds them while replica records are missing.
+    """Opens exchanges, and begins them at once or when missing replica records have arrived.
 
     Parameters
     ----------
@@ -47,16 +47,16 @@
         self._starter = starter
         self._sequential = sequential
         self._weights = WeightedRoundRobin(random_source)
-        self._held: set[int] = set()
+        self._awaiting_records: set[int] = set()
         self.delegate_calls: Callable[[Exchange, list[ServiceCall], float], list[Action]] | None = (
             None
         )
         """Delegates calls to other nodes; ``None`` until the links to them are open."""
 
     @property
-    def held(self) -> int:
-        """Number of exchanges that are held because replica records are missing."""
-        return len(self._held)
+    def awaiting_records_count(self) -> int:
+        """Number of exchanges that wait for missing replica records."""
+        return len(self._awaiting_records)
 
     def set_table(self, table: RoutingTable) -> None:
         """Apply a configuration to requests that arrive from now on."""
@@ -72,7 +72,7 @@
         """
         event = arrival.event
         route = arrival.route
-        ends_at = max(self.ends_at(arrival), now)
+        ends_at = max(self.compute_ends_at(arrival), now)
         cutoff_seconds = compute_cutoff_seconds(route, event.transit_seconds, self._settings)
         cutoff_at = min(arrival.arrived_at + cutoff_seconds, ends_at)
         exchange = Exchange(event, arrival.table, route, arrival.arrived_at, cutoff_at, ends_at)
@@ -81,9 +81,9 @@
         self._settlement.add(exchange)
         services = route.shards or (self._weights.choose(route),)
         exchange.calls = [ServiceCall(exchange, service) for service in services]
-        return self.begin_or_hold(exchange, now)
+        return self.begin_or_await_records(exchange, now)
 
-    def ends_at(self, arrival: Arrival) -> float:
+    def compute_ends_at(self, arrival: Arrival) -> float:
         """Return the time at which a request times out."""
         seconds = arrival.route.timeout_seconds
         deadline_seconds = arrival.event.deadline_seconds
@@ -91,17 +91,17 @@
             seconds = min(seconds, deadline_seconds)
         return arrival.sent_at + max(seconds - self._settings.timeout_margin_seconds, seconds / 2)
 
-    def begin_or_hold(self, exchange: Exchange, now: float) -> list[Action]:
-        """Begin an exchange if enough services have replicas; hold it while records are missing."""
+    def begin_or_await_records(self, exchange: Exchange, now: float) -> list[Action]:
+        """Begin an exchange if enough services have replicas, or wait for missing records."""
         if self._settlement.can_meet_min_share(exchange, now):
             return self.begin(exchange, now)
-        return self._hold_or_reject(exchange, now)
+        return self._await_records_or_reject(exchange, now)
 
     def begin(self, exchange: Exchange, now: float) -> list[Action]:
         """Send all calls of an exchange and schedule its timers."""
         event = exchange.event
         route = exchange.route
-        self._held.discard(exchange.exchange_id)
+        self._awaiting_records.discard(exchange.exchange_id)
         actions: list[Action] = []
         if exchange.is_sequential and exchange.origin is None:
             actions += self._sequential.send_next(exchange, now)
@@ -117,20 +117,20 @@
             actions.append(Schedule(hedge_at, HedgeDue(event.exchange_id)))
         return actions + self._settlement.settle(exchange, now)
 
-    def _hold_or_reject(self, exchange: Exchange, now: float) -> list[Action]:
-        """Hold an exchange that no replica can take, or reject it if its caller should retry."""
+    def _await_records_or_reject(self, exchange: Exchange, now: float) -> list[Action]:
+        """Let an exchange wait for replica records, or reject it if its caller should retry."""
         match self._waiting.decide(exchange, now):
             case Reject() as rejection:
-                self._held.discard(exchange.exchange_id)
+                self._awaiting_records.discard(exchange.exchange_id)
                 return self._settlement.reject(exchange, rejection, now)
-        self._held.add(exchange.exchange_id)
+        self._awaiting_records.add(exchange.exchange_id)
         due_at = self._waiting.recheck_at(exchange, now)
         return [Schedule(due_at, RetryDue(exchange.exchange_id))]
 
-    def is_held(self, exchange: Exchange) -> bool:
-        """Return whether an exchange is held because replica records are missing."""
-        return exchange.exchange_id in self._held
+    def awaits_records(self, exchange: Exchange) -> bool:
+        """Return whether an exchange waits for missing replica records."""
+        return exchange.exchange_id in self._awaiting_records
 
-    def stop_holding(self, exchange: Exchange) -> None:
-        """Remove an exchange that ends from the held ones."""
-        self._held.discard(exchange.exchange_id)
+    def stop_awaiting_records(self, exchange: Exchange) -> None:
+        """Remove an exchange that ends from those that wait for records."""
+        self._awaiting_records.discard(exchange.exchange_id)
--- a/wingquay/forwarding/forwarding_machine.py
+++ b/wingquay/forwarding/forwarding_machine.py
@@ -70,7 +70,7 @@
         The replicas; updated by the owner.
     nodes
         The number of nodes; updated by the owner.
-    key, name
+    node_key, node_name
         This node's key in the store, and its name.
     random_source
         Sets the starting points of weighted routes and of delegation ids.
@@ -84,14 +84,14 @@
         directory: ReplicaDirectory,
         nodes: NodeCount,
         random_source: random.Random,
-        key: str = "",
-        name: str = "",
+        node_key: str = "",
+        node_name: str = "",
         waiting: WaitingSettings = DEFAULT_WAITING,
     ) -> None:
         self._settings = settings
         self._directory = directory
         self._latencies = RouteLatencies(settings)
-        self._quotas = SendingQuotas(settings, directory, nodes, key, waiting)
+        self._quotas = SendingQuotas(settings, directory, nodes, node_key, waiting)
         self._sender = AttemptSender(settings, directory, self._latencies, self._quotas)
         self._random = random_source
         replies = ReplyBuilder(random_source)
@@ -102,8 +102,8 @@
         self._settlement = Settlement(self._waiting, directory, self._sender, replies)
         self._starter = CallStarter(self._sender, self._waiting, self._queue)
         self.lag = LoopLag()
-        """Processing lag of this node; updated by the owner."""
-        self.guard = CrashGuard(name, random_source, self.lag)
+        """Lag of this node's event loop; updated by the owner."""
+        self.guard = CrashGuard(node_name, random_source, self.lag)
         """Keeps requests that crash replicas away from the replicas."""
         self.guard.on_held = self._end_held
         sequential = SequentialSending(self._starter)
@@ -148,9 +148,9 @@
         return len(self._settlement) + self._arrival.pending_count
 
     @property
-    def held_exchanges(self) -> int:
-        """Number of exchanges that are held because replica records are missing."""
-        return self._opening.held
+    def exchanges_awaiting_records(self) -> int:
+        """Number of exchanges that wait for missing replica records."""
+        return self._opening.awaiting_records_count
 
     @property
     def evidence(self) -> ReachabilityEvidence:
@@ -181,7 +181,7 @@
             self.guard,
         )
         self._quotas.placement = delegations.placement
-        self._sequential.begin_all = delegations.start
+        self._sequential.begin_calls = delegations.start
         self._opening.delegate_calls = delegations.start
         self.guard.peers = groups.usable_others
         groups.evidence = self._sender.evidence
@@ -202,7 +202,7 @@
             case ForwardRequested():
                 return self._arrival.on_requested(event, now)
             case HedgeDue():
-                return self._hedging.handle_due(event, now)
+                return self._hedging.on_hedge_due(event, now)
             case SendFailed():
                 return self._outcomes.on_send_failed(event, now)
             case AbandonDue() | ReconnectDue() | ConnectionTried():
@@ -230,7 +230,7 @@
         """Handle a suspension: end overdue exchanges; it does not count in the age of attempts."""
         self.lag.seconds = event.seconds
         self._sender.on_suspended(event.seconds)
-        return self._settlement.end_overdue(now)
+        return self._settlement.end_expired(now)
 
     def on_limit_answered(
         self, exchange_id: int, answer: Admitted | Rejected, now: float
@@ -299,7 +299,7 @@
             case ReportDue():
                 return [] if exchange.origin is None else exchange.origin.report(exchange)
             case CallerDisconnected():
-                self._opening.stop_holding(exchange)
+                self._opening.stop_awaiting_records(exchange)
                 return self._settlement.on_caller_left(exchange, now)
             case ExchangeEndDue():
                 return self._settlement.end_timed_out(exchange, now)
@@ -314,8 +314,8 @@
         return actions + self._settlement.settle(exchange, now)
 
     def _retry_due(self, exchange: Exchange, now: float) -> list[Action]:
-        if self._opening.is_held(exchange):
-            return self._opening.begin_or_hold(exchange, now)
+        if self._opening.awaits_records(exchange):
+            return self._opening.begin_or_await_records(exchange, now)
         exchange.is_retry_scheduled = False
         actions: list[Action] = []
         for call in exchange.calls:
--- a/wingquay/forwarding/forwarding_node.py
+++ b/wingquay/forwarding/forwarding_node.py
@@ -107,7 +107,7 @@
         self._forwarding.admission.proof = self._proof_manager.proof
         guard = self._forwarding.guard
         self._held_request_keys = HeldRequestKeys(formats, guard.hold, guard.release)
-        guard.write = self._held_request_keys.write
+        guard.store_hold = self._held_request_keys.write
         hooks = FollowerHooks(
             lambda values, now: (
                 self._contents.apply_listing(values, now) + self._readiness.update(now)
@@ -220,7 +220,7 @@
         actions = self._forwarding.handle(event, now)
         return (
             actions + self._periodic_work.adjust_poll_interval(now)
-            if self._forwarding.held_exchanges
+            if self._forwarding.exchanges_awaiting_records
             else actions
         )
 
--- a/wingquay/forwarding/log_limiter.py
+++ b/wingquay/forwarding/log_limiter.py
@@ -25,17 +25,17 @@
 
 
 @dataclass(slots=True)
-class _Kind:
+class _KindCounter:
     second: int = -1
     lines: int = 0
-    dropped: int = 0
+    dropped_lines: int = 0
 
 
 class LogLimiter:
     """Drops log lines that exceed the limit of their kind."""
 
     def __init__(self) -> None:
-        self._kinds: dict[str, _Kind] = {}
+        self._kinds: dict[str, _KindCounter] = {}
 
     def admit(self, actions: list[Action], now: float) -> list[Action]:
         """Return the actions, with a counter in place of each log line above its limit."""
@@ -49,17 +49,17 @@
         name = next(
             (str(text) for field, text in action.fields if field == OUTCOME_FIELD), action.message
         )
-        kind = self._kinds.setdefault(name, _Kind())
+        kind = self._kinds.setdefault(name, _KindCounter())
         second = int(now)
         if second != kind.second:
             kind.second = second
             kind.lines = 0
         kind.lines += 1
         if kind.lines > LINES_PER_SECOND.get(name, OTHER_LINES_PER_SECOND):
-            kind.dropped += 1
+            kind.dropped_lines += 1
             return Count("log_lines_left_out_total", labels=(("kind", name),))
-        if not kind.dropped:
+        if not kind.dropped_lines:
             return action
-        fields = (*action.fields, ("lines_left_out", kind.dropped))
-        kind.dropped = 0
+        fields = (*action.fields, ("lines_left_out", kind.dropped_lines))
+        kind.dropped_lines = 0
         return Log(action.message, action.level, fields)
--- a/wingquay/forwarding/periodic_work.py
+++ b/wingquay/forwarding/periodic_work.py
@@ -14,22 +14,22 @@
 SWEEP_INTERVAL_SECONDS = 0.5
 """Time between two sweeps, which remove replicas whose grace period is over."""
 LAG_CHECK_SECONDS = 0.2
-"""Time between two checks of the processing lag; more frequent checks cost noticeable processor
-time on small nodes."""
+"""Time between two checks of the event loop's lag."""
 RESUME_SECONDS = 0.05
-"""Time after a suspension for which requests that are read count as having waited during it."""
+"""Delay of the first lag check after a suspension. Until then the lag is the length of the
+suspension, so requests that are read in this time count as delayed by it."""
 
 
 @value
 class SweepDue(Event):
-    """Remove replicas whose grace period is over, and measure the lag of this timer."""
+    """Perform the periodic sweep of a node, and measure the lag of this timer."""
 
     due_at: float
 
 
 @value
 class LagDue(Event):
-    """Measure the processing lag of this node."""
+    """Measure the lag of the event loop, which is added to the age of requests and reports."""
 
     due_at: float
 
@@ -48,7 +48,7 @@
     follower
         Polls the store at the interval set here.
     processing_lag
-        Stores the measured lag of the timers.
+        Stores the lag of the sweep timer.
     proof_manager
         Detects that the proof of the configuration has expired.
     """
@@ -97,7 +97,7 @@
     def adjust_poll_interval(self, now: float) -> list[Action]:
         """Poll the store more often while records of replicas or nodes are missing."""
         has_stale_records = self._directory.found_stale_recently(now)
-        if has_stale_records or self._forwarding.held_exchanges > 0:
+        if has_stale_records or self._forwarding.exchanges_awaiting_records > 0:
             return self._follower.set_poll_interval(
                 self._settings.settle_poll_interval_seconds, now
             )
@@ -118,7 +118,7 @@
         fields = (
             ("suspended_seconds", round(event.seconds, 3)),
             ("open_requests", open_requests),
-            ("given_up", open_requests - self._forwarding.open_exchanges),
+            ("ended_requests", open_requests - self._forwarding.open_exchanges),
         )
         return [
             Log("woken", LogLevel.WARNING, fields),
--- a/wingquay/forwarding/request_arrival.py
+++ b/wingquay/forwarding/request_arrival.py
@@ -34,7 +34,8 @@
     Parameters
     ----------
     lag
-        Processing lag of this node, by which its callers have already waited longer.
+        Lag of this node's event loop; subtracted from the current time to estimate when a request
+        was sent.
     """
 
     def __init__(
@@ -57,7 +58,7 @@
         """Checks callers and tenant limits."""
         self.has_received_request = False
         """Whether a request has arrived since the start."""
-        settlement.on_not_run = self._give_back
+        settlement.on_not_run = self._refund
 
     @property
     def pending_count(self) -> int:
@@ -143,7 +144,7 @@
         actions = self._replies.reject_arrival_not_run(event, HELD_REASON, held_seconds, name)
         if arrival.tenant is not None:
             actions.append(self._metrics.count(name, "held"))
-        return [*actions, *self._guard.held_request_repeated(identity, event, now)]
+        return [*actions, *self._guard.on_held_request_repeated(identity, event, now)]
 
     # Waiting for the answer on a tenant's limit
 
@@ -155,7 +156,7 @@
         if not self._pending.add(arrival):
             return self._reject_unanswered(arrival, "too many requests wait for limits", now)
         wait_seconds = arrival.route.objective_seconds * LIMIT_WAIT_RATIO
-        due_at = min(now + wait_seconds, self._opening.ends_at(arrival))
+        due_at = min(now + wait_seconds, self._opening.compute_ends_at(arrival))
         return [Schedule(due_at, LimitAnswerDue(arrival.event.exchange_id))]
 
     def on_limit_answered(
@@ -188,22 +189,22 @@
         return []
 
     def _reject_unanswered(self, arrival: Arrival, reason: str, now: float) -> list[Action]:
-        self._give_back_arrival(arrival, now)
+        self._refund_arrival(arrival, now)
         rejected = Rejected(ForwardFailureKind.NOT_RUN, reason, MIN_RETRY_AFTER_SECONDS)
         return self._reject(arrival.event, rejected, _tenant_name(arrival))
 
     def _abandon(self, arrival: Arrival, now: float) -> list[Action]:
-        self._give_back_arrival(arrival, now)
+        self._refund_arrival(arrival, now)
         name = _tenant_name(arrival)
-        actions = self._replies.close_abandoned_arrival(arrival.event, name)
+        actions = self._replies.record_caller_left_arrival(arrival.event, name)
         return [*actions, self._metrics.count(name, "caller_left")]
 
-    def _give_back_arrival(self, arrival: Arrival, now: float) -> None:
+    def _refund_arrival(self, arrival: Arrival, now: float) -> None:
         if arrival.tenant is not None:
             self.admission.give_back(arrival.tenant, arrival.event.exchange_id, now)
 
-    def _give_back(self, exchange: Exchange, now: float) -> list[Action]:
-        """Return the count of a request that ended without having run to its tenant's limit."""
+    def _refund(self, exchange: Exchange, now: float) -> list[Action]:
+        """Refund a request that ended without having run to its tenant's limit."""
         if exchange.tenant is None:
             return []
         self.admission.give_back(exchange.tenant, exchange.exchange_id, now)
--- a/wingquay/forwarding/settings.py
+++ b/wingquay/forwarding/settings.py
@@ -28,24 +28,24 @@
         Limit of the requests per second that a cold replica may receive from all nodes: the rate
         that its service states, times ``cold_overage``, plus ``cold_slack``.
     retry_ratio
-        Extra arrivals (retries and hedges) at a service per request of this node for it.
+        Extra requests (retries and hedges) to a service per request of this node for it.
     retry_slack
-        Further extra arrivals at a service that all nodes together may cause per window.
+        Further extra requests to a service that all nodes together may send per window.
     retry_window_seconds
         Length of the window of ``retry_slack``.
     max_nodes
-        Number of nodes that is assumed while it is unknown.
+        Assumed number of nodes while the actual number is unknown.
     min_nodes
-        Minimum number of nodes that is assumed, as some may not have written their key yet.
+        Minimum assumed number of nodes, as some may not have written their key yet.
     node_count_memory_seconds
         Time for which a higher number of nodes is still used after it has fallen.
     presence_delay_seconds
         Time after the start at which a node without a configuration writes its key.
     join_delay_seconds
-        The same with a configuration that has only narrow routes.
+        Time after the start at which a node writes its key if no route has enough shards for
+        delegating them.
     join_wide_delay_seconds
-        The same with a configuration that has a wide route, which needs other nodes to be answered
-        in time.
+        The same if a route has enough shards, as it needs other nodes to be answered in time.
     join_seconds
         Time after the links to other nodes have opened in which the store is polled more often for
         their keys.
@@ -80,8 +80,8 @@
     shed_backoff_seconds
         Time for which a replica that shed a request receives none.
     paused_trial_seconds, slow_trial_seconds
-        Minimum time between two trials of this node at replicas that were slow once, and at
-        replicas that were slow again in a trial.
+        Minimum time between two trials of this node at replicas after their first slow attempt, and
+        after a slow trial.
     vanished_grace_seconds
         Time for which a replica whose record has vanished may receive requests if no other is left.
     vanished_outage_grace_seconds
@@ -101,8 +101,8 @@
     delegate_min_nodes
         Minimum number of nodes in a group, including this one, for delegating shards.
     poll_rank_delay_seconds
-        Additional delay of polls per rank among the nodes that send each other store updates, so
-        that usually only one of them polls.
+        Delay of a poll per position among the nodes that send each other store updates, so that
+        usually only one of them polls.
     max_update_age_seconds
         Maximum age of a store update for which it postpones the next poll.
     update_group_min_nodes
--- a/wingquay/forwarding/settling/hedging.py
+++ b/wingquay/forwarding/settling/hedging.py
@@ -15,8 +15,8 @@
 MIN_UNANSWERED_ATTEMPTS = 4
 """Number of attempts in flight from which on hedges wait for a first answer."""
 FIRST_ANSWER_WAIT_RATIO = 0.5
-"""Maximum time of this wait as a share of the objective. A request that crashes replicas would also
-crash those that receive the hedges, before the first crash is detected."""
+"""Share of the objective for which hedges wait for a first answer. The wait prevents hedges from
+sending a request that crashes replicas to further replicas."""
 
 
 class Hedging:
@@ -27,7 +27,7 @@
     latencies
         Provides the hedge delay of a route.
     sender
-        Sends to the second replica, within the budget of extra arrivals.
+        Sends to the second replica, within the budget of extra requests.
     settlement
         Holds the open exchanges.
     sequential
@@ -46,7 +46,7 @@
         self._sender = sender
         self._settlement = settlement
 
-    def handle_due(self, event: HedgeDue, now: float) -> list[Action]:
+    def on_hedge_due(self, event: HedgeDue, now: float) -> list[Action]:
         """Hedge the calls whose attempt takes too long, and schedule the next check."""
         exchange = self._settlement.get(event.exchange_id)
         if exchange is None:
--- a/wingquay/forwarding/settling/reply_builder.py
+++ b/wingquay/forwarding/settling/reply_builder.py
@@ -26,7 +26,7 @@
 
 
 class ReplyBuilder:
-    """Builds the actions that end an exchange.
+    """Builds the reply, metrics and log line of an exchange that ``Settlement`` ends.
 
     Parameters
     ----------
@@ -56,7 +56,7 @@
             _arrival_log_line(event, outcome, reason, tenant),
         ]
 
-    def close_abandoned_arrival(self, event: ForwardRequested, tenant: str) -> list[Action]:
+    def record_caller_left_arrival(self, event: ForwardRequested, tenant: str) -> list[Action]:
         """Record that a caller left while its request was waiting for its tenant's limit."""
         reason = "the request was waiting for its tenant's limit"
         return [
@@ -145,7 +145,11 @@
         return [reply, *_finish(exchange, "held", HELD_REASON, now)]
 
     def reply_timed_out(self, exchange: Exchange, now: float) -> list[Action]:
-        """Report a failure because the deadline of the exchange has passed."""
+        """Report a failure because the deadline of the exchange has passed.
+
+        It is ``NOT_RUN`` if no replica may have run the request, or the failure that the only
+        service answered if there is one, and ``TIMED_OUT`` otherwise.
+        """
         reason = "no answer before the deadline"
         if not exchange.may_have_run:
             return self.reject_not_run(exchange, reason, MIN_RETRY_AFTER_SECONDS, now)
@@ -154,12 +158,12 @@
         reply = ReplyFailure(exchange.exchange_id, ForwardFailureKind.TIMED_OUT, reason)
         return [reply, *_finish(exchange, "timed_out", reason, now)]
 
-    def close_delegated(self, exchange: Exchange, now: float) -> list[Action]:
+    def record_incomplete_delegation(self, exchange: Exchange, now: float) -> list[Action]:
         """Record the end of a delegated exchange that did not answer all its shards."""
         line = _log_line(exchange, "delegated_open", "", now - exchange.arrived_at)
         return [_count_outcome("delegated_open"), line]
 
-    def close_abandoned(self, exchange: Exchange, now: float) -> list[Action]:
+    def record_caller_left(self, exchange: Exchange, now: float) -> list[Action]:
         """Record that the caller has left."""
         return _finish(exchange, "caller_left", "", now)
 
--- a/wingquay/forwarding/settling/settlement.py
+++ b/wingquay/forwarding/settling/settlement.py
@@ -1,4 +1,4 @@
-"""Holds the open exchanges and decides when each of them ends and with which reply."""
+"""Holds the open exchanges and decides when each of them ends; ``ReplyBuilder`` builds replies."""
 
 from collections.abc import Callable
 
@@ -44,7 +44,7 @@
         self.on_closed: Callable[[Exchange], list[Action]] = _no_actions
         """Returns further actions for an exchange that has ended."""
         self.on_not_run: Callable[[Exchange, float], list[Action]] = _no_refund
-        """Handles the end of a tenant's request that no replica may have run."""
+        """Called when a tenant's request ends that certainly no replica has run."""
 
     def __len__(self) -> int:
         """Return the number of open exchanges."""
@@ -65,8 +65,10 @@
     def on_caller_left(self, exchange: Exchange, now: float) -> list[Action]:
         """End an exchange whose caller has left."""
         if exchange.origin is not None:
-            return self._close(exchange, self._replies.close_delegated(exchange, now), now)
-        return self._close(exchange, self._replies.close_abandoned(exchange, now), now)
+            return self._close(
+                exchange, self._replies.record_incomplete_delegation(exchange, now), now
+            )
+        return self._close(exchange, self._replies.record_caller_left(exchange, now), now)
 
     def end_timed_out(self, exchange: Exchange, now: float) -> list[Action]:
         """End an exchange at its deadline, with a partial answer if it meets the minimum share."""
@@ -75,11 +77,13 @@
             return settled
         if exchange.origin is not None:
             return self._close(
-                exchange, [*settled, *self._replies.close_delegated(exchange, now)], now
+                exchange,
+                [*settled, *self._replies.record_incomplete_delegation(exchange, now)],
+                now,
             )
         return self._close(exchange, self._replies.reply_timed_out(exchange, now), now)
 
-    def end_overdue(self, now: float) -> list[Action]:
+    def end_expired(self, now: float) -> list[Action]:
         """End every exchange whose deadline has passed."""
         actions: list[Action] = []
         for exchange in list(self._exchanges.values()):
@@ -196,7 +200,10 @@
                 return []
 
     def can_meet_min_share(self, exchange: Exchange, now: float) -> bool:
-        """Return whether enough services have a usable replica for a success."""
+        """Return whether enough services have replicas for a success.
+
+        For shards, replicas that currently receive no requests do not count.
+        """
         if not exchange.route.shards:
             return self._directory.has_candidates(exchange.calls[0].service, now)
         usable = [self._directory.has_unblocked(call.service, now) for call in exchange.calls]
--- a/wingquay/forwarding/timers.py
+++ b/wingquay/forwarding/timers.py
@@ -1,4 +1,4 @@
-"""Timer events that the forwarding machine schedules for itself."""
+"""Timer events that the parts of a forwarding node schedule for themselves."""
 
 from ..model.value import value
 from ..ports.machine import Event
@@ -74,10 +74,9 @@
 
 @value
 class BeginDue(Event):
-    """Start the calls of an exchange that were not delegated.
+    """Begin the calls of an exchange that were not delegated.
 
-    They wait for one iteration of the event loop, so that delegation messages are sent first and
-    the delegates can start meanwhile.
+    They wait for one iteration of the event loop, so that delegation messages are sent first.
     """
 
     exchange_id: int
