--- a/tests/forwarding/test_replica_incarnations.py
+++ b/tests/forwarding/test_replica_incarnations.py
@@ -419,7 +419,7 @@
         for number, incarnation in enumerate(incarnations[1:]):
             node.request("/one/deadly")
             node.crash_replica(node.sends[0])
-            self.assertEqual(number + 1, node.logs("replica_ended_under_request")[-1]["ends"])
+            self.assertEqual(number + 1, node.logs("replica_ended_under_request")[-1]["crashes"])
             node.advance(1.0)
             node.change(incarnation)
         self.assertEqual(1, len(node.logs("request_held")))
