--- a/tests/adapters/test_forwarding_peer_codec.py
+++ b/tests/adapters/test_forwarding_peer_codec.py
@@ -33,7 +33,7 @@
     SendToPeer,
 )
 from wingquay.ports.proof_messages import ProofReply, ProofRequest
-from wingquay.ports.reachability_messages import ReachabilityReport
+from wingquay.ports.reach_news import ReachabilityReport
 from wingquay.ports.store import StoredValue
 from wingquay.ports.store_update import StoreUpdate
 
@@ -57,7 +57,7 @@
     merged_records=st.integers(0, 2**31),
     priority=st.integers(0, 2**31),
     objective_seconds=SECONDS,
-    in_time_seconds=SECONDS,
+    cutoff_seconds=SECONDS,
     remaining_seconds=SECONDS,
     is_group_share=st.booleans(),
     tenant=st.text(max_size=9),
@@ -117,7 +117,7 @@
     "wingquay.ports.crash_messages",
     "wingquay.ports.delegation",
     "wingquay.ports.proof_messages",
-    "wingquay.ports.reachability_messages",
+    "wingquay.ports.reach_news",
     "wingquay.ports.store_update",
 )
 """Their messages are those between forwarding nodes."""
--- a/wingquay/forwarding/settling/ending.py
+++ b/wingquay/forwarding/settling/ending.py
@@ -1,4 +1,4 @@
-"""The replies that end an exchange, and the log line of each that was not simply served."""
+"""Builds the reply that ends an exchange, its metrics, and a log line unless it was served."""
 
 import random
 
@@ -19,19 +19,19 @@
 from .merging import merge_top_records
 
 MILLISECONDS_PER_SECOND = 1000.0
-MOST_CALLS_TOLD = 4
-"""Calls whose attempts a log line tells."""
+MAX_LOGGED_CALLS = 4
+"""Maximum number of calls whose attempts a log line lists."""
 
-HELD_REASON = "replicas ended under this request; it is held back"
+HELD_REASON = "replicas crashed while running this request; it is held"
 
 
 class ExchangeEnding:
-    """Makes the actions that end an exchange.
+    """Builds the actions that end an exchange.
 
     Parameters
     ----------
     random_source
-        Spreads the times at which callers come back.
+        Adds jitter to the times after which callers retry.
     """
 
     def __init__(self, random_source: random.Random) -> None:
@@ -40,43 +40,50 @@
     def reject_arrival_not_run(
         self, event: ForwardRequested, reason: str, retry_after_seconds: float, tenant: str = ""
     ) -> list[Action]:
-        """Refuse a request before anything was done for it."""
+        """Reject a request with ``NOT_RUN`` before an exchange is opened for it."""
         rejected = Rejected(ForwardFailureKind.NOT_RUN, reason, retry_after_seconds)
         return self.reject_arrival(event, rejected, tenant)
 
     def reject_arrival(
         self, event: ForwardRequested, rejected: Rejected, tenant: str = ""
     ) -> list[Action]:
-        """Reject a request before anything was done for it."""
+        """Reject a request before an exchange is opened for it."""
         kind, reason = rejected.kind, rejected.reason
         outcome = "refused" if kind is ForwardFailureKind.NOT_RUN else kind.value
         return [
             ReplyFailure(event.exchange_id, kind, reason, rejected.retry_after_seconds),
-            _count(outcome),
-            _arrival_line(event, outcome, reason, tenant),
+            _count_outcome(outcome),
+            _arrival_log_line(event, outcome, reason, tenant),
         ]
 
-    def left_arrival(self, event: ForwardRequested, tenant: str) -> list[Action]:
-        """Take note that nobody waits any more for a request that was not begun."""
-        reason = "it waited for its tenant's limit"
-        return [_count("caller_left"), _arrival_line(event, "caller_left", reason, tenant)]
+    def close_abandoned_arrival(self, event: ForwardRequested, tenant: str) -> list[Action]:
+        """Record that a caller left while its request was waiting for its tenant's limit."""
+        reason = "the request was waiting for its tenant's limit"
+        return [
+            _count_outcome("caller_left"),
+            _arrival_log_line(event, "caller_left", reason, tenant),
+        ]
 
-    def no_route(self, event: ForwardRequested, version: int) -> list[Action]:
-        """Say that no route fits."""
+    def reject_no_route(self, event: ForwardRequested, version: int) -> list[Action]:
+        """Reject a request that matches no route."""
         reason = f"no route for host {event.host!r} and path {event.path!r}"
         return [
             ReplyFailure(event.exchange_id, ForwardFailureKind.NO_ROUTE, reason),
-            _count("no_route"),
-            _arrival_line(event, "no_route", f"{reason} in version {version}"),
+            _count_outcome("no_route"),
+            _arrival_log_line(event, "no_route", f"{reason} in version {version}"),
         ]
 
-    def unchanged(self, exchange: Exchange, answer: ReplicaAnswer, now: float) -> list[Action]:
-        """Pass on a replica's answer."""
+    def reply_unchanged(
+        self, exchange: Exchange, answer: ReplicaAnswer, now: float
+    ) -> list[Action]:
+        """Return a replica's answer to the caller unchanged."""
         outcome = "late" if now > exchange.cutoff_at else "served"
-        return [ReplyUnchanged(exchange.exchange_id, answer), *_end(exchange, outcome, "", now)]
+        return [ReplyUnchanged(exchange.exchange_id, answer), *_finish(exchange, outcome, "", now)]
 
-    def merged(self, exchange: Exchange, answered: list[ServiceCall], now: float) -> list[Action]:
-        """Answer with what the shards brought."""
+    def reply_merged(
+        self, exchange: Exchange, answered: list[ServiceCall], now: float
+    ) -> list[Action]:
+        """Merge the answers of the shards and return the result to the caller."""
         answers = [call.answer for call in answered if call.answer is not None]
         body = merge_top_records([answer.body for answer in answers], exchange.route.merged_records)
         signatures = tuple(str(answer.signature) for answer in answers)
@@ -87,93 +94,96 @@
             outcome = "partial"
         elif now > exchange.cutoff_at + 0.001:
             outcome = "late"
-        return [reply, *_end(exchange, outcome, "", now)]
+        return [reply, *_finish(exchange, outcome, "", now)]
+
+    def reply_failed(self, exchange: Exchange, call: ServiceCall, now: float) -> list[Action]:
+        """Report a failure after all allowed attempts failed.
 
-    def failed(self, exchange: Exchange, call: ServiceCall, now: float) -> list[Action]:
-        """Answer after every allowed replica failed."""
+        A failure that a replica answered is returned unchanged.
+        """
         if call.failure is not None:
             reply: Action = ReplyUnchanged(exchange.exchange_id, call.failure)
-            return [reply, *_end(exchange, "replica_failure", "passed on", now)]
-        reason = "the replicas asked brought no answer"
+            return [reply, *_finish(exchange, "replica_failure", "returned unchanged", now)]
+        reason = "none of the contacted replicas answered"
         reply = ReplyFailure(exchange.exchange_id, ForwardFailureKind.FAILED, reason)
-        return [reply, *_end(exchange, "failed", reason, now)]
+        return [reply, *_finish(exchange, "failed", reason, now)]
 
-    def too_few(self, exchange: Exchange, now: float) -> list[Action]:
-        """Answer when too many shards have failed for a success."""
+    def reply_too_few_shards(self, exchange: Exchange, now: float) -> list[Action]:
+        """Report a failure because too many shards have failed for a success."""
         reason = "too few shards can still answer"
         reply = ReplyFailure(exchange.exchange_id, ForwardFailureKind.FAILED, reason)
-        return [reply, *_end(exchange, "failed", reason, now)]
+        return [reply, *_finish(exchange, "failed", reason, now)]
 
     def reject_not_run(
         self, exchange: Exchange, reason: str, usable_after_seconds: float, now: float
     ) -> list[Action]:
-        """Refuse a request that has run nowhere.
+        """Reject a request that no replica has run, with ``NOT_RUN``.
 
         Parameters
         ----------
         usable_after_seconds
-            When replicas may next be asked, from now.
+            Time from now until replicas can be expected to accept the request.
         """
         seconds = jittered_retry_after(usable_after_seconds, self._random.random())
         reply = ReplyFailure(exchange.exchange_id, ForwardFailureKind.NOT_RUN, reason, seconds)
-        return [reply, *_end(exchange, "refused", reason, now)]
+        return [reply, *_finish(exchange, "refused", reason, now)]
 
     def reject(self, exchange: Exchange, rejection: Reject, now: float) -> list[Action]:
-        """Reject a request that has run nowhere."""
+        """Reject a request that no replica has run, and count the reason."""
         priority = str(exchange.route.priority)
         labels = (("reason", rejection.reason), ("priority", priority))
         counted = Count("forwarded_rejections_total", labels=labels)
         seconds = rejection.retry_after_seconds
         return [*self.reject_not_run(exchange, rejection.reason, seconds, now), counted]
 
-    def held(self, exchange: Exchange, held_seconds: float, now: float) -> list[Action]:
-        """Answer a request under which replicas end, which is held back from now on."""
+    def reply_held(self, exchange: Exchange, held_seconds: float, now: float) -> list[Action]:
+        """Report a failure because the request crashes replicas and is now held."""
         kind = ForwardFailureKind.NOT_RUN
         if exchange.may_have_run:
             kind = ForwardFailureKind.FAILED
         reply = ReplyFailure(exchange.exchange_id, kind, HELD_REASON, held_seconds)
-        return [reply, *_end(exchange, "held", HELD_REASON, now)]
+        return [reply, *_finish(exchange, "held", HELD_REASON, now)]
 
-    def out_of_time(self, exchange: Exchange, now: float) -> list[Action]:
-        """Answer when the time of the exchange is over."""
-        reason = "no answer within the time allowed"
+    def reply_timed_out(self, exchange: Exchange, now: float) -> list[Action]:
+        """Report a failure because the deadline of the exchange has passed."""
+        reason = "no answer before the deadline"
         if not exchange.may_have_run:
             return self.reject_not_run(exchange, reason, MIN_RETRY_AFTER_SECONDS, now)
         if len(exchange.calls) == 1 and exchange.calls[0].failure is not None:
-            return self.failed(exchange, exchange.calls[0], now)
+            return self.reply_failed(exchange, exchange.calls[0], now)
         reply = ReplyFailure(exchange.exchange_id, ForwardFailureKind.TIMED_OUT, reason)
-        return [reply, *_end(exchange, "timed_out", reason, now)]
+        return [reply, *_finish(exchange, "timed_out", reason, now)]
 
-    def for_node(self, exchange: Exchange, now: float) -> list[Action]:
-        """Take note of what another node asked for and did not get or no longer wants."""
-        line = _line(exchange, "delegated_open", "", now - exchange.arrived_at)
-        return [_count("delegated_open"), line]
+    def close_delegated(self, exchange: Exchange, now: float) -> list[Action]:
+        """Record the end of a delegated exchange that did not answer all its shards."""
+        line = _log_line(exchange, "delegated_open", "", now - exchange.arrived_at)
+        return [_count_outcome("delegated_open"), line]
 
-    def caller_left(self, exchange: Exchange, now: float) -> list[Action]:
-        """Take note that nobody waits any more."""
-        return _end(exchange, "caller_left", "", now)
+    def close_abandoned(self, exchange: Exchange, now: float) -> list[Action]:
+        """Record that the caller has left."""
+        return _finish(exchange, "caller_left", "", now)
 
 
-def _end(exchange: Exchange, outcome: str, reason: str, now: float) -> list[Action]:
+def _finish(exchange: Exchange, outcome: str, reason: str, now: float) -> list[Action]:
     seconds = now - exchange.arrived_at
     labels = (("route", exchange.route.name),)
     actions: list[Action] = [
-        _count(outcome),
+        _count_outcome(outcome),
         Observe("forwarded_request_seconds", seconds, labels),
     ]
     if outcome != "served":
-        actions.append(_line(exchange, outcome, reason, seconds))
+        actions.append(_log_line(exchange, outcome, reason, seconds))
     return actions
 
 
-def _count(outcome: str) -> Count:
+def _count_outcome(outcome: str) -> Count:
     return Count("forwarded_requests_total", labels=(("outcome", outcome),))
 
 
-def _line(exchange: Exchange, outcome: str, reason: str, seconds: float) -> Log:
-    told = [call for call in exchange.calls if call.answer is None]
-    if not told:
-        told = sorted(exchange.calls, key=lambda call: call.answered_at, reverse=True)
+def _log_line(exchange: Exchange, outcome: str, reason: str, seconds: float) -> Log:
+    logged_calls = [call for call in exchange.calls if call.answer is None]
+    if not logged_calls:
+        logged_calls = sorted(exchange.calls, key=lambda call: call.answered_at, reverse=True)
     fields: tuple[tuple[str, str | int | float], ...] = (
         ("request_id", exchange.event.request_id),
         ("outcome", outcome),
@@ -189,12 +199,12 @@
     if exchange.event.caller:
         fields += (("caller", exchange.event.caller),)
     if exchange.origin is not None:
-        fields += (("asked_by", exchange.origin.name),)
+        fields += (("delegated_by", exchange.origin.name),)
     if reason:
         fields += (("reason", reason),)
-    detail = "; ".join(_call_text(call) for call in told[:MOST_CALLS_TOLD])
+    detail = "; ".join(_call_text(call) for call in logged_calls[:MAX_LOGGED_CALLS])
     if detail:
-        fields += (("slowest" if told[0].answer is not None else "unanswered", detail),)
+        fields += (("slowest" if logged_calls[0].answer is not None else "unanswered", detail),)
     return Log("request_ended", LogLevel.INFO, fields)
 
 
@@ -205,7 +215,7 @@
     return f"{call.service}: " + (", ".join(call.history + open_attempts) or "never sent")
 
 
-def _arrival_line(event: ForwardRequested, outcome: str, reason: str, tenant: str = "") -> Log:
+def _arrival_log_line(event: ForwardRequested, outcome: str, reason: str, tenant: str = "") -> Log:
     fields: tuple[tuple[str, str], ...] = (
         ("request_id", event.request_id),
         ("outcome", outcome),
--- a/wingquay/forwarding/settling/hedging.py
+++ b/wingquay/forwarding/settling/hedging.py
@@ -1,4 +1,4 @@
-"""When a second replica is asked because the first one takes too long."""
+"""Sends hedges: second attempts of calls whose first attempt takes too long."""
 
 from ...ports.machine import Action, Schedule
 from ..crashing.sequential_sending import SequentialSending
@@ -8,30 +8,30 @@
 from ..timers import HedgeDue
 from .settlement import Settlement
 
-RECHECK_SECONDS = 0.012
-"""Least time between two looks at attempts that take too long."""
-DUE_SHARE = 0.99
-"""Part of the delay after which an attempt is due: timers may fire a little early."""
-UNANSWERED_SHARDS = 4
-"""Attempts under way from which on it says something that none was answered."""
-UNANSWERED_SHARE = 0.5
-"""Part of the objective for which second replicas are then not asked: a request that ends replicas
-would end the second ones as well, before the first end is heard."""
+MIN_RECHECK_SECONDS = 0.012
+"""Minimum time between two checks of an exchange for slow attempts."""
+OVERDUE_RATIO = 0.99
+"""Share of the hedge delay after which an attempt is overdue: timers may fire a little early."""
+MIN_UNANSWERED_ATTEMPTS = 4
+"""Number of attempts in flight from which on hedges wait for a first answer."""
+FIRST_ANSWER_WAIT_RATIO = 0.5
+"""Maximum time of this wait as a share of the objective. A request that crashes replicas would also
+crash those that receive the hedges, before the first crash is detected."""
 
 
 class Hedging:
-    """Looks at the attempts of an exchange until none may need another one.
+    """Checks the attempts of an exchange until no call can be hedged any more.
 
     Parameters
     ----------
     latencies
-        Tell how long attempts of a route usually take.
+        Provides the hedge delay of a route.
     sender
         Sends to the second replica, within the budget of extra arrivals.
     settlement
-        Knows the open exchanges.
-    careful
-        Sends requests that may end replicas.
+        Holds the open exchanges.
+    sequential
+        Sends requests that may crash replicas to one replica at a time.
     """
 
     def __init__(
@@ -46,39 +46,39 @@
         self._sender = sender
         self._settlement = settlement
 
-    def due(self, event: HedgeDue, now: float) -> list[Action]:
-        """Ask second replicas where attempts take too long, and look again later."""
+    def handle_due(self, event: HedgeDue, now: float) -> list[Action]:
+        """Hedge the calls whose attempt takes too long, and schedule the next check."""
         exchange = self._settlement.get(event.exchange_id)
         if exchange is None:
             return []
         delay = self._latencies.hedge_seconds(exchange.route)
         actions = self._sequential.send_next(exchange, now) if exchange.is_sequential else []
         waits_for_first = _waits_for_first_answer(exchange, now)
-        may_need_more = False
+        may_need_hedge = False
         for call in exchange.calls:
             if call.answer is not None or call.attempts_left <= 0:
                 continue
             if call.is_delegated and not call.attempts:
                 continue
-            may_need_more = True
+            may_need_hedge = True
             if waits_for_first:
                 continue
             if len(call.attempts) == 1 and _is_overdue(call, delay, now):
                 actions += self._sender.try_send(call, now, False, is_hedge=True)
-        if may_need_more and now < exchange.ends_at:
-            again_at = now + max(RECHECK_SECONDS, delay / 4)
-            actions.append(Schedule(again_at, event))
+        if may_need_hedge and now < exchange.ends_at:
+            next_check_at = now + max(MIN_RECHECK_SECONDS, delay / 4)
+            actions.append(Schedule(next_check_at, event))
         return actions
 
 
 def _waits_for_first_answer(exchange: Exchange, now: float) -> bool:
-    """Whether it is early and none of several replicas has answered the request."""
+    """Return whether hedges wait: no replica has answered yet, and it is early."""
     if exchange.is_cleared:
         return False
-    if now >= exchange.arrived_at + exchange.route.objective_seconds * UNANSWERED_SHARE:
+    if now >= exchange.arrived_at + exchange.route.objective_seconds * FIRST_ANSWER_WAIT_RATIO:
         return False
-    return sum(len(call.attempts) for call in exchange.calls) >= UNANSWERED_SHARDS
+    return sum(len(call.attempts) for call in exchange.calls) >= MIN_UNANSWERED_ATTEMPTS
 
 
 def _is_overdue(call: ServiceCall, delay: float, now: float) -> bool:
-    return all(now - attempt.sent_at >= delay * DUE_SHARE for attempt in call.attempts.values())
+    return all(now - attempt.sent_at >= delay * OVERDUE_RATIO for attempt in call.attempts.values())
--- a/wingquay/forwarding/settling/settlement.py
+++ b/wingquay/forwarding/settling/settlement.py
@@ -1,4 +1,4 @@
-"""Decides when an exchange ends and with what, and keeps account of the open ones."""
+"""Holds the open exchanges and decides when each of them ends and with which reply."""
 
 from collections.abc import Callable
 
@@ -8,25 +8,25 @@
 from ..sending.attempts import AttemptSender
 from ..sending.decision import Reject
 from ..sending.waiting_policy import WaitingPolicy
-from .cutoff import is_enough
+from .cutoff import meets_min_share
 from .ending import ExchangeEnding
 
 TIME_TOLERANCE_SECONDS = 1e-6
 
 
 class Settlement:
-    """The open exchanges and their ends.
+    """Holds the open exchanges and ends them.
 
     Parameters
     ----------
     waiting
-        Decides whether requests that reach no replica wait.
+        Decides whether requests that no replica can take wait or are rejected.
     directory
-        Tells which services can be asked.
+        Provides the services that have usable replicas.
     sender
-        Ends attempts that nobody waits for any more.
+        Cancels attempts whose answer is no longer needed.
     ending
-        Makes the replies.
+        Builds the replies.
     """
 
     def __init__(
@@ -41,56 +41,58 @@
         self._sender = sender
         self._ending = ending
         self._exchanges: dict[int, Exchange] = {}
-        self.on_closed: Callable[[Exchange], list[Action]] = _nothing_more
-        """Returns what else is to be done when an exchange ends."""
-        self.on_not_run: Callable[[Exchange, float], list[Action]] = _nothing_to_give_back
-        """Takes in that a tenant's request has ended and no replica may have run it."""
+        self.on_closed: Callable[[Exchange], list[Action]] = _no_actions
+        """Returns further actions for an exchange that has ended."""
+        self.on_not_run: Callable[[Exchange, float], list[Action]] = _no_refund
+        """Handles the end of a tenant's request that no replica may have run."""
 
     def __len__(self) -> int:
         """Return the number of open exchanges."""
         return len(self._exchanges)
 
     def add(self, exchange: Exchange) -> None:
-        """Take in an exchange."""
+        """Add an open exchange."""
         self._exchanges[exchange.exchange_id] = exchange
 
     def get(self, exchange_id: int) -> Exchange | None:
-        """Return an open exchange."""
+        """Return an open exchange; ``None`` if it has ended."""
         return self._exchanges.get(exchange_id)
 
     def is_open(self, exchange: Exchange) -> bool:
-        """Whether the caller still waits for the answer."""
+        """Return whether an exchange has not ended yet."""
         return exchange.exchange_id in self._exchanges
 
-    def caller_left(self, exchange: Exchange, now: float) -> list[Action]:
-        """End an exchange whose caller is gone."""
+    def on_caller_left(self, exchange: Exchange, now: float) -> list[Action]:
+        """End an exchange whose caller has left."""
         if exchange.origin is not None:
-            return self._close(exchange, self._ending.for_node(exchange, now), now)
-        return self._close(exchange, self._ending.caller_left(exchange, now), now)
+            return self._close(exchange, self._ending.close_delegated(exchange, now), now)
+        return self._close(exchange, self._ending.close_abandoned(exchange, now), now)
 
-    def out_of_time(self, exchange: Exchange, now: float) -> list[Action]:
-        """End an exchange whose time is over, with what is in if that is enough."""
+    def end_timed_out(self, exchange: Exchange, now: float) -> list[Action]:
+        """End an exchange at its deadline, with a partial answer if it meets the minimum share."""
         settled = self.settle(exchange, now)
         if not self.is_open(exchange):
             return settled
         if exchange.origin is not None:
-            return self._close(exchange, [*settled, *self._ending.for_node(exchange, now)], now)
-        return self._close(exchange, self._ending.out_of_time(exchange, now), now)
+            return self._close(
+                exchange, [*settled, *self._ending.close_delegated(exchange, now)], now
+            )
+        return self._close(exchange, self._ending.reply_timed_out(exchange, now), now)
 
     def end_overdue(self, now: float) -> list[Action]:
-        """End every exchange whose time is over."""
+        """End every exchange whose deadline has passed."""
         actions: list[Action] = []
         for exchange in list(self._exchanges.values()):
             if now >= exchange.ends_at:
-                actions += self.out_of_time(exchange, now)
+                actions += self.end_timed_out(exchange, now)
         return actions
 
     def reject(self, exchange: Exchange, rejection: Reject, now: float) -> list[Action]:
-        """End an exchange that has run nowhere, and say when there will be room for its caller."""
+        """End an exchange that no replica has run; the reply states when to retry."""
         return self._close(exchange, self._ending.reject(exchange, rejection, now), now)
 
     def end_held(self, identity: bytes, held_seconds: float, now: float) -> list[Action]:
-        """End what is under way of a request under which replicas end, at once."""
+        """End all open exchanges of a request that is now held because it crashes replicas."""
         actions: list[Action] = []
         for exchange in list(self._exchanges.values()):
             if exchange.identity == identity:
@@ -98,17 +100,17 @@
         return actions
 
     def _end_held(self, exchange: Exchange, held_seconds: float, now: float) -> list[Action]:
-        # Replicas that have not begun to run it drop it with its connection.
+        # Replicas that have not started to run the request drop it when its connection closes.
         actions: list[Action] = []
         for attempt in [item for call in exchange.calls for item in call.attempts.values()]:
             actions += self._sender.cancel(attempt, now)
         if exchange.origin is not None:
             return self._close(exchange, actions + exchange.origin.report_held(held_seconds), now)
-        ended = self._ending.held(exchange, held_seconds, now)
+        ended = self._ending.reply_held(exchange, held_seconds, now)
         return self._close(exchange, actions + ended, now)
 
     def give_back(self, exchange: Exchange, now: float) -> list[Action]:
-        """Leave what is not under way to the node that asked for it."""
+        """Return the calls that are not in flight to the delegating node."""
         assert exchange.origin is not None
         actions = exchange.origin.give_back(exchange)
         if not exchange.calls:
@@ -116,73 +118,75 @@
         return actions + self.settle(exchange, now)
 
     def settle(self, exchange: Exchange, now: float) -> list[Action]:
-        """Answer the caller if there is nothing more to wait for."""
+        """End an exchange if nothing more needs to be waited for."""
         if not self.is_open(exchange):
             return []
         if exchange.origin is not None:
-            return self._settle_for_node(exchange, now)
+            return self._settle_delegated(exchange, now)
         if exchange.route.shards:
             return self._settle_merged(exchange, now)
         return self._settle_single(exchange, now)
 
-    def _settle_for_node(self, exchange: Exchange, now: float) -> list[Action]:
-        """Report what is in once all of it is, or once the node has to answer its caller.
+    def _settle_delegated(self, exchange: Exchange, now: float) -> list[Action]:
+        """Report the answers to the delegating node once they are complete, or at the cutoff.
 
-        That nothing comes of a shard is told at once: it may be the one too many.
+        Exhausted shards are reported at once: the request may no longer succeed without them.
         """
         assert exchange.origin is not None
         exhausted = [call for call in exchange.calls if call.is_exhausted]
-        told = exchange.origin.report_exhausted(exhausted) if exchange.failures else []
-        is_over = exchange.shards_in + len(exhausted) == len(exchange.calls)
+        notifications = exchange.origin.report_exhausted(exhausted) if exchange.failures else []
+        is_over = exchange.answered_shards + len(exhausted) == len(exchange.calls)
         if exhausted and not exchange.origin.may_retry:
             is_over = False
         if not is_over and now < exchange.cutoff_at - TIME_TOLERANCE_SECONDS:
-            return told
-        actions = exchange.origin.report(exchange) + told
+            return notifications
+        actions = exchange.origin.report(exchange) + notifications
         if not is_over:
             return actions
         return self._close(exchange, actions, now)
 
     def _settle_merged(self, exchange: Exchange, now: float) -> list[Action]:
-        enough = is_enough(exchange.route, exchange.shards_in)
-        is_over = exchange.shards_in == len(exchange.calls)
+        enough = meets_min_share(exchange.route, exchange.answered_shards)
+        is_over = exchange.answered_shards == len(exchange.calls)
         if not is_over and enough:
             is_over = now >= exchange.cutoff_at - TIME_TOLERANCE_SECONDS or all(
-                self._is_hopeless(call, now) for call in exchange.calls if call.answer is None
+                self._cannot_answer(call, now) for call in exchange.calls if call.answer is None
             )
         if not is_over:
-            if self._is_lost(exchange):
-                return self._close(exchange, self._ending.too_few(exchange, now), now)
-            return self._reject_unoffered(exchange, now)
-        merged = self._ending.merged(exchange, exchange.answered_calls, now)
+            if self._is_unattainable(exchange):
+                return self._close(exchange, self._ending.reply_too_few_shards(exchange, now), now)
+            return self._reject_if_unsent(exchange, now)
+        merged = self._ending.reply_merged(exchange, exchange.answered_calls, now)
         return self._close(exchange, merged, now)
 
-    def _is_lost(self, exchange: Exchange) -> bool:
-        """Whether too many shards certainly bring no answer any more for a success."""
+    def _is_unattainable(self, exchange: Exchange) -> bool:
+        """Return whether too many shards are exhausted for a success."""
         shards = len(exchange.calls)
-        if is_enough(exchange.route, shards - exchange.failures):
+        if meets_min_share(exchange.route, shards - exchange.failures):
             return False
-        return not is_enough(exchange.route, shards - self._exhausted(exchange))
+        return not meets_min_share(exchange.route, shards - self._count_exhausted(exchange))
 
     @staticmethod
-    def _exhausted(exchange: Exchange) -> int:
-        """Return how many shards certainly bring no answer any more."""
+    def _count_exhausted(exchange: Exchange) -> int:
+        """Return the number of shards that can no longer answer."""
         return sum(call.is_exhausted for call in exchange.calls)
 
     def _settle_single(self, exchange: Exchange, now: float) -> list[Action]:
         call = exchange.calls[0]
         if call.answer is not None:
-            return self._close(exchange, self._ending.unchanged(exchange, call.answer, now), now)
+            return self._close(
+                exchange, self._ending.reply_unchanged(exchange, call.answer, now), now
+            )
         if call.attempts or not call.may_have_run:
-            return self._reject_unoffered(exchange, now)
+            return self._reject_if_unsent(exchange, now)
         match self._waiting.decide(exchange, now):
             case Reject():
-                return self._close(exchange, self._ending.failed(exchange, call, now), now)
+                return self._close(exchange, self._ending.reply_failed(exchange, call, now), now)
             case _:
                 return []
 
-    def _reject_unoffered(self, exchange: Exchange, now: float) -> list[Action]:
-        """Reject a request that reaches no replica, once coming back is better than waiting."""
+    def _reject_if_unsent(self, exchange: Exchange, now: float) -> list[Action]:
+        """Reject a request that was not sent yet if its caller should retry instead of waiting."""
         if exchange.may_have_run or any(call.attempts for call in exchange.calls):
             return []
         match self._waiting.decide(exchange, now):
@@ -191,15 +195,15 @@
             case _:
                 return []
 
-    def can_be_enough(self, exchange: Exchange, now: float) -> bool:
-        """Whether the services of which a replica can be asked make a success."""
+    def can_meet_min_share(self, exchange: Exchange, now: float) -> bool:
+        """Return whether enough services have a usable replica for a success."""
         if not exchange.route.shards:
             return self._directory.has_candidates(exchange.calls[0].service, now)
         usable = [self._directory.has_unblocked(call.service, now) for call in exchange.calls]
-        return is_enough(exchange.route, sum(usable))
+        return meets_min_share(exchange.route, sum(usable))
 
-    def _is_hopeless(self, call: ServiceCall, now: float) -> bool:
-        """Whether nothing can come of the call before the answer must leave."""
+    def _cannot_answer(self, call: ServiceCall, now: float) -> bool:
+        """Return whether the call cannot be answered before the cutoff."""
         if call.attempts or call.is_delegated:
             return False
         if call.attempts_left <= 0:
@@ -217,9 +221,9 @@
         return actions
 
 
-def _nothing_more(_exchange: Exchange) -> list[Action]:
+def _no_actions(_exchange: Exchange) -> list[Action]:
     return []
 
 
-def _nothing_to_give_back(_exchange: Exchange, _now: float) -> list[Action]:
+def _no_refund(_exchange: Exchange, _now: float) -> list[Action]:
     return []
