--- a/tests/configuration/fleet.py
+++ b/tests/configuration/fleet.py
@@ -1,4 +1,4 @@
-"""A simulated fleet with a confirmed configuration, and a check of its history of revisions."""
+"""A simulated cluster with a confirmed configuration, and a check of its revisions."""
 
 from pydantic import TypeAdapter
 
@@ -62,7 +62,7 @@
     sizes: dict[str, int] | None = None,
     settings: StoreSettings | None = None,
 ) -> ConfigurationCluster:
-    """Return a fleet with revision 1 in force on all nodes and all watcher assignments held."""
+    """Return a cluster with revision 1 in force on all nodes and all watcher assignments held."""
     cluster = ConfigurationCluster(seed, sizes or SIZES, settings)
     cluster.run(5.0)
     first = cluster.nodes[0]
--- a/tests/configuration/test_configuration_stateful.py
+++ b/tests/configuration/test_configuration_stateful.py
@@ -1,7 +1,7 @@
 """Stateful fuzzing of intents and confirms under faults, checked by a simple oracle.
 
 The oracle records the diff of each plan and the reply to each confirm. From the store's documents
-it checks that each revision differs from the previous one by exactly the diff of its plan, that
+it checks that each revision from 2 on differs from the previous one by the diff of its plan, that
 no plan took effect twice, and that no plan took effect whose confirms all failed.
 """
 
@@ -75,10 +75,12 @@
 
     plans = Bundle("plans")
 
-    @initialize(seed=st.integers(0, 10_000), lost_share=st.sampled_from((0.0, 0.1, 0.3)))
-    def configure(self, seed: int, lost_share: float) -> None:
+    @initialize(seed=st.integers(0, 10_000), lost_reply_share=st.sampled_from((0.0, 0.1, 0.3)))
+    def configure(self, seed: int, lost_reply_share: float) -> None:
         self.cluster = configured_cluster(seed, settings=StoreSettings(rate_per_second=100.0))
-        self.cluster.store.faults = type(self.cluster.store.faults)(lost_share, self.cluster.random)
+        self.cluster.store.faults = type(self.cluster.store.faults)(
+            lost_reply_share, self.cluster.random
+        )
         self.plan_diffs: dict[str, tuple[str, ...]] = {}
         self.confirms: dict[str, list[str]] = {}
 
@@ -120,6 +122,7 @@
     ) -> None:
         if plan is None:
             return
+        # The first swap copies the base to the history; the second writes the change.
         swaps = self.cluster.counts["store_CompareAndSwap"] + 2
         self.begin_confirm(plan, index)
         self.cluster.run_until(
@@ -204,8 +207,8 @@
             if isinstance(reply, ConfirmResult):
                 assert record is not None and record.revision == reply.revision
         kinds = {reply.kind for reply in replies if isinstance(reply, Failure)}
-        certain = len(replies) == len(exchanges)
-        if certain and len(kinds) and OperatorFailureKind.NOT_KNOWN_YET not in kinds:
+        all_replied = len(replies) == len(exchanges)
+        if all_replied and len(kinds) and OperatorFailureKind.NOT_KNOWN_YET not in kinds:
             reported_landed = any(isinstance(reply, ConfirmResult) for reply in replies)
             assert reported_landed == (record is not None), f"{plan}: {replies}"
 
--- a/tests/configuration/test_plan.py
+++ b/tests/configuration/test_plan.py
@@ -16,7 +16,7 @@
 from wingquay.configuration.plan import (
     PlanFailureKind,
     Proposal,
-    document_for_confirm,
+    make_confirmed_document,
     make_plan,
 )
 from wingquay.model.failure import Failure
@@ -52,7 +52,7 @@
 
 def confirm(plan: Plan, current: ConfigurationDocument) -> ConfigurationDocument:
     """Confirm a plan and assert that it is accepted."""
-    written = document_for_confirm(plan, current, {}, OTHER_OPERATOR, 200.0)
+    written = make_confirmed_document(plan, current, {}, OTHER_OPERATOR, 200.0)
     assert isinstance(written, ConfigurationDocument), written
     return written
 
@@ -97,7 +97,7 @@
 
 
 class ConfirmDocumentTest(TestCase):
-    """``document_for_confirm``."""
+    """``make_confirmed_document``."""
 
     def test_audit_record_names_the_operators_and_the_change(self) -> None:
         written = confirm(make_test_plan(document(), assign()), document())
@@ -119,7 +119,7 @@
 
     def refused(self, plan: Plan, current: ConfigurationDocument) -> str:
         """Confirm a plan, assert that it is refused, and return the reason."""
-        written = document_for_confirm(plan, current, {}, OPERATOR, 200.0)
+        written = make_confirmed_document(plan, current, {}, OPERATOR, 200.0)
         assert isinstance(written, Failure), written
         self.assertEqual(PlanFailureKind.CONFLICT, written.kind)
         return written.reason
@@ -147,7 +147,7 @@
         earlier = {Revision(1): document()}
         restore = make_test_plan(second, RestoreRevision(revision=Revision(1)), earlier=earlier)
         changed = confirm(make_test_plan(second, price("silver", 6), plan_id="x"), second)
-        result = document_for_confirm(restore, changed, earlier, OPERATOR, 200.0)
+        result = make_confirmed_document(restore, changed, earlier, OPERATOR, 200.0)
         assert isinstance(result, Failure)
         self.assertEqual(PlanFailureKind.CONFLICT, result.kind)
 
--- a/tests/configuration/test_store_schedule.py
+++ b/tests/configuration/test_store_schedule.py
@@ -5,7 +5,7 @@
 from testtools import TestCase
 
 from wingquay.configuration.store_schedule import (
-    FLEET_REQUESTS_PER_SECOND,
+    CLUSTER_REQUESTS_PER_SECOND,
     INITIAL_CEILING_SECONDS,
     MAX_CEILING_SECONDS,
     FullJitterBackoff,
@@ -38,7 +38,7 @@
         for _ in range(12):
             delays = [backoff.next_delay_seconds(node_count) for backoff in backoffs]
         rate = node_count / (sum(delays) / node_count)
-        self.assertLess(rate, 1.2 * FLEET_REQUESTS_PER_SECOND)
+        self.assertLess(rate, 1.2 * CLUSTER_REQUESTS_PER_SECOND)
 
     def test_reset_restores_the_initial_ceiling(self) -> None:
         backoff = FullJitterBackoff(Random(1))
--- a/wingquay/configuration/configuration_finder.py
+++ b/wingquay/configuration/configuration_finder.py
@@ -9,7 +9,7 @@
 from .node_view import NodeView
 from .script import Script, pause, perform
 from .store_schedule import (
-    FLEET_REQUESTS_PER_SECOND,
+    CLUSTER_REQUESTS_PER_SECOND,
     FullJitterBackoff,
     is_selected,
 )
@@ -28,7 +28,7 @@
     """Polls peers and the store until a configuration is in force.
 
     The node is not ready until then. In each interval only a random subset of the nodes reads
-    the store, so that all nodes together stay within ``FLEET_REQUESTS_PER_SECOND``.
+    the store, so that all nodes together stay within ``CLUSTER_REQUESTS_PER_SECOND``.
     """
 
     def __init__(
@@ -51,21 +51,21 @@
         backoff = FullJitterBackoff(random)
         yield from perform(SetReady(False, "no configuration received yet"))
         now = yield from pause(random.uniform(0.0, START_SPREAD_SECONDS))
-        store_not_before = now
+        next_store_read_at = now
         while self._in_force.document is None:
             yield from perform(*self._fetch_from_peers())
             now = yield from pause(POLL_INTERVAL_SECONDS * random.uniform(0.25, 0.75))
             node_count = self._view.node_count
             selected = is_selected(
-                random, node_count, FLEET_REQUESTS_PER_SECOND * POLL_INTERVAL_SECONDS
+                random, node_count, CLUSTER_REQUESTS_PER_SECOND * POLL_INTERVAL_SECONDS
             )
-            if self._in_force.document is None and now >= store_not_before and selected:
+            if self._in_force.document is None and now >= next_store_read_at and selected:
                 found = yield from self._document_reader.read()
                 now = yield from self._apply(found)
                 if isinstance(found, StoredDocument):
                     backoff.reset()
                 else:
-                    store_not_before = now + backoff.next_delay_seconds(node_count)
+                    next_store_read_at = now + backoff.next_delay_seconds(node_count)
             yield from pause(POLL_INTERVAL_SECONDS * random.uniform(0.25, 0.75))
         return []
 
@@ -81,6 +81,8 @@
             self.store_is_empty = True
             yield from perform(SetReady(False, "no configuration has been confirmed yet"))
             return now
-        actions = self._dissemination.apply(found.document, now, "store", from_store=True)
+        actions = self._dissemination.apply_and_announce(
+            found.document, now, "store", from_store=True
+        )
         yield from perform(*actions)
         return now
--- a/wingquay/configuration/configuration_machine.py
+++ b/wingquay/configuration/configuration_machine.py
@@ -150,6 +150,6 @@
             case LoadObserved():
                 self._view.load = event
             case StopRequested() | LeavingStarted():
-                self._view.leaving = True
+                self._view.is_stopping = True
                 return self._watcher.release_assignment(now)
         return []
--- a/wingquay/configuration/confirmation.py
+++ b/wingquay/configuration/confirmation.py
@@ -27,12 +27,12 @@
 from .keys import CURRENT_KEY, history_key
 from .plan import (
     EarlierDocuments,
-    document_for_confirm,
+    make_confirmed_document,
     restored_revisions,
 )
 from .plan_store import PlanStore
 from .script import (
-    Resumed,
+    Resumption,
     Script,
     Step,
     StoreOutcome,
@@ -77,7 +77,7 @@
 
     Parameters
     ----------
-    reads_back
+    checks_landed_first
         Whether to check first if the plan has already landed; false in tests only.
     """
 
@@ -89,7 +89,7 @@
         in_force: InForceConfiguration,
         dissemination: Dissemination,
         backoff: FullJitterBackoff,
-        reads_back: bool = True,
+        checks_landed_first: bool = True,
     ) -> None:
         self._command = command
         self._document_reader = document_reader
@@ -97,11 +97,11 @@
         self._in_force = in_force
         self._dissemination = dissemination
         self._backoff = backoff
-        self._reads_back = reads_back
+        self._checks_landed_first = checks_landed_first
         self._plan: Plan | None = None
-        self._uncertain_base: int | None = None
+        self._uncertain_swap_revision: int | None = None
         """Store revision expected by a swap of unknown outcome; ``None`` if there is none."""
-        self._was_uncertain = False
+        self._had_uncertain_swap = False
         self._last_reason = "no attempt was made"
 
     def run(self, now: float) -> Script[Landed | OperatorFailure]:
@@ -115,14 +115,14 @@
         return self._timeout_failure()
 
     def _timeout_failure(self) -> OperatorFailure:
-        if self._uncertain_base is not None:
+        if self._uncertain_swap_revision is not None:
             return Failure(
                 OperatorFailureKind.NOT_KNOWN_YET,
                 "the change was sent to the store, the reply was lost and reading it back failed: "
                 f"confirm plan {self._command.plan_id!r} again to find out whether it took "
                 "effect; it cannot take effect twice",
             )
-        reason = f"the store does not answer, nothing was changed: {self._last_reason}"
+        reason = f"the confirm did not succeed in time, nothing was changed: {self._last_reason}"
         return Failure(OperatorFailureKind.STORE_UNAVAILABLE, reason)
 
     def _attempt(self) -> Script[Landed | OperatorFailure | None]:
@@ -131,16 +131,16 @@
         if not isinstance(current, StoredDocument):
             self._last_reason = current.reason
             return None
-        if self._reads_back:
+        if self._checks_landed_first:
             landed = self._find_landed(current.document, ConfirmOutcome.LANDED_BEFORE)
             if landed is not None:
                 return landed
         if current.document.revision < self._in_force.revision:
             return self._handle_stale_store(current.document)
         yield from self._apply_stored(current.document)
-        if self._uncertain_base != current.modified_at:
+        if self._uncertain_swap_revision != current.modified_at:
             # Another change has replaced that base, so the earlier swap can no longer succeed.
-            self._uncertain_base = None
+            self._uncertain_swap_revision = None
         plan = yield from self._find_plan(current.document)
         if not isinstance(plan, Plan):
             return plan
@@ -148,7 +148,9 @@
 
     def _apply_stored(self, document: ConfigurationDocument) -> Script[None]:
         now = yield from perform()
-        yield from perform(*self._dissemination.apply(document, now, "store", from_store=True))
+        yield from perform(
+            *self._dissemination.apply_and_announce(document, now, "store", from_store=True)
+        )
 
     def _find_plan(self, current: ConfigurationDocument) -> Script[Plan | OperatorFailure | None]:
         if self._plan is None:
@@ -170,16 +172,16 @@
             self._last_reason = earlier.reason
             unavailable = earlier.kind is OperatorFailureKind.STORE_UNAVAILABLE
             return None if unavailable else earlier
-        copied_at = yield from self._save_history(current)
-        if copied_at is None:
+        copy_store_revision = yield from self._save_history(current)
+        if copy_store_revision is None:
             return None
-        document = document_for_confirm(
+        document = make_confirmed_document(
             plan,
             current.document,
             earlier,
             self._command.operator,
             self._command.unix_seconds,
-            copied_at,
+            copy_store_revision,
         )
         if isinstance(document, Failure):
             return Failure(OperatorFailureKind.CONFLICT, document.reason)
@@ -197,8 +199,8 @@
         reply = yield from call_store(CompareAndSwap(key, 0, current.document.body))
         swap = reply.outcome
         if isinstance(swap, SwapResult):
-            existing_at = swap.current.modified_at if swap.current is not None else 0
-            return swap.store_revision if swap.succeeded else existing_at
+            existing_store_revision = swap.current.modified_at if swap.current is not None else 0
+            return swap.store_revision if swap.succeeded else existing_store_revision
         self._last_reason = _reason(swap)
         return None
 
@@ -213,8 +215,8 @@
             self._last_reason = "other changes were confirmed at the same time"
             return None
         if isinstance(outcome, Failure) and outcome.kind in _UNCERTAIN_KINDS:
-            self._uncertain_base = current.modified_at
-            self._was_uncertain = True
+            self._uncertain_swap_revision = current.modified_at
+            self._had_uncertain_swap = True
         self._last_reason = _reason(outcome)
         return None
 
@@ -225,7 +227,7 @@
         record = document.find_record(self._command.plan_id)
         if record is None:
             return None
-        if self._was_uncertain:
+        if self._had_uncertain_swap:
             outcome = ConfirmOutcome.LANDED
         result = ConfirmResult(
             plan_id=self._command.plan_id,
@@ -242,14 +244,14 @@
             f"{self._in_force.revision} in force on this node: it was set back, or an outdated "
             "member answered. Nothing was changed; see docs/OPERATIONS.md, 'The store was set back'"
         )
-        if self._uncertain_base is not None:
+        if self._uncertain_swap_revision is not None:
             return None
         return Failure(OperatorFailureKind.CONFLICT, self._last_reason)
 
 
 def read_earlier_documents(
     intents: tuple[Intent, ...], current: ConfigurationDocument
-) -> Generator[Step, Resumed, EarlierDocuments | OperatorFailure]:
+) -> Generator[Step, Resumption, EarlierDocuments | OperatorFailure]:
     """Return the current document and those that ``RestoreRevision`` intents refer to."""
     earlier = {current.revision: current}
     for revision in restored_revisions(intents):
@@ -263,7 +265,7 @@
 
 
 def delete_unlisted_history(document: ConfigurationDocument) -> Script[list[Action]]:
-    """Delete the history copy of the revision that no longer fits into the audit records.
+    """Delete the history copy of the newest revision that no audit record lists any more.
 
     Called once after each confirm and not retried: a lost request leaves one unused copy in the
     store.
@@ -296,7 +298,8 @@
     return Failure(
         OperatorFailureKind.CONFLICT,
         f"the plan was made at revision {plan.base_revision}, the current revision is "
-        f"{current.revision}: too many changes since to determine its effect; make a new plan",
+        f"{current.revision}: too many changes since to determine whether the plan already "
+        "took effect; make a new plan",
     )
 
 
--- a/wingquay/configuration/diff.py
+++ b/wingquay/configuration/diff.py
@@ -55,8 +55,10 @@
 def _is_nested(*values: Any) -> bool:
     """Whether all values are lists (or ``None``) whose entries have an identity."""
     entries = [entry for value in values if isinstance(value, list) for entry in value]
-    known = all(value is None or isinstance(value, list) for value in values)
-    return known and bool(entries) and all(entry_identity(entry) is not None for entry in entries)
+    all_lists = all(value is None or isinstance(value, list) for value in values)
+    return (
+        all_lists and bool(entries) and all(entry_identity(entry) is not None for entry in entries)
+    )
 
 
 def _field_lines(
--- a/wingquay/configuration/dissemination.py
+++ b/wingquay/configuration/dissemination.py
@@ -38,7 +38,7 @@
 """Mean time between rounds."""
 
 NODES_NOTIFIED_PER_ZONE = 2
-"""Further nodes of every zone that a node notifies of a revision that it got from the store."""
+"""Nodes per zone that are sent a revision read from the store, and queried for the status."""
 
 FETCH_TIMEOUT_SECONDS = 0.5
 """Time without a body after which it is fetched from another node."""
@@ -49,7 +49,7 @@
 ANTI_ENTROPY_INTERVAL_SECONDS = 20.0
 """Mean time between comparisons of revisions with a random node."""
 
-UNREADABLE_BODY_PAUSE_SECONDS = 30.0
+MALFORMED_BODY_PAUSE_SECONDS = 30.0
 """Time without fetches after a body that could not be parsed."""
 
 
@@ -77,13 +77,13 @@
         self._revision_tracker = revision_tracker
         self._pending_fetch: _PendingFetch | None = None
         self._fetch_target: NodeId | None = None
-        self._fetch_not_before = 0.0
+        self._fetch_blocked_until = 0.0
 
     def start(self, now: float) -> list[Action]:
         """Start the periodic comparison of revisions with random nodes."""
         return self._runner.start(self._run_anti_entropy(), now)
 
-    def apply(
+    def apply_and_announce(
         self, document: ConfigurationDocument, now: float, source: str, from_store: bool
     ) -> list[Action]:
         """Put ``document`` in force and announce it, if it is newer.
@@ -107,9 +107,9 @@
     def handle_revision(self, sender: NodeIdentity, revision: Revision, now: float) -> list[Action]:
         """Record that ``sender`` has ``revision``, and fetch it if it is newer."""
         self._revision_tracker.record(sender.node_id, revision, now)
-        if not self._in_force.is_newer(revision) or now < self._fetch_not_before:
+        if not self._in_force.is_newer(revision) or now < self._fetch_blocked_until:
             return []
-        if Mechanism.PEER_DISSEMINATION in self._view.disabled:
+        if Mechanism.PEER_DISSEMINATION in self._view.disabled_mechanisms:
             return []
         pending = self._pending_fetch
         if pending is None:
@@ -145,10 +145,10 @@
         document = _parse_body(message, self._in_force.document)
         if isinstance(document, str):
             self._pending_fetch = None
-            self._fetch_not_before = now + UNREADABLE_BODY_PAUSE_SECONDS
+            self._fetch_blocked_until = now + MALFORMED_BODY_PAUSE_SECONDS
             fields = (("sender", sender.node_id), ("reason", document))
             return [Log("configuration_body_unreadable", LogLevel.ERROR, fields)]
-        actions = self.apply(document, now, f"peer {sender.node_id}", from_store=False)
+        actions = self.apply_and_announce(document, now, f"peer {sender.node_id}", from_store=False)
         confirmation = ConfigurationBody(document.revision, b"")
         return [*actions, SendToPeer(sender, confirmation)]
 
@@ -202,7 +202,7 @@
 
     def announce(self, nodes: list[NodeIdentity]) -> list[Action]:
         """Send this node's revision to ``nodes``, which reply with theirs."""
-        if Mechanism.PEER_DISSEMINATION in self._view.disabled:
+        if Mechanism.PEER_DISSEMINATION in self._view.disabled_mechanisms:
             return []
         announcement = ConfigurationFetch(self._in_force.revision)
         return [SendToPeer(node, announcement) for node in nodes]
@@ -216,7 +216,7 @@
 def _parse_body(
     message: ConfigurationBody, previous: ConfigurationDocument | None
 ) -> ConfigurationDocument | str:
-    """Return the document in a message, or the reason why it is invalid."""
+    """Return the document in a message, or the reason why it is malformed."""
     body = unpack_body(message.body)
     if isinstance(body, Failure):
         return body.reason
--- a/wingquay/configuration/document.py
+++ b/wingquay/configuration/document.py
@@ -20,7 +20,7 @@
 from ..model.identifiers import Revision
 
 MAX_AUDIT_RECORDS = 64
-"""Audit records in a document; the store's history holds as many earlier revisions."""
+"""Limit of audit records; the history holds the listed revisions except the newest."""
 
 MAX_BODY_BYTES = 32 * 1024 * 1024
 """Size limit of an uncompressed document; larger ones are refused."""
--- a/wingquay/configuration/effects.py
+++ b/wingquay/configuration/effects.py
@@ -5,7 +5,7 @@
 from ..model.plan import ClassEffect, ClassTerms, EffectDirection
 
 Subject = tuple[ServiceName, RequestKindName, CallerName | None]
-"""A request kind of one caller, or (``None``) of all callers without their own assignment."""
+"""Service, kind and caller; ``None`` stands for all callers without their own assignment."""
 
 
 def class_effects(before: Configuration, after: Configuration) -> tuple[ClassEffect, ...]:
@@ -108,28 +108,30 @@
     if terms is None:
         return None
     changed = [effect for effect in direct if effect.service == service and effect.kind != kind]
-    overtaken_by = [
+    kinds_overtaking = [
         effect.kind
         for effect in changed
         if _price(effect.before) <= terms.price < _price(effect.after)
     ]
-    overtakes = [
+    kinds_overtaken = [
         effect.kind
         for effect in changed
         if _price(effect.after) <= terms.price < _price(effect.before)
     ]
-    if not overtaken_by and not overtakes:
+    if not kinds_overtaking and not kinds_overtaken:
         return None
-    parts = [f"{name} is now served before it" for name in overtaken_by]
-    parts += [f"{name} is no longer served before it" for name in overtakes]
-    direction = EffectDirection.MIXED if overtaken_by and overtakes else EffectDirection.LOSES
+    parts = [f"{name} is now served before it" for name in kinds_overtaking]
+    parts += [f"{name} is no longer served before it" for name in kinds_overtaken]
+    direction = (
+        EffectDirection.MIXED if kinds_overtaking and kinds_overtaken else EffectDirection.LOSES
+    )
     return ClassEffect(
         service=service,
         kind=kind,
         caller=caller,
         before=terms,
         after=terms,
-        direction=direction if overtaken_by else EffectDirection.GAINS,
+        direction=direction if kinds_overtaking else EffectDirection.GAINS,
         because="; ".join(dict.fromkeys(parts)),
     )
 
--- a/wingquay/configuration/in_force.py
+++ b/wingquay/configuration/in_force.py
@@ -28,7 +28,7 @@
 
     def is_newer(self, revision: Revision) -> bool:
         """Whether ``revision`` may replace the one in force; only a greater one may."""
-        if Mechanism.REVISION_MONOTONIC in self._view.disabled:
+        if Mechanism.REVISION_MONOTONIC in self._view.disabled_mechanisms:
             return revision != self.revision
         return revision > self.revision
 
@@ -58,7 +58,7 @@
             Log("configuration_in_force", fields=fields),
             Notify(ConfigurationInForce(document.configuration)),
         ]
-        if first and not self._view.leaving:
+        if first and not self._view.is_stopping:
             actions.append(SetReady(True, "a configuration is in force"))
         return actions
 
--- a/wingquay/configuration/keys.py
+++ b/wingquay/configuration/keys.py
@@ -25,6 +25,6 @@
     return f"{_WATCHERS_PREFIX}{zone}/"
 
 
-def assignment_key(zone: ZoneName, assignment: int) -> str:
+def assignment_key(zone: ZoneName, assignment_index: int) -> str:
     """Return the key of a watcher assignment, whose holder watches the store for its zone."""
-    return f"{assignments_prefix(zone)}{assignment}"
+    return f"{assignments_prefix(zone)}{assignment_index}"
--- a/wingquay/configuration/node_view.py
+++ b/wingquay/configuration/node_view.py
@@ -26,10 +26,10 @@
         disabled: frozenset[Mechanism] = frozenset(),
     ) -> None:
         self.identity = identity
-        self.disabled = disabled
+        self.disabled_mechanisms = disabled
         self.random = random
         self.load = LoadObserved()
-        self.leaving = False
+        self.is_stopping = False
         """Whether this node has begun its planned stop."""
         self.available: tuple[NodeIdentity, ...] = (identity,)
         self.leaving_nodes: tuple[NodeIdentity, ...] = ()
--- a/wingquay/configuration/operator_requests.py
+++ b/wingquay/configuration/operator_requests.py
@@ -179,7 +179,7 @@
             self._in_force,
             self._dissemination,
             backoff,
-            reads_back=Mechanism.CONFIRM_READ_BACK not in self._view.disabled,
+            checks_landed_first=Mechanism.CONFIRM_READ_BACK not in self._view.disabled_mechanisms,
         )
         outcome = yield from confirmation.run(now)
         if not isinstance(outcome, Landed):
@@ -189,7 +189,9 @@
             self._revision_tracker.record_landed(outcome.result.revision, landed_at)
             deletion = delete_unlisted_history(outcome.document)
             yield from perform(*self._runner.start(deletion, landed_at))
-        actions = self._dissemination.apply(outcome.document, landed_at, "confirm", from_store=True)
+        actions = self._dissemination.apply_and_announce(
+            outcome.document, landed_at, "confirm", from_store=True
+        )
         yield from perform(*actions)
         return outcome.result
 
--- a/wingquay/configuration/plan.py
+++ b/wingquay/configuration/plan.py
@@ -29,7 +29,7 @@
 """Lines of the diff that an audit record includes."""
 
 EarlierDocuments = Mapping[Revision, ConfigurationDocument]
-"""Documents that ``RestoreRevision`` intents refer to, by revision."""
+"""Documents by revision, including those that ``RestoreRevision`` intents refer to."""
 
 
 class PlanFailureKind(Enum):
@@ -100,7 +100,7 @@
         return change
     if not change.diff:
         return Failure(PlanFailureKind.INVALID, "the intents change nothing")
-    outlook = forecast_promises(
+    forecasts = forecast_promises(
         base.configuration, change.document.configuration, change.effects, proposal.load
     )
     return Plan(
@@ -113,14 +113,14 @@
         diff_omitted=max(0, len(change.diff) - MAX_DIFF_LINES),
         change_digest=change.digest,
         effects=change.effects,
-        outlook=outlook,
-        warnings=(*proposal.warnings, *_warnings(change, outlook)),
+        outlook=forecasts,
+        warnings=(*proposal.warnings, *_warnings(change, forecasts)),
         created_unix_seconds=proposal.unix_seconds,
         expires_unix_seconds=proposal.unix_seconds + PLAN_LIFETIME_SECONDS,
     )
 
 
-def document_for_confirm(
+def make_confirmed_document(
     plan: Plan,
     current: ConfigurationDocument,
     earlier: EarlierDocuments,
@@ -163,6 +163,7 @@
     applied = apply_intents(base.configuration, intents, history)
     if isinstance(applied, Failure):
         return Failure(PlanFailureKind.INVALID, applied.reason)
+    # Unknown keys of the revision restored last take precedence.
     restored = [earlier[revision] for revision in reversed(restored_revisions(intents))]
     document = next_document(base, applied.configuration, record, restored)
     if isinstance(document, Failure):
@@ -188,10 +189,10 @@
     )
 
 
-def _warnings(change: _Change, outlook: Sequence[PromiseForecast]) -> list[str]:
+def _warnings(change: _Change, forecasts: Sequence[PromiseForecast]) -> list[str]:
     warnings: list[str] = []
     bad = (ForecastVerdict.NOT_KEEPABLE, ForecastVerdict.AT_RISK)
-    for entry in outlook:
+    for entry in forecasts:
         if entry.verdict in bad:
             verdict = entry.verdict.value.replace("_", " ")
             warnings.append(
--- a/wingquay/configuration/plan_store.py
+++ b/wingquay/configuration/plan_store.py
@@ -96,7 +96,7 @@
         )
 
     def list(self) -> Script[PlanList]:
-        """Return all plans that can still be confirmed, oldest first."""
+        """Return the plans that can still be confirmed, oldest first; omits malformed ones."""
         reply = yield from call_store(Read(PLANS_PREFIX, prefix=True))
         result = reply.outcome
         stored = result.values if isinstance(result, ReadResult) else ()
--- a/wingquay/configuration/revision_reader.py
+++ b/wingquay/configuration/revision_reader.py
@@ -19,13 +19,13 @@
 from .in_force import InForceConfiguration
 from .script import Script, StoreHealth, perform
 
-STALE_REVISION_WARNING = "the store does not answer: this is the newest revision on this node"
+STALE_REVISION_WARNING = "the store does not answer: the result shows only what this node holds"
 
 CommandResult = OperatorMessage | OperatorFailure
 
 
 class RevisionReader:
-    """Reads revisions from the store, or uses the one in force if the store does not answer."""
+    """Reads revisions from the store, or uses the one in force if that fails."""
 
     def __init__(
         self,
@@ -55,12 +55,14 @@
                 return (yield from self._diff(command))
 
     def newest(self) -> Script[ConfigurationDocument | OperatorFailure]:
-        """Return the document in the store, or the one in force if newer or the store is down."""
+        """Return the document in the store, or the one in force if newer or if the read fails."""
         stored = yield from self._document_reader.read()
         if isinstance(stored, StoredDocument):
             now = yield from perform()
             document = stored.document
-            actions = self._dissemination.apply(document, now, "store", from_store=True)
+            actions = self._dissemination.apply_and_announce(
+                document, now, "store", from_store=True
+            )
             yield from perform(*actions)
             if document.revision >= self._in_force.revision:
                 return document
--- a/wingquay/configuration/revision_tracker.py
+++ b/wingquay/configuration/revision_tracker.py
@@ -25,7 +25,7 @@
 
 
 class RevisionTracker:
-    """Stores the revision of each node, and when it reported the one last confirmed here."""
+    """Stores the revision of each node, and when it first reported the last one confirmed here."""
 
     def __init__(self, view: NodeView) -> None:
         self._view = view
--- a/wingquay/configuration/script.py
+++ b/wingquay/configuration/script.py
@@ -46,7 +46,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Resumed:
+class Resumption:
     """Value sent to a script on resumption; ``outcome`` is set only after ``CallStore``."""
 
     now: float
@@ -54,7 +54,7 @@
 
 
 Value = TypeVar("Value")
-Script = Generator[Step, Resumed, Value]
+Script = Generator[Step, Resumption, Value]
 """A generator that yields steps and finally returns ``Value``."""
 
 
@@ -80,7 +80,7 @@
 
 
 def perform(*actions: Action) -> Script[float]:
-    """Emit actions and return the current time."""
+    """Emit actions and return the current time; without actions, only read the time."""
     resumed = yield Perform(actions)
     return resumed.now
 
@@ -129,18 +129,18 @@
         return self._advance(script, None, now)
 
     def handle(self, event: StoreResponse | ScriptTimer, now: float) -> list[Action]:
-        """Resume the script that waits for ``event``; ignore events of other runners."""
+        """Resume the script that waits for ``event``; ignore unknown events."""
         if isinstance(event, ScriptTimer):
             paused = self._paused.pop(event.number, None)
-            return [] if paused is None else self._advance(paused, Resumed(now), now)
+            return [] if paused is None else self._advance(paused, Resumption(now), now)
         waiting = self._waiting_for_store.pop(event.operation_id, None)
         if waiting is None:
             return []
         self.store_health.record(event.result, now)
-        return self._advance(waiting, Resumed(now, event.result), now)
+        return self._advance(waiting, Resumption(now, event.result), now)
 
     def _advance(
-        self, script: Script[list[Action]], resumed: Resumed | None, now: float
+        self, script: Script[list[Action]], resumed: Resumption | None, now: float
     ) -> list[Action]:
         actions: list[Action] = []
         while True:
@@ -151,7 +151,7 @@
             if not isinstance(step, Perform):
                 return actions + self._wait(script, step, now)
             actions += step.actions
-            resumed = Resumed(now)
+            resumed = Resumption(now)
 
     def _wait(
         self, script: Script[list[Action]], step: CallStore | Pause, now: float
--- a/wingquay/configuration/store_schedule.py
+++ b/wingquay/configuration/store_schedule.py
@@ -11,8 +11,8 @@
 MAX_CEILING_SECONDS = 10.0
 """Upper bound of all delays of a single node."""
 
-FLEET_REQUESTS_PER_SECOND = 10.0
-"""Rate limit for the requests of all nodes together to a store that fails."""
+CLUSTER_REQUESTS_PER_SECOND = 10.0
+"""Target rate of all nodes together for reads at start and for retries of failed requests."""
 
 
 class FullJitterBackoff:
@@ -48,10 +48,11 @@
         ----------
         node_count
             Number of nodes that may retry at the same time. The ceiling may exceed the maximum
-            to keep their total rate below ``FLEET_REQUESTS_PER_SECOND``.
+            to keep their total rate below ``CLUSTER_REQUESTS_PER_SECOND``.
         """
         ceiling = self._ceiling
-        max_ceiling = max(self._max, 2 * node_count / FLEET_REQUESTS_PER_SECOND)
+        # The mean delay is half the ceiling, hence the factor 2.
+        max_ceiling = max(self._max, 2 * node_count / CLUSTER_REQUESTS_PER_SECOND)
         self._ceiling = min(max_ceiling, 2 * ceiling)
         return self._random.uniform(0.0, ceiling)
 
--- a/wingquay/configuration/watcher.py
+++ b/wingquay/configuration/watcher.py
@@ -45,7 +45,7 @@
 """Time between renewals of the lease."""
 
 ASSIGNMENT_CHECK_INTERVAL_SECONDS = 2.5
-"""Mean time between reads of a zone's assignments, counted over all nodes of the zone."""
+"""Mean time between checks; on average one node of the zone reads the assignments each time."""
 
 STABLE_WATCH_SECONDS = 10.0
 """Duration of a watch after which the backoff between watches is reset."""
@@ -55,10 +55,10 @@
 
 
 @dataclass(slots=True)
-class _HeldAssignment:
+class _WatcherAssignment:
     """An assignment that this node holds, with its lease and its watch."""
 
-    assignment: int
+    assignment_index: int
     lease_id: int
     fencing_token: int
     """Store revision of the write that acquired the assignment."""
@@ -86,12 +86,12 @@
         self._in_force = in_force
         self._dissemination = dissemination
         self._document_reader = document_reader
-        self._held: _HeldAssignment | None = None
+        self._assignment: _WatcherAssignment | None = None
 
     @property
     def holds_assignment(self) -> bool:
         """Whether this node holds an assignment; its lease may have expired unnoticed."""
-        return self._held is not None
+        return self._assignment is not None
 
     def start(self, now: float) -> list[Action]:
         """Start the periodic search for a vacant assignment."""
@@ -99,20 +99,20 @@
 
     def release_assignment(self, now: float) -> list[Action]:
         """Release the assignment on a planned stop, so that another node can acquire it at once."""
-        held = self._held
-        if held is None:
+        assignment = self._assignment
+        if assignment is None:
             return []
-        return self._end_assignment(held, "released") + self._runner.start(
-            _revoke(held.lease_id), now
+        return self._end_assignment(assignment, "released") + self._runner.start(
+            _revoke(assignment.lease_id), now
         )
 
     def handle_watch_changed(self, event: WatchChanged, now: float) -> list[Action]:
-        """Apply the documents that the watch reported, if the assignment is still held."""
-        held = self._held
-        if held is None or event.watch_id != held.watch_id:
+        """Apply the documents that the watch reported, if the lease is still valid."""
+        assignment = self._assignment
+        if assignment is None or event.watch_id != assignment.watch_id:
             return []
-        if not self._holds(held, now):
-            return self._end_assignment(held, "lease expired")
+        if not self._lease_is_valid(assignment, now):
+            return self._end_assignment(assignment, "lease expired")
         actions: list[Action] = []
         for value in event.changed:
             if value.key == CURRENT_KEY:
@@ -122,50 +122,53 @@
         return actions
 
     def handle_watch_broken(self, event: WatchBroken, now: float) -> list[Action]:
-        """Read the document and restart the watch after a delay; changes may have been missed."""
-        held = self._held
-        if held is None or event.watch_id != held.watch_id:
+        """After a delay, read the document, in case changes were missed, and restart the watch."""
+        assignment = self._assignment
+        if assignment is None or event.watch_id != assignment.watch_id:
             return []
-        held.watching = False
-        if now - held.watching_since > STABLE_WATCH_SECONDS:
-            held.backoff.reset()
-        return self._runner.start(self._watch(held, restarted=True), now)
+        assignment.watching = False
+        if now - assignment.watching_since > STABLE_WATCH_SECONDS:
+            assignment.backoff.reset()
+        return self._runner.start(self._watch(assignment, restarted=True), now)
 
-    def _holds(self, held: _HeldAssignment, now: float) -> bool:
+    def _lease_is_valid(self, assignment: _WatcherAssignment, now: float) -> bool:
         """Whether the assignment is still held and its lease cannot have expired yet."""
-        return self._held is held and now < held.lease_valid_until - LEASE_SAFETY_MARGIN_SECONDS
+        return (
+            self._assignment is assignment
+            and now < assignment.lease_valid_until - LEASE_SAFETY_MARGIN_SECONDS
+        )
 
-    def _end_assignment(self, held: _HeldAssignment, reason: str) -> list[Action]:
-        if self._held is not held:
+    def _end_assignment(self, assignment: _WatcherAssignment, reason: str) -> list[Action]:
+        if self._assignment is not assignment:
             return []
-        self._held = None
+        self._assignment = None
         fields = (
-            ("assignment", held.assignment),
-            ("fence", held.fencing_token),
+            ("assignment", assignment.assignment_index),
+            ("fencing_token", assignment.fencing_token),
             ("reason", reason),
         )
         actions: list[Action] = [Log("watcher_assignment_ended", fields=fields)]
-        if held.watching:
-            actions.append(StopWatch(held.watch_id))
+        if assignment.watching:
+            actions.append(StopWatch(assignment.watch_id))
         return actions
 
     def _acquire_assignments(self) -> Script[list[Action]]:
         random = self._view.random
         backoff = FullJitterBackoff(random)
-        not_before = 0.0
-        while not self._view.leaving:
+        next_check_at = 0.0
+        while not self._view.is_stopping:
             now = yield from pause(ASSIGNMENT_CHECK_INTERVAL_SECONDS * random.uniform(0.5, 1.5))
             node_count = self._view.zone_node_count
-            if self.holds_assignment or now < not_before or self._view.leaving:
+            if self.holds_assignment or now < next_check_at or self._view.is_stopping:
                 continue
             if not is_selected(random, node_count, expected_nodes=1.0):
                 continue
-            answered = yield from self._try_acquire()
+            store_answered = yield from self._try_acquire()
             now = yield from perform()
-            if answered:
+            if store_answered:
                 backoff.reset()
             else:
-                not_before = now + backoff.next_delay_seconds(node_count)
+                next_check_at = now + backoff.next_delay_seconds(node_count)
         return []
 
     def _try_acquire(self) -> Script[bool]:
@@ -176,95 +179,106 @@
             return False
         held_keys = {value.key for value in seen.values}
         vacant = [
-            s for s in range(ASSIGNMENTS_PER_ZONE) if assignment_key(zone, s) not in held_keys
+            index
+            for index in range(ASSIGNMENTS_PER_ZONE)
+            if assignment_key(zone, index) not in held_keys
         ]
         if not vacant:
             return True
-        assignment = self._view.random.choice(vacant)
+        assignment_index = self._view.random.choice(vacant)
         requested_at = yield from perform()
         lease = (yield from call_store(GrantLease(LEASE_SECONDS))).outcome
         if not isinstance(lease, LeaseState):
             return False
-        return (yield from self._claim(assignment, lease, requested_at))
+        return (yield from self._write_assignment(assignment_index, lease, requested_at))
 
-    def _claim(self, assignment: int, lease: LeaseState, requested_at: float) -> Script[bool]:
+    def _write_assignment(
+        self, assignment_index: int, lease: LeaseState, requested_at: float
+    ) -> Script[bool]:
         identity = self._view.identity
         value = json.dumps({"node_id": identity.node_id, "address": identity.host}).encode()
         operation = CompareAndSwap(
-            assignment_key(identity.zone, assignment), 0, value, lease.lease_id
+            assignment_key(identity.zone, assignment_index), 0, value, lease.lease_id
         )
         reply = yield from call_store(operation)
         swap = reply.outcome
-        if not isinstance(swap, SwapResult) or not swap.succeeded or self._view.leaving:
+        if not isinstance(swap, SwapResult) or not swap.succeeded or self._view.is_stopping:
             # The write may have succeeded although its reply was lost. Revoking the lease
             # releases the assignment in any case.
             yield from call_store(RevokeLease(lease.lease_id))
             return isinstance(swap, SwapResult)
-        held = _HeldAssignment(
-            assignment=assignment,
+        assignment = _WatcherAssignment(
+            assignment_index=assignment_index,
             lease_id=lease.lease_id,
             fencing_token=swap.store_revision,
             lease_valid_until=requested_at + LEASE_SECONDS,
             watch_id=f"configuration-watch-{lease.lease_id}-0",
             backoff=FullJitterBackoff(self._view.random),
         )
-        self._held = held
-        fields = (("assignment", assignment), ("fence", held.fencing_token))
+        self._assignment = assignment
+        fields = (("assignment", assignment_index), ("fencing_token", assignment.fencing_token))
         actions: list[Action] = [Log("watcher_assignment_taken", fields=fields)]
-        for script in (self._renew_lease(held), self._watch(held), self._poll(held)):
+        for script in (
+            self._renew_lease(assignment),
+            self._watch(assignment),
+            self._poll(assignment),
+        ):
             actions += self._runner.start(script, reply.now)
         yield from perform(*actions)
         return True
 
-    def _renew_lease(self, held: _HeldAssignment) -> Script[list[Action]]:
+    def _renew_lease(self, assignment: _WatcherAssignment) -> Script[list[Action]]:
         """Renew the lease until the assignment ends."""
         while True:
             now = yield from pause(RENEWAL_INTERVAL_SECONDS * self._view.random.uniform(0.8, 1.0))
-            if not self._holds(held, now):
-                return self._end_assignment(held, "lease expired")
-            reply = yield from call_store(KeepLeaseAlive(held.lease_id))
+            if not self._lease_is_valid(assignment, now):
+                return self._end_assignment(assignment, "lease expired")
+            reply = yield from call_store(KeepLeaseAlive(assignment.lease_id))
             state = reply.outcome
             if not isinstance(state, LeaseState):
                 continue
             if state.time_to_live_seconds <= 0:
-                return self._end_assignment(held, "lease expired in the store")
-            held.lease_valid_until = now + min(LEASE_SECONDS, state.time_to_live_seconds)
+                return self._end_assignment(assignment, "lease expired in the store")
+            assignment.lease_valid_until = now + min(LEASE_SECONDS, state.time_to_live_seconds)
 
-    def _watch(self, held: _HeldAssignment, restarted: bool = False) -> Script[list[Action]]:
-        """Read the document, then watch from the store revision after the read."""
+    def _watch(
+        self, assignment: _WatcherAssignment, restarted: bool = False
+    ) -> Script[list[Action]]:
+        """Read the document, then watch from the store revision that follows the read."""
         if restarted:
-            yield from pause(held.backoff.next_delay_seconds())
+            yield from pause(assignment.backoff.next_delay_seconds())
         while True:
             now = yield from perform()
-            if not self._holds(held, now):
-                return self._end_assignment(held, "lease expired")
+            if not self._lease_is_valid(assignment, now):
+                return self._end_assignment(assignment, "lease expired")
             found = yield from self._document_reader.read()
             now = yield from perform()
-            if not self._holds(held, now):
-                return self._end_assignment(held, "lease expired")
+            if not self._lease_is_valid(assignment, now):
+                return self._end_assignment(assignment, "lease expired")
             if isinstance(found, StoredDocument):
                 break
-            yield from pause(held.backoff.next_delay_seconds())
-        if held.watching:
+            yield from pause(assignment.backoff.next_delay_seconds())
+        if assignment.watching:
+            # Another script has restarted the watch in the meantime.
             return []
-        stem, _, count = held.watch_id.rpartition("-")
-        held.watch_id = f"{stem}-{int(count) + 1}"
-        held.watching = True
-        held.watching_since = now
-        watch = StartWatch(held.watch_id, CURRENT_KEY, found.store_revision + 1)
+        stem, _, count = assignment.watch_id.rpartition("-")
+        assignment.watch_id = f"{stem}-{int(count) + 1}"
+        assignment.watching = True
+        assignment.watching_since = now
+        watch = StartWatch(assignment.watch_id, CURRENT_KEY, found.store_revision + 1)
         return [*self._apply(found, now), watch]
 
-    def _poll(self, held: _HeldAssignment) -> Script[list[Action]]:
+    def _poll(self, assignment: _WatcherAssignment) -> Script[list[Action]]:
         """Read the document periodically, since a watch may skip revisions without breaking."""
         while True:
             now = yield from pause(POLL_INTERVAL_SECONDS * self._view.random.uniform(0.5, 1.5))
-            if not self._holds(held, now):
-                return self._end_assignment(held, "lease expired")
+            if not self._lease_is_valid(assignment, now):
+                return self._end_assignment(assignment, "lease expired")
             before = self._in_force.revision
             found = yield from self._document_reader.read()
             now = yield from perform()
-            if not self._holds(held, now):
-                return self._end_assignment(held, "lease expired")
+            if not self._lease_is_valid(assignment, now):
+                return self._end_assignment(assignment, "lease expired")
             if not isinstance(found, StoredDocument):
                 continue
             if found.document.revision > max(before, self._in_force.revision):
@@ -279,7 +293,7 @@
         if found.document.revision < own:
             fields = (("stored", int(found.document.revision)), ("in_force", int(own)))
             return [Log("store_behind", LogLevel.WARNING, fields)]
-        return self._dissemination.apply(found.document, now, "store", from_store=True)
+        return self._dissemination.apply_and_announce(found.document, now, "store", from_store=True)
 
 
 def _revoke(lease_id: int) -> Script[list[Action]]:
