--- a/tests/models/test_backend_model.py
+++ b/tests/models/test_backend_model.py
@@ -1,4 +1,4 @@
-"""The back-end model on virtual time."""
+"""Tests of the simulated back end on virtual time."""
 
 import random
 
@@ -50,7 +50,7 @@
 
 
 class QueueTest(TestCase):
-    def test_slots_queue_then_shed(self) -> None:
+    def test_requests_beyond_slots_and_queue_are_shed(self) -> None:
         backend = model()
         for name in ("first", "second", "third"):
             backend.arrive(exchange(name), 0.0)
@@ -62,7 +62,7 @@
         self.assertFalse(backend.ledger.has_run(AttemptId("third")))
         self.assertIsNone(backend.next_event_at())
 
-    def test_a_cancellation_frees_the_slot_and_spares_waiting_work(self) -> None:
+    def test_cancelling_frees_the_slot_and_drops_queued_work(self) -> None:
         backend = model(queue_limit=2)
         for name in ("running", "waiting", "last"):
             backend.arrive(exchange(name), 0.0)
@@ -73,7 +73,7 @@
         self.assertFalse(backend.ledger.has_run(AttemptId("waiting")))
         self.assertAlmostEqual(0.013, backend.ledger.busy_seconds)
 
-    def test_a_deadline_that_passes_in_the_queue_is_not_run(self) -> None:
+    def test_a_request_whose_deadline_passes_in_the_queue_does_not_run(self) -> None:
         backend = model()
         backend.arrive(exchange("slow", remaining_seconds=0.005), 0.0)
         backend.arrive(exchange("late", remaining_seconds=0.004), 0.0)
@@ -89,7 +89,7 @@
             [result.kind for result in results],  # type: ignore[union-attr]
         )
 
-    def test_drain_finishes_what_is_in_flight_and_refuses_the_rest(self) -> None:
+    def test_drain_finishes_accepted_requests_and_rejects_new_ones(self) -> None:
         backend = model()
         backend.arrive(exchange("running"), 0.0)
         backend.arrive(exchange("waiting"), 0.0)
@@ -108,19 +108,21 @@
 
 
 class IndexTest(TestCase):
-    def test_only_held_versions_are_answered_and_from_one_version(self) -> None:
+    def test_requests_are_answered_from_the_requested_version_or_rejected(self) -> None:
         backend = model(slots=3)
         backend.install_version(Version(2), 0.0)
         backend.drop_version(Version(1), 0.0)
         backend.arrive(exchange("old"), 0.0)
         backend.arrive(exchange("new", snapshot=Version(2)), 0.0)
-        refused, answered = backend.advance(1.0)
-        self.assertEqual((ReplyKind.NOT_HELD, 2, 2), (refused.kind, refused.oldest, refused.newest))
-        truth = DATASET.rows_for(SERVICE, FULL_KEY_RANGE, Version(2))
-        self.assertEqual((Version(2), truth), (answered.snapshot, answered.rows))
-        self.assertNotEqual(truth, DATASET.rows_for(SERVICE, FULL_KEY_RANGE, Version(1)))
+        rejected, answered = backend.advance(1.0)
+        self.assertEqual(
+            (ReplyKind.NOT_HELD, 2, 2), (rejected.kind, rejected.oldest, rejected.newest)
+        )
+        expected_rows = DATASET.rows_for(SERVICE, FULL_KEY_RANGE, Version(2))
+        self.assertEqual((Version(2), expected_rows), (answered.snapshot, answered.rows))
+        self.assertNotEqual(expected_rows, DATASET.rows_for(SERVICE, FULL_KEY_RANGE, Version(1)))
 
-    def test_a_version_dropped_while_work_waits_is_not_answered(self) -> None:
+    def test_a_version_dropped_while_a_request_is_queued_is_not_answered(self) -> None:
         backend = model()
         backend.arrive(exchange("running"), 0.0)
         backend.arrive(exchange("waiting"), 0.0)
@@ -129,13 +131,13 @@
         replies = backend.advance(1.0)
         self.assertEqual([ReplyKind.ANSWERED, ReplyKind.NOT_HELD], [r.kind for r in replies])
 
-    def test_coverage_is_what_is_held_of_what_was_asked(self) -> None:
+    def test_coverage_is_the_served_part_of_the_requested_keys(self) -> None:
         backend = model(slots=9)
         backend.serve_shard(SHARD, KeyRange("village-0005", "village-0010"), 0.0)
-        asked = (KeyRange("village-0000", "village-0007"),)
-        backend.arrive(exchange("part", key_ranges=asked), 0.0)
+        requested = (KeyRange("village-0000", "village-0007"),)
+        backend.arrive(exchange("part", key_ranges=requested), 0.0)
         backend.arrive(exchange("elsewhere", key_ranges=(KeyRange("x", None),)), 0.0)
-        backend.arrive(exchange("write", key_ranges=asked, snapshot=None), 0.0)
+        backend.arrive(exchange("write", key_ranges=requested, snapshot=None), 0.0)
         replies = {reply.attempt_id: reply for reply in backend.advance(1.0)}
         part = replies[AttemptId("part")]
         self.assertEqual((KeyRange("village-0005", "village-0007"),), part.covered)
@@ -144,7 +146,7 @@
             self.assertEqual(ReplyKind.WRONG_SHARD, replies[AttemptId(name)].kind)
         self.assertEqual([], backend.ledger.writes)
 
-    def test_writes_are_recorded_once_for_each_execution(self) -> None:
+    def test_each_execution_records_one_write(self) -> None:
         backend = model(slots=2)
         backend.fail_next(1)
         for name in ("first", "second"):
@@ -155,7 +157,7 @@
         self.assertEqual(2, backend.ledger.executions_by_body["edit-1"])
         self.assertEqual(["first", "second"], [w.attempt_id for w in backend.ledger.writes])
 
-    def test_a_restart_loses_work_and_versions_and_starts_cold(self) -> None:
+    def test_a_restart_drops_requests_and_versions_and_starts_cold(self) -> None:
         backend = model(newest_version=Version(3), warm_up_seconds=1.0, cold_factor=5.0)
         backend.arrive(exchange("lost"), 10.0)
         backend.restart(Version(1), Version(2), 10.001)
@@ -166,17 +168,17 @@
         self.assertEqual(["next"], [reply.attempt_id for reply in backend.advance(11.0)])
 
 
-class SlownessTest(TestCase):
-    def test_one_seed_gives_the_same_fates(self) -> None:
+class ServiceTimeTest(TestCase):
+    def test_equal_seeds_draw_equal_service_times(self) -> None:
         settings = ServiceTimeSettings(straggler_share=0.1)
         kind = RequestKindName("outage-ping")
 
-        def fates(seed: int) -> list[object]:
+        def draw_many(seed: int) -> list[object]:
             return [draw_fate(settings, seed, REPLICA, index, kind) for index in range(2000)]
 
-        self.assertEqual(fates(1), fates(1))
-        self.assertNotEqual(fates(1), fates(2))
-        stragglers = sum(fate.is_straggler for fate in fates(1))  # type: ignore[attr-defined]
+        self.assertEqual(draw_many(1), draw_many(1))
+        self.assertNotEqual(draw_many(1), draw_many(2))
+        stragglers = sum(draw.is_straggler for draw in draw_many(1))  # type: ignore[attr-defined]
         self.assertTrue(150 < stragglers < 250, stragglers)
 
     def test_slowed_and_paused_replicas_finish_later(self) -> None:
@@ -189,7 +191,7 @@
         self.assertEqual([], backend.advance(5.0))
         self.assertEqual(["after", "slow"], [reply.attempt_id for reply in backend.advance(5.1)])
 
-    def test_reports_lag_and_lie(self) -> None:
+    def test_load_reports_are_delayed_and_can_be_false(self) -> None:
         backend = model(report_delay_seconds=0.5)
         backend.arrive(exchange("one"), 1.0)
         self.assertEqual(0.0, backend.report(1.001).utilization)
--- a/tests/models/test_backend_model_fuzz.py
+++ b/tests/models/test_backend_model_fuzz.py
@@ -1,4 +1,4 @@
-"""Random histories of the back-end model against what must hold of every reply."""
+"""Stateful test: random operations on the simulated back end, with checks of every reply."""
 
 import random
 
@@ -33,7 +33,7 @@
 
 
 class BackendHistory(RuleBasedStateMachine):
-    """Every attempt has one reply, unless it was cancelled or lost in a restart."""
+    """Every attempt gets exactly one reply unless it is cancelled or lost in a restart."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -50,13 +50,13 @@
         )
         self.model = BackendModel(backend_settings, random.Random(11), DATASET)
         self.now = 0.0
-        self.asked: list[BackendExchange] = []
+        self.sent: list[BackendExchange] = []
         self.awaited: dict[AttemptId, BackendExchange] = {}
 
     @rule(snapshot=st.none() | VERSIONS, key_range=RANGES, remaining=SECONDS)
     def arrive(self, snapshot: int | None, key_range: KeyRange, remaining: float) -> None:
         exchange = BackendExchange(
-            AttemptId(f"attempt-{len(self.asked)}"),
+            AttemptId(f"attempt-{len(self.sent)}"),
             SERVICE,
             SHARD,
             RequestKindName("tower-sweep"),
@@ -64,14 +64,14 @@
             None if snapshot is None else SnapshotVersion(snapshot),
             remaining,
         )
-        self.asked.append(exchange)
+        self.sent.append(exchange)
         self.awaited[exchange.attempt_id] = exchange
         self.model.arrive(exchange, self.now)
 
     @rule(choice=st.integers(min_value=0))
     def cancel(self, choice: int) -> None:
-        if self.asked:
-            attempt_id = self.asked[choice % len(self.asked)].attempt_id
+        if self.sent:
+            attempt_id = self.sent[choice % len(self.sent)].attempt_id
             self.awaited.pop(attempt_id, None)
             self.model.cancel(attempt_id, self.now)
 
@@ -114,15 +114,15 @@
             assert reply.covered == intersect(exchange.key_ranges, reply.covered) != ()
             if exchange.snapshot is not None:
                 assert exchange.snapshot <= reply.newest
-                truth = DATASET.rows_of_ranges(SERVICE, reply.covered, exchange.snapshot)
-                assert reply.rows == truth
+                expected_rows = DATASET.rows_of_ranges(SERVICE, reply.covered, exchange.snapshot)
+                assert reply.rows == expected_rows
 
     @invariant()
     def slots_and_queue_are_bounded(self) -> None:
         assert self.model.in_flight <= SLOTS + QUEUE_LIMIT
 
     @invariant()
-    def work_in_flight_goes_on(self) -> None:
+    def requests_in_flight_make_progress(self) -> None:
         assert not self.model.in_flight or self.model.next_event_at() is not None
 
     def teardown(self) -> None:
--- a/tests/models/test_store_model.py
+++ b/tests/models/test_store_model.py
@@ -1,4 +1,4 @@
-"""The store model and the machine list model on virtual time."""
+"""Tests of the simulated key-value store and machine list on virtual time."""
 
 import random
 
@@ -32,8 +32,8 @@
 LOST = StoreFailureKind.LOST_REPLY
 
 
-class Bench:
-    """A store and a clock."""
+class StoreHarness:
+    """A simulated store with a virtual clock."""
 
     def __init__(self, **changes: object) -> None:
         settings = StoreSettings(**changes)  # type: ignore[arg-type]
@@ -52,7 +52,7 @@
         return self.store.advance(self.now)
 
     def perform(self, operation: StoreOperation) -> object:
-        """Submit and wait until the reply or the timeout; the result or the failure's kind."""
+        """Submit an operation and return its result, or the failure's kind."""
         operation_id = self.submit(operation)
         while (next_at := self.store.next_event_at()) is not None:
             self.now = max(self.now, next_at)
@@ -72,94 +72,94 @@
 
 
 class SwapTest(TestCase):
-    def test_a_swap_succeeds_once_and_shows_what_is_there(self) -> None:
-        bench = Bench()
-        self.assertEqual(SwapResult(True, 2), bench.swap(0, b"one"))
-        refused = bench.swap(0, b"two")
-        assert isinstance(refused, SwapResult) and refused.current is not None
-        self.assertEqual((False, 2), (refused.succeeded, refused.store_revision))
-        self.assertEqual(b"one", refused.current.value)
-        self.assertEqual(SwapResult(True, 3), bench.swap(2, b"two"))
-        self.assertEqual(SwapResult(True, 4), bench.swap(3, None))
-        self.assertIsNone(bench.value())
-
-    def test_a_prefix_reads_its_keys_in_order(self) -> None:
-        bench = Bench()
+    def test_a_failed_swap_returns_the_current_value(self) -> None:
+        harness = StoreHarness()
+        self.assertEqual(SwapResult(True, 2), harness.swap(0, b"one"))
+        rejected = harness.swap(0, b"two")
+        assert isinstance(rejected, SwapResult) and rejected.current is not None
+        self.assertEqual((False, 2), (rejected.succeeded, rejected.store_revision))
+        self.assertEqual(b"one", rejected.current.value)
+        self.assertEqual(SwapResult(True, 3), harness.swap(2, b"two"))
+        self.assertEqual(SwapResult(True, 4), harness.swap(3, None))
+        self.assertIsNone(harness.value())
+
+    def test_a_prefix_read_returns_its_keys_in_order(self) -> None:
+        harness = StoreHarness()
         for key in ("wingquay/b", "other", "wingquay/a", "wingquaz"):
-            bench.perform(CompareAndSwap(key, 0, b""))
-        result = bench.perform(Read(PREFIX, prefix=True))
+            harness.perform(CompareAndSwap(key, 0, b""))
+        result = harness.perform(Read(PREFIX, prefix=True))
         assert isinstance(result, ReadResult)
         self.assertEqual(["wingquay/a", "wingquay/b"], [value.key for value in result.values])
 
     def test_a_lost_reply_hides_a_swap_that_took_effect(self) -> None:
-        bench = Bench()
-        bench.store.faults.replies_to_lose = 1
-        self.assertEqual(LOST, bench.swap(0, b"landed"))
-        self.assertEqual(b"landed", bench.value())
+        harness = StoreHarness()
+        harness.store.faults.replies_to_lose = 1
+        self.assertEqual(LOST, harness.swap(0, b"landed"))
+        self.assertEqual(b"landed", harness.value())
 
-    def test_a_slow_swap_takes_effect_after_its_caller_gave_up(self) -> None:
-        bench = Bench()
-        bench.store.slow_down(10.0, until=1.0, now=0.0)
-        self.assertEqual(LOST, bench.swap(0, b"late"))
-        self.assertEqual((), bench.store.state.read(prefix_span("")))
-        bench.pass_time(10.0)
-        self.assertEqual(b"late", bench.value())
+    def test_a_slow_swap_takes_effect_after_its_timeout(self) -> None:
+        harness = StoreHarness()
+        harness.store.slow_down(10.0, until=1.0, now=0.0)
+        self.assertEqual(LOST, harness.swap(0, b"late"))
+        self.assertEqual((), harness.store.state.read(prefix_span("")))
+        harness.pass_time(10.0)
+        self.assertEqual(b"late", harness.value())
 
 
 class FaultTest(TestCase):
-    def test_the_rate_limit_refuses_and_recovers(self) -> None:
-        bench = Bench(rate_per_second=1.0, burst=2.0)
+    def test_operations_above_the_rate_limit_are_rejected(self) -> None:
+        harness = StoreHarness(rate_per_second=1.0, burst=2.0)
         for _ in range(4):
-            bench.submit(GrantLease(10))
-        outputs = bench.pass_time(0.1)
-        refused = [output.result.kind for output in outputs if isinstance(output.result, Failure)]  # type: ignore[union-attr]
-        self.assertEqual([StoreFailureKind.RATE_LIMITED] * 2, refused)
-        bench.pass_time(1.0)
-        self.assertIsInstance(bench.perform(Read(KEY)), ReadResult)
-
-    def test_an_outage_loses_replies_refuses_and_breaks_watches(self) -> None:
-        bench = Bench()
-        bench.store.start_watch("watch", prefix_span(PREFIX), 0, 0.0)
-        bench.submit(CompareAndSwap(KEY, 0, b"landed"))
-        bench.store.refuse_until(60.0, now=0.001)
-        lost, broken = bench.store.advance(0.001)
+            harness.submit(GrantLease(10))
+        outputs = harness.pass_time(0.1)
+        rejected = [output.result.kind for output in outputs if isinstance(output.result, Failure)]  # type: ignore[union-attr]
+        self.assertEqual([StoreFailureKind.RATE_LIMITED] * 2, rejected)
+        harness.pass_time(1.0)
+        self.assertIsInstance(harness.perform(Read(KEY)), ReadResult)
+
+    def test_an_outage_loses_replies_rejects_operations_and_breaks_watches(self) -> None:
+        harness = StoreHarness()
+        harness.store.start_watch("watch", prefix_span(PREFIX), 0, 0.0)
+        harness.submit(CompareAndSwap(KEY, 0, b"landed"))
+        harness.store.refuse_until(60.0, now=0.001)
+        lost, broken = harness.store.advance(0.001)
         assert isinstance(lost, StoreResponse) and isinstance(lost.result, Failure)
         self.assertEqual(LOST, lost.result.kind)
         self.assertIsInstance(broken, WatchBroken)
-        self.assertEqual(StoreFailureKind.UNREACHABLE, bench.perform(Read(KEY)))
-        bench.pass_time(60.0)
-        self.assertEqual(b"landed", bench.value())
+        self.assertEqual(StoreFailureKind.UNREACHABLE, harness.perform(Read(KEY)))
+        harness.pass_time(60.0)
+        self.assertEqual(b"landed", harness.value())
 
-    def test_a_silent_store_does_nothing(self) -> None:
-        bench = Bench()
-        bench.store.silence_until(1.0, now=0.0)
-        self.assertEqual(LOST, bench.swap(0, b"never"))
-        self.assertIsNone(bench.value())
+    def test_an_unresponsive_store_applies_nothing(self) -> None:
+        harness = StoreHarness()
+        harness.store.silence_until(1.0, now=0.0)
+        self.assertEqual(LOST, harness.swap(0, b"never"))
+        self.assertIsNone(harness.value())
 
 
 class LeaseTest(TestCase):
-    def test_a_lease_that_is_not_renewed_takes_its_keys_along(self) -> None:
-        bench = Bench()
-        granted = bench.perform(GrantLease(10))
+    def test_an_expired_lease_deletes_its_keys(self) -> None:
+        harness = StoreHarness()
+        granted = harness.perform(GrantLease(10))
         assert isinstance(granted, LeaseState)
         lease_id = granted.lease_id
-        self.assertEqual(SwapResult(True, 2), bench.swap(0, b"held", lease_id))
-        bench.pass_time(9.0)
-        renewed = bench.perform(KeepLeaseAlive(lease_id))
+        self.assertEqual(SwapResult(True, 2), harness.swap(0, b"held", lease_id))
+        harness.pass_time(9.0)
+        renewed = harness.perform(KeepLeaseAlive(lease_id))
         self.assertEqual(LeaseState(lease_id, 10 - HALF_LATENCY_SECONDS), renewed)
-        bench.pass_time(9.0)
-        self.assertEqual(b"held", bench.value())
-        bench.pass_time(1.1)
-        self.assertIsNone(bench.value())
-        self.assertEqual(LeaseState(lease_id, 0), bench.perform(KeepLeaseAlive(lease_id)))
-        self.assertEqual(SwapResult(False, 3), bench.swap(0, b"again", lease_id))
+        harness.pass_time(9.0)
+        self.assertEqual(b"held", harness.value())
+        harness.pass_time(1.1)
+        self.assertIsNone(harness.value())
+        self.assertEqual(LeaseState(lease_id, 0), harness.perform(KeepLeaseAlive(lease_id)))
+        self.assertEqual(SwapResult(False, 3), harness.swap(0, b"again", lease_id))
 
-    def test_a_revoked_lease_is_over_at_once(self) -> None:
-        bench = Bench()
-        bench.perform(GrantLease(10))
-        bench.swap(0, b"held", 1)
-        self.assertEqual(LeaseState(1, 0), bench.perform(RevokeLease(1)))
-        self.assertIsNone(bench.value())
+    def test_revoking_a_lease_deletes_its_keys_at_once(self) -> None:
+        harness = StoreHarness()
+        harness.perform(GrantLease(10))
+        harness.swap(0, b"held", 1)
+        self.assertEqual(LeaseState(1, 0), harness.perform(RevokeLease(1)))
+        self.assertIsNone(harness.value())
 
 
 class WatchTest(TestCase):
@@ -170,39 +170,39 @@
             if isinstance(output, WatchChanged)
         ]
 
-    def test_a_watch_tells_history_and_what_follows(self) -> None:
-        bench = Bench()
-        bench.swap(0, b"one")
-        bench.store.start_watch("watch", prefix_span(PREFIX), 2, bench.now)
-        self.assertEqual([(2, 1, 0)], self.changes(bench.pass_time(0.1)))
-        bench.submit(CompareAndSwap("elsewhere", 0, b""))
-        bench.submit(CompareAndSwap(KEY, 2, None))
-        self.assertEqual([(4, 0, 1)], self.changes(bench.pass_time(0.1)))
-        bench.store.stop_watch("watch", bench.now)
-        bench.submit(CompareAndSwap(KEY, 0, b""))
-        self.assertEqual([], self.changes(bench.pass_time(0.1)))
-
-    def test_a_watch_can_skip_and_break(self) -> None:
-        bench = Bench()
-        bench.store.start_watch("watch", prefix_span(PREFIX), 0, 0.0)
-        bench.store.skip_watch_events(1)
-        bench.submit(CompareAndSwap(KEY, 0, b"skipped"))
-        bench.submit(CompareAndSwap("wingquay/told", 0, b"told"))
-        self.assertEqual([(3, 1, 0)], self.changes(bench.pass_time(0.1)))
-        bench.store.break_watches("test", bench.now)
-        self.assertEqual([WatchBroken("watch", "test")], bench.pass_time(0.0))
+    def test_a_watch_reports_past_and_new_changes(self) -> None:
+        harness = StoreHarness()
+        harness.swap(0, b"one")
+        harness.store.start_watch("watch", prefix_span(PREFIX), 2, harness.now)
+        self.assertEqual([(2, 1, 0)], self.changes(harness.pass_time(0.1)))
+        harness.submit(CompareAndSwap("elsewhere", 0, b""))
+        harness.submit(CompareAndSwap(KEY, 2, None))
+        self.assertEqual([(4, 0, 1)], self.changes(harness.pass_time(0.1)))
+        harness.store.stop_watch("watch", harness.now)
+        harness.submit(CompareAndSwap(KEY, 0, b""))
+        self.assertEqual([], self.changes(harness.pass_time(0.1)))
+
+    def test_a_watch_can_skip_changes_and_break(self) -> None:
+        harness = StoreHarness()
+        harness.store.start_watch("watch", prefix_span(PREFIX), 0, 0.0)
+        harness.store.skip_watch_events(1)
+        harness.submit(CompareAndSwap(KEY, 0, b"skipped"))
+        harness.submit(CompareAndSwap("wingquay/told", 0, b"told"))
+        self.assertEqual([(3, 1, 0)], self.changes(harness.pass_time(0.1)))
+        harness.store.break_watches("test", harness.now)
+        self.assertEqual([WatchBroken("watch", "test")], harness.pass_time(0.0))
 
     def test_a_watch_of_compacted_history_breaks(self) -> None:
-        bench = Bench()
-        bench.swap(0, b"one")
-        bench.store.compact(bench.now)
-        bench.store.start_watch("watch", prefix_span(PREFIX), 2, bench.now)
-        (broken,) = bench.pass_time(0.0)
+        harness = StoreHarness()
+        harness.swap(0, b"one")
+        harness.store.compact(harness.now)
+        harness.store.start_watch("watch", prefix_span(PREFIX), 2, harness.now)
+        (broken,) = harness.pass_time(0.0)
         self.assertIsInstance(broken, WatchBroken)
 
 
 class MachineListTest(TestCase):
-    def test_the_list_lags_and_fails(self) -> None:
+    def test_the_machine_list_lags_and_can_fail(self) -> None:
         machines = MachineListModel(lag_seconds=5.0)
         entry = MachineEntry("127.0.0.1", 80, ZoneName("dej"), MachineState.LIVE)
         machines.put(entry, 0.0)
--- a/tests/test_value.py
+++ b/tests/test_value.py
@@ -1,4 +1,4 @@
-"""Values that are cheap to make: equal and hashed by their fields, kept immutable by mypy."""
+"""Tests of value classes: comparison and hash by fields, immutability enforced by mypy."""
 
 import dataclasses
 
@@ -17,13 +17,13 @@
         self.assertEqual(hash(Row("a", "b")), hash(Row("a", "b")))
         self.assertEqual(Row("a", "c"), dataclasses.replace(Row("a", "b"), value="c"))
 
-    def test_has_no_further_attributes(self) -> None:
+    def test_rejects_undeclared_attributes(self) -> None:
         def assign() -> None:
             Row("a", "b").other = 1  # type: ignore[attr-defined]
 
         self.assertRaises(AttributeError, assign)
 
-    def test_type_checker_refuses_an_assignment(self) -> None:
+    def test_type_checker_rejects_assignments_to_fields(self) -> None:
         output, errors, status = mypy.run(["--strict", "--config-file=", "-c", ASSIGNMENT])
         self.assertEqual(1, status, output + errors)
         self.assertIn("read-only", output)
--- a/wingquay/model/__init__.py
+++ b/wingquay/model/__init__.py
@@ -1,1 +1,1 @@
-"""Typed values that every layer shares: identifiers, ranges, requests, answers, settings."""
+"""Value types shared by all layers: identifiers, key ranges, requests, answers, configuration."""
--- a/wingquay/model/answer.py
+++ b/wingquay/model/answer.py
@@ -1,4 +1,4 @@
-"""What callers are answered, and the pieces it is merged from."""
+"""Answers to callers, and the sub-results that they are merged from."""
 
 from dataclasses import dataclass
 from enum import Enum
@@ -17,26 +17,26 @@
 
 @value
 class Row:
-    """One result: the key it belongs to and its value, opaque to wingquay."""
+    """One result: a key and its value, which wingquay does not interpret."""
 
     key: str
     value: str
 
 
 class Outcome(Enum):
-    """What became of a request."""
+    """Outcome of a request."""
 
     COMPLETE = "complete"
     PARTIAL = "partial"
     REFUSED_NOT_RUN = "refused_not_run"
-    """No back end ran any part of it."""
+    """No back end ran any part of the request."""
     UNKNOWN = "unknown"
-    """An unrepeatable request that may have run."""
+    """The request is unrepeatable and may have run."""
     INVALID = "invalid"
 
 
 class MissingReason(Enum):
-    """Why a part of the keys is not covered."""
+    """Reason why some keys are not covered."""
 
     DEADLINE = "deadline"
     NO_REPLICA = "no_replica"
@@ -48,7 +48,7 @@
 
 @dataclass(frozen=True, slots=True)
 class MissingPart:
-    """Keys that the answer does not cover, and why."""
+    """Keys that the answer does not cover, and the reason."""
 
     key_range: KeyRange
     reason: MissingReason
@@ -56,7 +56,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Timings:
-    """Where the time went, in seconds; the parts are those of the slowest sub-request."""
+    """Time spent, in seconds; queue and service time are those of the slowest sub-request."""
 
     total_seconds: float = 0.0
     queue_seconds: float = 0.0
@@ -65,7 +65,15 @@
 
 @dataclass(frozen=True, slots=True)
 class Answer:
-    """The one answer to a request."""
+    """The answer to a request; there is exactly one.
+
+    Parameters
+    ----------
+    covered, missing
+        Key ranges that the answer covers, and those that it does not.
+    retry_after_seconds
+        Time after which the caller may retry; ``None``: not stated.
+    """
 
     request_id: RequestId
     outcome: Outcome
@@ -78,26 +86,26 @@
     retry_after_seconds: float | None = None
     sub_requests: int = 0
     attempts: int = 0
-    """Exchanges with back ends, hedges and retries included."""
+    """Number of attempts at back ends, including hedges and retries."""
 
 
 class SubFailureKind(Enum):
-    """Why a sub-request has no answer."""
+    """Reason why a sub-request has no answer."""
 
     REFUSED = "refused"
-    """Refused before any byte reached a back end, or by all back ends themselves."""
+    """Rejected before any byte was sent to a back end, or by every back end tried."""
     NO_REPLICA = "no_replica"
     NOT_HELD = "not_held"
     DEADLINE = "deadline"
     BACKEND_ERROR = "backend_error"
     OWNER_LEAVING = "owner_leaving"
     NOT_OWNED = "not_owned"
-    """The node asked does not know the shard (its configuration is older or newer)."""
+    """The receiving node's configuration, older or newer than the sender's, lacks the shard."""
 
 
 @value
 class HeldVersions:
-    """The snapshots that a replica holds, as last heard; both ends included."""
+    """The snapshot versions that a replica last reported to hold, both bounds included."""
 
     replica_id: ReplicaId
     oldest: SnapshotVersion
@@ -106,7 +114,7 @@
 
 @value
 class SubAnswer:
-    """A replica's answer to a sub-request, checked by the owner."""
+    """A replica's answer to a sub-request, validated by the owner."""
 
     snapshot: SnapshotVersion | None
     covered: tuple[KeyRange, ...]
@@ -115,21 +123,23 @@
 
 @value
 class SubResult:
-    """What became of a sub-request at its owner.
+    """Result of a sub-request, as returned by the shard's owner.
 
     Parameters
     ----------
     may_have_run
-        Whether a back end may have run it; ``False`` only when no byte left for a back end or
-        the back end itself said that it did not run it.
+        Whether a back end may have run it. ``False`` only if no byte was sent to a back end, or if
+        the back end itself reported that it did not run it.
+    queue_seconds, service_seconds
+        Time spent in the owner's queue and at the replica.
     held
-        Versions held by the shard's replicas as far as the owner knows, so that the coordinator
-        can pin a better snapshot next time.
+        Versions held by the shard's replicas in the owner's view. The coordinator uses them to pin
+        a better snapshot next time.
     replica_id
-        The replica that answered, or the last one tried; empty if none was.
+        The replica that answered, or the last one tried; empty if none was tried.
     class_delay_seconds
-        Time that a sub-request of the same class would wait at the owner if it came now, so that
-        coordinators refuse whole requests before any part of them runs.
+        Expected queueing time at the owner for a new sub-request of the same class. Coordinators
+        use it to reject whole requests before any part of them runs.
     """
 
     sub_request_id: SubRequestId
--- a/wingquay/model/audit.py
+++ b/wingquay/model/audit.py
@@ -1,4 +1,4 @@
-"""The record of a confirm."""
+"""The audit record of a confirm."""
 
 from pydantic import BaseModel, ConfigDict
 
@@ -6,17 +6,19 @@
 
 
 class AuditRecord(BaseModel):
-    """Who confirmed what, and when (``confirmed_unix_seconds``: wall clock, for people).
+    """Who confirmed which plan, and when.
 
     Parameters
     ----------
     confirm_id
-        The id of the plan that was confirmed.
+        Id of the confirmed plan.
+    confirmed_unix_seconds
+        Wall-clock time, for people.
     summary
-        The first lines of its diff.
+        First lines of the plan's diff.
     replaced_kept_at
-        The store's revision of the write that copied the replaced document to the history; 0 if
-        there was none. With it that copy can be deleted when it is no longer listed.
+        Store revision of the write that copied the replaced document to the history; 0: no document
+        was replaced. Used to delete the copy once it is no longer listed.
     """
 
     model_config = ConfigDict(frozen=True, extra="ignore")
--- a/wingquay/model/configuration.py
+++ b/wingquay/model/configuration.py
@@ -1,7 +1,7 @@
-"""The operators' configuration: what is confirmed, in force everywhere and never reverts.
+"""The operators' configuration. A confirmed revision comes into force everywhere and never reverts.
 
-The models are checked on construction by pydantic, immutable, and serialized as JSON in the
-platform's key-value service and between nodes. Source: brief, "The product".
+The models are immutable and validated by pydantic. They are serialized as JSON in the platform's
+key-value store and between nodes. Source: brief, "The product".
 """
 
 from pydantic import model_validator
@@ -42,7 +42,7 @@
 
 
 class Configuration(CheckedModel):
-    """One confirmed revision of everything that operators decide."""
+    """One confirmed revision of all settings that operators control."""
 
     schema_version: int = SCHEMA_VERSION
     revision: Revision = Revision(0)
@@ -66,7 +66,11 @@
         return next((caller for caller in self.callers if caller.name == name), None)
 
     def class_for(self, service: Service, kind: RequestKind, caller: str) -> ClassName:
-        """Return the class of a request: the caller's attachment, else the kind's, else default."""
+        """Return the class of a request.
+
+        An attachment for the caller takes precedence over one for all callers, and both take
+        precedence over the class of the request kind.
+        """
         chosen = kind.class_name
         for attachment in self.attachments:
             if (attachment.service, attachment.kind) != (service.name, kind.name):
--- a/wingquay/model/configuration_check.py
+++ b/wingquay/model/configuration_check.py
@@ -1,4 +1,4 @@
-"""Checks that the parts of a configuration refer to each other correctly."""
+"""Validation of the references between the parts of a configuration."""
 
 import functools
 import ipaddress
@@ -17,7 +17,7 @@
 
 
 class ConfigurationContents(Protocol):
-    """What of a configuration is checked."""
+    """The parts of a configuration that are validated."""
 
     @property
     def deployments(self) -> tuple[Deployment, ...]:
@@ -41,24 +41,24 @@
 
     @property
     def attachments(self) -> tuple[Attachment, ...]:
-        """Which class a caller's requests get."""
+        """The assignments of callers' request kinds to classes."""
         ...
 
     def service(self, name: ServiceName) -> Service | None:
-        """Return a service by name."""
+        """Return the service with a name, or ``None``."""
         ...
 
     def priority_class(self, name: ClassName) -> PriorityClass | None:
-        """Return a class by name."""
+        """Return the class with a name, or ``None``."""
         ...
 
 
 MAX_CACHED_ADDRESSES = 8_192
-"""Checked addresses that are remembered: each new revision names the same ones again."""
+"""Size of the cache of validated addresses, most of which reappear in each revision."""
 
 
 def reference_errors(configuration: ConfigurationContents) -> list[str]:
-    """Return one line for each wrong reference, naming field, value and what is allowed."""
+    """Return one line per invalid reference, with field, value and allowed values."""
     errors = _duplicate_errors(configuration)
     for service in configuration.services:
         errors += _service_errors(configuration, service)
@@ -113,13 +113,13 @@
 
 
 def _address_errors(replica_id: str, host: str) -> list[str]:
-    if _is_ip_number(host):
+    if _is_ip_address(host):
         return []
-    return [f"replica {replica_id!r}: host {host!r} must be an IP number"]
+    return [f"replica {replica_id!r}: host {host!r} must be an IP address"]
 
 
 @functools.lru_cache(maxsize=MAX_CACHED_ADDRESSES)
-def _is_ip_number(host: str) -> bool:
+def _is_ip_address(host: str) -> bool:
     try:
         ipaddress.ip_address(host)
     except ValueError:
--- a/wingquay/model/configuration_parts.py
+++ b/wingquay/model/configuration_parts.py
@@ -1,7 +1,7 @@
-"""The parts of the operators' configuration: classes, services, shards, replicas, callers.
+"""Parts of the operators' configuration: classes, services, shards, replicas, callers.
 
-The models are checked on construction by pydantic, immutable, and serialized as JSON in the
-platform's key-value service and between nodes. Source: brief, "The product".
+The models are immutable and validated by pydantic. They are serialized as JSON in the platform's
+key-value store and between nodes. Source: brief, "The product".
 """
 
 from enum import Enum
@@ -22,28 +22,32 @@
 
 
 class CheckedModel(BaseModel):
-    """Base of every part: immutable, unknown keys passed over."""
+    """Base of every part: immutable, ignores unknown fields."""
 
-    # Unknown keys are kept out of the way rather than refused: a newer node may write fields
-    # that an older one beside it does not know yet. Intents are checked strictly at the rim.
+    # Unknown fields are ignored because nodes of a newer version may write them. Intents reject
+    # unknown fields on arrival.
     model_config = ConfigDict(frozen=True, extra="ignore")
 
 
 class CoveragePreference(Enum):
-    """What a request kind gives up first when a shard is slow."""
+    """What a request kind gives up first if a shard is slow."""
 
     FULL_COVERAGE = "full_coverage"
-    """Wait for the last shard while the deadline allows."""
+    """Wait for all shards as long as the deadline allows."""
 
     LATENCY_FIRST = "latency_first"
-    """Answer within the class's promise, with what is there by then."""
+    """Answer within the class's promise with the results available by then."""
 
 
 class PriorityClass(CheckedModel):
-    """A priority class: a price and a promise of latency.
-
-    ``price`` weighs the class against others (greater is served sooner);
-    ``promise_seconds`` is the latency within which its requests should be answered.
+    """A priority class: its price and its latency promise.
+
+    Parameters
+    ----------
+    price
+        Weight of the class relative to others; a higher price is served sooner.
+    promise_seconds
+        Latency within which its requests should be answered.
     """
 
     name: ClassName
@@ -52,7 +56,7 @@
 
 
 class RequestKind(CheckedModel):
-    """A kind of request that a service serves, with its defaults."""
+    """A kind of request that a service accepts, with its defaults."""
 
     name: RequestKindName
     class_name: ClassName
@@ -62,7 +66,7 @@
 
 
 class Replica(CheckedModel):
-    """A back-end process that serves one shard at ``host:port`` (an IP number)."""
+    """A back-end process that serves one shard at ``host:port`` (``host`` is an IP address)."""
 
     replica_id: ReplicaId
     zone: ZoneName
@@ -100,14 +104,20 @@
 
 
 class Deployment(CheckedModel):
-    """A group of zones that are close to each other."""
+    """A group of zones with low latency between them."""
 
     name: DeploymentName
     zones: tuple[ZoneName, ...]
 
 
 class Caller(CheckedModel):
-    """A caller, known by the SHA-256 (hexadecimal) of its bearer token, and what it may see."""
+    """A caller and the services it may use.
+
+    Parameters
+    ----------
+    token_sha256
+        SHA-256 of the caller's bearer token, in hexadecimal.
+    """
 
     name: CallerName
     token_sha256: str = Field(pattern=r"^[0-9a-f]{64}$")
@@ -115,7 +125,7 @@
 
 
 class Attachment(CheckedModel):
-    """Assigns a request kind of a service, for one caller or (``None``) for all, to a class."""
+    """Assigns a request kind of a service to a class, for one caller or all (``None``)."""
 
     service: ServiceName
     kind: RequestKindName
--- a/wingquay/model/failure.py
+++ b/wingquay/model/failure.py
@@ -1,4 +1,4 @@
-"""The sentinel for an error: a kind that programs test and a reason that people read."""
+"""The value returned for an error: a kind for programs and a reason for people."""
 
 from dataclasses import dataclass
 from enum import Enum
@@ -9,17 +9,16 @@
 
 @dataclass(frozen=True, slots=True)
 class Failure(Generic[Kind]):
-    """An error that is returned, never raised.
+    """An error that is returned instead of raised.
 
-    Each layer has its own enumeration of kinds and turns the failures of the layer below into
-    its own.
+    Each layer defines its own enumeration of kinds and maps failures of the layer below to it.
 
     Parameters
     ----------
     kind
-        What went wrong, as a member of the layer's enumeration.
+        Member of the layer's enumeration.
     reason
-        One sentence for people, naming field and value where there is one.
+        One sentence for people, with field and value where applicable.
     """
 
     kind: Kind
--- a/wingquay/model/intent.py
+++ b/wingquay/model/intent.py
@@ -1,7 +1,8 @@
-"""What operators can ask for: intents, as strictly checked data.
+"""Intents: the changes that operators can request, validated strictly.
 
-An intent says what should become true; a plan says what that would change. Unknown fields are
-refused, at any depth: a misspelt field must not be silently ignored. Source: brief, "The product".
+An intent states a desired result; a plan shows the changes that it would cause. Unknown fields are
+rejected at any depth, so that a misspelt field is not silently ignored. Source: brief, "The
+product".
 """
 
 from collections.abc import Callable
@@ -20,27 +21,27 @@
 )
 
 TOP_CLASS = "top"
-"""Stands for the class with the greatest price when the plan is made."""
+"""Stands for the class with the highest price at the time of planning."""
 
 LOWEST_CLASS = "lowest"
-"""Stands for the class with the smallest price when the plan is made."""
+"""Stands for the class with the lowest price at the time of planning."""
 
 RESERVED_CLASS_NAMES = (TOP_CLASS, LOWEST_CLASS)
 
 Name = Annotated[str, Field(min_length=1, max_length=100, pattern=r"^[A-Za-z0-9][A-Za-z0-9._:-]*$")]
-"""Names that operators may give to new things."""
+"""Name that an operator may give to a new item."""
 
 
-def unknown_paths(given: object, understood: object, path: str = "") -> list[str]:
-    """Return the paths of the keys in ``given`` that have no counterpart in ``understood``."""
-    if isinstance(given, dict) and isinstance(understood, dict):
+def unknown_paths(given: object, accepted: object, path: str = "") -> list[str]:
+    """Return the paths of the keys in ``given`` that are missing from ``accepted``."""
+    if isinstance(given, dict) and isinstance(accepted, dict):
         return [
             found
             for key, value in given.items()
-            for found in _unknown_in_entry(key, value, understood, path)
+            for found in _unknown_in_entry(key, value, accepted, path)
         ]
-    if isinstance(given, list | tuple) and isinstance(understood, list | tuple):
-        pairs = enumerate(zip(given, understood, strict=False))
+    if isinstance(given, list | tuple) and isinstance(accepted, list | tuple):
+        pairs = enumerate(zip(given, accepted, strict=False))
         return [
             found
             for index, (left, right) in pairs
@@ -49,13 +50,11 @@
     return []
 
 
-def _unknown_in_entry(
-    key: object, value: object, understood: dict[Any, Any], path: str
-) -> list[str]:
+def _unknown_in_entry(key: object, value: object, accepted: dict[Any, Any], path: str) -> list[str]:
     entry_path = f"{path}.{key}" if path else str(key)
-    if key not in understood:
+    if key not in accepted:
         return [entry_path]
-    return unknown_paths(value, understood[key], entry_path)
+    return unknown_paths(value, accepted[key], entry_path)
 
 
 class _Intent(BaseModel):
@@ -63,7 +62,7 @@
 
     @model_validator(mode="wrap")
     @classmethod
-    def _refuse_unknown_fields(cls, value: Any, handler: Callable[[Any], Any]) -> Any:
+    def _reject_unknown_fields(cls, value: Any, handler: Callable[[Any], Any]) -> Any:
         parsed = handler(value)
         unknown = unknown_paths(value, parsed.model_dump(mode="json"))
         if unknown:
@@ -72,9 +71,9 @@
 
 
 class AssignClass(_Intent):
-    """Serve a request kind, for one caller or (``None``) for all, in a class.
+    """Assign a request kind to a class, for one caller or all (``None``).
 
-    ``class_name`` may be ``top`` or ``lowest``; the plan resolves and shows it.
+    ``class_name`` may be ``top`` or ``lowest``; the plan shows the class that it resolves to.
     """
 
     intent: Literal["assign_class"] = "assign_class"
@@ -86,7 +85,7 @@
 
 
 class UnassignClass(_Intent):
-    """Take back an assignment, so that the kind's own class counts again."""
+    """Remove an assignment, so that the class of the request kind applies again."""
 
     intent: Literal["unassign_class"] = "unassign_class"
     service: ServiceName
@@ -95,7 +94,7 @@
 
 
 class SetClass(_Intent):
-    """Create a priority class or change its price and promise."""
+    """Create a priority class, or change its price and promise."""
 
     intent: Literal["set_class"] = "set_class"
     name: Name
@@ -104,21 +103,21 @@
 
 
 class RemoveClass(_Intent):
-    """Remove a class that nothing uses any more."""
+    """Remove a class that is not in use."""
 
     intent: Literal["remove_class"] = "remove_class"
     name: ClassName
 
 
 class SetService(_Intent):
-    """Create a service or replace it, with its kinds, shards and replicas."""
+    """Create or replace a service with its kinds, shards and replicas."""
 
     intent: Literal["set_service"] = "set_service"
     service: Service
 
 
 class SetShards(_Intent):
-    """Replace the shards, with their replicas, of a service that exists."""
+    """Replace the shards and replicas of an existing service."""
 
     intent: Literal["set_shards"] = "set_shards"
     service: ServiceName
@@ -126,35 +125,35 @@
 
 
 class RemoveService(_Intent):
-    """Remove a service with its assignments, and strike it from callers' lists."""
+    """Remove a service, its assignments and its entries in callers' lists of services."""
 
     intent: Literal["remove_service"] = "remove_service"
     name: ServiceName
 
 
 class SetCaller(_Intent):
-    """Create a caller or replace it."""
+    """Create or replace a caller."""
 
     intent: Literal["set_caller"] = "set_caller"
     caller: Caller
 
 
 class RemoveCaller(_Intent):
-    """Remove a caller and the assignments made for it."""
+    """Remove a caller and its assignments."""
 
     intent: Literal["remove_caller"] = "remove_caller"
     name: CallerName
 
 
 class SetDeployment(_Intent):
-    """Create a deployment or replace its zones."""
+    """Create a deployment, or replace its zones."""
 
     intent: Literal["set_deployment"] = "set_deployment"
     deployment: Deployment
 
 
 class RestoreRevision(_Intent):
-    """Make everything as it was at an earlier revision; the revision number still grows."""
+    """Restore the contents of an earlier revision, under a new revision number."""
 
     intent: Literal["restore_revision"] = "restore_revision"
     revision: Revision
@@ -174,4 +173,4 @@
     | RestoreRevision,
     Field(discriminator="intent"),
 ]
-"""Any intent; the field ``intent`` tells which."""
+"""Any intent, discriminated by the field ``intent``."""
--- a/wingquay/model/key_range.py
+++ b/wingquay/model/key_range.py
@@ -1,6 +1,6 @@
-"""Half-open ranges of keys and the arithmetic that coverage is computed with.
+"""Half-open key ranges and the arithmetic that computes coverage.
 
-Keys are Unicode strings in code point order. An ``end`` of ``None`` means "no upper bound".
+Keys are Unicode strings, ordered by code point. An ``end`` of ``None`` means "no upper bound".
 Source: brief, "Every answer states its coverage truly".
 """
 
@@ -20,20 +20,20 @@
 
     @staticmethod
     def from_key(key: str) -> "KeyRange":
-        """Return the range that holds ``key`` alone."""
+        """Return the range that contains only ``key``."""
         return KeyRange(key, key + SMALLEST_SUFFIX)
 
     @property
     def is_empty(self) -> bool:
-        """Whether no key lies in the range."""
+        """Whether the range contains no keys."""
         return self.end is not None and self.end <= self.start
 
     def contains(self, key: str) -> bool:
-        """Whether ``key`` lies in the range."""
+        """Whether the range contains ``key``."""
         return self.start <= key and (self.end is None or key < self.end)
 
     def intersection(self, other: "KeyRange") -> "KeyRange | None":
-        """Return the keys that lie in both ranges, or ``None`` if there are none."""
+        """Return the keys that are in both ranges, or ``None`` if there are none."""
         start = self.start if self.start >= other.start else other.start
         end = _smaller_end(self.end, other.end)
         if end is not None and end <= start:
@@ -54,19 +54,19 @@
     return min(first, second)
 
 
-def _reaches(end: str | None, start: str) -> bool:
+def _touches(end: str | None, start: str) -> bool:
     """Whether a range that ends at ``end`` touches or overlaps one that starts at ``start``."""
     return end is None or start <= end
 
 
 def normalize(ranges: Iterable[KeyRange]) -> tuple[KeyRange, ...]:
-    """Return the same keys as sorted, disjoint ranges that do not touch."""
+    """Return the same keys as sorted, disjoint ranges that do not touch each other."""
     given = tuple(ranges)
-    return given if _is_normal(given) else _merged(given)
+    return given if _is_normal(given) else _merge(given)
 
 
 def _is_normal(ranges: Sequence[KeyRange]) -> bool:
-    """Whether ``ranges`` are as ``normalize`` returns them; most already are."""
+    """Whether ``ranges`` are already normalized, which is the common case."""
     previous_end: str | None = None
     for index, key_range in enumerate(ranges):
         start, end = key_range.start, key_range.end
@@ -78,14 +78,14 @@
     return True
 
 
-def _merged(ranges: Sequence[KeyRange]) -> tuple[KeyRange, ...]:
+def _merge(ranges: Sequence[KeyRange]) -> tuple[KeyRange, ...]:
     merged: list[KeyRange] = []
     ordered = sorted(
         (key_range for key_range in ranges if not key_range.is_empty),
         key=lambda key_range: key_range.start,
     )
     for key_range in ordered:
-        if merged and _reaches(merged[-1].end, key_range.start):
+        if merged and _touches(merged[-1].end, key_range.start):
             merged[-1] = KeyRange(merged[-1].start, _larger_end(merged[-1].end, key_range.end))
         else:
             merged.append(key_range)
@@ -102,7 +102,7 @@
     left: Sequence[KeyRange],
     right: Sequence[KeyRange],
 ) -> tuple[KeyRange, ...]:
-    """Return the keys that lie in both collections of ranges."""
+    """Return the keys that are in both collections of ranges."""
     if len(left) == 1 and len(right) == 1:
         overlap = left[0].intersection(right[0])
         return () if overlap is None else (overlap,)
@@ -114,27 +114,29 @@
     wanted: Sequence[KeyRange],
     removed: Sequence[KeyRange],
 ) -> tuple[KeyRange, ...]:
-    """Return the keys of ``wanted`` that lie in none of ``removed``."""
+    """Return the keys of ``wanted`` that are in none of ``removed``."""
     if not removed or wanted == removed:
         return () if removed else normalize(wanted)
     remaining = list(normalize(wanted))
-    for hole in normalize(removed):
-        remaining = [piece for whole in remaining for piece in _without(whole, hole)]
+    for removed_range in normalize(removed):
+        remaining = [
+            piece for key_range in remaining for piece in _subtract_range(key_range, removed_range)
+        ]
     return tuple(remaining)
 
 
-def _without(whole: KeyRange, hole: KeyRange) -> list[KeyRange]:
-    overlap = whole.intersection(hole)
+def _subtract_range(key_range: KeyRange, removed_range: KeyRange) -> list[KeyRange]:
+    overlap = key_range.intersection(removed_range)
     if overlap is None:
-        return [whole]
-    pieces = [KeyRange(whole.start, overlap.start)]
+        return [key_range]
+    pieces = [KeyRange(key_range.start, overlap.start)]
     if overlap.end is not None:
-        pieces.append(KeyRange(overlap.end, whole.end))
+        pieces.append(KeyRange(overlap.end, key_range.end))
     return [piece for piece in pieces if not piece.is_empty]
 
 
 def contains_key(ranges: Sequence[KeyRange], key: str) -> bool:
-    """Whether any of ``ranges`` holds ``key``."""
+    """Whether any of ``ranges`` contains ``key``."""
     if len(ranges) == 1:
         return ranges[0].contains(key)
     return any(key_range.contains(key) for key_range in ranges)
--- a/wingquay/model/plan.py
+++ b/wingquay/model/plan.py
@@ -1,4 +1,4 @@
-"""A plan: what an operator's intents would change, shown before anything is changed."""
+"""A plan: the changes that an operator's intents would cause, shown before they are made."""
 
 from enum import Enum
 
@@ -15,8 +15,8 @@
 from .intent import Intent
 
 
-class _Shown(BaseModel):
-    # Plans wait in the store, where a node of a newer version may have put them.
+class _PlanModel(BaseModel):
+    # Unknown fields are ignored because a node of a newer version may have stored the plan.
     model_config = ConfigDict(frozen=True, extra="ignore")
 
 
@@ -26,21 +26,22 @@
     GAINS = "gains"
     LOSES = "loses"
     MIXED = "mixed"
-    """A greater price with a longer promise, or the reverse."""
+    """A higher price with a longer promise, or the reverse."""
 
 
-class ClassTerms(_Shown):
-    """A class with its terms at one revision."""
+class ClassTerms(_PlanModel):
+    """A class with its price and promise at one revision."""
 
     class_name: ClassName
     price: float
     promise_seconds: float
 
 
-class ClassEffect(_Shown):
-    """What a plan changes for one request kind, for one caller or (``None``) for all others.
+class ClassEffect(_PlanModel):
+    """The change of class for one request kind, for one caller or all others (``None``).
 
-    ``before`` and ``after`` are ``None`` where the kind does not exist at that side.
+    ``before`` and ``after`` are ``None`` if the request kind does not exist before or after the
+    change.
     """
 
     service: ServiceName
@@ -53,17 +54,25 @@
 
 
 class ForecastVerdict(Enum):
-    """Whether a promise looks keepable at the load now seen."""
+    """Whether a promise is expected to hold at the current load."""
 
     KEEPABLE = "keepable"
     AT_RISK = "at_risk"
     NOT_KEEPABLE = "not_keepable"
     NOT_KNOWN = "not_known"
-    """No load of that kind has been seen by the node that made the plan."""
+    """The node that made the plan has seen no requests of that kind."""
 
 
-class PromiseForecast(_Shown):
-    """The outlook for one kind's promise, with the figures it rests on (seconds, 0 to 1)."""
+class PromiseForecast(_PlanModel):
+    """Forecast for the promise of one request kind, with the figures it is based on.
+
+    Parameters
+    ----------
+    observed_p99_seconds
+        Current 99th percentile of the latency; ``None``: no requests seen.
+    expected_utilization
+        Fraction of the service's slots in use after the change; ``None``: unknown.
+    """
 
     service: ServiceName
     kind: RequestKindName
@@ -74,23 +83,23 @@
     reason: str
 
 
-class Plan(_Shown):
-    """What the intents would change; nothing takes effect until it is confirmed.
+class Plan(_PlanModel):
+    """The changes that a list of intents would cause; they take effect when the plan is confirmed.
 
     Parameters
     ----------
     plan_id
-        Also the confirm id: written inside the configuration when the plan lands, so that it
-        lands at most once.
+        Also the confirm id. It is stored in the configuration when the plan takes effect, so that
+        the plan is applied at most once.
     resolved_intents
-        The intents with ``top`` and ``lowest`` replaced by the classes they stand for.
+        The intents with ``top`` and ``lowest`` replaced by actual classes.
     diff
-        Readable lines, at most ``plan.MAXIMUM_DIFF_LINES``; ``diff_omitted`` counts the rest.
+        Changed lines, at most ``plan.MAXIMUM_DIFF_LINES``; ``diff_omitted`` counts the rest.
     change_digest
-        SHA-256 over the whole diff and all effects: a plan is rebased only onto a revision
-        where both stay what was shown.
+        SHA-256 of the complete diff and all effects. A plan is rebased only onto revisions where
+        both are unchanged.
     created_unix_seconds, expires_unix_seconds
-        Wall-clock time, for people; the expiry itself is kept by a lease.
+        Wall-clock times, for people; a lease enforces the expiry.
     """
 
     plan_id: str
--- a/wingquay/model/replica_record.py
+++ b/wingquay/model/replica_record.py
@@ -1,23 +1,26 @@
-"""What a replica states about itself in the directory of replicas."""
+"""A replica's own record in the directory of replicas."""
 
 from .value import value
 
 
 @value
 class ReplicaRecord:
-    """One life of one replica: it may start again under its id, and knows nothing of before then.
+    """One incarnation of a replica.
+
+    A replica that restarts keeps its ``replica_id`` but has no state from before: it is a new
+    incarnation.
 
     Parameters
     ----------
     slots
-        Requests that it works on at a time.
+        Number of requests that it runs concurrently.
     is_draining
-        Whether it is leaving and must get no new work.
+        Whether it is shutting down and must get no new work.
     cold_seconds
-        How much longer it stays slow after its start, counted from when the record was written.
+        Remaining warm-up time, during which it is slow, counted from the write of the record.
     born
-        When this life began, in Unix milliseconds on the clock of its machine; ``None``: it does
-        not say. Lives are told apart by it and not put in order: clocks may step back.
+        Start of the incarnation in Unix milliseconds on its machine's clock; ``None``: not stated.
+        Used only for equality, not for ordering, because clocks may step back.
     """
 
     replica_id: str
@@ -32,8 +35,9 @@
 
     @property
     def incarnation(self) -> str:
-        """The name of this life, which no other life of any replica has.
+        """The name of this incarnation, unique across all incarnations of all replicas.
 
-        No id holds a space, so it is also told from every id.
+        If ``born`` is set, the name also differs from every replica id, because ids contain no
+        space.
         """
         return self.replica_id if self.born is None else f"{self.replica_id} {self.born}"
--- a/wingquay/model/request.py
+++ b/wingquay/model/request.py
@@ -1,4 +1,4 @@
-"""What callers ask, and the pieces it is split into."""
+"""Callers' requests, and the sub-requests that they are split into."""
 
 from dataclasses import dataclass
 
@@ -20,18 +20,18 @@
 
 @dataclass(frozen=True, slots=True)
 class QueryRequest:
-    """One caller request, authenticated and well formed but not yet checked against services.
+    """A caller's request, authenticated and well formed but not yet matched with a service.
 
     Parameters
     ----------
     deadline_seconds
-        Time the caller grants from arrival at the node; ``None``: the kind's default.
+        Time limit set by the caller, from arrival at the node; ``None``: the kind's default.
     repeatable
         Whether the request may run more than once; ``None``: the kind's default.
     idempotency_key
-        The caller's ``Idempotency-Key``; required when the request is not repeatable.
+        The caller's ``Idempotency-Key``; required if the request is not repeatable.
     body
-        Text handed to the back ends as it came.
+        Text passed to the back ends unchanged.
     """
 
     request_id: RequestId
@@ -49,20 +49,20 @@
 
 @value
 class SubRequest:
-    """The part of a request that one shard answers.
+    """The part of a request that is sent to one shard.
 
     Parameters
     ----------
     snapshot
-        The version that every piece of the request must be answered from; ``None`` for an
-        unrepeatable request, which writes and reads no snapshot.
+        Version that all parts of the request must be answered from; ``None`` for an unrepeatable
+        request, which reads no snapshot.
     remaining_seconds
-        Time left until the request's deadline when the message was made. Durations rather than
-        instants cross the network, since clocks of machines differ.
+        Time left until the request's deadline when the message was created. It is a duration
+        because the clocks of machines differ.
     promise_seconds, price
-        Of the request's priority class.
+        Promise and price of the request's priority class.
     avoid
-        Replicas that left these keys out before; asked only if there are no others.
+        Replicas whose earlier answers omitted these keys; used only if there are no others.
     """
 
     sub_request_id: SubRequestId
--- a/wingquay/model/routing_table.py
+++ b/wingquay/model/routing_table.py
@@ -1,4 +1,4 @@
-"""Routes from hosts and path prefixes to services, as one version of the configuration has them."""
+"""Routes from hosts and path prefixes to services, in one version of the configuration."""
 
 from collections.abc import Mapping
 from dataclasses import dataclass, field
@@ -9,7 +9,7 @@
 
 @value
 class WeightedService:
-    """A service that takes ``weight`` parts of a route's requests."""
+    """A service that receives a share of a route's requests in proportion to ``weight``."""
 
     service: str
     weight: float
@@ -17,32 +17,32 @@
 
 @value
 class Route:
-    """How the requests under one host and path prefix are served.
+    """How requests under one host and path prefix are served.
 
     Parameters
     ----------
     path_prefix
-        Begins and ends with a slash.
+        Starts and ends with a slash.
     services
-        The services among which requests are divided; empty for a route over shards.
+        Services that share the requests; empty for a sharded route.
     shards
-        Services that each hold a part of the index; every request goes to all of them.
+        Services that each hold a part of the index. Every request is sent to all of them.
     is_repeatable
         Whether a request may run more than once.
     max_attempts
-        Most replicas that one request may be sent to (of each shard, for a route over shards).
+        Maximum number of replicas that may receive a request (per shard, for a sharded route).
     timeout_seconds
-        Longest time that a request may be held.
+        Time after which a request is answered with a timeout.
     objective_seconds
-        Time within which an answer is worth its full price.
+        Latency objective: later answers are worth less.
     priority
         0 is the most urgent.
     merged_records
-        Records in a merged answer.
+        Number of records in a merged answer.
     min_share
-        Share of the shards below which a merged answer is no success.
+        Fraction of the shards, 0 to 1, that a successful merged answer must include.
     is_public
-        Whether callers need no key, where the configuration has tenants.
+        Whether callers need no key even though the configuration has tenants.
     """
 
     name: str
@@ -61,20 +61,20 @@
 
     @property
     def all_services(self) -> tuple[str, ...]:
-        """The names of every service that requests of the route may reach."""
+        """The names of all services that requests of the route may reach."""
         return self.shards or tuple(part.service for part in self.services)
 
 
 @value
 class UpstreamService:
-    """What is known of a service besides its replicas.
+    """Properties of a service, without its replicas.
 
     Parameters
     ----------
     connection_limit
-        Most connections that one replica takes, from all callers together.
+        Maximum number of connections that a replica accepts, from all callers together.
     cold_requests_per_second
-        Requests that a cold replica handles, from all callers together; 0: they are not bounded.
+        Maximum request rate of a cold replica, from all callers together; 0: unlimited.
     """
 
     name: str
@@ -84,7 +84,7 @@
 
 @value
 class CallerLimits:
-    """What a caller may send and how long it may take."""
+    """Limits on the size and duration of callers' requests."""
 
     header_bytes: int = 16_384
     body_bytes: int = 1_048_576
@@ -94,14 +94,14 @@
 
 @dataclass(frozen=True, slots=True)
 class RoutingTable:
-    """One version of routes, services and limits, indexed for look-up.
+    """One version of routes, services and limits, indexed for lookup.
 
     Parameters
     ----------
     version
-        Rises from one configuration to the next.
+        Increases from one configuration to the next.
     tenants
-        Who may call; ``None``: the configuration tells callers not apart.
+        The tenants that may call; ``None``: the configuration has no tenants.
     """
 
     version: int
@@ -112,14 +112,14 @@
     _by_host: dict[str, dict[str, Route]] = field(init=False, repr=False, compare=False)
 
     def __post_init__(self) -> None:
-        """Index the routes by host and prefix."""
+        """Index the routes by host and path prefix."""
         by_host: dict[str, dict[str, Route]] = {}
         for route in self.routes:
             by_host.setdefault(route.host.lower(), {})[route.path_prefix] = route
         object.__setattr__(self, "_by_host", by_host)
 
     def find(self, host: str, path: str) -> Route | None:
-        """Return the route of ``host`` with the longest prefix that begins ``path``."""
+        """Return the route of ``host`` with the longest prefix of ``path``, or ``None``."""
         prefixes = self._by_host.get(host.lower())
         if prefixes is None:
             return None
--- a/wingquay/model/tenants.py
+++ b/wingquay/model/tenants.py
@@ -1,4 +1,4 @@
-"""Callers as the configuration knows them: tenants, their keys and their limits."""
+"""Tenants of the configuration, with their keys and request limits."""
 
 from collections.abc import Mapping
 from dataclasses import dataclass, field
@@ -8,17 +8,17 @@
 
 @value
 class Tenant:
-    """A customer whose callers show one of its keys.
+    """A customer whose callers authenticate with one of its keys.
 
     Parameters
     ----------
     keys
-        Secrets that callers show, as the operator wrote them; they never leave the node.
+        Secrets presented by callers, as configured. They never leave the node.
     priority
-        Takes the place of the route's priority; ``None``: the route's holds. 0 is the most urgent.
+        Overrides the route's priority; ``None``: no override. 0 is the most urgent.
     requests_per_second, burst
-        Requests that all nodes together run for the tenant: so many a second, and so many on top; a
-        rate of 0: no limit.
+        Limit over all nodes together: sustained rate and the number of requests allowed on top. A
+        rate of 0 means no limit.
     """
 
     name: str
@@ -37,16 +37,16 @@
     _by_key: dict[str, Tenant] = field(init=False, repr=False, compare=False)
 
     def __post_init__(self) -> None:
-        """Index the tenants."""
+        """Index the tenants by key and name."""
         by_key = {key: tenant for tenant in self.tenants for key in tenant.keys}
         object.__setattr__(self, "_by_key", by_key)
         object.__setattr__(self, "by_name", {tenant.name: tenant for tenant in self.tenants})
 
     @property
     def is_limited(self) -> bool:
-        """Whether the requests of any tenant are limited."""
+        """Whether any tenant has a request limit."""
         return any(tenant.requests_per_second > 0 for tenant in self.tenants)
 
     def find_by_key(self, key: str) -> Tenant | None:
-        """Return the tenant that holds a key."""
+        """Return the tenant with a key, or ``None``."""
         return self._by_key.get(key)
--- a/wingquay/ports/__init__.py
+++ b/wingquay/ports/__init__.py
@@ -1,1 +1,1 @@
-"""Typed interfaces between the decision code and the outside: events in, actions out."""
+"""Interfaces between the decision code and the adapters: events in, actions out."""
--- a/wingquay/ports/backend.py
+++ b/wingquay/ports/backend.py
@@ -1,4 +1,4 @@
-"""The port towards back ends (replicas)."""
+"""Events and actions for sub-requests to back-end replicas."""
 
 from dataclasses import dataclass
 from enum import Enum
@@ -24,10 +24,14 @@
 
     Parameters
     ----------
+    snapshot
+        Index version to answer from; ``None`` for requests that read no snapshot.
     remaining_seconds
-        Deadline, as time left from now; the back end is told.
+        Time left until the deadline; sent to the back end.
     connection_limit
-        The most connections this node may hold to the replica.
+        Maximum number of connections from this node to the replica.
+    repeatable
+        Whether the request may run more than once.
     """
 
     attempt_id: AttemptId
@@ -48,32 +52,32 @@
 
 @dataclass(frozen=True, slots=True)
 class CancelAttempt(Action):
-    """End the exchange; no ``AttemptFinished`` follows. Unknown attempts are ignored."""
+    """Abort an attempt. No ``AttemptFinished`` follows; unknown attempt ids are ignored."""
 
     attempt_id: AttemptId
 
 
 class BackendFailureKind(Enum):
-    """Why an exchange with a replica brought no answer."""
+    """Reason why an attempt returned no answer."""
 
     CONNECT_FAILED = "connect_failed"
-    """No connection: nothing was sent."""
+    """No connection could be opened; nothing was sent."""
     NO_CONNECTION_FREE = "no_connection_free"
-    """The connection limit is reached: nothing was sent."""
+    """All connections allowed to the replica are in use; nothing was sent."""
     SHED = "shed"
-    """The back end said that it did not run it, because it is overloaded."""
+    """The back end is overloaded and did not run the attempt."""
     DRAINING = "draining"
-    """The back end said that it did not run it, because it is leaving."""
+    """The back end is shutting down and did not run the attempt."""
     NOT_HELD = "not_held"
-    """The back end said that it does not hold the snapshot."""
+    """The back end does not hold the requested snapshot and did not run the attempt."""
     WRONG_SHARD = "wrong_shard"
-    """The back end said that it does not serve the shard (any more)."""
+    """The back end does not serve the shard and did not run the attempt."""
     BROKEN = "broken"
-    """The connection broke or the answer was malformed after bytes had left."""
+    """The connection broke or the answer was malformed after bytes were sent."""
     TIMED_OUT = "timed_out"
-    """No whole answer by the deadline, after bytes had left."""
+    """Bytes were sent, but no complete answer arrived before the deadline."""
     ERROR = "error"
-    """The back end answered with an error; it may have run."""
+    """The back end returned an error; the attempt may have run."""
 
 
 NOT_RUN_KINDS = frozenset(
@@ -86,12 +90,18 @@
         BackendFailureKind.WRONG_SHARD,
     }
 )
-"""Failures after which the attempt certainly did not run."""
+"""Failures that guarantee that the attempt did not run."""
 
 
 @value
 class BackendAnswer:
-    """A whole, well-formed answer whose attempt id matched."""
+    """A complete, well-formed answer with the attempt id that was sent.
+
+    Parameters
+    ----------
+    covered
+        Key ranges that the answer covers.
+    """
 
     snapshot: SnapshotVersion | None
     covered: tuple[KeyRange, ...]
@@ -100,13 +110,17 @@
 
 @value
 class LoadReport:
-    """Load and state that a replica reported; a lagging hint, never proof.
+    """Load and state that a replica reported. May be outdated: use as a hint only.
 
     Parameters
     ----------
     utilization
-        Share of slots in use, 0 to 1 and above when work waits (ORCA
-        ``application_utilization``).
+        Fraction of slots in use; above 1 when requests are queued (ORCA
+        ``application_utilization``). ``None``: not reported.
+    cold
+        Whether the replica is still warming up after its start.
+    oldest_version, newest_version
+        Range of snapshot versions that the replica holds; ``None``: not reported.
     """
 
     utilization: float | None = None
@@ -118,7 +132,7 @@
 
 @value
 class AttemptFinished(Event):
-    """The exchange ended; exactly one for each attempt that was not cancelled."""
+    """Result of an attempt, sent exactly once unless the attempt was cancelled."""
 
     attempt_id: AttemptId
     replica_id: ReplicaId
@@ -138,7 +152,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ReplicaProbed(Event):
-    """What the health page said, or why it could not be read."""
+    """Contents of the health page, or the reason why it could not be read."""
 
     replica_id: ReplicaId
     result: LoadReport | Failure[BackendFailureKind]
--- a/wingquay/ports/caller.py
+++ b/wingquay/ports/caller.py
@@ -1,4 +1,4 @@
-"""The port towards callers."""
+"""Events and actions for callers of the query interface."""
 
 from dataclasses import dataclass
 
@@ -11,28 +11,28 @@
 
 @dataclass(frozen=True, slots=True)
 class CallerRequest(Event):
-    """A caller asked something; ``request.request_id`` names the exchange until it is answered."""
+    """A caller sent a request; ``request.request_id`` identifies it until it is answered."""
 
     request: QueryRequest
 
 
 @dataclass(frozen=True, slots=True)
 class CallerGone(Event):
-    """The caller closed its connection before it was answered."""
+    """The caller closed its connection before the answer was sent."""
 
     request_id: RequestId
 
 
 @dataclass(frozen=True, slots=True)
 class AnswerCaller(Action):
-    """Send the answer on the exchange named by ``answer.request_id``; exactly one each."""
+    """Send the answer to the request ``answer.request_id``; exactly one per request."""
 
     answer: Answer
 
 
 @dataclass(frozen=True, slots=True)
 class SetReady(Action):
-    """Change what the readiness page says; ``reason`` is for people."""
+    """Set the state of the readiness page; ``reason`` is shown to people."""
 
     ready: bool
     reason: str
@@ -40,6 +40,6 @@
 
 @dataclass(frozen=True, slots=True)
 class SetCallers(Action):
-    """Let exactly these callers in from now on (those of the configuration in force)."""
+    """Replace the set of callers that may send requests (from the configuration in force)."""
 
     callers: tuple[Caller, ...]
--- a/wingquay/ports/crash_messages.py
+++ b/wingquay/ports/crash_messages.py
@@ -1,4 +1,4 @@
-"""What nodes tell each other, and the store, of requests under which replicas end."""
+"""Messages and store records about requests that crash the replicas that run them."""
 
 from ..model.value import value
 from .peer_link import PeerMessage
@@ -6,16 +6,16 @@
 
 @value
 class ReportedCrash:
-    """One life of a replica that ended while it had a request.
+    """One replica incarnation that crashed while it ran a request.
 
     Parameters
     ----------
-    life
-        Its name; other nodes only compare it.
+    incarnation
+        Identifies the incarnation; see ``ReplicaRecord.incarnation``.
     node_id
-        The node that had sent the request there.
+        The node that sent the request to the replica.
     sent_seconds, ended_seconds
-        How long ago it was sent and its connection ended, when the message leaves.
+        Age, when this message is sent, of the request and of the end of its connection.
     """
 
     incarnation: str
@@ -26,16 +26,16 @@
 
 @value
 class CrashReport(PeerMessage):
-    """What a node has come to know of one request.
+    """Replica crashes observed under one request, and whether the request is held back.
 
     Parameters
     ----------
     identity
-        What the request's repeats have in common.
+        Fingerprint that the request shares with its repetitions.
     held_seconds
-        How much longer it is held back; 0: it is not.
+        Remaining hold period; 0: not held.
     is_cleared
-        A replica has answered it: it is innocent.
+        Whether a replica has answered the request, so that it is no longer suspected.
     """
 
     identity: bytes
@@ -46,14 +46,14 @@
 
 @value
 class HeldRequest:
-    """What stands in the store of a request that is held back, for nodes and operators.
+    """Store record of a held request, read by other nodes and by operators.
 
     Parameters
     ----------
     seconds
-        For how long it is held back from the writing of the key on.
+        Hold period, counted from the write of the key.
     target, caller
-        The request's target and the address it came from, as far as the node knew them.
+        Target of the request and address of its caller, as far as the node stored them.
     found_by
         The node that wrote the key.
     """
--- a/wingquay/ports/delegation.py
+++ b/wingquay/ports/delegation.py
@@ -1,4 +1,4 @@
-"""Messages by which a node lets another one ask some of the shards of a request."""
+"""Messages by which one node delegates some shards of a request to another node."""
 
 from ..model.value import value
 from .forwarding import OpaqueRequest
@@ -7,29 +7,31 @@
 
 @value
 class DelegatedRequest(PeerMessage):
-    """Ask one replica of each of these shards.
+    """Send the request to one replica of each of these shards.
 
-    The receiver says at once that it has taken the request, by an answer with nothing in it, and
-    sends to a second replica of a shard only after an ``AllowAttempts``: until then the sender may
-    do so itself, and no shard's replicas must get the request more often than the route allows.
+    The receiver acknowledges at once with an empty ``DelegatedAnswer``. It may send the request to
+    a second replica of a shard only after an ``AllowAttempts``: until then the sender may do so
+    itself, and no shard may exceed the route's attempt limit.
 
     Parameters
     ----------
     delegation_id
-        The sender's own number for it; never used again by that node, also not after a restart.
+        Number chosen by the sender, which never reuses it, also not after a restart.
     route_name
-        The route's name, by which latencies are kept.
+        Key of the route's latency statistics.
     merged_records
-        Records in a merged answer.
-    in_time_seconds
-        Time after which whatever is in must leave, to be of use to a caller that wants it in time.
+        Number of records in a merged answer.
+    objective_seconds
+        Latency objective of the route.
+    cutoff_seconds
+        Time from now until available answers must be sent back to meet the objective.
     remaining_seconds
-        Time after which nobody waits any more.
+        Time from now until the request is abandoned.
     is_group_share
-        Whether the nodes of the sender's group leave these shards to the receiver; otherwise any
-        node may ask the same replicas.
+        Whether the sender's node group leaves these shards to the receiver. Otherwise any node may
+        send to the same replicas.
     tenant
-        The name of the tenant that calls, for the replicas; empty: none is told.
+        Name of the calling tenant, forwarded to the replicas; empty: none is sent.
     """
 
     delegation_id: int
@@ -48,29 +50,31 @@
 
 @value
 class DelegatedAnswer(PeerMessage):
-    """What came in since the last such message; several may follow one request.
+    """Answers received since the previous message; several may follow one request.
+
+    "Positions" are indexes into ``DelegatedRequest.shards``.
 
     Parameters
     ----------
     shards
-        Positions, in the request, of the shards whose answer came in.
+        Positions of the answered shards.
     signatures
-        The signatures of their answers, in the same order.
+        Signatures of the answers, in the order of ``shards``.
     body
-        The greatest records of these answers.
-    declined
-        Positions of the shards of which the receiver knows no replica: it asks for none of them.
+        The highest-ranked records of these answers, merged.
     is_rejected
-        The request was not taken: nothing ran and nothing will.
+        Whether the receiver rejected the delegation: nothing ran and nothing will run.
+    declined
+        Positions of shards for which the receiver has no replica; it sends nothing for them.
     given_back
-        Positions of the shards that the receiver asks for no more: connections to replicas ended
-        under the request, and no replica has answered it.
+        Positions of shards that the receiver stops working on, because connections to replicas
+        ended under the request and no replica has answered it.
     arrivals
-        How many replicas of each of these the request may have reached, in the same order.
+        Number of replicas that may have received the request, in the order of ``given_back``.
     held_seconds
-        Replicas end under the request: for how long it is held back; 0: it is not.
+        Hold period of a request that crashes replicas; 0: not held.
     exhausted
-        Positions of the shards of which as many replicas were asked as may be, and none answered.
+        Positions of shards whose attempt limit is reached without an answer.
     """
 
     delegation_id: int
@@ -87,12 +91,12 @@
 
 @value
 class AllowAttempts(PeerMessage):
-    """Leave all further attempts to the receiver.
+    """Hand all further attempts over to the receiver.
 
     Parameters
     ----------
     max_attempts
-        Most replicas of each shard that the request may be sent to.
+        Maximum number of replicas of each shard that may receive the request.
     """
 
     delegation_id: int
@@ -101,11 +105,11 @@
 
 @value
 class PrewarmMessage(PeerMessage):
-    """Opens the connection before a request needs it; nothing follows from it."""
+    """Empty message that opens the connection before a request needs it."""
 
 
 @value
 class CancelDelegation(PeerMessage):
-    """Nobody waits for the request any more."""
+    """The request is no longer awaited; the receiver may drop it."""
 
     delegation_id: int
--- a/wingquay/ports/forwarding.py
+++ b/wingquay/ports/forwarding.py
@@ -1,4 +1,4 @@
-"""The port for requests that are passed on unchanged, towards callers and replicas."""
+"""Events and actions for forwarded requests, towards callers and replicas."""
 
 from dataclasses import field
 from enum import Enum
@@ -9,14 +9,14 @@
 from .machine import Action, Event
 
 Headers = tuple[tuple[bytes, bytes], ...]
-"""End-to-end headers in the order in which they came, names as they came."""
+"""End-to-end headers in their original order and spelling."""
 
 
 @value
 class OpaqueRequest:
-    """A whole request as its caller sent it, without the headers of one connection.
+    """A complete request as its caller sent it, without hop-by-hop headers.
 
-    Its text leaves the headers out: they may hold secrets of the caller.
+    ``repr`` omits the headers because they may hold secrets of the caller.
     """
 
     method: bytes
@@ -32,20 +32,20 @@
     Parameters
     ----------
     exchange_id
-        This node's own number for it; never used again.
+        Number assigned by this node; never reused.
     request_id
-        The caller's id; each attempt of a caller has its own.
+        The caller's id; each retry by the caller has its own.
     deadline_seconds
-        How long the caller waits, from now; ``None``: it did not say.
+        How long the caller waits, from now; ``None``: not stated.
     transit_seconds
-        Time that the caller spends on the network for it, here and back.
+        Network time between caller and node for this request, both directions together.
     caller
-        The address that it came from, for the log; empty where unknown.
+        Address of the caller, for logs; empty if unknown.
     key
-        The secret that the caller showed; empty: none. It goes to no other process and no log.
+        Secret key that the caller presented; empty: none. Never sent to other processes or logged.
     stripped_request
-        The request without that secret and without what its caller says of its tenant; ``None``: it
-        held neither.
+        The request without the key and without the caller's tenant headers; ``None``: it has
+        neither.
     """
 
     exchange_id: int
@@ -62,23 +62,23 @@
 
 @value
 class CallerDisconnected(Event):
-    """The caller is gone; no reply to this exchange can reach it."""
+    """The caller closed its connection; replies to this exchange can no longer be delivered."""
 
     exchange_id: int
 
 
 @value
 class ReplicaAnswer:
-    """A whole answer of a replica.
+    """A complete answer of a replica.
 
     Parameters
     ----------
     signature
-        The replica's signature of this answer, if it bears one.
+        The replica's signature of this answer; ``None``: unsigned.
     not_run
-        The replica said that it has not run the request and never will.
+        The replica states that it did not run the request and never will.
     is_other_replica
-        Another replica than the one addressed answered: it did not run the request.
+        A replica other than the addressed one answered; it did not run the request.
     """
 
     status: int
@@ -96,16 +96,16 @@
 
 @value
 class ReportedLoad:
-    """What a replica said of its load on an answer.
+    """Load that a replica reported with an answer.
 
     Parameters
     ----------
     running, waiting
-        Requests of all callers that it worked on, and that waited for a slot.
+        Requests of all callers that are running and that wait for a slot.
     slots
-        Requests that it works on at a time.
+        Number of requests that the replica runs concurrently.
     work_factor
-        How long work took there just then, in usual times; it changes many times a second.
+        Current service time relative to the usual one. It fluctuates many times a second.
     """
 
     running: int
@@ -116,16 +116,18 @@
 
 @value
 class SendToReplica(Action):
-    """Send a request to one replica; one of the two events below follows unless cancelled.
+    """Send a request to one replica.
+
+    ``ReplicaAnswered`` or ``SendFailed`` follows unless the attempt is cancelled.
 
     Parameters
     ----------
     remaining_seconds
-        Time left, which the replica is told.
+        Time left until the deadline; sent to the replica.
     fresh_connection
-        Do not use a kept connection.
+        Open a new connection instead of reusing an idle one.
     tenant
-        The name of the tenant that calls, which the replica is told; empty: none is.
+        Name of the calling tenant, sent to the replica; empty: none is sent.
     """
 
     attempt_id: int
@@ -139,30 +141,30 @@
 
 @value
 class CancelSend(Action):
-    """End an attempt and its connection; no event of it follows."""
+    """Abort an attempt and close its connection; no event for it follows."""
 
     attempt_id: int
 
 
 @value
 class OpenConnection(Action):
-    """Open a connection to a replica and keep it; ``ConnectionTried`` follows."""
+    """Open a connection to a replica and keep it open; ``ConnectionTried`` follows."""
 
     replica: ReplicaRecord
 
 
 @value
 class ConnectionTried(Event):
-    """A connection came up and is kept, or did not come up.
+    """Result of ``OpenConnection``: the connection is open, or could not be opened.
 
     Parameters
     ----------
-    life
-        The life of the replica that was meant; another one may have taken the connection.
+    incarnation
+        Incarnation of the replica that was addressed. A later one may have accepted the connection.
     reason
-        Why it did not; empty if it did.
+        Reason of the failure; empty on success.
     is_refused
-        Nothing listens at the replica's address any more.
+        Whether nothing listens at the replica's address any more.
     """
 
     incarnation: str
@@ -171,7 +173,7 @@
 
     @property
     def is_open(self) -> bool:
-        """Whether it came up."""
+        """Whether the connection was opened."""
         return not self.reason
 
 
@@ -185,14 +187,14 @@
 
 
 class SendFailureKind(Enum):
-    """Why an attempt brought no whole answer."""
+    """Reason why an attempt returned no complete answer."""
 
     NOT_SENT = "not_sent"
-    """No connection came up: no byte of the request left."""
+    """No connection could be opened; no byte of the request was sent."""
     BROKEN = "broken"
-    """The connection ended after bytes had left; the request may have run."""
+    """The connection ended after bytes were sent; the request may have run."""
     MALFORMED = "malformed"
-    """What came was no answer to this request; it may have run."""
+    """The bytes received are no valid answer to this request; it may have run."""
 
 
 @value
@@ -202,7 +204,8 @@
     Parameters
     ----------
     is_unanswered
-        The connection ended after the request had left and before a byte of an answer came.
+        Whether the connection ended after the whole request was sent and before any byte of an
+        answer.
     """
 
     attempt_id: int
@@ -213,7 +216,7 @@
 
 @value
 class ReplyUnchanged(Action):
-    """Answer the caller with a replica's answer."""
+    """Return a replica's answer to the caller as it is."""
 
     exchange_id: int
     answer: ReplicaAnswer
@@ -221,14 +224,14 @@
 
 @value
 class ReplyMerged(Action):
-    """Answer the caller with the records merged from several shards.
+    """Return the merged records of several shards to the caller.
 
     Parameters
     ----------
     signatures
-        Of the answers that were merged.
+        Signatures of the merged answers.
     missing_shards
-        How many shards are left out.
+        Number of shards without an answer.
     """
 
     exchange_id: int
@@ -238,30 +241,30 @@
 
 
 class ForwardFailureKind(Enum):
-    """Why a request is answered by this node itself."""
+    """Reason why this node answers a request itself."""
 
     NO_ROUTE = "no_route"
-    """No route of the configuration in force fits."""
+    """No route of the configuration in force matches."""
     UNKNOWN_CALLER = "unknown_caller"
-    """The route needs a key, and no tenant of the configuration in force holds the one shown."""
+    """The route requires a key, and the presented one belongs to no tenant."""
     OVER_LIMIT = "over_limit"
-    """Its tenant has had its requests; it has run nowhere and never will."""
+    """The tenant has exceeded its request limit; the request did not run and never will."""
     NOT_RUN = "not_run"
-    """It has run nowhere and never will."""
+    """The request did not run and never will."""
     FAILED = "failed"
-    """Replicas failed; it may have run."""
+    """Replicas failed; the request may have run."""
     TIMED_OUT = "timed_out"
-    """No answer in time; it may have run."""
+    """No answer arrived in time; the request may have run."""
 
 
 @value
 class ReplyFailure(Action):
-    """Answer the caller with a failure of this node's own.
+    """Answer the caller with a failure produced by this node.
 
     Parameters
     ----------
     retry_after_seconds
-        When the caller may come back; ``None``: nothing is known of that.
+        Time after which the caller may retry; ``None``: unknown.
     """
 
     exchange_id: int
@@ -272,14 +275,14 @@
 
 @value
 class SetForwarding(Action):
-    """Say whether this node is ready for new connections, and what callers may cost.
+    """Set whether this node accepts new connections, and the limits for callers.
 
     Parameters
     ----------
     closes_connections
         Whether every answer closes its connection.
     closes_idle
-        Whether connections on which nothing is under way are closed now.
+        Whether idle connections are closed now.
     """
 
     is_ready: bool
--- a/wingquay/ports/internal.py
+++ b/wingquay/ports/internal.py
@@ -1,4 +1,4 @@
-"""Events by which the machines of one node tell each other what they decided."""
+"""Events by which the state machines of one node notify each other."""
 
 from dataclasses import dataclass
 from enum import Enum
@@ -19,21 +19,21 @@
 
 @dataclass(frozen=True, slots=True)
 class Notify(Action):
-    """Hand ``event`` to the other machines of this node at once."""
+    """Deliver ``event`` to the other state machines of this node at once."""
 
     event: Event
 
 
 @dataclass(frozen=True, slots=True)
 class ConfigurationInForce(Event):
-    """A configuration, newer than any before it, is in force on this node."""
+    """A newer configuration is in force on this node."""
 
     configuration: Configuration
 
 
 @dataclass(frozen=True, slots=True)
 class NewerRevisionReported(Event):
-    """A node said by gossip that it has a configuration newer than this node's."""
+    """Another node reported by gossip that it has a newer configuration than this node."""
 
     sender: NodeIdentity
     revision: Revision
@@ -41,7 +41,7 @@
 
 @dataclass(frozen=True, slots=True)
 class KindLoad:
-    """What this node lately saw of a request kind; latencies in seconds."""
+    """Recent load of a request kind on this node; latencies in seconds."""
 
     service: ServiceName
     kind: RequestKindName
@@ -52,7 +52,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ServiceLoad:
-    """Share of a service's slots in use, 0 to 1 and above when work waits."""
+    """Fraction of a service's slots in use; above 1 when requests are queued."""
 
     service: ServiceName
     utilization: float
@@ -60,7 +60,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LoadObserved(Event):
-    """The load that this node sees now, for the outlook in plans; sent every few seconds."""
+    """Current load on this node, the basis of forecasts in plans; sent every few seconds."""
 
     kinds: tuple[KindLoad, ...] = ()
     services: tuple[ServiceLoad, ...] = ()
@@ -68,10 +68,14 @@
 
 @dataclass(frozen=True, slots=True)
 class MembershipChanged(Event):
-    """The nodes that may be asked, this one included, ordered by node id.
-
-    ``leaving`` nodes finish what they have and get nothing new; suspects are still in
-    ``available``.
+    """The nodes that may receive messages, this one included, ordered by node id.
+
+    Parameters
+    ----------
+    available
+        Nodes that accept new work, suspected ones included.
+    leaving
+        Nodes that finish their open work and accept no new work.
     """
 
     available: tuple[NodeIdentity, ...]
@@ -80,7 +84,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ReplicaStateChanged(Event):
-    """What this node now believes of a replica, from its own evidence or from gossip."""
+    """The state of a replica in this node's view, from its own observations or from gossip."""
 
     replica_id: ReplicaId
     state: ReplicaState
@@ -89,7 +93,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ReplicaObserved(Event):
-    """Evidence of this node's own about a replica, for the membership machine to spread."""
+    """An observation of a replica by this node, to be spread by the membership machine."""
 
     replica_id: ReplicaId
     state: ReplicaState | None
@@ -103,7 +107,7 @@
 
 @dataclass(frozen=True, slots=True)
 class WorkDrained(Event):
-    """The query and admission machines have nothing in flight any more."""
+    """The query and admission machines have no requests in flight any more."""
 
 
 class ClaimDecisionKind(Enum):
@@ -111,18 +115,18 @@
 
     GRANTED = "granted"
     ALREADY_DONE = "already_done"
-    """It ran before; ``outcome`` is the stored answer."""
+    """The request ran before; ``outcome`` is the stored answer."""
     IN_PROGRESS = "in_progress"
-    """Another submission of it holds the claim and its end is not known (yet)."""
+    """Another submission of the request holds the claim, and its outcome is unknown."""
     UNDECIDED = "cannot_tell"
-    """Too few voters can vote for their memory; this submission did not run."""
+    """Too few voters with complete claim records replied; this submission did not run."""
     KEY_REUSED = "key_reused"
-    """The key was used before for a request with other content."""
+    """The idempotency key was used before for a request with different content."""
 
 
 @dataclass(frozen=True, slots=True)
 class ClaimWanted(Event):
-    """The query machine asks whether it may run an unrepeatable request."""
+    """The query machine requests permission to run an unrepeatable request."""
 
     request: QueryRequest
     decide_within_seconds: float
@@ -130,7 +134,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ClaimDecided(Event):
-    """The claims machine's decision."""
+    """The decision of the claims machine on a ``ClaimWanted``."""
 
     request_id: RequestId
     decision: ClaimDecisionKind
@@ -139,7 +143,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ClaimFinished(Event):
-    """The query machine tells what came of a granted request (``None``: it did not run)."""
+    """Outcome of a granted request, from the query machine (``None``: it did not run)."""
 
     request_id: RequestId
     outcome: bytes | None
--- a/wingquay/ports/limit_messages.py
+++ b/wingquay/ports/limit_messages.py
@@ -1,4 +1,4 @@
-"""What nodes tell and ask each other about the requests of tenants; names only, never a key."""
+"""Messages between nodes about tenants' request limits. They carry tenant names, never keys."""
 
 from enum import Enum
 
@@ -7,31 +7,32 @@
 
 
 class LimitVerdict(Enum):
-    """What an owner answers to whoever asks before it begins a request."""
+    """Decision of an owner on a request for permission."""
 
     GRANTED = 1
-    """It may run and is counted."""
+    """The request may run and is counted."""
     EXCEEDED = 2
-    """The tenant has had its requests."""
+    """The tenant's limit is reached."""
     OTHER_OWNER = 3
-    """This owner may not permit it in its own right; the other one may."""
+    """This owner cannot grant permission from its own quota; the tenant's other owner may."""
     NOT_OWNER = 4
-    """By its own view the node asked does not own the tenant."""
+    """The receiver is not an owner of the tenant in its own view of the store."""
 
 
 @value
 class LimitReport(PeerMessage):
-    """What a node has begun, or takes back, since its last telling.
+    """Requests that a node has started, or takes back, since its previous report.
 
     Parameters
     ----------
     sequence
-        Rises by one from telling to telling; 0 in no message.
+        Number of the report, increasing by one; never 0.
     tenants, counts
-        Names, and beside each how many requests; less than 0: so many ran nowhere.
+        Tenant names and, in the same order, request counts. A negative count takes back requests
+        that did not run.
     charged
-        Beside each name, how many requests begun at once the other owner has not acknowledged: they
-        count against what this one may permit in its own right.
+        In the order of ``tenants``: requests started without permission that the other owner has
+        not acknowledged. They count against this owner's own quota.
     """
 
     sequence: int
@@ -42,14 +43,15 @@
 
 @value
 class LimitAcknowledgement(PeerMessage):
-    """An owner has counted all tellings up to a number; 0: none is acknowledged.
+    """An owner has counted all reports up to ``sequence``; 0: none is acknowledged.
 
     Parameters
     ----------
-    asks_first
-        It cannot know the last window yet: every request is asked before it begins.
+    requires_permit
+        Whether every request needs permission before it starts, because the owner does not have the
+        counts of the last window yet.
     hot, hot_seconds
-        Tenants whose requests are asked first, and beside each for how long.
+        Tenants whose requests need permission first and, in the same order, for how long.
     """
 
     sequence: int
@@ -60,7 +62,7 @@
 
 @value
 class LimitRequest(PeerMessage):
-    """Asks whether a request of a tenant may begin."""
+    """Request an owner's permission to start a request of a tenant."""
 
     ask_id: int
     tenant: str
@@ -68,14 +70,14 @@
 
 @value
 class LimitReply(PeerMessage):
-    """The answer to one question.
+    """An owner's reply to the ``LimitRequest`` with the same id.
 
     Parameters
     ----------
     retry_after_seconds
-        When the tenant's window has room, if the verdict is that it has none.
-    asks_first, hot_seconds
-        As in an acknowledgement, for the tenant asked for; 0: it is not hot.
+        Time until the tenant's window has capacity again, if the verdict is that it has none.
+    requires_permit, hot_seconds
+        As in ``LimitAcknowledgement``, for the requested tenant; 0: the tenant is not hot.
     """
 
     ask_id: int
@@ -87,12 +89,12 @@
 
 @value
 class LimitRecord:
-    """What an owner knows of one tenant's last window.
+    """An owner's request counts of one tenant in the last window.
 
     Parameters
     ----------
     ages_seconds, counts
-        How long ago, when the message leaves, and beside each how many requests.
+        Ages when the message is sent and, in the same order, request counts.
     """
 
     tenant: str
@@ -102,18 +104,19 @@
 
 @value
 class LimitOwnersRequest(PeerMessage):
-    """An owner wants the other owners' part of tenants lent, or what they know.
+    """An owner wants to borrow quota from the other owners, or to read their counts.
 
     Parameters
     ----------
     request_id
-        Comes back in the reply.
+        Returned in the reply.
     owners
-        A digest of the owners by the sender's view of the store.
+        Digest of the set of owners in the sender's view of the store.
     wants_records
-        Whether this life of the owner does not know the last window.
+        Whether the sender lacks the counts of the last window since its start.
     wants_loans, wanted
-        Tenants of which it wants to permit more by itself for a while, and beside each how much.
+        Tenants for which the sender wants to borrow quota for a while and, in the same order, how
+        much.
     """
 
     request_id: int
@@ -125,20 +128,20 @@
 
 @value
 class LimitOwnersReply(PeerMessage):
-    """What an owner lends and knows.
+    """Quota that an owner lends, and its counts.
 
     Parameters
     ----------
     lent, loans
-        Tenants of which this owner permits less for that while, and beside each how much.
+        Tenants whose quota this owner lends for a while and, in the same order, how much.
     is_same_view
-        Whether the owners are the same by this owner's view of the store, which it can reach.
+        Whether this owner can reach the store and sees the same set of owners.
     knows_window
-        Whether it tells the last window of the tenants that the two own together.
+        Whether the reply covers the last window of the tenants that both nodes own.
     unknown
-        Those among them whose whole window it does not know.
+        Those of them whose whole window this owner does not have.
     records
-        What it knows of these windows; a tenant that is missing had no request.
+        Counts of these windows; a tenant that is missing had no requests.
     """
 
     request_id: int
--- a/wingquay/ports/machine.py
+++ b/wingquay/ports/machine.py
@@ -1,8 +1,8 @@
-"""The shape of all decision code: events in, actions out, no I/O, no clock.
+"""Base types of the decision code: state machines that take events and return actions.
 
-The same machines run under asyncio and under the simulator. Times are seconds on a clock that
-only moves forward and whose zero means nothing (``now``). Source: Dask distributed's
-``WorkerState`` and the design's rule 1.
+Machines do no I/O and read no clock, so that the same code runs under asyncio and under the
+simulator. Times (``now``) are in seconds on a monotonic clock with an arbitrary zero. Source: Dask
+distributed's ``WorkerState`` and the design's rule 1.
 """
 
 from dataclasses import field
@@ -12,28 +12,31 @@
 
 
 class Event:
-    """Something that happened; base of every event."""
+    """Base of every event: something that happened."""
 
     __slots__ = ()
 
 
 class Action:
-    """Something to be done by the surroundings; base of every action."""
+    """Base of every action: something that the surrounding process performs."""
 
     __slots__ = ()
 
 
 class Machine(Protocol):
-    """A state machine that decides."""
+    """A state machine that makes decisions."""
 
     def handle(self, event: Event, now: float) -> list[Action]:
-        """Take in ``event`` at time ``now`` (seconds) and return what is to be done, in order."""
+        """Handle ``event`` at time ``now`` (seconds) and return the actions to perform in order."""
         ...
 
 
 @value
 class Schedule(Action):
-    """Hand ``event`` back at ``at_seconds``. It cannot be cancelled: stale events are ignored."""
+    """Deliver ``event`` to the machine at ``at_seconds``.
+
+    Scheduled events cannot be cancelled; machines ignore stale ones.
+    """
 
     at_seconds: float
     event: Event
@@ -50,7 +53,7 @@
 
 @value
 class Log(Action):
-    """Write one log line of key=value pairs."""
+    """Write a log line of key=value pairs."""
 
     message: str
     level: str = LogLevel.INFO
@@ -68,7 +71,7 @@
 
 @value
 class Observe(Action):
-    """Add ``value`` to the histogram ``name`` (the unit is the name's suffix)."""
+    """Add ``value`` to the histogram ``name``, whose suffix states the unit."""
 
     name: str
     value: float
@@ -77,24 +80,24 @@
 
 @value
 class Start(Event):
-    """The process is up; sent once, first."""
+    """The process is up; sent exactly once, before all other events."""
 
 
 @value
 class EventLoopLag(Event):
-    """How late the event loop fired a timer; sent about ten times a second."""
+    """Delay of a timer of the event loop; sent about ten times a second."""
 
     lag_seconds: float
 
 
 @value
 class ProcessResumed(Event):
-    """The machine was suspended; nothing was handled meanwhile, and others went on.
+    """The process was suspended and runs again; no events were handled meanwhile.
 
     Parameters
     ----------
     seconds
-        For how long. The time that decisions are given counts it.
+        Length of the suspension. The time ``now`` passed to machines includes it.
     """
 
     seconds: float
@@ -102,20 +105,22 @@
 
 @value
 class StopRequested(Event):
-    """A planned stop has been asked for (SIGTERM)."""
+    """A planned stop was requested (SIGTERM)."""
 
 
 @value
 class Exit(Action):
-    """The planned stop is over: nothing is in flight any more.
+    """The planned stop is complete: nothing is in flight any more.
 
     Parameters
     ----------
     cut_requests
-        Requests cut off because the bounded time ran out.
+        Number of requests aborted because the time limit of the stop expired.
+    notes
+        Remarks on the stop, for people.
     grace_seconds
-        Time left for requests that were on their way to the node when it decided to end: what has
-        been read by then is still answered.
+        Time for requests that were on their way to the node when it decided to exit. Those read
+        within this time are still answered.
     """
 
     cut_requests: int = 0
--- a/wingquay/ports/machine_directory.py
+++ b/wingquay/ports/machine_directory.py
@@ -1,4 +1,4 @@
-"""The port towards the platform's list of live and leaving machines, which lags."""
+"""Events and actions for the platform's machine list, which may be outdated."""
 
 from dataclasses import dataclass
 from enum import Enum
@@ -9,14 +9,14 @@
 
 
 class MachineState(Enum):
-    """What the platform says of a machine."""
+    """State of a machine as the platform reports it."""
 
     LIVE = "live"
     LEAVING = "leaving"
 
 
 class DirectoryFailureKind(Enum):
-    """Why the list could not be read."""
+    """Reason why the list could not be read."""
 
     UNREACHABLE = "unreachable"
     MALFORMED = "malformed"
@@ -24,7 +24,7 @@
 
 @dataclass(frozen=True, slots=True)
 class MachineEntry:
-    """A process on a machine: a node (its peer address) or a replica (its own address)."""
+    """A process on a machine: a node (peer address) or a replica (service address)."""
 
     host: str
     port: int
@@ -34,11 +34,11 @@
 
 @dataclass(frozen=True, slots=True)
 class ReadMachineList(Action):
-    """Read the list once."""
+    """Read the list once; ``MachineListRead`` follows."""
 
 
 @dataclass(frozen=True, slots=True)
 class MachineListRead(Event):
-    """The list as the platform has it, or why it could not be read."""
+    """The platform's list, or the reason why it could not be read."""
 
     result: tuple[MachineEntry, ...] | Failure[DirectoryFailureKind]
--- a/wingquay/ports/operator.py
+++ b/wingquay/ports/operator.py
@@ -1,7 +1,7 @@
-"""The port towards operators: commands in, typed replies out.
+"""Commands of operators and their typed results.
 
-Commands are checked strictly: a misspelt field is refused. Results may gain fields, which an
-older client ignores.
+Commands are validated strictly: unknown fields are rejected. Results may gain fields, which older
+clients ignore.
 """
 
 from dataclasses import dataclass
@@ -19,37 +19,37 @@
 from .machine import Action, Event
 
 MAX_INTENTS = 1000
-"""Intents that one plan may hold."""
+"""Maximum number of intents in one plan."""
 
 
 class OperatorFailureKind(Enum):
-    """Why a command had no result."""
+    """Reason why a command returned no result."""
 
     INVALID = "invalid"
     NOT_FOUND = "not_found"
     CONFLICT = "conflict"
-    """The configuration moved on; the reason says what changed."""
+    """The configuration has changed meanwhile; the reason states how."""
     EXPIRED = "expired"
     STORE_UNAVAILABLE = "store_unavailable"
     """Nothing was changed."""
     NOT_KNOWN_YET = "not_known_yet"
-    """It may have taken effect; asking again later tells."""
+    """The command may have taken effect; a repeated command will tell."""
 
 
 class OperatorMessage(BaseModel):
-    """Base of commands and results; checked strictly, immutable."""
+    """Base of commands and results: immutable, rejects unknown fields."""
 
     model_config = ConfigDict(frozen=True, extra="forbid")
 
 
 class OperatorResult(OperatorMessage):
-    """Base of results."""
+    """Base of results: ignores unknown fields."""
 
     model_config = ConfigDict(frozen=True, extra="ignore")
 
 
 class ProposePlan(OperatorMessage):
-    """Make a plan of these intents; nothing is changed."""
+    """Make a plan from intents; the configuration is not changed."""
 
     intents: Annotated[tuple[Intent, ...], Field(min_length=1, max_length=MAX_INTENTS)]
 
@@ -65,13 +65,13 @@
 
 
 class ConfirmPlan(OperatorMessage):
-    """Let a plan take effect; doing so again changes nothing more."""
+    """Put a plan into effect; confirming it again has no further effect."""
 
     plan_id: str
 
 
 class DiscardPlan(OperatorMessage):
-    """Forget a plan."""
+    """Delete a plan."""
 
     plan_id: str
 
@@ -83,7 +83,7 @@
 
 
 class ShowHistory(OperatorMessage):
-    """List who confirmed what and when."""
+    """List past confirms, with operators and times."""
 
 
 class DiffConfigurations(OperatorMessage):
@@ -94,18 +94,18 @@
 
 
 class ShowStatus(OperatorMessage):
-    """Show what this node knows of revisions, zones, nodes and the store."""
+    """Show this node's view of revisions, zones, nodes and the store."""
 
 
 class PlanResult(OperatorResult):
-    """A plan, and how long it can still be confirmed."""
+    """A plan and the time left to confirm it."""
 
     plan: Plan
     remaining_seconds: float
 
 
 class PlanSummary(OperatorResult):
-    """A plan in a list."""
+    """An entry in a list of plans."""
 
     plan_id: str
     base_revision: Revision
@@ -115,14 +115,14 @@
 
 
 class PlanListResult(OperatorResult):
-    """The plans that can be confirmed, and what may be missing from the list."""
+    """The plans that can be confirmed; ``warnings`` say what may be missing."""
 
     plans: tuple[PlanSummary, ...]
     warnings: tuple[str, ...] = ()
 
 
 class ConfirmOutcome(Enum):
-    """How a confirm came out."""
+    """Result of a confirm."""
 
     LANDED = "landed"
     LANDED_BEFORE = "landed_before"
@@ -130,7 +130,13 @@
 
 
 class ConfirmResult(OperatorResult):
-    """A plan has taken effect as ``revision``; ``rebased``: on a later base than it was made on."""
+    """A plan is in effect as ``revision``.
+
+    Parameters
+    ----------
+    rebased
+        Whether the plan was applied to a later revision than the one it was made from.
+    """
 
     plan_id: str
     revision: Revision
@@ -140,13 +146,13 @@
 
 
 class DiscardResult(OperatorResult):
-    """A plan is forgotten."""
+    """A plan has been deleted."""
 
     plan_id: str
 
 
 class ConfigurationResult(OperatorResult):
-    """A configuration; ``document`` is the stored JSON text with its audit records."""
+    """A configuration; ``document`` is its stored JSON text, including audit records."""
 
     configuration: Configuration
     document: str
@@ -154,14 +160,14 @@
 
 
 class HistoryResult(OperatorResult):
-    """The latest confirms, oldest first."""
+    """The most recent confirms, oldest first."""
 
     records: tuple[AuditRecord, ...]
     warnings: tuple[str, ...] = ()
 
 
 class DiffResult(OperatorResult):
-    """What differs between two revisions, a line each."""
+    """The differences between two revisions, one per line."""
 
     from_revision: Revision
     to_revision: Revision
@@ -169,7 +175,13 @@
 
 
 class NodeStatus(OperatorResult):
-    """A node as the answering node knows it; ``revision``: the last heard of."""
+    """State of a node in the replying node's view.
+
+    Parameters
+    ----------
+    revision
+        Last configuration revision received from the node; ``None``: none yet.
+    """
 
     node_id: NodeId
     zone: ZoneName
@@ -179,15 +191,15 @@
 
 
 class ZoneStatus(OperatorResult):
-    """A zone's revisions as far as heard.
+    """Configuration revisions of a zone's nodes in the replying node's view.
 
     Parameters
     ----------
     nodes_heard
-        Nodes of the zone whose revision is known; a sample, not all.
+        Number of nodes whose revision was received; a sample of the zone.
     in_force_seconds
-        Time from the confirm until the first two nodes of the zone said that they have the
-        revision; known only on the node that took the confirm.
+        Time from the confirm until the first two nodes of the zone reported the revision. Available
+        only on the node that handled the confirm.
     """
 
     zone: ZoneName
@@ -199,7 +211,19 @@
 
 
 class StatusResult(OperatorResult):
-    """What one node knows; ``in_force_since_seconds`` is the age of the revision on it."""
+    """Status of one node.
+
+    Parameters
+    ----------
+    in_force_since_seconds
+        Time since the revision came into force on the node; ``None``: none is in force.
+    store_reachable
+        Whether the last call to the store succeeded; ``None``: unknown.
+    store_last_reply_seconds
+        Time since the last reply of the store; ``None``: no reply yet.
+    watcher
+        Whether the node watches the store for its zone.
+    """
 
     node_id: NodeId
     zone: ZoneName
@@ -216,14 +240,14 @@
 
 @dataclass(frozen=True, slots=True)
 class OperatorRequest(Event):
-    """An authenticated operator's command.
+    """A command of an authenticated operator.
 
     Parameters
     ----------
     exchange_id
-        Names the exchange until it is replied to.
+        Identifies the exchange until it is replied to.
     unix_seconds
-        Wall-clock time, for records that people read; never for decisions.
+        Wall-clock time, used only in records for people.
     """
 
     exchange_id: str
@@ -234,7 +258,7 @@
 
 @dataclass(frozen=True, slots=True)
 class OperatorReply(Action):
-    """The reply to a command; exactly one each."""
+    """Reply to a command; exactly one per command."""
 
     exchange_id: str
     result: OperatorMessage | Failure[OperatorFailureKind]
--- a/wingquay/ports/peer.py
+++ b/wingquay/ports/peer.py
@@ -1,8 +1,9 @@
-"""The port towards other nodes: the messages between our own processes.
+"""Messages between nodes: membership, gossip, sub-requests and configuration.
 
-The adapter carries them as protobuf: membership messages as datagrams (they may be lost, doubled
-or reordered), all others on one authenticated connection a pair of nodes (in order while it
-lasts; a break loses what was in transit). Those about claims are in ``peer_claims.py``.
+The adapter encodes them as protobuf. Membership messages travel as datagrams, which may be lost,
+duplicated or reordered. All others share one authenticated connection per pair of nodes: they
+arrive in order, and a broken connection loses those in transit. For messages about claims, see
+``peer_claims.py``.
 """
 
 from dataclasses import dataclass
@@ -26,7 +27,7 @@
 
 
 class NodeState(Enum):
-    """What is believed of a node."""
+    """State of a node in the membership protocol."""
 
     ALIVE = "alive"
     SUSPECT = "suspect"
@@ -36,10 +37,13 @@
 
 @dataclass(frozen=True, slots=True)
 class NodeUpdate:
-    """A belief about a node, as spread by gossip; a greater incarnation overrides.
+    """State of a node, as spread by gossip; a higher incarnation overrides a lower one.
 
-    ``suspected_by`` names who first said so when ``state`` is ``SUSPECT``, so that independent
-    suspicions can be told from repeated ones; otherwise it is empty.
+    Parameters
+    ----------
+    suspected_by
+        The node that raised the suspicion, so that independent suspicions can be counted; empty
+        unless ``state`` is ``SUSPECT``.
     """
 
     identity: NodeIdentity
@@ -49,7 +53,7 @@
 
 
 class ReplicaState(Enum):
-    """What is believed of a replica."""
+    """State of a replica, as spread by gossip."""
 
     SERVING = "serving"
     LEAVING = "leaving"
@@ -58,7 +62,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ReplicaUpdate:
-    """A belief about a replica, spread by its owners; a greater ``version`` overrides."""
+    """State of a replica, spread by its owners; a higher ``version`` overrides a lower one."""
 
     replica_id: ReplicaId
     state: ReplicaState
@@ -68,7 +72,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Gossip:
-    """Beliefs that ride on membership messages."""
+    """State updates that are piggybacked on membership messages."""
 
     configuration_revision: Revision
     node_updates: tuple[NodeUpdate, ...] = ()
@@ -77,7 +81,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Ping(MembershipMessage):
-    """Direct probe; with ``sequence`` 0 it only carries gossip and is not answered.
+    """Direct probe of a node; ``sequence`` 0 carries only gossip and gets no reply.
 
     Source: SWIM (Das, Gupta, Motivala, 2002), section 3.
     """
@@ -88,10 +92,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Acknowledgement(MembershipMessage):
-    """The answer to a probe, direct or on behalf of ``subject``.
+    """Reply to a ``Ping``, or to a ``PingRequest`` on behalf of ``subject``.
 
-    An answer to a ``PingRequest`` that names the answering node itself as subject means that the
-    node asked for did not answer it.
+    A reply to a ``PingRequest`` whose ``subject`` is the replying node itself is a negative one:
+    the probed node did not answer the replying node.
     """
 
     sequence: int
@@ -101,7 +105,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PingRequest(MembershipMessage):
-    """Indirect probe: "probe ``subject`` for me"."""
+    """Indirect probe: asks the receiver to probe ``subject`` for the sender."""
 
     sequence: int
     subject: NodeIdentity
@@ -110,12 +114,12 @@
 
 @dataclass(frozen=True, slots=True)
 class NodeListRequest(PeerMessage):
-    """Ask for the whole membership and the configuration revision, when joining."""
+    """Request the complete membership and the configuration revision, when joining."""
 
 
 @dataclass(frozen=True, slots=True)
 class NodeList(PeerMessage):
-    """The whole membership as the sender believes it."""
+    """The complete membership in the sender's view."""
 
     gossip: Gossip
 
@@ -129,28 +133,28 @@
 
 @value
 class SubResultBatch(PeerMessage):
-    """Results of sub-requests that the receiver asked for."""
+    """Results of sub-requests that the receiver sent."""
 
     results: tuple[SubResult, ...]
 
 
 @dataclass(frozen=True, slots=True)
 class CancelSubRequests(PeerMessage):
-    """The receiver may drop these sub-requests: nobody waits for them any more."""
+    """Results of these sub-requests are no longer needed; the receiver may drop them."""
 
     sub_request_ids: tuple[SubRequestId, ...]
 
 
 @dataclass(frozen=True, slots=True)
 class ConfigurationFetch(PeerMessage):
-    """Ask for the configuration if the receiver has one newer than ``known_revision``."""
+    """Request the configuration if the receiver has one newer than ``known_revision``."""
 
     known_revision: Revision
 
 
 @dataclass(frozen=True, slots=True)
 class ConfigurationBody(PeerMessage):
-    """A confirmed configuration (``body`` is its JSON)."""
+    """A confirmed configuration; ``body`` is its JSON text."""
 
     revision: Revision
     body: bytes
--- a/wingquay/ports/peer_claims.py
+++ b/wingquay/ports/peer_claims.py
@@ -1,4 +1,4 @@
-"""The messages between nodes about claims of unrepeatable requests; see ``peer.py``."""
+"""Messages between nodes about claims on unrepeatable requests; see also ``peer.py``."""
 
 from dataclasses import dataclass
 from enum import Enum
@@ -8,19 +8,19 @@
 
 
 class VoteKind(Enum):
-    """A claim voter's answer."""
+    """Result of a claim voter's vote."""
 
     GRANTED = "granted"
-    """The voter knows of no other submission and now remembers this claim."""
+    """The voter has no record of another submission and has recorded this claim."""
     ALREADY_CLAIMED = "already_claimed"
-    """Another submission holds the claim; ``outcome`` says what came of it, if known."""
+    """Another submission holds the claim; ``outcome`` is its result, if available."""
     CANNOT_VOTE = "cannot_vote"
-    """The voter's memory is incomplete or full, or it does not hold the zone's assignment."""
+    """The voter's claim records are incomplete or full, or it lacks the zone's assignment."""
 
 
 @dataclass(frozen=True, slots=True)
 class AssignmentEpoch:
-    """How often the assignment of ``zone`` was taken over without the memory of its last holder."""
+    """Number of times that the assignment of ``zone`` was taken over without its claim records."""
 
     zone: ZoneName
     epoch: int
@@ -28,22 +28,22 @@
 
 @dataclass(frozen=True, slots=True)
 class ClaimRequest(PeerMessage):
-    """Ask the receiver, which holds its zone's assignment for the key, to remember a claim.
+    """Ask the holder of a zone's assignment for the key to record a claim.
 
     Parameters
     ----------
     claim_key
         Digest of caller, service and idempotency key.
     request_digest
-        Digest of the request's content, so that a key used for another request is noticed.
+        Digest of the request's content, which detects reuse of a key for a different request.
     round_number
-        Counts the times that the submission asked anew after it gave its grants back; grants
-        and releases of other rounds do not mix.
+        Round of this submission, incremented when it releases its grants and requests them again.
+        Grants and releases of different rounds are independent.
     zones
-        The zones whose majority decides, as the sender knows them; a voter of another list of
-        zones does not grant.
+        Zones whose majority decides, in the sender's view. Voters with a different list do not
+        grant.
     assignment_epochs
-        The newest epochs of the partition that the sender has heard of.
+        The newest epochs of the partition that the sender has received.
     """
 
     claim_key: str
@@ -56,18 +56,18 @@
 
 @dataclass(frozen=True, slots=True)
 class ClaimVote(PeerMessage):
-    """A voter's answer to the ``ClaimRequest`` with the same request id and round.
+    """A voter's reply to the ``ClaimRequest`` with the same request id and round.
 
     Parameters
     ----------
     epoch
-        The epoch of the voter's own assignment; 0 when it has none.
+        Epoch of the voter's own assignment; 0 if it has none.
     holder_request_id, holder_request_digest, outcome
-        Of the submission that holds the claim, when ``vote`` is ``ALREADY_CLAIMED``;
-        ``outcome`` is the stored answer (bytes that only the query machine reads).
+        Describe the submission that holds the claim if ``vote`` is ``ALREADY_CLAIMED``. ``outcome``
+        is the stored answer, in a format that only the query machine reads.
     assignment_epochs
-        The newest epochs of the partition that the voter had heard of when it voted: a grant
-        from an older epoch of one of these zones does not count.
+        The newest epochs of the partition that the voter had received when it voted. A grant from
+        an older epoch of one of these zones does not count.
     """
 
     claim_key: str
@@ -83,10 +83,10 @@
 
 @dataclass(frozen=True, slots=True)
 class ClaimOutcome(PeerMessage):
-    """What came of a claimed request, for its voters to remember.
+    """The result of a claimed request, for its voters to store.
 
-    ``outcome`` of ``None`` releases the claim of this round and of earlier ones: the request
-    certainly did not run and will not run with them.
+    An ``outcome`` of ``None`` releases the claim of this round and of earlier ones: the request did
+    not run and will not run under them.
     """
 
     claim_key: str
@@ -98,7 +98,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ClaimRecord:
-    """One remembered claim; ``age_seconds`` since it was granted."""
+    """A stored claim; ``age_seconds`` is the time since it was granted."""
 
     claim_key: str
     request_id: RequestId
@@ -110,9 +110,10 @@
 
 @dataclass(frozen=True, slots=True)
 class ClaimAssignmentOffer(PeerMessage):
-    """The sender holds assignments that it believes to be the receiver's: "ask me for them".
+    """Offer assignments to the receiver, which should hold them in the sender's view.
 
-    Without ``partitions`` it tells a node that it sees for the first time that it has none.
+    The receiver accepts with a ``ClaimTableRequest``. An empty ``partitions`` tells a node seen for
+    the first time that the sender has none of its assignments.
     """
 
     offer_id: str
@@ -121,20 +122,20 @@
 
 @dataclass(frozen=True, slots=True)
 class ClaimTableRequest(PeerMessage):
-    """Ask for the claims of a partition, to rebuild an assignment or to take one over.
+    """Request the claims of a partition, to rebuild an assignment or to take one over.
 
     Parameters
     ----------
     transfer_id
-        Names this request; the table carries it back.
+        Id of this request, returned with the table.
     offer_id
-        The ``ClaimAssignmentOffer`` that is accepted: the receiver hands its assignment over and
-        votes no more. ``None``: the table is asked for by another zone's new holder.
+        The accepted ``ClaimAssignmentOffer``: the receiver hands its assignment over and stops
+        voting. ``None``: the sender is the new holder in another zone and only reads the table.
     zones, assignment_epochs
-        As in ``ClaimRequest``; with the sender's own new epoch when it rebuilds.
+        As in ``ClaimRequest``; includes the sender's own new epoch when it rebuilds.
     ended_epoch
-        When not 0, the table as it was when this epoch of the receiver's assignment ended is asked
-        for, because the list of zones has changed since.
+        If not 0, requests the table as of the end of this epoch of the receiver's assignment,
+        because the list of zones has changed since.
     """
 
     partition: int
@@ -147,22 +148,22 @@
 
 @dataclass(frozen=True, slots=True)
 class ClaimTable(PeerMessage):
-    """A piece of the claims of a partition, as they all were at one moment.
+    """A part of a consistent snapshot of a partition's claims.
 
     Parameters
     ----------
     complete
-        Whether the sender votes for its memory.
+        Whether the sender's claim records are complete, so that it can vote from them.
     handed_over
         Whether the assignment itself passes to the receiver.
     epoch, assignment_epochs
-        The epoch of the sender's assignment, and the newest epochs that it has heard of.
+        Epoch of the sender's assignment, and the newest epochs that it has received.
     confirmed_age_seconds
         Time since the sender's epoch was last confirmed by the platform's store.
     table_id
-        Names the moment that the table is of: only pieces with the same one belong together.
+        Id of the snapshot. Only parts with the same id belong together.
     piece, pieces
-        This piece's number from 0, and how many there are.
+        Index of this part from 0, and the number of parts.
     """
 
     partition: int
--- a/wingquay/ports/peer_link.py
+++ b/wingquay/ports/peer_link.py
@@ -1,4 +1,4 @@
-"""The port to the link between nodes, whatever the messages on it mean."""
+"""Events and actions for the link between nodes, independent of the messages sent over it."""
 
 from dataclasses import dataclass
 
@@ -9,10 +9,11 @@
 
 @dataclass(frozen=True, slots=True)
 class NodeIdentity:
-    """Who a node is and where it listens for peers (IP number and port, TCP and UDP alike).
+    """Identity of a node and the address where it listens for peers.
 
-    A membership message may be sent to an identity with an empty ``node_id``: then whoever
-    listens at the address gets it. That is how a node joins.
+    ``host`` is an IP address; ``port`` is used for TCP and UDP. A membership message sent to an
+    identity with an empty ``node_id`` reaches whichever node listens at the address. Nodes use this
+    to join.
     """
 
     node_id: NodeId
@@ -24,12 +25,12 @@
 
 @value
 class NodeRecord:
-    """What a node says of itself in the store.
+    """A node's own record in the store.
 
     Parameters
     ----------
     processor
-        How fast it computes, in whole cores.
+        Compute capacity, in whole cores.
     """
 
     identity: NodeIdentity
@@ -43,14 +44,14 @@
 
 
 class MembershipMessage(PeerMessage):
-    """Base of the messages that travel as datagrams."""
+    """Base of the messages sent as datagrams."""
 
     __slots__ = ()
 
 
 @value
 class SendToPeer(Action):
-    """Send ``message`` to a node; to oneself it is handled at once without the network."""
+    """Send ``message`` to a node; a message to the node itself is handled at once."""
 
     to: NodeIdentity
     message: PeerMessage
@@ -58,7 +59,7 @@
 
 @value
 class PeerReceived(Event):
-    """A message came from an authenticated peer."""
+    """A message arrived from an authenticated peer."""
 
     sender: NodeIdentity
     message: PeerMessage
@@ -66,12 +67,12 @@
 
 @dataclass(frozen=True, slots=True)
 class PeerLinkBroken(Event):
-    """The connection to a node broke or could not be made; sent messages may be lost.
+    """The connection to a node broke or could not be opened; sent messages may be lost.
 
     Parameters
     ----------
     was_open
-        Whether there was a connection; otherwise no message has left.
+        Whether there was a connection; otherwise no message was sent.
     """
 
     node_id: NodeId
@@ -86,7 +87,7 @@
     Parameters
     ----------
     cluster_key
-        The secret that all nodes share.
+        Secret shared by all nodes.
     """
 
     cluster_key: bytes
@@ -94,12 +95,12 @@
 
 @value
 class PeerLinkOpened(Event):
-    """Other nodes can reach this one.
+    """Confirms that this node listens for other nodes.
 
     Parameters
     ----------
     identity
-        What they have to know for that.
+        The node's identity and address, to be published to other nodes.
     """
 
     identity: NodeIdentity
--- a/wingquay/ports/peer_snapshot.py
+++ b/wingquay/ports/peer_snapshot.py
@@ -1,4 +1,4 @@
-"""The port by which a node that cannot reach the store learns from another node what is there."""
+"""Reading the store's contents from another node when the store is unreachable."""
 
 from ..model.value import value
 from .machine import Action, Event
@@ -7,17 +7,17 @@
 
 @value
 class RequestPeerSnapshot(Action):
-    """Ask other nodes for what they know of the store; an answer may or may not come."""
+    """Request the store's contents from other nodes; a ``PeerSnapshot`` may follow or not."""
 
 
 @value
 class PeerSnapshot(Event):
-    """What another node knows of the store.
+    """The store's contents as held by another node.
 
     Parameters
     ----------
     store_revision
-        The store's revision up to which the other node knew everything.
+        Store revision up to which the contents are complete.
     """
 
     values: tuple[StoredValue, ...]
--- a/wingquay/ports/proof_messages.py
+++ b/wingquay/ports/proof_messages.py
@@ -1,4 +1,4 @@
-"""What nodes ask and answer so that one look at the store proves the configuration for a group."""
+"""Messages that share one node's poll of the store as proof of freshness for a group of nodes."""
 
 from ..model.value import value
 from .peer_link import PeerMessage
@@ -6,12 +6,12 @@
 
 @value
 class ProofRequest(PeerMessage):
-    """Asks to be told, now and after each look, for how long this was known by the proven moment.
+    """Request proof of the configuration's freshness, now and after each poll by the receiver.
 
     Parameters
     ----------
     number
-        No other ask of any life of any node has it.
+        Unique across all requests of all incarnations of all nodes.
     """
 
     number: int
@@ -19,21 +19,22 @@
 
 @value
 class ProofReply(PeerMessage):
-    """Answers an ask at once, by what is proven, and after each look at the store.
+    """Reply to a ``ProofRequest``, sent at once and again after each poll of the store.
 
-    It tells no age, which would grow unseen while the message is under way: the moment as of which
-    the configuration is proven, the beginning of a look, came at least ``held_seconds`` after the
-    ask was sent, however long either message took.
+    The configuration is proven as of the start of a poll. The reply states this time relative to
+    the receipt of the request rather than as an age, which would grow during transmission. The
+    proven time is therefore at least ``held_seconds`` after the request was sent, whatever the
+    transmission delays.
 
     Parameters
     ----------
     number
-        The ask that is answered.
+        Number of the request.
     held_seconds
-        How long it had been known at that moment, by the clock of the node that answers; below 0:
-        it came so much later.
+        Proven time minus the time when the request was received, on the replying node's clock.
+        Negative if the request was received later.
     store_revision
-        Whoever knows the store up to here knows all that had been acknowledged by that moment.
+        A node with the store's contents up to here has all changes acknowledged by the proven time.
     """
 
     number: int
--- a/wingquay/ports/reachability_messages.py
+++ b/wingquay/ports/reachability_messages.py
@@ -1,4 +1,4 @@
-"""The message by which nodes tell each other which zones they reach."""
+"""Messages by which nodes report which zones they can reach."""
 
 from ..model.value import value
 from .peer_link import PeerMessage
@@ -6,17 +6,17 @@
 
 @value
 class ReachabilityReport(PeerMessage):
-    """What a node that is in doubt finds out about the other zones.
+    """Reachability of other zones, sent by a node that is checking it.
 
     Parameters
     ----------
     unreachable_zones
-        Zones that it reached before and reaches no more.
+        Zones that the sender reached earlier and cannot reach any more.
     reachable_zones
-        Zones of which something answered just now.
+        Zones from which the sender has just received a reply.
     wants_reply
-        Whether the receiver is to say at once that it is there, and, in the same zone, what it
-        reaches itself.
+        Whether the receiver should confirm at once that it is up and, if it is in the sender's
+        zone, report which zones it reaches itself.
     """
 
     unreachable_zones: tuple[str, ...] = ()
--- a/wingquay/ports/store.py
+++ b/wingquay/ports/store.py
@@ -1,4 +1,4 @@
-"""The port towards the platform's key-value service: compare-and-swap, leases, watches."""
+"""Events and actions for the platform's key-value store: compare-and-swap, leases, watches."""
 
 from enum import Enum
 
@@ -8,24 +8,31 @@
 
 
 class StoreFailureKind(Enum):
-    """Why an operation brought no result."""
+    """Reason why an operation returned no result."""
 
     UNREACHABLE = "unreachable"
-    """Nothing was sent: the operation did not take effect."""
+    """Nothing was sent; the operation did not take effect."""
     LOST_REPLY = "lost_reply"
-    """It was sent and no reply came: it may have taken effect."""
+    """The operation was sent but no reply arrived; it may have taken effect."""
     RATE_LIMITED = "rate_limited"
-    """The service refused it; it did not take effect."""
+    """The store rejected the operation; it did not take effect."""
     MALFORMED = "malformed"
     HISTORY_LOST = "history_lost"
-    """The store no longer knows the changes that were asked for."""
+    """The store no longer has the requested changes."""
 
 
 @value
 class StoredValue:
-    """A key's value; ``modified_at`` is the store's revision of the write, usable as a fence.
+    """A key and its value.
 
-    ``created_at`` is the revision at which the key came to be; 0 where the store does not tell.
+    Parameters
+    ----------
+    modified_at
+        Store revision of the last write, usable as a fencing token.
+    lease_id
+        Lease that the key is bound to; 0: none.
+    created_at
+        Store revision at which the key was created; 0 if the store does not report it.
     """
 
     key: str
@@ -37,16 +44,16 @@
 
 @value
 class Read:
-    """Read one key, or all keys with that prefix.
+    """Read one key, or all keys with a prefix.
 
     Parameters
     ----------
     modified_after
-        Leave out values last modified at this store revision or before (etcd's
-        ``min_mod_revision``), so that looking again costs little when nothing changed.
+        Skip values last modified at or before this store revision (etcd's ``min_mod_revision``),
+        which makes repeated reads cheap.
     may_start_stale
-        The values may come from a copy that lags behind, where that costs less. The result is
-        current all the same: the store is asked for what has changed since.
+        Whether values may first be read from a lagging copy where that is cheaper. The result is
+        still current, because later changes are then read from the store.
     """
 
     key: str
@@ -57,7 +64,7 @@
 
 @value
 class CompareAndSwap:
-    """Write ``value`` if the key was last modified at ``expected_modified_at`` (0: absent).
+    """Write ``value`` if the key's last write has revision ``expected_modified_at`` (0: no key).
 
     A ``value`` of ``None`` deletes the key.
     """
@@ -70,14 +77,14 @@
 
 @value
 class GrantLease:
-    """Ask for a lease; keys written with it vanish when it lapses."""
+    """Request a lease; keys written with it are deleted when it expires."""
 
     time_to_live_seconds: int
 
 
 @value
 class KeepLeaseAlive:
-    """Renew a lease; ``LeaseState.time_to_live_seconds`` of 0 means that it has lapsed."""
+    """Renew a lease; ``LeaseState.time_to_live_seconds`` is 0 if the lease has expired."""
 
     lease_id: int
 
@@ -94,13 +101,13 @@
 
 @value
 class ReadResult:
-    """What was read; ``store_revision`` is the store's revision at the read.
+    """Values read, as of ``store_revision``.
 
     Parameters
     ----------
     begun_at
-        A time on the clock of decisions: everything is in it that the store had acknowledged by
-        then. ``None``: no such time is known.
+        Start of the read, on the clock of ``Machine.handle``: the result includes all writes that
+        the store had acknowledged by then. ``None``: unknown.
     """
 
     values: tuple[StoredValue, ...]
@@ -110,7 +117,7 @@
 
 @value
 class SwapResult:
-    """Whether the swap took effect; ``current`` is the present value when it did not."""
+    """Result of a swap; ``current`` is the present value if the swap did not take effect."""
 
     succeeded: bool
     store_revision: int
@@ -119,7 +126,7 @@
 
 @value
 class LeaseState:
-    """A lease and how long it lasts from now."""
+    """A lease and its remaining time to live."""
 
     lease_id: int
     time_to_live_seconds: float
@@ -130,7 +137,7 @@
 
 @value
 class StoreRequest(Action):
-    """Perform ``operation``; a ``StoreResponse`` with the same id follows exactly once."""
+    """Perform ``operation``; exactly one ``StoreResponse`` with the same id follows."""
 
     operation_id: str
     operation: StoreOperation
@@ -147,18 +154,19 @@
 
 @value
 class StartWatch(Action):
-    """Watch the keys with prefix ``key`` from ``from_store_revision`` on.
+    """Watch the keys with prefix ``key``, starting from ``from_store_revision``.
 
     Parameters
     ----------
-    gather_seconds
-        Least time between two looks, for prefixes that change all the time: each look costs.
+    poll_interval_seconds
+        Minimum time between two polls, which limits the cost of prefixes that change constantly.
     pause_seconds
-        Time until the first look.
+        Delay before the first poll.
     hold_seconds
-        How long the store may hold a look on which nothing has changed; 0: it answers at once.
+        How long the store may hold a poll open while nothing changes (long poll); 0: it replies at
+        once.
     timeout_seconds
-        Time after which a look counts as lost.
+        Time after which a poll counts as lost.
     """
 
     watch_id: str
@@ -172,21 +180,23 @@
 
 @value
 class StopWatch(Action):
-    """End a watch; no further events of it follow."""
+    """End a watch; no further events for it follow."""
 
     watch_id: str
 
 
 @value
 class WatchChanged(Event):
-    """Watched keys changed; ``value`` of ``None`` in ``deleted`` keys. May skip or repeat.
+    """Watched keys changed. Intermediate changes may be skipped, and changes may be repeated.
 
     Parameters
     ----------
+    changed, deleted
+        New values of changed keys, and names of deleted keys.
     may_have_more
-        Whether the store may have told only a part of what has changed: the rest follows at once.
+        Whether the store may have returned only part of the changes; the rest follows at once.
     begun_at
-        When the call that was answered was begun, on the clock of decisions; ``None``: not known.
+        Start of the poll, on the clock of ``Machine.handle``; ``None``: unknown.
     """
 
     watch_id: str
@@ -204,4 +214,4 @@
     watch_id: str
     reason: str
     history_lost: bool = False
-    """Whether the store no longer knows what changed since: everything must be read anew."""
+    """Whether the store no longer has the changes since then: all keys must be read again."""
--- a/wingquay/ports/store_update.py
+++ b/wingquay/ports/store_update.py
@@ -1,4 +1,4 @@
-"""What a node has just read of the store, for the nodes that would read the same."""
+"""Store changes that one node has read and sends to other nodes, to save them the same read."""
 
 from ..model.value import value
 from .peer_link import PeerMessage
@@ -7,18 +7,19 @@
 
 @value
 class StoreUpdate(PeerMessage):
-    """Everything that changed between two revisions of the store, as far as it matters.
+    """All relevant changes between two revisions of the store.
 
-    Left out are replicas' entries that were only written again.
+    Entries of replicas that were only rewritten unchanged are omitted.
 
     Parameters
     ----------
     from_revision
-        Whoever knows the store up to here knows it up to ``store_revision`` with these changes.
+        Revision that the changes start from. A receiver with the store's contents up to here has
+        them up to ``store_revision`` after applying the changes.
     age_seconds
-        How late the sender is with its work: the store may have said it as long ago as that.
+        Processing delay of the sender: the store's reply may be as old as this.
     may_have_more
-        Whether the store may have told the sender only a part of what had changed by then.
+        Whether the store may have returned only part of the changes up to then.
     """
 
     from_revision: int
