--- a/wingquay/ports/crash_messages.py
+++ b/wingquay/ports/crash_messages.py
@@ -11,11 +11,11 @@
     Parameters
     ----------
     incarnation
-        Identifies the incarnation; see ``ReplicaRecord.incarnation``.
+        Its name; see ``ReplicaRecord.incarnation``.
     node_id
-        The node that sent the request to the replica.
+        The node that had sent the request there.
     sent_seconds, ended_seconds
-        Age, when this message is sent, of the request and of the end of its connection.
+        How long ago it was sent and its connection ended, when the message leaves.
     """
 
     incarnation: str
--- a/wingquay/ports/store_update.py
+++ b/wingquay/ports/store_update.py
@@ -1,4 +1,4 @@
-"""Store changes that one node has read and sends to other nodes, to save them the same read."""
+"""Store changes that one node has read and sends to others, to save them the read."""
 
 from ..model.value import value
 from .peer_link import PeerMessage
@@ -14,12 +14,12 @@
     Parameters
     ----------
     from_revision
-        Revision that the changes start from. A receiver with the store's contents up to here has
-        them up to ``store_revision`` after applying the changes.
+        Revision that the changes start from. A copy that is complete up to here is complete up to
+        ``store_revision`` after applying them.
     age_seconds
         Processing delay of the sender: the store's reply may be as old as this.
     may_have_more
-        Whether the store may have returned only part of the changes up to then.
+        Whether the store may have returned only a part of the changes.
     """
 
     from_revision: int
