--- a/wingquay/ports/limit_messages.py
+++ b/wingquay/ports/limit_messages.py
@@ -62,7 +62,13 @@
 
 @value
 class LimitRequest(PeerMessage):
-    """Request an owner's permission to start a request of a tenant."""
+    """Request an owner's permission to start a request of a tenant.
+
+    Parameters
+    ----------
+    ask_id
+        Number chosen by the sender; returned in the reply.
+    """
 
     ask_id: int
     tenant: str
@@ -70,12 +76,12 @@
 
 @value
 class LimitReply(PeerMessage):
-    """An owner's reply to the ``LimitRequest`` with the same id.
+    """An owner's reply to the ``LimitRequest`` with the same ``ask_id``.
 
     Parameters
     ----------
     retry_after_seconds
-        Time until the tenant's window has capacity again, if the verdict is that it has none.
+        If the verdict is ``EXCEEDED``: time until the tenant's window has capacity again.
     requires_permit, hot_seconds
         As in ``LimitAcknowledgement``, for the requested tenant; 0: the tenant is not hot.
     """
