--- a/wingquay/model/answer.py
+++ b/wingquay/model/answer.py
@@ -43,6 +43,7 @@
     SNAPSHOT_UNAVAILABLE = "snapshot_unavailable"
     OVERLOADED = "overloaded"
     NO_SHARD = "no_shard"
+    """No shard of the service holds the keys."""
     BACKEND_ERROR = "backend_error"
 
 
@@ -96,6 +97,7 @@
     """Rejected before any byte was sent to a back end, or by every back end tried."""
     NO_REPLICA = "no_replica"
     NOT_HELD = "not_held"
+    """The replicas do not hold the requested snapshot."""
     DEADLINE = "deadline"
     BACKEND_ERROR = "backend_error"
     OWNER_LEAVING = "owner_leaving"
--- a/wingquay/model/configuration.py
+++ b/wingquay/model/configuration.py
@@ -1,7 +1,7 @@
-"""The operators' configuration. A confirmed revision comes into force everywhere and never reverts.
+"""The operators' configuration. A confirmed revision is never replaced by a lower one.
 
 The models are immutable and validated by pydantic. They are serialized as JSON in the platform's
-key-value store and between nodes. Source: brief, "The product".
+key-value store and between nodes.
 """
 
 from pydantic import model_validator
--- a/wingquay/model/configuration_check.py
+++ b/wingquay/model/configuration_check.py
@@ -1,4 +1,4 @@
-"""Validation of the references between the parts of a configuration."""
+"""Validation of a configuration: names, references, addresses and key ranges."""
 
 import functools
 import ipaddress
@@ -58,7 +58,7 @@
 
 
 def reference_errors(configuration: ConfigurationContents) -> list[str]:
-    """Return one line per invalid reference, with field, value and allowed values."""
+    """Return one line per error in the configuration, with the item and its value."""
     errors = _duplicate_errors(configuration)
     for service in configuration.services:
         errors += _service_errors(configuration, service)
@@ -109,7 +109,7 @@
                     f"replica {replica.replica_id!r}: zone {replica.zone!r} "
                     f"is not one of {list(deployment.zones)}"
                 )
-    return errors + _partition_errors(service)
+    return errors + _overlap_errors(service)
 
 
 def _address_errors(replica_id: str, host: str) -> list[str]:
@@ -127,7 +127,7 @@
     return True
 
 
-def _partition_errors(service: Service) -> list[str]:
+def _overlap_errors(service: Service) -> list[str]:
     errors: list[str] = []
     ordered = sorted(service.shards, key=lambda shard: shard.start)
     for left, right in zip(ordered, ordered[1:], strict=False):
--- a/wingquay/model/configuration_parts.py
+++ b/wingquay/model/configuration_parts.py
@@ -1,7 +1,7 @@
 """Parts of the operators' configuration: classes, services, shards, replicas, callers.
 
 The models are immutable and validated by pydantic. They are serialized as JSON in the platform's
-key-value store and between nodes. Source: brief, "The product".
+key-value store and between nodes.
 """
 
 from enum import Enum
--- a/wingquay/model/intent.py
+++ b/wingquay/model/intent.py
@@ -1,8 +1,7 @@
 """Intents: the changes that operators can request, validated strictly.
 
 An intent states a desired result; a plan shows the changes that it would cause. Unknown fields are
-rejected at any depth, so that a misspelt field is not silently ignored. Source: brief, "The
-product".
+rejected at any depth, so that a misspelt field is not silently ignored.
 """
 
 from collections.abc import Callable
--- a/wingquay/model/key_range.py
+++ b/wingquay/model/key_range.py
@@ -1,7 +1,6 @@
 """Half-open key ranges and the arithmetic that computes coverage.
 
 Keys are Unicode strings, ordered by code point. An ``end`` of ``None`` means "no upper bound".
-Source: brief, "Every answer states its coverage truly".
 """
 
 from collections.abc import Iterable, Sequence
@@ -9,6 +8,7 @@
 from .value import value
 
 SMALLEST_SUFFIX = "\0"
+"""Appended to a key, it gives the next key in code point order."""
 
 
 @value
--- a/wingquay/model/mechanisms.py
+++ b/wingquay/model/mechanisms.py
@@ -17,6 +17,7 @@
     UNREPEATABLE_GUARD = "unrepeatable_guard"
     """Unrepeatable requests are never hedged, and never retried once they may have run."""
     CLAIM_QUORUM = "claim_quorum"
+    """A claim needs the votes of a majority of zones."""
     CLAIM_ASSIGNMENT_EPOCHS = "claim_assignment_epochs"
     CLAIM_REBUILD = "claim_rebuild"
     CLAIM_PAUSE_DETECTION = "claim_pause_detection"
--- a/wingquay/model/routing_table.py
+++ b/wingquay/model/routing_table.py
@@ -26,7 +26,8 @@
     services
         Services that share the requests; empty for a sharded route.
     shards
-        Services that each hold a part of the index. Every request is sent to all of them.
+        Names of the services that serve as the route's shards. Every request is sent to all of
+        them.
     is_repeatable
         Whether a request may run more than once.
     max_attempts
@@ -67,7 +68,7 @@
 
 @value
 class UpstreamService:
-    """Properties of a service, without its replicas.
+    """Properties of a service in the routing table, without its replicas.
 
     Parameters
     ----------
--- a/wingquay/ports/backend.py
+++ b/wingquay/ports/backend.py
@@ -1,4 +1,7 @@
-"""Events and actions for sub-requests to back-end replicas."""
+"""Events and actions of the query interface for sub-requests to back-end replicas.
+
+Requests that are forwarded unchanged have their own events and actions, see ``forwarding.py``.
+"""
 
 from dataclasses import dataclass
 from enum import Enum
@@ -110,7 +113,9 @@
 
 @value
 class LoadReport:
-    """Load and state that a replica reported. May be outdated: use as a hint only.
+    """Load and state that a replica reported (forwarded requests: ``ReportedLoad``).
+
+    The values may be outdated: use them as hints only.
 
     Parameters
     ----------
--- a/wingquay/ports/caller.py
+++ b/wingquay/ports/caller.py
@@ -1,4 +1,7 @@
-"""Events and actions for callers of the query interface."""
+"""Events and actions for callers of the query interface.
+
+Requests that are forwarded unchanged have their own events and actions, see ``forwarding.py``.
+"""
 
 from dataclasses import dataclass
 
--- a/wingquay/ports/crash_messages.py
+++ b/wingquay/ports/crash_messages.py
@@ -15,7 +15,7 @@
     node_id
         The node that had sent the request there.
     sent_seconds, ended_seconds
-        How long ago it was sent and its connection ended, when the message leaves.
+        Time since the request was sent and since its connection ended, when this message is sent.
     """
 
     incarnation: str
--- a/wingquay/ports/delegation.py
+++ b/wingquay/ports/delegation.py
@@ -28,8 +28,8 @@
     remaining_seconds
         Time from now until the request is abandoned.
     is_group_share
-        Whether the sender's node group leaves these shards to the receiver. Otherwise any node may
-        send to the same replicas.
+        Whether all nodes of the sender's group leave these shards to the receiver. Otherwise other
+        nodes may send to the same replicas.
     tenant
         Name of the calling tenant, forwarded to the replicas; empty: none is sent.
     """
@@ -70,9 +70,9 @@
         Positions of shards that the receiver stops working on, because connections to replicas
         ended under the request and no replica has answered it.
     arrivals
-        Number of replicas that may have received the request, in the order of ``given_back``.
+        For each shard in ``given_back``: number of replicas that may have received the request.
     held_seconds
-        Hold period of a request that crashes replicas; 0: not held.
+        Remaining hold period of a request that crashes replicas; 0: not held.
     exhausted
         Positions of shards whose attempt limit is reached without an answer.
     """
--- a/wingquay/ports/forwarding.py
+++ b/wingquay/ports/forwarding.py
@@ -1,4 +1,7 @@
-"""Events and actions for forwarded requests, towards callers and replicas."""
+"""Events and actions for HTTP requests that are forwarded according to the routing table.
+
+The query interface has its own events and actions, see ``caller.py`` and ``backend.py``.
+"""
 
 from dataclasses import field
 from enum import Enum
@@ -40,7 +43,7 @@
     transit_seconds
         Network time between caller and node for this request, both directions together.
     caller
-        Address of the caller, for logs; empty if unknown.
+        Network address of the caller, for logs; empty if unknown.
     key
         Secret key that the caller presented; empty: none. Never sent to other processes or logged.
     stripped_request
@@ -96,7 +99,7 @@
 
 @value
 class ReportedLoad:
-    """Load that a replica reported with an answer.
+    """Load that a replica reported with a forwarded answer (query interface: ``LoadReport``).
 
     Parameters
     ----------
@@ -105,7 +108,7 @@
     slots
         Number of requests that the replica runs concurrently.
     work_factor
-        Current service time relative to the usual one. It fluctuates many times a second.
+        Current service time divided by the usual one. It changes many times a second.
     """
 
     running: int
--- a/wingquay/ports/internal.py
+++ b/wingquay/ports/internal.py
@@ -26,7 +26,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ConfigurationInForce(Event):
-    """A newer configuration is in force on this node."""
+    """A newer configuration is in force on this node; ``InForceConfiguration`` holds it."""
 
     configuration: Configuration
 
--- a/wingquay/ports/limit_messages.py
+++ b/wingquay/ports/limit_messages.py
@@ -7,14 +7,14 @@
 
 
 class LimitVerdict(Enum):
-    """Decision of an owner on a request for permission."""
+    """Decision of an owner on a ``LimitRequest``."""
 
     GRANTED = 1
     """The request may run and is counted."""
     EXCEEDED = 2
     """The tenant's limit is reached."""
     OTHER_OWNER = 3
-    """This owner cannot grant permission from its own quota; the tenant's other owner may."""
+    """This owner cannot grant a permit from its own quota; the tenant's other owner may."""
     NOT_OWNER = 4
     """The receiver is not an owner of the tenant in its own view of the store."""
 
@@ -31,8 +31,8 @@
         Tenant names and, in the same order, request counts. A negative count takes back requests
         that did not run.
     charged
-        In the order of ``tenants``: requests started without permission that the other owner has
-        not acknowledged. They count against this owner's own quota.
+        In the order of ``tenants``: requests started without a permit and not yet acknowledged by
+        the tenant's other owner. The receiver counts them against its own quota.
     """
 
     sequence: int
@@ -48,10 +48,10 @@
     Parameters
     ----------
     requires_permit
-        Whether every request needs permission before it starts, because the owner does not have the
+        Whether every request needs a permit before it starts, because the owner does not have the
         counts of the last window yet.
     hot, hot_seconds
-        Tenants whose requests need permission first and, in the same order, for how long.
+        Tenants whose requests need a permit first and, in the same order, for how long.
     """
 
     sequence: int
@@ -62,7 +62,7 @@
 
 @value
 class LimitRequest(PeerMessage):
-    """Request an owner's permission to start a request of a tenant.
+    """Request a permit from an owner, to start a request of a tenant.
 
     Parameters
     ----------
@@ -119,7 +119,7 @@
     owners
         Digest of the set of owners in the sender's view of the store.
     wants_records
-        Whether the sender lacks the counts of the last window since its start.
+        Whether the sender, in this incarnation, lacks part of the counts of the last window.
     wants_loans, wanted
         Tenants for which the sender wants to borrow quota for a while and, in the same order, how
         much.
@@ -145,7 +145,7 @@
     knows_window
         Whether the reply covers the last window of the tenants that both nodes own.
     unknown
-        Those of them whose whole window this owner does not have.
+        Tenants that both nodes own but for which this owner lacks part of the last window.
     records
         Counts of these windows; a tenant that is missing had no requests.
     """
--- a/wingquay/ports/machine.py
+++ b/wingquay/ports/machine.py
@@ -2,7 +2,7 @@
 
 Machines do no I/O and read no clock, so that the same code runs under asyncio and under the
 simulator. Times (``now``) are in seconds on a monotonic clock with an arbitrary zero. Source: Dask
-distributed's ``WorkerState`` and the design's rule 1.
+distributed's ``WorkerState``.
 """
 
 from dataclasses import field
@@ -43,7 +43,7 @@
 
 
 class LogLevel:
-    """Severity of a log line."""
+    """Severities of log lines, as plain strings."""
 
     DEBUG = "debug"
     INFO = "info"
@@ -110,7 +110,7 @@
 
 @value
 class Exit(Action):
-    """The planned stop is complete: nothing is in flight any more.
+    """End the process: requests in flight have finished or were aborted.
 
     Parameters
     ----------
--- a/wingquay/ports/machine_directory.py
+++ b/wingquay/ports/machine_directory.py
@@ -1,4 +1,4 @@
-"""Events and actions for the platform's machine list, which may be outdated."""
+"""Events and actions for the platform's list of machines, which may be outdated."""
 
 from dataclasses import dataclass
 from enum import Enum
@@ -16,7 +16,7 @@
 
 
 class DirectoryFailureKind(Enum):
-    """Reason why the list could not be read."""
+    """Reason why the list of machines could not be read."""
 
     UNREACHABLE = "unreachable"
     MALFORMED = "malformed"
--- a/wingquay/ports/operator.py
+++ b/wingquay/ports/operator.py
@@ -33,17 +33,17 @@
     STORE_UNAVAILABLE = "store_unavailable"
     """Nothing was changed."""
     NOT_KNOWN_YET = "not_known_yet"
-    """The command may have taken effect; a repeated command will tell."""
+    """The command may have taken effect; repeat it to find out."""
 
 
 class OperatorMessage(BaseModel):
-    """Base of commands and results: immutable, rejects unknown fields."""
+    """Base of commands, which reject unknown fields, and of ``OperatorResult``."""
 
     model_config = ConfigDict(frozen=True, extra="forbid")
 
 
 class OperatorResult(OperatorMessage):
-    """Base of results: ignores unknown fields."""
+    """Base of results, which ignore unknown fields."""
 
     model_config = ConfigDict(frozen=True, extra="ignore")
 
--- a/wingquay/ports/peer.py
+++ b/wingquay/ports/peer.py
@@ -41,6 +41,8 @@
 
     Parameters
     ----------
+    incarnation
+        SWIM's counter, which the node raises to refute a suspicion; not a count of restarts.
     suspected_by
         The node that raised the suspicion, so that independent suspicions can be counted; empty
         unless ``state`` is ``SUSPECT``.
--- a/wingquay/ports/peer_claims.py
+++ b/wingquay/ports/peer_claims.py
@@ -1,4 +1,8 @@
-"""Messages between nodes about claims on unrepeatable requests; see also ``peer.py``."""
+"""Messages between nodes about claims on unrepeatable requests; see also ``peer.py``.
+
+Claim keys are divided into partitions. Each zone assigns each partition to one of its nodes, which
+votes on claims.
+"""
 
 from dataclasses import dataclass
 from enum import Enum
@@ -28,7 +32,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ClaimRequest(PeerMessage):
-    """Ask the holder of a zone's assignment for the key to record a claim.
+    """Request to record a claim, sent to a zone's voter for the claim key.
 
     Parameters
     ----------
@@ -43,7 +47,7 @@
         Zones whose majority decides, in the sender's view. Voters with a different list do not
         grant.
     assignment_epochs
-        The newest epochs of the partition that the sender has received.
+        The newest epochs of the key's partition that the sender has received.
     """
 
     claim_key: str
@@ -112,8 +116,8 @@
 class ClaimAssignmentOffer(PeerMessage):
     """Offer assignments to the receiver, which should hold them in the sender's view.
 
-    The receiver accepts with a ``ClaimTableRequest``. An empty ``partitions`` tells a node seen for
-    the first time that the sender has none of its assignments.
+    The receiver accepts with a ``ClaimTableRequest``. An empty ``partitions`` informs a newly seen
+    node that the sender holds no assignments for it.
     """
 
     offer_id: str
--- a/wingquay/ports/proof_messages.py
+++ b/wingquay/ports/proof_messages.py
@@ -21,20 +21,20 @@
 class ProofReply(PeerMessage):
     """Reply to a ``ProofRequest``, sent at once and again after each poll of the store.
 
-    The configuration is proven as of the start of a poll. The reply states this time relative to
-    the receipt of the request rather than as an age, which would grow during transmission. The
-    proven time is therefore at least ``held_seconds`` after the request was sent, whatever the
-    transmission delays.
+    The configuration was current when the replying node's poll started: the proven time. The reply
+    states it relative to the receipt of the request, because an age would grow during transmission.
+    The requester adds ``held_seconds`` to its own send time to get a lower bound of the proven
+    time.
 
     Parameters
     ----------
     number
         Number of the request.
     held_seconds
-        Proven time minus the time when the request was received, on the replying node's clock.
-        Negative if the request was received later.
+        Proven time minus receipt of the request, on the replying node's clock (not a hold period).
+        Negative if the poll started before the request was received.
     store_revision
-        A node with the store's contents up to here has all changes acknowledged by the proven time.
+        Store revision that a node must have to hold all changes acknowledged by the proven time.
     """
 
     number: int
--- a/wingquay/ports/store.py
+++ b/wingquay/ports/store.py
@@ -52,8 +52,8 @@
         Skip values last modified at or before this store revision (etcd's ``min_mod_revision``),
         which makes repeated reads cheap.
     may_start_stale
-        Whether values may first be read from a lagging copy where that is cheaper. The result is
-        still current, because later changes are then read from the store.
+        Whether the read may start from a lagging copy, where that is cheaper, and then fetch later
+        changes from the store. The result is current either way.
     """
 
     key: str
--- a/wingquay/ports/store_update.py
+++ b/wingquay/ports/store_update.py
@@ -7,15 +7,15 @@
 
 @value
 class StoreUpdate(PeerMessage):
-    """All relevant changes between two revisions of the store.
+    """All relevant changes between two store revisions.
 
-    Entries of replicas that were only rewritten unchanged are omitted.
+    Replica records that were rewritten without a change are omitted.
 
     Parameters
     ----------
     from_revision
-        Revision that the changes start from. A copy that is complete up to here is complete up to
-        ``store_revision`` after applying them.
+        Store revision that the changes start from. A copy that is complete up to here is complete
+        up to ``store_revision`` after applying them.
     age_seconds
         Processing delay of the sender: the store's reply may be as old as this.
     may_have_more
