--- a/tests/forwarding/limits/fleet.py
+++ b/tests/forwarding/limits/fleet.py
@@ -6,9 +6,9 @@
 from itertools import count
 
 from wingquay.forwarding.arrival.admission import Admitted, AwaitsLimit, Rejected
-from wingquay.forwarding.arrival.limits.budget import budget_of
-from wingquay.forwarding.arrival.limits.limit_settings import HOT_FROM, LimitSettings
-from wingquay.forwarding.arrival.limits.limit_work import LimitWork
+from wingquay.forwarding.arrival.limits.budget import compute_budget
+from wingquay.forwarding.arrival.limits.distributed_limits import DistributedLimits
+from wingquay.forwarding.arrival.limits.limit_settings import HOT_RATIO, LimitSettings
 from wingquay.forwarding.knowledge.node_groups import NodeGroups
 from wingquay.forwarding.settings import ForwardingSettings
 from wingquay.model.identifiers import DeploymentName, NodeId, ZoneName
@@ -23,7 +23,7 @@
 )
 
 WINDOW_SECONDS = 5.0
-SETTINGS = LimitSettings(WINDOW_SECONDS, 0.1, 20.0, HOT_FROM)
+SETTINGS = LimitSettings(WINDOW_SECONDS, 0.1, 20.0, HOT_RATIO)
 
 
 def identity(name: str, zone: str = "a") -> NodeIdentity:
@@ -45,13 +45,13 @@
         self.settings = settings
         self.tenants = {item.name: item for item in tenants}
         self.identities = {f"n{k:02}": identity(f"n{k:02}", "abcd"[k % 4]) for k in range(nodes)}
-        self.lives = dict.fromkeys(self.identities, 0)
-        self.works: dict[str, LimitWork] = {}
+        self.incarnations = dict.fromkeys(self.identities, 0)
+        self.limits: dict[str, DistributedLimits] = {}
         self.groups: dict[str, NodeGroups] = {}
         self.cut: set[tuple[str, str]] = set()
         self.unlisted: set[str] = set()
         """Nodes whose key may have lapsed, as they know themselves."""
-        self.asleep: dict[str, list[tuple[int, Event]]] = {}
+        self.suspended: dict[str, list[tuple[int, Event]]] = {}
         self.ran: dict[str, list[float]] = defaultdict(list)
         self.answers: dict[int, Admitted | Rejected] = {}
         self.waited: dict[int, float] = {}
@@ -68,55 +68,59 @@
     # Nodes
 
     def start(self, name: str) -> None:
-        self.lives[name] += 1
-        work = LimitWork(self.settings, random.Random(self.random.random()), self.now)
-        work.on_answer(self._answered)
+        self.incarnations[name] += 1
+        node_limits = DistributedLimits(
+            self.settings, random.Random(self.random.random()), self.now
+        )
+        node_limits.on_decision(self._answered)
         groups = NodeGroups(ForwardingSettings(zone="a"), name)
         for other, known in self.identities.items():
             groups.put(other, NodeRecord(known))
-        self.works[name], self.groups[name] = work, groups
+        self.limits[name], self.groups[name] = node_limits, groups
         own = self.identities[name]
-        self.perform(name, work.set_tenants(self.tenants, self.now))
+        self.perform(name, node_limits.set_tenants(self.tenants, self.now))
         self.perform(
             name,
-            work.open(own, groups, lambda _: name not in self.unlisted, lambda: True, self.now),
+            node_limits.open(
+                own, groups, lambda _: name not in self.unlisted, lambda: True, self.now
+            ),
         )
 
     def kill(self, name: str) -> None:
-        self.works.pop(name, None)
-        self.asleep.pop(name, None)
-        self.lives[name] += 1
-        for other in self.works:
+        self.limits.pop(name, None)
+        self.suspended.pop(name, None)
+        self.incarnations[name] += 1
+        for other in self.limits:
             self._break(name, other)
 
     def suspend(self, name: str) -> None:
-        self.asleep.setdefault(name, [])
+        self.suspended.setdefault(name, [])
 
-    def wake(self, name: str) -> None:
-        waiting = self.asleep.pop(name, [])
-        if name in self.works:
-            self.works[name].woken()
-        for life, event in waiting:
-            self._handle(name, life, event)
+    def resume(self, name: str) -> None:
+        waiting = self.suspended.pop(name, [])
+        if name in self.limits:
+            self.limits[name].resumed()
+        for incarnation, event in waiting:
+            self._handle(name, incarnation, event)
 
-    def lapse(self, *gone: str, seen_by: list[str]) -> None:
+    def remove_keys(self, *gone: str, seen_by: list[str]) -> None:
         """Take the keys of nodes from the store as other nodes see it."""
         for name in seen_by:
             for other in gone:
                 self.groups[name].remove(other)
-            self.perform(name, self.works[name].look(self.now))
+            self.perform(name, self.limits[name].refresh_owners(self.now))
 
-    def appear(self, *new: str, seen_by: list[str]) -> None:
+    def add_keys(self, *new: str, seen_by: list[str]) -> None:
         """Put the keys of nodes into the store as other nodes see it."""
         for name in seen_by:
             for other in new:
                 self.groups[name].put(other, NodeRecord(self.identities[other]))
-            self.perform(name, self.works[name].look(self.now))
+            self.perform(name, self.limits[name].refresh_owners(self.now))
 
     def configure(self, *tenants: Tenant) -> None:
         self.tenants = {item.name: item for item in tenants}
-        for name, work in self.works.items():
-            self.perform(name, work.set_tenants(self.tenants, self.now))
+        for name, node_limits in self.limits.items():
+            self.perform(name, node_limits.set_tenants(self.tenants, self.now))
 
     # The network
 
@@ -137,7 +141,7 @@
 
     def break_cut_links(self) -> None:
         for source, target in sorted(self.cut):
-            if source in self.works and target in self.works:
+            if source in self.limits and target in self.limits:
                 self._break(source, target)
 
     def _break(self, one: str, other: str) -> None:
@@ -159,19 +163,19 @@
     def advance(self, seconds: float) -> None:
         until = self.now + seconds
         while self._due and self._due[0][0] <= until:
-            at, _, name, life, event = heapq.heappop(self._due)
+            at, _, name, incarnation, event = heapq.heappop(self._due)
             self.now = max(self.now, at)
-            self._handle(name, life, event)
+            self._handle(name, incarnation, event)
         self.now = until
 
     def _push(self, at: float, name: str, event: Event) -> None:
-        heapq.heappush(self._due, (at, next(self._numbers), name, self.lives[name], event))
+        heapq.heappush(self._due, (at, next(self._numbers), name, self.incarnations[name], event))
 
-    def _handle(self, name: str, life: int, event: Event) -> None:
-        if name in self.asleep:
-            self.asleep[name].append((life, event))
-        elif name in self.works and life == self.lives[name]:
-            self.perform(name, self.works[name].handle(event, self.now))  # type: ignore[arg-type]
+    def _handle(self, name: str, incarnation: int, event: Event) -> None:
+        if name in self.suspended:
+            self.suspended[name].append((incarnation, event))
+        elif name in self.limits and incarnation == self.incarnations[name]:
+            self.perform(name, self.limits[name].handle(event, self.now))  # type: ignore[arg-type]
 
     def perform(self, name: str, actions: list[Action]) -> None:
         for action in actions:
@@ -188,28 +192,30 @@
     def request(self, node: str, name: str = "t", runs: bool = True) -> int:
         """Let a request arrive; `runs`: a replica takes it if the node lets it begin."""
         number = next(self._numbers)
-        work = self.works.get(node)
-        if work is None or node in self.asleep:
+        node_limits = self.limits.get(node)
+        if node_limits is None or node in self.suspended:
             return number
         self._asked[number] = (name, self.now, runs)
-        answer = work.admit(self.tenants[name], number, self.now)
-        self.perform(node, work.take_actions())
+        answer = node_limits.admit(self.tenants[name], number, self.now)
+        self.perform(node, node_limits.take_actions())
         if not isinstance(answer, AwaitsLimit):
-            self._settle(number, answer, work)
+            self._settle(number, answer, node_limits)
         return number
 
     def _answered(self, number: int, answer: Admitted | Rejected, _now: float) -> list[Action]:
         self._settle(number, answer, None)
         return []
 
-    def _settle(self, number: int, answer: Admitted | Rejected, work: LimitWork | None) -> None:
+    def _settle(
+        self, number: int, answer: Admitted | Rejected, node_limits: DistributedLimits | None
+    ) -> None:
         name, asked_at, runs = self._asked.pop(number)
         self.answers[number] = answer
         self.waited[number] = self.now - asked_at
         if isinstance(answer, Admitted) and runs:
             self.ran[name].append(self.now)
-        elif isinstance(answer, Admitted) and work is not None:
-            work.give_back(self.tenants[name], number, self.now)
+        elif isinstance(answer, Admitted) and node_limits is not None:
+            node_limits.give_back(self.tenants[name], number, self.now)
 
     def load(
         self, rate: float, seconds: float, nodes: list[str] | None = None, name: str = "t"
@@ -217,7 +223,7 @@
         """Let requests arrive at random nodes, evenly in time; return their numbers."""
         numbers = []
         for _ in range(round(rate * seconds)):
-            alive = [item for item in (nodes or sorted(self.works)) if item in self.works]
+            alive = [item for item in (nodes or sorted(self.limits)) if item in self.limits]
             if alive:
                 numbers.append(self.request(self.random.choice(alive), name))
             self.advance(1.0 / rate)
@@ -225,7 +231,7 @@
 
     # What must hold
 
-    def most_in_window(self, name: str = "t") -> int:
+    def max_in_window(self, name: str = "t") -> int:
         """Return the most that ran in any window."""
         times = sorted(self.ran[name])
         start = most = 0
@@ -236,8 +242,8 @@
         return most
 
     def allowed(self, name: str = "t") -> float:
-        return budget_of(self.tenants[name], self.settings).most
+        return compute_budget(self.tenants[name], self.settings).max_requests
 
     def owners(self, name: str = "t") -> list[str]:
-        work = next(iter(self.works.values()))
-        return [item.node_id for item in work.owners_of(name)]
+        node_limits = next(iter(self.limits.values()))
+        return [item.node_id for item in node_limits.owners_of(name)]
--- a/tests/forwarding/limits/test_fleet_limits.py
+++ b/tests/forwarding/limits/test_fleet_limits.py
@@ -11,7 +11,7 @@
 NODES = 20
 USUAL = 3.0
 """Requests a second; the limit allows 50 in 5 s, so ten a second for a while."""
-WAY_B = LimitSettings(WINDOW_SECONDS, 0.1, 20.0, ask_first_from=0.0)
+ALWAYS_ASK = LimitSettings(WINDOW_SECONDS, 0.1, 20.0, ask_first_ratio=0.0)
 
 
 class FleetLimitsTest(testtools.TestCase):
@@ -20,8 +20,8 @@
         fleet.advance(2.0 * WINDOW_SECONDS)
         return fleet
 
-    def assert_kept(self, fleet: LimitFleet) -> None:
-        self.assertLessEqual(fleet.most_in_window(), fleet.allowed())
+    def assert_limit_holds(self, fleet: LimitFleet) -> None:
+        self.assertLessEqual(fleet.max_in_window(), fleet.allowed())
 
     def refused(self, fleet: LimitFleet, numbers: list[int]) -> list[Rejected]:
         answers = [fleet.answers[number] for number in numbers if number in fleet.answers]
@@ -44,7 +44,7 @@
         self.assertLess(sum(wait > 0 for wait in waits), len(waits) / 10)
 
     def test_a_caller_at_its_limit_is_never_refused(self) -> None:
-        for settings in (None, WAY_B):
+        for settings in (None, ALWAYS_ASK):
             options = {} if settings is None else {"settings": settings}
             fleet = self.settled(**options)
             numbers = fleet.load(9.9, 30.0)
@@ -53,13 +53,13 @@
             self.assertLess(max(fleet.waited.values()), 0.02)
 
     def test_a_hot_tenant_gets_its_limit_and_no_more(self) -> None:
-        for settings in (None, WAY_B):
+        for settings in (None, ALWAYS_ASK):
             options = {} if settings is None else {"settings": settings}
             fleet = self.settled(**options)
             fleet.load(USUAL, 10.0)
             numbers = fleet.load(7.5 * 10.0, 20.0)
             fleet.advance(1.0)
-            self.assert_kept(fleet)
+            self.assert_limit_holds(fleet)
             self.assertGreaterEqual(len(fleet.ran["t"]), 4 * 50)
             refused = self.refused(fleet, numbers)
             kinds = {answer.kind for answer in refused}
@@ -80,10 +80,10 @@
     def test_a_burst_on_all_nodes_at_once_is_kept(self) -> None:
         fleet = self.settled(nodes=70)
         for _ in range(20):
-            for name in sorted(fleet.works):
+            for name in sorted(fleet.limits):
                 fleet.request(name)
             fleet.advance(0.05)
-        self.assert_kept(fleet)
+        self.assert_limit_holds(fleet)
 
     def test_both_sides_of_a_cut_stay_below_together(self) -> None:
         for one_way in (False, True):
@@ -91,7 +91,7 @@
                 fleet = self.settled()
                 fleet.load(usual, 6.0)
                 owners = fleet.owners()
-                side = [name for name in sorted(fleet.works) if int(name[1:]) % 3 == 0]
+                side = [name for name in sorted(fleet.limits) if int(name[1:]) % 3 == 0]
                 for owner in owners:
                     inside = [*(name for name in side if name not in owners), owner]
                     fleet.separate(*inside, one_way=one_way)
@@ -100,48 +100,48 @@
                     fleet.load(60.0, 8.0)
                     fleet.join()
                     fleet.load(60.0, 8.0)
-                self.assert_kept(fleet)
+                self.assert_limit_holds(fleet)
 
     def test_a_calm_tenant_that_surges_behind_a_cut_stays_below(self) -> None:
         fleet = self.settled()
         fleet.load(USUAL, 6.0)
-        side = [name for name in sorted(fleet.works) if int(name[1:]) % 3 == 0]
+        side = [name for name in sorted(fleet.limits) if int(name[1:]) % 3 == 0]
         fleet.separate(*side, *fleet.owners())
         fleet.load(60.0, 8.0)
-        self.assert_kept(fleet)
+        self.assert_limit_holds(fleet)
 
     def test_a_request_that_no_longer_waits_is_given_back_when_it_is_permitted(self) -> None:
         fleet = self.settled()
-        node = next(name for name in sorted(fleet.works) if name not in fleet.owners())
-        work = fleet.works[node]
+        node = next(name for name in sorted(fleet.limits) if name not in fleet.owners())
+        node_limits = fleet.limits[node]
         for number in range(-1, -201, -1):
-            work.admit(fleet.tenants["t"], number, fleet.now)
-            work.give_back(fleet.tenants["t"], number, fleet.now)
-            fleet.perform(node, work.take_actions())
+            node_limits.admit(fleet.tenants["t"], number, fleet.now)
+            node_limits.give_back(fleet.tenants["t"], number, fleet.now)
+            fleet.perform(node, node_limits.take_actions())
             fleet.advance(0.02)
         numbers = fleet.load(9.9, 5.0)
         fleet.advance(1.0)
         self.assertEqual([], self.refused(fleet, numbers))
 
     def test_what_a_second_owner_permits_is_not_charged_to_it_again(self) -> None:
-        fleet = self.settled(settings=WAY_B)
+        fleet = self.settled(settings=ALWAYS_ASK)
         primary, second = fleet.owners()
         fleet.separate(primary)
-        others = [name for name in sorted(fleet.works) if name != primary]
+        others = [name for name in sorted(fleet.limits) if name != primary]
         numbers = fleet.load(4.0, 4.0, others)
         fleet.advance(0.5)
         self.assertEqual([], self.refused(fleet, numbers))
-        role = fleet.works[second]._contacts.role
+        role = fleet.limits[second]._channels.role
         assert role is not None
-        own_right = role._counts["t"].own_right.total(fleet.now)
+        permitted_as_second = role._usages["t"].permitted_as_second.total(fleet.now)
         begun = sum(isinstance(fleet.answers[number], Admitted) for number in numbers)
-        self.assertEqual(begun, own_right)
+        self.assertEqual(begun, permitted_as_second)
 
     def test_calm_tenants_are_served_on_both_sides_of_a_cut(self) -> None:
         fleet = self.settled()
         fleet.load(USUAL, 6.0)
         second = fleet.owners()[1]
-        side = [name for name in sorted(fleet.works) if name[1:] > "10" or name == second]
+        side = [name for name in sorted(fleet.limits) if name[1:] > "10" or name == second]
         fleet.separate(*[name for name in side if name != fleet.owners()[0]])
         numbers = fleet.load(USUAL, 10.0)
         fleet.advance(1.0)
@@ -149,10 +149,10 @@
         self.assertLess(max(fleet.waited.values()), 0.35)
 
     def test_an_owner_that_dies_is_replaced_at_once_and_learns_when_it_is_back(self) -> None:
-        for place in (0, 1):
+        for position in (0, 1):
             fleet = self.settled()
             fleet.load(USUAL, 6.0)
-            victim = fleet.owners()[place]
+            victim = fleet.owners()[position]
             fleet.kill(victim)
             numbers = fleet.load(USUAL, 2.0)
             fleet.start(victim)
@@ -161,27 +161,27 @@
             self.assertEqual([], self.refused(fleet, numbers))
 
     def test_an_owner_that_dies_under_a_hot_tenant_permits_no_more(self) -> None:
-        for place in (0, 1):
+        for position in (0, 1):
             fleet = self.settled()
             for _ in range(3):
                 fleet.load(60.0, 6.0)
-                victim = fleet.owners()[place]
+                victim = fleet.owners()[position]
                 fleet.kill(victim)
                 fleet.load(60.0, 1.0)
                 fleet.start(victim)
             fleet.load(60.0, 6.0)
-            self.assert_kept(fleet)
+            self.assert_limit_holds(fleet)
 
     def test_all_nodes_killed_at_once_keep_the_sum(self) -> None:
         fleet = self.settled()
         fleet.load(60.0, 6.0)
-        for name in sorted(fleet.works):
+        for name in sorted(fleet.limits):
             fleet.kill(name)
         fleet.advance(0.5)
         for name in sorted(fleet.identities):
             fleet.start(name)
         fleet.load(60.0, 10.0)
-        self.assert_kept(fleet)
+        self.assert_limit_holds(fleet)
         self.assertGreater(len([at for at in fleet.ran["t"] if at > fleet.now - 5.0]), 45)
 
     def test_an_owner_whose_key_lapses_behind_a_cut_makes_room_for_the_next(self) -> None:
@@ -189,37 +189,37 @@
             fleet = self.settled()
             fleet.load(60.0, 6.0)
             first, second = fleet.owners()
-            inside = [name for name in sorted(fleet.works) if int(name[1:]) % 2 and name != second]
+            inside = [name for name in sorted(fleet.limits) if int(name[1:]) % 2 and name != second]
             inside = sorted({*inside, first, second} if has_both else {*inside, first})
-            outside = [name for name in sorted(fleet.works) if name not in inside]
+            outside = [name for name in sorted(fleet.limits) if name not in inside]
             fleet.separate(*inside, one_way=one_way)
             fleet.break_cut_links()
             fleet.load(60.0, 12.0)
             fleet.unlisted.update(inside)
             fleet.load(60.0, 6.0)
-            fleet.lapse(*inside, seen_by=outside)
+            fleet.remove_keys(*inside, seen_by=outside)
             fleet.load(60.0, 20.0)
             fleet.join()
             fleet.load(60.0, 1.0)
             fleet.unlisted.clear()
-            fleet.appear(*inside, seen_by=outside)
+            fleet.add_keys(*inside, seen_by=outside)
             fleet.load(60.0, 20.0)
-            self.assert_kept(fleet)
+            self.assert_limit_holds(fleet)
 
     def test_owners_that_come_and_go_by_the_store_keep_the_sum_and_calm_tenants(self) -> None:
         for rate in (USUAL, 60.0):
             fleet = self.settled()
             numbers = fleet.load(rate, 10.0)
-            for place in (0, 1):
-                gone = fleet.owners()[place]
+            for position in (0, 1):
+                gone = fleet.owners()[position]
                 fleet.kill(gone)
                 fleet.load(rate, 2.0)
-                fleet.lapse(gone, seen_by=sorted(fleet.works))
+                fleet.remove_keys(gone, seen_by=sorted(fleet.limits))
                 numbers += fleet.load(rate, 10.0)
                 fleet.start(gone)
-                fleet.appear(gone, seen_by=sorted(fleet.works))
+                fleet.add_keys(gone, seen_by=sorted(fleet.limits))
                 numbers += fleet.load(rate, 10.0)
-            self.assert_kept(fleet)
+            self.assert_limit_holds(fleet)
             if rate == USUAL:
                 self.assertEqual([], self.refused(fleet, numbers))
 
@@ -227,17 +227,17 @@
         fleet = self.settled()
         fleet.load(60.0, 10.0)
         gone = fleet.owners()[0]
-        early = [name for name in sorted(fleet.works) if int(name[1:]) % 2 or name == gone]
-        late = [name for name in sorted(fleet.works) if name not in early]
-        fleet.lapse(gone, seen_by=late)
+        early = [name for name in sorted(fleet.limits) if int(name[1:]) % 2 or name == gone]
+        late = [name for name in sorted(fleet.limits) if name not in early]
+        fleet.remove_keys(gone, seen_by=late)
         fleet.load(60.0, 4.0)
-        fleet.lapse(gone, seen_by=early)
+        fleet.remove_keys(gone, seen_by=early)
         fleet.load(60.0, 10.0)
-        fleet.appear(gone, seen_by=early)
+        fleet.add_keys(gone, seen_by=early)
         fleet.load(60.0, 4.0)
-        fleet.appear(gone, seen_by=late)
+        fleet.add_keys(gone, seen_by=late)
         fleet.load(60.0, 10.0)
-        self.assert_kept(fleet)
+        self.assert_limit_holds(fleet)
 
     def test_a_lowered_limit_binds_after_a_window(self) -> None:
         fleet = self.settled()
@@ -246,7 +246,7 @@
         fleet.load(9.0, WINDOW_SECONDS)
         fleet.ran.clear()
         fleet.load(9.0, 15.0)
-        self.assert_kept(fleet)
+        self.assert_limit_holds(fleet)
 
     def test_what_ran_nowhere_gives_its_unit_back(self) -> None:
         fleet = self.settled()
@@ -263,8 +263,10 @@
         fleet.messages.clear()
         numbers = fleet.load(100.0, 2.0)
         self.assertTrue(all(isinstance(fleet.answers[number], Admitted) for number in numbers))
-        told = [item for item in fleet.messages if isinstance(item.message, LimitTell | LimitAsk)]
-        self.assertEqual([], told)
+        reported = [
+            item for item in fleet.messages if isinstance(item.message, LimitTell | LimitAsk)
+        ]
+        self.assertEqual([], reported)
 
     def test_hot_and_calm_again_are_told_in_one_line_each(self) -> None:
         fleet = self.settled()
--- a/tests/forwarding/limits/test_limit_parts.py
+++ b/tests/forwarding/limits/test_limit_parts.py
@@ -8,11 +8,14 @@
 
 from tests.forwarding.limits.fleet import SETTINGS, identity, tenant
 from wingquay.forwarding.arrival.admission import Admitted
-from wingquay.forwarding.arrival.limits.budget import UNDER_WAY_PART, budget_of
+from wingquay.forwarding.arrival.limits.budget import UNREPORTED_SHARE, compute_budget
+from wingquay.forwarding.arrival.limits.distributed_limits import DistributedLimits
 from wingquay.forwarding.arrival.limits.limit_settings import LimitSettings
-from wingquay.forwarding.arrival.limits.limit_work import LimitWork
-from wingquay.forwarding.arrival.limits.owners import MOST_OWNERS, Owners
-from wingquay.forwarding.arrival.limits.sliding_count import GRAIN_SECONDS, SlidingCount
+from wingquay.forwarding.arrival.limits.sliding_window_counter import (
+    BUCKET_SECONDS,
+    SlidingWindowCounter,
+)
+from wingquay.forwarding.arrival.limits.tenant_owners import MAX_OWNERS, TenantOwners
 from wingquay.forwarding.knowledge.node_groups import GroupNode, NodeGroups
 from wingquay.forwarding.settings import ForwardingSettings
 from wingquay.forwarding.timers import LimitRefreshDue
@@ -25,24 +28,24 @@
     return sum(now - window < at <= now for at in times)
 
 
-class SlidingCountTest(testtools.TestCase):
+class SlidingWindowCounterTest(testtools.TestCase):
     @given(times=TIMES)
     def test_never_less_than_there_were_and_little_more(self, times: list[float]) -> None:
         times.sort()
-        count = SlidingCount(5.0)
+        count = SlidingWindowCounter(5.0)
         for number, at in enumerate(times, 1):
             count.add(1, at)
             self.assertGreaterEqual(count.total(at), true_total(times[:number], at))
-            more = true_total(times[:number], at, 5.0 + GRAIN_SECONDS)
+            more = true_total(times[:number], at, 5.0 + BUCKET_SECONDS)
             self.assertLessEqual(count.total(at), more)
 
     @given(times=TIMES, most=st.integers(1, 20))
     def test_room_comes_when_it_says(self, times: list[float], most: int) -> None:
         times.sort()
-        count = SlidingCount(5.0)
+        count = SlidingWindowCounter(5.0)
         for at in times:
             count.add(1, at)
-        wait = count.room_after_seconds(most, times[-1])
+        wait = count.seconds_until_capacity(most, times[-1])
         after = times[-1] + wait + 1e-9
         self.assertLessEqual(count.total(after) + 1, most)
 
@@ -51,10 +54,10 @@
         self, times: list[float], back: int
     ) -> None:
         times.sort()
-        count = SlidingCount(5.0)
+        count = SlidingWindowCounter(5.0)
         for at in times:
             count.add(1, at)
-        count.take_back(back)
+        count.remove(back)
         alive = [at for at in times if at > times[-1] - 5.0]
         for later in (0.0, 1.0, 3.0, 6.0):
             now = times[-1] + later
@@ -67,11 +70,11 @@
     ) -> None:
         counts = []
         for times in (own, other):
-            count = SlidingCount(5.0)
+            count = SlidingWindowCounter(5.0)
             for at in sorted(times):
                 count.add(1, at)
             counts.append(count)
-        counts[0].put_before(counts[1].entries(20.0), 20.0)
+        counts[0].merge(counts[1].entries(20.0), 20.0)
         for now in (20.0, 21.0, 23.0, 24.5):
             for times in (own, other):
                 self.assertGreaterEqual(counts[0].total(now), true_total(times, now))
@@ -87,47 +90,55 @@
     def test_the_parts_of_all_sides_of_any_cut_are_within_the_bound(
         self, rate: float, burst: float, overage: float, slack: float
     ) -> None:
-        budget = budget_of(tenant(rate=rate, burst=burst), LimitSettings(5.0, overage, slack))
-        apart = budget.fresh + budget.reserves + UNDER_WAY_PART * budget.spare
-        most = budget.most * (1.0 + 1e-9) + 1e-6
-        self.assertLessEqual(budget.primary_alone + budget.second_alone + apart, most)
+        budget = compute_budget(tenant(rate=rate, burst=burst), LimitSettings(5.0, overage, slack))
+        apart = (
+            budget.primary_without_window + budget.reserve_nodes + UNREPORTED_SHARE * budget.spare
+        )
+        most = budget.max_requests * (1.0 + 1e-9) + 1e-6
+        self.assertLessEqual(
+            budget.primary_without_loan + budget.second_without_lending + apart, most
+        )
         for counted in (0, int(0.6 * budget.allowance), int(budget.allowance), 10**9):
-            loan = budget.loan_for(counted)
-            self.assertLessEqual(budget.with_loan(loan) + budget.without(loan) + apart, most)
-            self.assertLess(min(counted, budget.whole - 1), budget.with_loan(loan))
-        self.assertGreaterEqual(budget.whole, budget.allowance)
+            loan = budget.required_loan(counted)
+            self.assertLessEqual(
+                budget.primary_with_loan(loan) + budget.second_with_lent(loan) + apart, most
+            )
+            self.assertLess(
+                min(counted, budget.primary_with_full_loan - 1), budget.primary_with_loan(loan)
+            )
+        self.assertGreaterEqual(budget.primary_with_full_loan, budget.allowance)
 
 
 class FirstWindowTest(testtools.TestCase):
-    def permitted(self, at: float, has_stood: bool) -> int:
+    def permitted(self, at: float, was_listed_before_start: bool) -> int:
         """Return how many requests begin at a node that started at 100 and was linked at 103."""
         listed = [False]
         own = identity("n00")
         groups = NodeGroups(ForwardingSettings(zone="a"), "n00")
         groups.put("n00", NodeRecord(own))
-        work = LimitWork(SETTINGS, random.Random(1), 100.0)
+        node_limits = DistributedLimits(SETTINGS, random.Random(1), 100.0)
         limited = tenant()
-        work.set_tenants({limited.name: limited}, 100.0)
-        work.open(own, groups, lambda _: listed[0], lambda: has_stood, 103.0)
-        work.handle(LimitRefreshDue(), 103.0)
+        node_limits.set_tenants({limited.name: limited}, 100.0)
+        node_limits.open(own, groups, lambda _: listed[0], lambda: was_listed_before_start, 103.0)
+        node_limits.handle(LimitRefreshDue(), 103.0)
         listed[0] = True
-        work.handle(LimitRefreshDue(), 103.5)
-        answers = [work.admit(limited, number, at) for number in range(100)]
+        node_limits.handle(LimitRefreshDue(), 103.5)
+        answers = [node_limits.admit(limited, number, at) for number in range(100)]
         return sum(isinstance(answer, Admitted) for answer in answers)
 
     def test_it_counts_from_the_start_of_a_life_whose_key_stood(self) -> None:
-        budget = budget_of(tenant(), SETTINGS)
-        self.assertEqual(int(budget.fresh), self.permitted(104.9, True))
-        self.assertEqual(int(budget.whole), self.permitted(105.1, True))
+        budget = compute_budget(tenant(), SETTINGS)
+        self.assertEqual(int(budget.primary_without_window), self.permitted(104.9, True))
+        self.assertEqual(int(budget.primary_with_full_loan), self.permitted(105.1, True))
 
     def test_it_counts_from_the_writing_of_a_new_key(self) -> None:
-        budget = budget_of(tenant(), SETTINGS)
+        budget = compute_budget(tenant(), SETTINGS)
         reserve = 1
-        self.assertEqual(int(budget.fresh) + reserve, self.permitted(108.4, False))
-        self.assertEqual(int(budget.whole), self.permitted(108.6, False))
+        self.assertEqual(int(budget.primary_without_window) + reserve, self.permitted(108.4, False))
+        self.assertEqual(int(budget.primary_with_full_loan), self.permitted(108.6, False))
 
 
-class OwnersTest(testtools.TestCase):
+class TenantOwnersTest(testtools.TestCase):
     def nodes(self, count: int, slow: int = 0) -> list[GroupNode]:
         found = []
         for number in range(count):
@@ -136,37 +147,37 @@
         return found
 
     def test_two_views_of_the_same_nodes_agree(self) -> None:
-        one, other = Owners(11.0), Owners(11.0)
+        one, other = TenantOwners(11.0), TenantOwners(11.0)
         one.update(self.nodes(70), 0.0)
         other.update(list(reversed(self.nodes(70))), 5.0)
         for number in range(77):
-            self.assertEqual(one.of(f"t{number}"), other.of(f"t{number}"))
+            self.assertEqual(one.get(f"t{number}"), other.get(f"t{number}"))
 
     def test_the_strongest_of_every_zone_own(self) -> None:
-        owners = Owners(11.0)
+        owners = TenantOwners(11.0)
         owners.update(self.nodes(70, slow=40), 0.0)
-        self.assertEqual(MOST_OWNERS, len(owners.identities))
+        self.assertEqual(MAX_OWNERS, len(owners.identities))
         self.assertEqual({"a", "b", "c", "d"}, {item.zone for item in owners.identities})
         self.assertTrue(all(item.node_id >= "n040" for item in owners.identities))
 
     def test_the_two_owners_of_a_tenant_stand_in_two_zones(self) -> None:
-        owners = Owners(11.0)
+        owners = TenantOwners(11.0)
         owners.update(self.nodes(70), 0.0)
         for number in range(77):
-            first, second = owners.of(f"t{number}")
+            first, second = owners.get(f"t{number}")
             self.assertNotEqual(first.zone, second.zone)
 
     def test_when_an_owner_goes_the_other_one_stays_and_knows_the_window(self) -> None:
-        owners = Owners(11.0)
+        owners = TenantOwners(11.0)
         owners.update(self.nodes(8), 0.0)
-        before = {f"t{number}": owners.of(f"t{number}") for number in range(77)}
+        before = {f"t{number}": owners.get(f"t{number}") for number in range(77)}
         owners.update(self.nodes(7), 20.0)
         for name, pair in before.items():
             left = [item for item in pair if item.node_id != "n007"]
             for known in left:
                 own = known.node_id
-                self.assertIn(known, owners.of(name))
-                place = owners.place(name, own)
+                self.assertIn(known, owners.get(name))
+                position = owners.position(name, own)
                 was = [item.node_id for item in pair].index(own)
-                self.assertEqual(0.0 if place == was else 20.0, owners.held_since(name, own))
+                self.assertEqual(0.0 if position == was else 20.0, owners.position_since(name, own))
                 self.assertEqual(0.0, owners.owned_since(name, own))
--- a/tests/forwarding/limits/test_node_with_limits.py
+++ b/tests/forwarding/limits/test_node_with_limits.py
@@ -126,4 +126,4 @@
         node.advance(6.0)
         kinds = (LimitAsk, LimitTell, LimitAcknowledgement)
         self.assertEqual([], [message for kind in kinds for message in sent(node, kind)])
-        self.assertIsNone(node.machine._limits._work)
+        self.assertIsNone(node.machine._limits._distributed)
--- a/tests/forwarding/limits/test_stateful_limits.py
+++ b/tests/forwarding/limits/test_stateful_limits.py
@@ -5,7 +5,7 @@
 from hypothesis.stateful import RuleBasedStateMachine, initialize, precondition, rule
 
 from tests.forwarding.limits.fleet import SETTINGS, WINDOW_SECONDS, LimitFleet, tenant
-from wingquay.forwarding.arrival.limits.budget import budget_of
+from wingquay.forwarding.arrival.limits.budget import compute_budget
 from wingquay.forwarding.arrival.limits.limit_settings import LimitSettings
 from wingquay.model.tenants import Tenant
 
@@ -25,14 +25,14 @@
         super().__init__()
         self.limits: list[tuple[float, Tenant]] = []
         self.inside: set[str] = set()
-        self.has_lapsed = False
+        self.has_expired = False
 
-    @initialize(way=st.sampled_from([SETTINGS, ALWAYS_ASK]), seed=st.integers(0, 2**16))
-    def start(self, way: LimitSettings, seed: int) -> None:
-        self.fleet = LimitFleet(NODES, LIMITS[0], seed=seed, settings=way)
+    @initialize(settings_in_use=st.sampled_from([SETTINGS, ALWAYS_ASK]), seed=st.integers(0, 2**16))
+    def start(self, settings_in_use: LimitSettings, seed: int) -> None:
+        self.fleet = LimitFleet(NODES, LIMITS[0], seed=seed, settings=settings_in_use)
         self.fleet.advance(2.0 * WINDOW_SECONDS)
         self.limits.append((0.0, LIMITS[0]))
-        self.rates = RATES[way]
+        self.rates = RATES[settings_in_use]
 
     @rule(rate=st.integers(0, 2), seconds=st.floats(0.2, 3.0))
     def load(self, rate: int, seconds: float) -> None:
@@ -60,54 +60,54 @@
         self.fleet.separate(*inside, one_way=one_way)
 
     @precondition(lambda self: not self.fleet.cut)
-    @rule(place=st.integers(0, 1), others=st.sets(NAMES, max_size=4), one_way=st.booleans())
-    def cut_owner(self, place: int, others: set[str], one_way: bool) -> None:
-        if self.fleet.works:
-            self.cut({self.fleet.owners()[place], *others}, one_way)
+    @rule(position=st.integers(0, 1), others=st.sets(NAMES, max_size=4), one_way=st.booleans())
+    def cut_owner(self, position: int, others: set[str], one_way: bool) -> None:
+        if self.fleet.limits:
+            self.cut({self.fleet.owners()[position], *others}, one_way)
 
     @precondition(lambda self: bool(self.fleet.cut))
     @rule()
     def break_links(self) -> None:
         self.fleet.break_cut_links()
 
-    @precondition(lambda self: bool(self.fleet.cut) and not self.has_lapsed)
+    @precondition(lambda self: bool(self.fleet.cut) and not self.has_expired)
     @rule()
-    def lapse(self) -> None:
+    def remove_keys(self) -> None:
         """Let the keys of the nodes inside lapse, which they know before."""
-        self.has_lapsed = True
+        self.has_expired = True
         self.fleet.unlisted.update(self.inside)
         self.fleet.load(self.rates[2], 2.0)
-        awake = set(self.fleet.works) - set(self.fleet.asleep)
-        self.fleet.lapse(*sorted(self.inside), seen_by=sorted(awake - self.inside))
+        awake = set(self.fleet.limits) - set(self.fleet.suspended)
+        self.fleet.remove_keys(*sorted(self.inside), seen_by=sorted(awake - self.inside))
         self.fleet.load(self.rates[2], 2.0 * WINDOW_SECONDS)
 
     @precondition(lambda self: bool(self.fleet.cut))
     @rule()
     def heal(self) -> None:
         self.fleet.join()
-        if self.has_lapsed:
-            self.has_lapsed = False
+        if self.has_expired:
+            self.has_expired = False
             self.fleet.load(self.rates[2], 1.0)
             self.fleet.unlisted.clear()
-            self.fleet.appear(*sorted(self.inside), seen_by=sorted(self.fleet.works))
+            self.fleet.add_keys(*sorted(self.inside), seen_by=sorted(self.fleet.limits))
             self.fleet.load(self.rates[2], WINDOW_SECONDS)
 
-    @precondition(lambda self: len(self.fleet.works) > 1)
-    @rule(place=st.integers(0, 1))
-    def kill_owner(self, place: int) -> None:
-        self.fleet.kill(self.fleet.owners()[place])
+    @precondition(lambda self: len(self.fleet.limits) > 1)
+    @rule(position=st.integers(0, 1))
+    def kill_owner(self, position: int) -> None:
+        self.fleet.kill(self.fleet.owners()[position])
 
-    @precondition(lambda self: not self.has_lapsed)
+    @precondition(lambda self: not self.has_expired)
     @rule()
     def restart(self) -> None:
-        for name in sorted(set(self.fleet.identities) - set(self.fleet.works)):
+        for name in sorted(set(self.fleet.identities) - set(self.fleet.limits)):
             self.fleet.start(name)
 
-    @precondition(lambda self: not self.has_lapsed)
+    @precondition(lambda self: not self.has_expired)
     @rule(dark_seconds=st.floats(0.5, 3.0))
     def power(self, dark_seconds: float) -> None:
         self.fleet.load(self.rates[2], WINDOW_SECONDS)
-        for name in sorted(self.fleet.works):
+        for name in sorted(self.fleet.limits):
             self.fleet.kill(name)
         self.fleet.advance(dark_seconds)
         self.restart()
@@ -117,11 +117,11 @@
     def suspend(self, node: str) -> None:
         self.fleet.suspend(node)
 
-    @precondition(lambda self: bool(self.fleet.asleep))
+    @precondition(lambda self: bool(self.fleet.suspended))
     @rule()
-    def wake(self) -> None:
-        for node in sorted(self.fleet.asleep):
-            self.fleet.wake(node)
+    def resume(self) -> None:
+        for node in sorted(self.fleet.suspended):
+            self.fleet.resume(node)
 
     @rule(number=st.integers(0, len(LIMITS) - 1))
     def configure(self, number: int) -> None:
@@ -140,7 +140,7 @@
         """Return the greatest bound in force during the last two windows."""
         until = [*(at for at, _ in self.limits[1:]), float("inf")]
         bounds = [
-            budget_of(limit, self.fleet.settings).most
+            compute_budget(limit, self.fleet.settings).max_requests
             for (_, limit), ended in zip(self.limits, until, strict=True)
             if ended > end - 2.0 * WINDOW_SECONDS
         ]
--- a/wingquay/forwarding/arrival/limits/budget.py
+++ b/wingquay/forwarding/arrival/limits/budget.py
@@ -11,28 +11,28 @@
 from ....model.value import value
 from .limit_settings import LimitSettings
 
-JITTER_PART = 0.10
+JITTER_SHARE = 0.10
 """Of the spare, permitted on top of the allowance: the way from caller to node takes a few
 milliseconds more or less, so callers that keep their limit seem to exceed it by a request or two.
 A refusal within the limit costs a caller more than one request beyond it costs anybody."""
-APART_PART = 0.15
+UNLENT_SHARE = 0.15
 """Of the spare: what the second owner does not lend. The other side of a cut lives on it for the
 first window, for tenants that were at their limit just then."""
-FRESH_PART = 0.45
+UNKNOWN_WINDOW_SHARE = 0.45
 """Of the spare: what a primary owner permits while it cannot know the last window. All nodes may
 have been killed right after a whole allowance ran. It is the largest part, since it is all that
 tenants get then."""
-RESERVE_PART = 0.10
+RESERVE_SHARE = 0.10
 """Of the spare: what nodes that reach no owner permit together. More would go to single nodes that
 are cut off, which serve few callers."""
-UNDER_WAY_PART = 1.0 - JITTER_PART - APART_PART - FRESH_PART - RESERVE_PART
+UNREPORTED_SHARE = 1.0 - JITTER_SHARE - UNLENT_SHARE - UNKNOWN_WINDOW_SHARE - RESERVE_SHARE
 """Of the spare: begun at once and not told yet when a link breaks, and lost with an owner that
 ends: what arrives within the time of silence."""
 PRIMARY_SHARE = 0.6
 """Part of the divided whole that the primary owner may permit without the other's word. Above one
 half: a tenant that is not hot never needs a loan."""
 
-LOAN_FROM = 0.85
+LOAN_THRESHOLD = 0.85
 """Part of what the primary may permit from which on it borrows more. What is left lasts for the few
 milliseconds until it comes: at 500 requests a second of a tenant of 50 in 5 s for 10 ms."""
 LOAN_STEPS = 4
@@ -56,67 +56,73 @@
     spare: float
 
     @property
-    def most(self) -> float:
+    def max_requests(self) -> float:
         """What may run at all."""
         return self.allowance + self.spare
 
     @property
-    def whole(self) -> float:
+    def primary_with_full_loan(self) -> float:
         """What a primary owner permits that has the other's part, too."""
-        return self.allowance + JITTER_PART * self.spare
+        return self.allowance + JITTER_SHARE * self.spare
 
     @property
-    def primary_alone(self) -> float:
+    def primary_without_loan(self) -> float:
         """What a primary owner permits without the other's word."""
-        return self._divided - self.second_alone
+        return self._divisible - self.second_without_lending
 
     @property
-    def second_alone(self) -> float:
+    def second_without_lending(self) -> float:
         """What the second owner permits in its own right if nothing of that is lent."""
-        return max((1.0 - PRIMARY_SHARE) * self._divided, self.second_apart)
+        return max((1.0 - PRIMARY_SHARE) * self._divisible, self.second_unlendable)
 
     @property
-    def second_apart(self) -> float:
+    def second_unlendable(self) -> float:
         """What the second owner does not lend."""
-        return APART_PART * self.spare
+        return UNLENT_SHARE * self.spare
 
     @property
     def lendable(self) -> int:
         """How many requests the second owner may lend."""
-        return int(self.second_alone - self.second_apart)
+        return int(self.second_without_lending - self.second_unlendable)
 
-    def with_loan(self, loan: int) -> float:
+    def primary_with_loan(self, loan: int) -> float:
         """Return what the primary permits with so much lent to it."""
-        return self.whole if loan >= self.lendable else self.primary_alone + loan
+        return (
+            self.primary_with_full_loan
+            if loan >= self.lendable
+            else self.primary_without_loan + loan
+        )
 
-    def without(self, lent: int) -> float:
+    def second_with_lent(self, lent: int) -> float:
         """Return what the second owner permits in its own right with so much lent by it."""
-        return self.second_apart if lent >= self.lendable else self.second_alone - lent
+        return (
+            self.second_unlendable if lent >= self.lendable else self.second_without_lending - lent
+        )
 
-    def loan_for(self, counted: int) -> int:
+    def required_loan(self, counted: int) -> int:
         """Return how much the primary needs lent when so many requests count."""
         for step in range(LOAN_STEPS):
             loan = math.ceil(self.lendable * step / LOAN_STEPS)
-            if counted < LOAN_FROM * self.with_loan(loan):
+            if counted < LOAN_THRESHOLD * self.primary_with_loan(loan):
                 return loan
         return self.lendable
 
     @property
-    def fresh(self) -> float:
+    def primary_without_window(self) -> float:
         """What a primary owner permits that cannot know the last window."""
-        return FRESH_PART * self.spare
+        return UNKNOWN_WINDOW_SHARE * self.spare
 
     @property
-    def reserves(self) -> int:
+    def reserve_nodes(self) -> int:
         """How many nodes may let one request run without asking anybody."""
-        return int(RESERVE_PART * self.spare)
+        return int(RESERVE_SHARE * self.spare)
 
     @property
-    def _divided(self) -> float:
-        return self.allowance + (JITTER_PART + APART_PART) * self.spare
+    def _divisible(self) -> float:
+        return self.allowance + (JITTER_SHARE + UNLENT_SHARE) * self.spare
 
 
-def budget_of(tenant: Tenant, settings: LimitSettings) -> Budget:
+def compute_budget(tenant: Tenant, settings: LimitSettings) -> Budget:
     """Return the parts of a tenant's bound."""
     allowance = tenant.requests_per_second * settings.window_seconds + tenant.burst
     return Budget(allowance, allowance * settings.overage + settings.slack)
--- a/wingquay/forwarding/arrival/limits/limit_work.py
+++ b/wingquay/forwarding/arrival/limits/distributed_limits.py
@@ -23,13 +23,13 @@
     LimitRequestDue,
 )
 from ..admission import Admitted, AwaitsLimit, Rejected
-from .contacts import Contacts
 from .limit_settings import LimitSettings
-from .node_role import NodeRole
-from .owner_exchange import EXCHANGE_SECONDS, LOAN_SECONDS
+from .owner_channels import OwnerChannels
 from .owner_role import OwnerRole
-from .owners import Owners
+from .owner_sync import LOAN_SECONDS, SYNC_INTERVAL_SECONDS
+from .requester_role import RequesterRole
 from .reserve import Reserve
+from .tenant_owners import TenantOwners
 
 OWN_EVENTS = (LimitReportDue, LimitAckDue, LimitProbeDue, LimitRequestDue, LimitRefreshDue)
 """Events by which this part wakes itself."""
@@ -53,7 +53,7 @@
 )
 
 
-class LimitWork:
+class DistributedLimits:
     """Keeps the limits of all tenants; made once a configuration has such tenants.
 
     Parameters
@@ -68,26 +68,30 @@
 
     def __init__(self, settings: LimitSettings, random_source: random.Random, now: float) -> None:
         self._settings = settings
-        self._born_at = now
-        self._owners = Owners(2.0 * settings.window_seconds + LOAN_SECONDS)
-        self._contacts = Contacts(self._owners, settings.window_seconds)
+        self._started_at = now
+        self._owners = TenantOwners(2.0 * settings.window_seconds + LOAN_SECONDS)
+        self._channels = OwnerChannels(self._owners, settings.window_seconds)
         reserve = Reserve(settings, self._node_ids, now)
-        self._node = NodeRole(settings, self._owners, self._contacts, reserve, random_source)
+        self._requester = RequesterRole(
+            settings, self._owners, self._channels, reserve, random_source
+        )
         self._groups: NodeGroups | None = None
         self._nodes_version = -1
         self._tenants: Mapping[str, Tenant] = {}
         self._is_due = False
 
-    def on_answer(self, go_on: Callable[[int, Admitted | Rejected, float], list[Action]]) -> None:
+    def on_decision(
+        self, callback: Callable[[int, Admitted | Rejected, float], list[Action]]
+    ) -> None:
         """State what goes on with a request whose answer has come."""
-        self._node.on_answer = go_on
+        self._requester.on_decision = callback
 
     def open(
         self,
         own: NodeIdentity,
         groups: NodeGroups,
         is_listed: Callable[[float], bool],
-        has_stood: Callable[[], bool],
+        was_listed_before_start: Callable[[], bool],
         now: float,
     ) -> list[Action]:
         """Tell and ask other nodes from now on.
@@ -98,108 +102,108 @@
             The nodes of the store.
         is_listed
             Whether this node's key is sure to stand in the store.
-        has_stood
+        was_listed_before_start
             Whether it stood there before this life.
         """
         role = OwnerRole(self._settings, own, self._owners, groups.reachable)
-        role.exchange.is_listed = is_listed
-        role.exchange.has_stood = has_stood
+        role.sync.is_listed = is_listed
+        role.sync.was_listed_before_start = was_listed_before_start
         self._groups = groups
-        self._contacts.own = own
-        self._contacts.role = role
-        actions = [*role.set_tenants(self._tenants, now), *self.look(now)]
-        return [*actions, *self._node.opened(now)]
+        self._channels.own = own
+        self._channels.role = role
+        actions = [*role.set_tenants(self._tenants, now), *self.refresh_owners(now)]
+        return [*actions, *self._requester.opened(now)]
 
     def set_tenants(self, tenants: Mapping[str, Tenant], now: float) -> list[Action]:
         """Take in the limits in force."""
         self._tenants = tenants
-        role = self._contacts.role
-        return [] if role is None else [*role.set_tenants(tenants, now), *self.look(now)]
+        role = self._channels.role
+        return [] if role is None else [*role.set_tenants(tenants, now), *self.refresh_owners(now)]
 
-    def look(self, now: float) -> list[Action]:
+    def refresh_owners(self, now: float) -> list[Action]:
         """See whether the nodes of the store, and so the owners, are others than before."""
         groups = self._groups
         if groups is None or groups.version(now) == self._nodes_version:
             return []
         self._nodes_version = groups.version(now)
         # What its last life did as an owner was over when this one began.
-        since = now if self._owners.identities else self._born_at
+        since = now if self._owners.identities else self._started_at
         if not self._owners.update(groups.all_nodes, since):
             return []
-        role = self._contacts.role
+        role = self._channels.role
         actions = [] if role is None else role.owners_changed(now)
-        return [*actions, *self._contacts.owners_changed(now), *self._schedule(now)]
+        return [*actions, *self._channels.owners_changed(now), *self._schedule(now)]
 
     def admit(
         self, tenant: Tenant, exchange_id: int, now: float
     ) -> Admitted | Rejected | AwaitsLimit:
         """Count a request, or say why it may not run now."""
-        return self._node.admit(tenant, exchange_id, now)
+        return self._requester.admit(tenant, exchange_id, now)
 
     def give_back(self, tenant: Tenant, exchange_id: int, now: float) -> None:
         """Take back a request that has run on no replica and never will."""
-        self._node.give_back(tenant, exchange_id, now)
+        self._requester.give_back(tenant, exchange_id, now)
 
     def owners_of(self, name: str) -> tuple[NodeIdentity, ...]:
         """Return the primary and the second owner of a tenant, as far as there are any."""
-        return self._owners.of(name)
+        return self._owners.get(name)
 
     def take_actions(self) -> list[Action]:
         """Return what is to be done besides the answers that `admit` and `give_back` gave."""
-        return self._node.take_actions()
+        return self._requester.take_actions()
 
-    def woken(self) -> None:
+    def resumed(self) -> None:
         """Take in that this node stood still."""
-        self._contacts.woken()
+        self._channels.resumed()
 
     def handle(self, event: LimitEvent, now: float) -> list[Action]:
         """Take in an event."""
-        actions = self.look(now)
+        actions = self.refresh_owners(now)
         match event:
             case PeerReceived(sender, message):
                 actions += self._received(sender, message, now)
             case PeerLinkBroken():
-                actions += self._contacts.lose(event.node_id, now, True)
-                actions += self._node.lost(event.node_id, now)
+                actions += self._channels.mark_lost(event.node_id, now, True)
+                actions += self._requester.owner_lost(event.node_id, now)
             case LimitRequestDue():
-                actions += self._node.ask_due(event, now)
+                actions += self._requester.query_due(event, now)
             case LimitRefreshDue():
                 actions += self._owner_due(now)
             case _:
-                actions += self._contacts.due(event, now)
+                actions += self._channels.due(event, now)
         return [*actions, *self.take_actions()]
 
     def _received(self, sender: NodeIdentity, message: PeerMessage, now: float) -> list[Action]:
         match message:
             case LimitAcknowledgement():
-                return self._contacts.acknowledged(sender, message, now)
+                return self._channels.acknowledged(sender, message, now)
             case LimitAnswer():
-                return self._node.answered(sender, message, now)
-        role = self._contacts.role
+                return self._requester.answered(sender, message, now)
+        role = self._channels.role
         if role is None:
             return []
         match message:
             case LimitTell():
-                return role.told(sender, message, now)
+                return role.reported(sender, message, now)
             case LimitAsk():
-                return role.asked(sender, message, now)
+                return role.permit_requested(sender, message, now)
             case LimitOwnersRequest() | LimitOwnersReply():
                 return role.owners_message(sender, message, now)
         return []
 
     def _owner_due(self, now: float) -> list[Action]:
         self._is_due = False
-        role = self._contacts.role
+        role = self._channels.role
         if role is None or not role.is_owner:
             return []
         return [*role.due(now), *self._schedule(now)]
 
     def _schedule(self, now: float) -> list[Action]:
-        role = self._contacts.role
+        role = self._channels.role
         if self._is_due or role is None or not role.is_owner:
             return []
         self._is_due = True
-        return [Schedule(now + EXCHANGE_SECONDS, LimitRefreshDue())]
+        return [Schedule(now + SYNC_INTERVAL_SECONDS, LimitRefreshDue())]
 
     def _node_ids(self) -> list[str]:
         groups = self._groups
--- a/wingquay/forwarding/arrival/limits/limit_manager.py
+++ b/wingquay/forwarding/arrival/limits/limit_manager.py
@@ -21,9 +21,9 @@
 from .limit_settings import LimitSettings
 
 if TYPE_CHECKING:
-    from .limit_work import LimitWork
+    from .distributed_limits import DistributedLimits
 
-_TAKEN = (
+_HANDLED = (
     PeerReceived,
     PeerLinkBroken,
     LimitRequestDue,
@@ -45,7 +45,7 @@
         The nodes of the store.
     admission
         Is told who counts the requests of tenants.
-    go_on
+    on_decision
         Goes on with a request whose answer has come.
     """
 
@@ -55,16 +55,16 @@
         settings: LimitSettings | None,
         members: NodeMembership,
         admission: ArrivalAdmission,
-        go_on: Callable[[int, Admitted | Rejected, float], list[Action]],
+        on_decision: Callable[[int, Admitted | Rejected, float], list[Action]],
     ) -> None:
         self._name = name
         self._settings = settings or LimitSettings()
         self._members = members
         self._admission = admission
-        self._go_on = go_on
+        self._on_decision = on_decision
         self._table: RoutingTable | None = None
         self._own: NodeIdentity | None = None
-        self._work: LimitWork | None = None
+        self._distributed: DistributedLimits | None = None
         self._is_open = False
 
     def handle(self, event: Event, table: RoutingTable | None, now: float) -> list[Action]:
@@ -74,33 +74,33 @@
         actions: list[Action] = []
         if table is not None and table is not self._table:
             actions += self._configure(table, now)
-        work = self._work
-        if work is None:
+        distributed = self._distributed
+        if distributed is None:
             return actions
         if not self._is_open and self._own is not None:
             self._is_open = True
             members = self._members
-            actions += work.open(
+            actions += distributed.open(
                 self._own, members.groups, members.is_listed, members.has_stood, now
             )
         if isinstance(event, Woken):
-            work.woken()
-        if isinstance(event, _TAKEN):
-            return actions + work.handle(event, now)
-        return [*actions, *work.look(now), *work.take_actions()]
+            distributed.resumed()
+        if isinstance(event, _HANDLED):
+            return actions + distributed.handle(event, now)
+        return [*actions, *distributed.refresh_owners(now), *distributed.take_actions()]
 
     def _configure(self, table: RoutingTable, now: float) -> list[Action]:
         self._table = table
         tenants = {} if table.tenants is None else table.tenants.by_name
-        if self._work is None and table.tenants is not None and table.tenants.is_limited:
-            self._work = self._begin(now)
-        return [] if self._work is None else self._work.set_tenants(tenants, now)
+        if self._distributed is None and table.tenants is not None and table.tenants.is_limited:
+            self._distributed = self._begin(now)
+        return [] if self._distributed is None else self._distributed.set_tenants(tenants, now)
 
-    def _begin(self, now: float) -> "LimitWork":
-        from .limit_work import LimitWork
+    def _begin(self, now: float) -> "DistributedLimits":
+        from .distributed_limits import DistributedLimits
 
         spread = random.Random(zlib.crc32(self._name.encode()))
-        work = LimitWork(self._settings, spread, now)
-        work.on_answer(self._go_on)
-        self._admission.limits = work
-        return work
+        distributed = DistributedLimits(self._settings, spread, now)
+        distributed.on_decision(self._on_decision)
+        self._admission.limits = distributed
+        return distributed
--- a/wingquay/forwarding/arrival/limits/contacts.py
+++ b/wingquay/forwarding/arrival/limits/owner_channels.py
@@ -6,12 +6,12 @@
 from ....ports.machine import Action, Count, Log, LogLevel
 from ....ports.peer_link import NodeIdentity
 from ...timers import LimitAckDue, LimitProbeDue, LimitReportDue
-from .owner_contact import OwnerContact
+from .owner_channel import OwnerChannel
 from .owner_role import OwnerRole
-from .owners import Owners
+from .tenant_owners import TenantOwners
 
 
-class Contacts:
+class OwnerChannels:
     """Tells owners what this node has begun; itself without a message.
 
     Parameters
@@ -22,10 +22,10 @@
         For how long a request counts.
     """
 
-    def __init__(self, owners: Owners, window_seconds: float) -> None:
+    def __init__(self, owners: TenantOwners, window_seconds: float) -> None:
         self._owners = owners
         self._window_seconds = window_seconds
-        self._contacts: dict[str, OwnerContact] = {}
+        self._channels: dict[str, OwnerChannel] = {}
         self.own: NodeIdentity | None = None
         """This node; ``None``: the link to others is not open."""
         self.role: OwnerRole | None = None
@@ -35,13 +35,13 @@
         """Whether a node is this one."""
         return self.own is not None and node.node_id == self.own.node_id
 
-    def get(self, owner: NodeIdentity) -> OwnerContact:
+    def get(self, owner: NodeIdentity) -> OwnerChannel:
         """Return what is known of an owner."""
-        contact = self._contacts.get(owner.node_id)
-        if contact is None:
-            contact = OwnerContact(owner, self._window_seconds)
-            self._contacts[owner.node_id] = contact
-        return contact
+        channel = self._channels.get(owner.node_id)
+        if channel is None:
+            channel = OwnerChannel(owner, self._window_seconds)
+            self._channels[owner.node_id] = channel
+        return channel
 
     def note(
         self,
@@ -49,13 +49,13 @@
         name: str,
         requests: int,
         now: float,
-        is_at_once: bool = False,
+        is_without_permit: bool = False,
     ) -> list[Action]:
         """Tell owners of a tenant, soon, that requests were begun, or ran nowhere."""
         actions: list[Action] = []
         for owner in owners:
             if not self.is_own(owner):
-                actions += self.get(owner).note(name, requests, now, 0, is_at_once)
+                actions += self.get(owner).note(name, requests, now, 0, is_without_permit)
             elif self.role is not None:
                 actions += self.role.count(name, requests, 0, now)
         return actions
@@ -63,54 +63,56 @@
     def owners_changed(self, now: float) -> list[Action]:
         """Open connections to the owners, and ask all of them first until they say otherwise."""
         ids = {owner.node_id for owner in self._owners.identities}
-        for node_id in [node_id for node_id in self._contacts if node_id not in ids]:
-            del self._contacts[node_id]
+        for node_id in [node_id for node_id in self._channels if node_id not in ids]:
+            del self._channels[node_id]
         actions: list[Action] = []
         for owner in self._owners.identities:
             if not self.is_own(owner):
-                contact = self.get(owner)
-                contact.owner = owner
-                contact.asks_first = True
-                actions += contact.tell(now, True)
+                channel = self.get(owner)
+                channel.owner = owner
+                channel.asks_first = True
+                actions += channel.send_report(now, True)
         return actions
 
-    def woken(self) -> None:
+    def resumed(self) -> None:
         """Ask first until owners say otherwise: what they said may lie unread."""
-        for contact in self._contacts.values():
-            contact.asks_first = True
+        for channel in self._channels.values():
+            channel.asks_first = True
 
     def acknowledged(
         self, sender: NodeIdentity, message: LimitAcknowledgement, now: float
     ) -> list[Action]:
         """Take in what an owner has counted, and of which tenants it wants to be asked first."""
-        contact = self.get(sender)
-        contact.asks_first = message.asks_first
+        channel = self.get(sender)
+        channel.asks_first = message.asks_first
         for name, seconds in zip(message.hot, message.hot_seconds, strict=True):
-            contact.hear_hot(name, seconds, now)
-        return contact.acknowledged(message.sequence, now) if message.sequence else []
+            channel.set_hot(name, seconds, now)
+        return channel.acknowledged(message.sequence, now) if message.sequence else []
 
     def due(self, event: LimitReportDue | LimitAckDue | LimitProbeDue, now: float) -> list[Action]:
         """Tell, look whether an owner is silent, or try to reach it again."""
-        contact = self._contacts.get(event.node_id)
-        if contact is None:
+        channel = self._channels.get(event.node_id)
+        if channel is None:
             return []
         match event:
             case LimitReportDue():
-                return contact.tell(now)
+                return channel.send_report(now)
             case LimitProbeDue():
-                return contact.probe(now)
+                return channel.probe(now)
             case LimitAckDue():
-                return self.lose(event.node_id, now) if contact.is_silent(event.sequence) else []
+                return (
+                    self.mark_lost(event.node_id, now) if channel.is_silent(event.sequence) else []
+                )
 
-    def lose(self, node_id: str, now: float, is_broken: bool = False) -> list[Action]:
+    def mark_lost(self, node_id: str, now: float, is_broken: bool = False) -> list[Action]:
         """Take an owner as out of reach, and charge what it may not know to the second ones."""
-        contact = self._contacts.get(node_id)
-        if contact is None:
+        channel = self._channels.get(node_id)
+        if channel is None:
             return []
-        was_lost = contact.is_lost
-        unknown, actions = contact.broken(now) if is_broken else contact.lose(now)
+        was_lost = channel.is_lost
+        unknown, actions = channel.link_broken(now) if is_broken else channel.mark_lost(now)
         for name, requests in unknown.items():
-            pair = self._owners.of(name)
+            pair = self._owners.get(name)
             if requests and len(pair) == 2 and pair[0].node_id == node_id:
                 actions += self._charge(pair[1], name, requests, now)
         if not was_lost:
--- a/wingquay/forwarding/arrival/limits/owner_role.py
+++ b/wingquay/forwarding/arrival/limits/owner_role.py
@@ -14,16 +14,16 @@
 )
 from ....ports.machine import Action, Count, Log, LogLevel
 from ....ports.peer_link import NodeIdentity, SendToPeer
-from .budget import Budget, budget_of
-from .limit_settings import HOT_FROM, LimitSettings
-from .owner_exchange import OwnerExchange
-from .owners import Owners
-from .tenant_count import Permit, Standing, TenantCount
+from .budget import Budget, compute_budget
+from .limit_settings import HOT_RATIO, LimitSettings
+from .owner_sync import OwnerSync
+from .tenant_owners import TenantOwners
+from .tenant_usage import OwnerStatus, Permit, TenantUsage
 
 HOT_WINDOWS = 2.0
 """Windows for which a tenant stays hot after it was last near its limit: one for the requests that
 still count, and one so that a tenant around the threshold is not told about again and again."""
-MOST_KEPT = 1_000
+MAX_WAITING = 1_000
 """Questions that wait for a loan; with a few milliseconds for one, far more than arrive."""
 
 
@@ -46,7 +46,7 @@
         self,
         settings: LimitSettings,
         own: NodeIdentity,
-        owners: Owners,
+        owners: TenantOwners,
         reachable: Callable[[float], list[NodeIdentity]],
     ) -> None:
         self._settings = settings
@@ -54,18 +54,18 @@
         self._owners = owners
         self._reachable = reachable
         self._tenants: Mapping[str, Tenant] = {}
-        self._counts: dict[str, TenantCount] = {}
-        self.exchange = OwnerExchange(settings, own, owners, self._count_of, self._budget_of)
+        self._usages: dict[str, TenantUsage] = {}
+        self.sync = OwnerSync(settings, own, owners, self._get_usage, self._get_budget)
         """Borrows and learns from the other owners."""
         self._hot: set[str] = set()
-        self._kept: list[tuple[NodeIdentity, LimitAsk]] = []
-        self._is_asked_first = False
+        self._waiting: list[tuple[NodeIdentity, LimitAsk]] = []
+        self._notified_asks_first = False
         """Whether nodes were told to ask before every request."""
 
     @property
     def tenants(self) -> int:
         """The number of tenants of which something is known."""
-        return len(self._counts)
+        return len(self._usages)
 
     @property
     def is_owner(self) -> bool:
@@ -77,12 +77,12 @@
         self._tenants = {
             name: tenant for name, tenant in tenants.items() if tenant.requests_per_second > 0
         }
-        for name in [name for name in self._counts if name not in self._tenants]:
-            del self._counts[name]
+        for name in [name for name in self._usages if name not in self._tenants]:
+            del self._usages[name]
             self._hot.discard(name)
         actions: list[Action] = []
-        for name, count in self._counts.items():
-            actions += self._heat(name, count, now)
+        for name, usage in self._usages.items():
+            actions += self._mark_hot(name, usage, now)
         return actions
 
     def count(self, name: str, requests: int, charged: int, now: float) -> list[Action]:
@@ -90,15 +90,15 @@
         tenant = self._tenants.get(name)
         if tenant is None:
             return []
-        count = self._count_of(name)
-        count.add(requests, now)
+        usage = self._get_usage(name)
+        usage.add(requests, now)
         if charged > 0:
-            count.own_right.add(charged, now)
-        return self._heat(name, count, now)
+            usage.permitted_as_second.add(charged, now)
+        return self._mark_hot(name, usage, now)
 
-    def told(self, sender: NodeIdentity, message: LimitTell, now: float) -> list[Action]:
+    def reported(self, sender: NodeIdentity, message: LimitTell, now: float) -> list[Action]:
         """Take in what a node has begun, and acknowledge it."""
-        self.exchange.look(now)
+        self.sync.refresh_listing(now)
         actions: list[Action] = []
         for name, requests, charged in zip(
             message.tenants, message.counts, message.charged, strict=True
@@ -110,13 +110,13 @@
         answer = LimitAcknowledgement(message.sequence, asks_first, hot, seconds)
         return [*actions, SendToPeer(sender, answer)]
 
-    def asked(self, sender: NodeIdentity, message: LimitAsk, now: float) -> list[Action]:
+    def permit_requested(self, sender: NodeIdentity, message: LimitAsk, now: float) -> list[Action]:
         """Answer whether a request may begin; a question waits for a loan that is on its way."""
         permit, actions = self.permit(message.tenant, now)
-        count = self._counts.get(message.tenant)
-        is_short = permit.verdict is LimitVerdict.ELSEWHERE and len(self._kept) < MOST_KEPT
-        if is_short and count is not None and count.awaits_loan(now):
-            self._kept.append((sender, message))
+        usage = self._usages.get(message.tenant)
+        is_short = permit.verdict is LimitVerdict.ELSEWHERE and len(self._waiting) < MAX_WAITING
+        if is_short and usage is not None and usage.awaits_loan(now):
+            self._waiting.append((sender, message))
             return actions
         answer = LimitAnswer(
             message.ask_id,
@@ -130,16 +130,16 @@
     def permit(self, name: str, now: float) -> tuple[Permit, list[Action]]:
         """Count one more request of a tenant if it may run."""
         tenant = self._tenants.get(name)
-        standing = self._standing(name, now)
-        if tenant is None or standing is None:
+        status = self._status(name, now)
+        if tenant is None or status is None:
             return Permit(LimitVerdict.NOT_MINE), []
-        count = self._count_of(name)
-        permit = count.permit(self._budget(tenant), standing, now)
+        usage = self._get_usage(name)
+        permit = usage.permit(self._budget(tenant), status, now)
         if permit.verdict is LimitVerdict.GRANTED:
-            return permit, self._heat(name, count, now)
+            return permit, self._mark_hot(name, usage, now)
         labels = (("verdict", permit.verdict.name.lower()),)
         refused = Count("limit_not_permitted_total", labels=labels)
-        return permit, [refused, *self._borrow(name, count, now)]
+        return permit, [refused, *self._borrow(name, usage, now)]
 
     def asks_first(self, now: float) -> bool:
         """Whether nodes ask before every request.
@@ -147,9 +147,9 @@
         Always where they are set to; else as long as this owner may have to permit less than what
         lets a tenant count as calm.
         """
-        if self._settings.ask_first_from <= 0:
+        if self._settings.ask_first_ratio <= 0:
             return True
-        return not self.exchange.is_settled(now) or not self.exchange.is_listed(now)
+        return not self.sync.is_settled(now) or not self.sync.is_listed(now)
 
     def owners_changed(self, now: float) -> list[Action]:
         """Ask the other owners what they know: this node may own other tenants from now on.
@@ -159,137 +159,137 @@
         """
         if not self.is_owner:
             return []
-        return [*self.exchange.owners_changed(now), *self._tell_all(now)]
+        return [*self.sync.owners_changed(now), *self._notify_all(now)]
 
-    def _tell_all(self, now: float) -> list[Action]:
+    def _notify_all(self, now: float) -> list[Action]:
         """Tell all nodes whether they ask first."""
-        self._is_asked_first = self.asks_first(now)
-        told = LimitAcknowledgement(0, self._is_asked_first)
-        return [SendToPeer(node, told) for node in self._reachable(now)]
+        self._notified_asks_first = self.asks_first(now)
+        notification = LimitAcknowledgement(0, self._notified_asks_first)
+        return [SendToPeer(node, notification) for node in self._reachable(now)]
 
     def owners_message(
         self, sender: NodeIdentity, message: LimitOwnersRequest | LimitOwnersReply, now: float
     ) -> list[Action]:
         """Take in what another owner wants or tells."""
-        self.exchange.look(now)
+        self.sync.refresh_listing(now)
         if isinstance(message, LimitOwnersRequest):
-            return self.exchange.requested(sender, message, self._tenants, now)
-        self.exchange.replied(sender, message, now)
-        return self._ask_kept(now)
+            return self.sync.requested(sender, message, self._tenants, now)
+        self.sync.replied(sender, message, now)
+        return self._retry_waiting(now)
 
-    def _ask_kept(self, now: float) -> list[Action]:
+    def _retry_waiting(self, now: float) -> list[Action]:
         """Answer the questions that waited for a loan."""
-        kept, self._kept = self._kept, []
+        waiting, self._waiting = self._waiting, []
         actions: list[Action] = []
-        for sender, message in kept:
-            actions += self.asked(sender, message, now)
+        for sender, message in waiting:
+            actions += self.permit_requested(sender, message, now)
         return actions
 
     def due(self, now: float) -> list[Action]:
         """Borrow again what is needed, and see which tenants are calm again."""
-        self.exchange.look(now)
-        actions = self._ask_kept(now)
-        if self._is_asked_first != self.asks_first(now):
-            actions += self._tell_all(now)
-        actions += self._cool(now)
-        for name in [name for name, count in self._counts.items() if not count.counted.total(now)]:
-            if name not in self._hot and now >= self._counts[name].idle_from:
-                del self._counts[name]
-        return actions + self.exchange.due(self._borrowing(now), now)
+        self.sync.refresh_listing(now)
+        actions = self._retry_waiting(now)
+        if self._notified_asks_first != self.asks_first(now):
+            actions += self._notify_all(now)
+        actions += self._mark_calm(now)
+        for name in [name for name, usage in self._usages.items() if not usage.counted.total(now)]:
+            if name not in self._hot and now >= self._usages[name].idle_from:
+                del self._usages[name]
+        return actions + self.sync.due(self._borrowing(now), now)
 
     # Hot tenants
 
-    def _heat(self, name: str, count: TenantCount, now: float) -> list[Action]:
+    def _mark_hot(self, name: str, usage: TenantUsage, now: float) -> list[Action]:
         """Tell all nodes to ask first, and borrow, once a tenant is near its limit."""
-        if not self._is_near(name, now):
+        if not self._is_near_limit(name, now):
             return []
-        count.hot_until = now + HOT_WINDOWS * self._settings.window_seconds
-        actions = self._borrow(name, count, now)
+        usage.hot_until = now + HOT_WINDOWS * self._settings.window_seconds
+        actions = self._borrow(name, usage, now)
         if name in self._hot:
             return actions
         self._hot.add(name)
         if not self._is_primary(name):
             return actions
         actions.append(Count("limit_hot_total"))
-        if self._settings.ask_first_from > 0:
+        if self._settings.ask_first_ratio > 0:
             seconds = HOT_WINDOWS * self._settings.window_seconds
-            told = LimitAcknowledgement(0, self.asks_first(now), (name,), (seconds,))
-            actions += [SendToPeer(node, told) for node in self._reachable(now)]
+            notification = LimitAcknowledgement(0, self.asks_first(now), (name,), (seconds,))
+            actions += [SendToPeer(node, notification) for node in self._reachable(now)]
         allowed = round(self._budget(self._tenants[name]).allowance, 1)
-        fields = (("tenant", name), ("counted", count.counted.total(now)), ("allowed", allowed))
+        fields = (("tenant", name), ("counted", usage.counted.total(now)), ("allowed", allowed))
         return [*actions, Log("limit_hot", LogLevel.INFO, fields)]
 
-    def _borrow(self, name: str, count: TenantCount, now: float) -> list[Action]:
+    def _borrow(self, name: str, usage: TenantUsage, now: float) -> list[Action]:
         """Borrow the second owner's part just before it is needed."""
-        loan = self._loan_for(name, now)
-        if not count.may_borrow(loan, now):
+        loan = self._required_loan(name, now)
+        if not usage.should_borrow(loan, now):
             return []
-        count.loan_asked_at = now
-        count.loan_wanted = loan
-        return self.exchange.borrow({name: loan}, now)
+        usage.loan_requested_at = now
+        usage.loan_requested = loan
+        return self.sync.borrow({name: loan}, now)
 
-    def _loan_for(self, name: str, now: float) -> int:
+    def _required_loan(self, name: str, now: float) -> int:
         """Return how much more than its own part this owner, if the primary, needs."""
         if not self._is_primary(name):
             return 0
-        counted = self._counts[name].counted.total(now)
-        return self._budget(self._tenants[name]).loan_for(counted)
+        counted = self._usages[name].counted.total(now)
+        return self._budget(self._tenants[name]).required_loan(counted)
 
-    def _cool(self, now: float) -> list[Action]:
+    def _mark_calm(self, now: float) -> list[Action]:
         """See which tenants are calm again."""
         actions: list[Action] = []
         for name in sorted(self._hot):
-            count = self._counts[name]
-            if now < count.hot_until or self._is_near(name, now):
+            usage = self._usages[name]
+            if now < usage.hot_until or self._is_near_limit(name, now):
                 continue
             self._hot.discard(name)
             if self._is_primary(name):
-                fields = (("tenant", name), ("counted", count.counted.total(now)))
+                fields = (("tenant", name), ("counted", usage.counted.total(now)))
                 actions.append(Log("limit_calm", LogLevel.INFO, fields))
         return actions
 
-    def _is_near(self, name: str, now: float) -> bool:
+    def _is_near_limit(self, name: str, now: float) -> bool:
         """Whether a tenant has had the part of its allowance from which on more is needed."""
         tenant = self._tenants.get(name)
         if tenant is None:
             return False
-        from_part = self._settings.ask_first_from or HOT_FROM
-        least = self._budget(tenant).allowance * min(from_part, HOT_FROM)
-        return self._counts[name].counted.total(now) >= least
+        ratio = self._settings.ask_first_ratio or HOT_RATIO
+        threshold = self._budget(tenant).allowance * min(ratio, HOT_RATIO)
+        return self._usages[name].counted.total(now) >= threshold
 
     def _is_primary(self, name: str) -> bool:
-        return self._owners.place(name, self._own.node_id) == 0
+        return self._owners.position(name, self._own.node_id) == 0
 
     def _hot_seconds(self, name: str, now: float) -> float:
-        count = self._counts.get(name)
-        return 0.0 if count is None else max(count.hot_until - now, 0.0)
+        usage = self._usages.get(name)
+        return 0.0 if usage is None else max(usage.hot_until - now, 0.0)
 
     def _borrowing(self, now: float) -> dict[str, int]:
         """Return the tenants whose loans are needed further, and how much of each."""
-        loans = {name: self._loan_for(name, now) for name in sorted(self._hot)}
+        loans = {name: self._required_loan(name, now) for name in sorted(self._hot)}
         return {name: loan for name, loan in loans.items() if loan}
 
     # Roles
 
-    def _standing(self, name: str, now: float) -> Standing | None:
-        self.exchange.look(now)
+    def _status(self, name: str, now: float) -> OwnerStatus | None:
+        self.sync.refresh_listing(now)
         own = self._own.node_id
-        place = self._owners.place(name, own)
-        if place is None:
+        position = self._owners.position(name, own)
+        if position is None:
             return None
-        is_alone = len(self._owners.of(name)) == 1
-        return self.exchange.standing(name, place, is_alone, now)
+        is_alone = len(self._owners.get(name)) == 1
+        return self.sync.status(name, position, is_alone, now)
 
-    def _count_of(self, name: str) -> TenantCount:
-        count = self._counts.get(name)
-        if count is None:
-            count = TenantCount(self._settings.window_seconds)
-            self._counts[name] = count
-        return count
+    def _get_usage(self, name: str) -> TenantUsage:
+        usage = self._usages.get(name)
+        if usage is None:
+            usage = TenantUsage(self._settings.window_seconds)
+            self._usages[name] = usage
+        return usage
 
-    def _budget_of(self, name: str) -> Budget | None:
+    def _get_budget(self, name: str) -> Budget | None:
         tenant = self._tenants.get(name)
         return None if tenant is None else self._budget(tenant)
 
     def _budget(self, tenant: Tenant) -> Budget:
-        return budget_of(tenant, self._settings)
+        return compute_budget(tenant, self._settings)
--- /dev/null
+++ b/wingquay/forwarding/arrival/limits/requester_role.py
@@ -0,0 +1,312 @@
+"""What a node does with a tenant's request: begins it at once, asks an owner first, or refuses."""
+
+import random
+from collections.abc import Callable, Iterable
+from dataclasses import dataclass, field
+
+from ....model.tenants import Tenant
+from ....ports.forwarding import ForwardFailureKind, OpaqueRequest
+from ....ports.limit_messages import (
+    LimitAnswer,
+    LimitAsk,
+    LimitVerdict,
+)
+from ....ports.machine import Action, Count, Schedule
+from ....ports.peer_link import NodeIdentity, SendToPeer
+from ...timers import LimitRequestDue
+from ..admission import Admitted, AwaitsLimit, Rejected
+from .limit_settings import LimitSettings
+from .owner_channel import REPLY_TIMEOUT_SECONDS
+from .owner_channels import OwnerChannels
+from .reserve import Reserve
+from .tenant_owners import TenantOwners
+from .tenant_usage import MIN_RETRY_SECONDS
+
+SECOND_OWNER_DELAY_SECONDS = 0.05
+"""Time after which the second owner is asked as well, when the primary is out of reach and this
+node has not noticed yet: a request waits for an answer for a fifth of its objective only, which is
+0.08 s for the most urgent ones. Nodes answer within a few milliseconds."""
+MAX_UNREACHABLE_RETRY_SECONDS = 1.0
+"""Longest time that a caller is told when no owner could permit its request: a cut may end, and a
+restarted owner may learn the last window, at any time."""
+RETRY_JITTER = 0.1
+"""Part of the time told to callers that is drawn on top, so that those who were refused together do
+not return together."""
+
+MAX_LATE_QUERIES = 1_000
+"""Questions whose late answers are still told apart: as many as requests that may wait."""
+
+OVER_REASON = "the tenant has had the requests that its limit allows"
+UNREACHABLE_REASON = "no owner of the tenant's limit can permit the request now"
+_COUNTED = Admitted(OpaqueRequest(b"", b"", ()))
+
+
+@dataclass(slots=True, eq=False)
+class _PermitQuery:
+    """A request that waits for an owner's word."""
+
+    tenant: Tenant
+    exchange_id: int
+    created_at: float
+    waiting_for: set[str] = field(default_factory=set)
+    excluded: set[str] = field(default_factory=set)
+    overdue: set[str] = field(default_factory=set)
+    """Owners whose answer is no longer waited for."""
+    retry_after_seconds: float = 0.0
+
+
+class RequesterRole:
+    """Counts the requests that this node begins, over all nodes.
+
+    Parameters
+    ----------
+    settings
+        The bound, and from when on owners are asked first.
+    owners
+        Who owns which tenant.
+    contacts
+        What the owners were told, and which can be reached.
+    reserve
+        What may run when none can.
+    random_source
+        Spreads the times that callers are told.
+    """
+
+    def __init__(
+        self,
+        settings: LimitSettings,
+        owners: TenantOwners,
+        channels: OwnerChannels,
+        reserve: Reserve,
+        random_source: random.Random,
+    ) -> None:
+        self._settings = settings
+        self._owners = owners
+        self._channels = channels
+        self._reserve = reserve
+        self._random = random_source
+        self._queries: dict[int, _PermitQuery] = {}
+        self._waiting: dict[int, int] = {}
+        """The questions of requests, by the node's number of the request."""
+        self._late: dict[int, _PermitQuery] = {}
+        """Questions that were settled before all who were asked had answered."""
+        self._last_ask_id = 0
+        self._outbox: list[Action] = []
+        self.on_decision: Callable[[int, Admitted | Rejected, float], list[Action]] = (
+            lambda _exchange_id, _answer, _now: []
+        )
+        """Goes on with a request whose answer has come; replaced by whoever composes the node."""
+
+    def take_actions(self) -> list[Action]:
+        """Return what is to be done besides the answers that were given."""
+        taken, self._outbox = self._outbox, []
+        return taken
+
+    # Arrivals
+
+    def admit(
+        self, tenant: Tenant, exchange_id: int, now: float
+    ) -> Admitted | Rejected | AwaitsLimit:
+        """Count a request, or say why it may not run now."""
+        if tenant.requests_per_second <= 0:
+            return _COUNTED
+        pair = self._owners.get(tenant.name)
+        if pair and self._may_start_unasked(pair[0], tenant.name, now):
+            self._outbox += self._channels.note(pair, tenant.name, 1, now, True)
+            return self._admit("at_once")
+        self._last_ask_id += 1
+        ask_id = self._last_ask_id
+        query = _PermitQuery(tenant, exchange_id, now)
+        answer = self._query_next(ask_id, query, now)
+        if answer is not None:
+            return answer
+        self._queries[ask_id] = query
+        self._waiting[exchange_id] = ask_id
+        for seconds in (SECOND_OWNER_DELAY_SECONDS, REPLY_TIMEOUT_SECONDS):
+            self._outbox.append(Schedule(now + seconds, LimitRequestDue(ask_id)))
+        return AwaitsLimit()
+
+    def give_back(self, tenant: Tenant, exchange_id: int, now: float) -> None:
+        """Take back a request that has run on no replica and never will.
+
+        One that still waits was not counted; what an owner permits for it later is given back then.
+        """
+        ask_id = self._waiting.get(exchange_id)
+        if ask_id is not None:
+            self._finish(ask_id)
+        elif tenant.requests_per_second > 0:
+            self._note(self._owners.get(tenant.name), tenant.name, -1, now)
+            self._count("given_back")
+
+    def _may_start_unasked(self, primary: NodeIdentity, name: str, now: float) -> bool:
+        if self._settings.ask_first_ratio <= 0 or self._channels.is_own(primary):
+            return False
+        return self._channels.get(primary).may_start_unasked(name, now)
+
+    # Asking
+
+    def _query_next(
+        self, ask_id: int, query: _PermitQuery, now: float
+    ) -> Admitted | Rejected | None:
+        """Ask the next owner that may answer; ``None``: an answer is awaited."""
+        for owner in self._owners.get(query.tenant.name):
+            node_id = owner.node_id
+            if node_id in query.excluded or node_id in query.waiting_for:
+                continue
+            if self._channels.is_own(owner):
+                answer = self._query_own(query, now)
+                if answer is not None:
+                    return answer
+                continue
+            if self._channels.get(owner).is_lost:
+                continue
+            query.waiting_for.add(node_id)
+            self._outbox.append(SendToPeer(owner, LimitAsk(ask_id, query.tenant.name)))
+            self._count("asked")
+            return None
+        is_opening = self._channels.own is None and now < query.created_at + REPLY_TIMEOUT_SECONDS
+        return None if query.waiting_for or is_opening else self._decide_by_reserve(query, now)
+
+    def _query_own(self, query: _PermitQuery, now: float) -> Admitted | Rejected | None:
+        """Ask this node itself, which is an owner."""
+        own, role = self._channels.own, self._channels.role
+        if own is None or role is None:
+            return None
+        permit, actions = role.permit(query.tenant.name, now)
+        self._outbox += actions
+        query.excluded.add(own.node_id)
+        return self._evaluate(query, own.node_id, permit.verdict, permit.retry_after_seconds, now)
+
+    def _evaluate(
+        self,
+        query: _PermitQuery,
+        node_id: str,
+        verdict: LimitVerdict,
+        retry_seconds: float,
+        now: float,
+    ) -> Admitted | Rejected | None:
+        """Return what an owner's word means; ``None``: another one may say more."""
+        if verdict is LimitVerdict.GRANTED:
+            others = [
+                item for item in self._owners.get(query.tenant.name) if item.node_id != node_id
+            ]
+            self._note(others, query.tenant.name, 1, now)
+            return self._admit("permitted")
+        if verdict is LimitVerdict.OVER:
+            self._count("over")
+            seconds = self._spread(max(retry_seconds, 0.0))
+            return Rejected(ForwardFailureKind.OVER_LIMIT, OVER_REASON, seconds)
+        query.retry_after_seconds = max(query.retry_after_seconds, retry_seconds)
+        return None
+
+    def answered(self, sender: NodeIdentity, message: LimitAnswer, now: float) -> list[Action]:
+        """Take in an owner's word; what it permits too late is given back."""
+        channel = self._channels.get(sender)
+        channel.asks_first = message.asks_first
+        actions = channel.received_reply(now)
+        query = self._queries.get(message.ask_id)
+        if query is None:
+            return actions + self._handle_late_answer(sender, message, now)
+        channel.set_hot(query.tenant.name, message.hot_seconds, now)
+        query.waiting_for.discard(sender.node_id)
+        query.overdue.discard(sender.node_id)
+        query.excluded.add(sender.node_id)
+        answer = self._evaluate(
+            query, sender.node_id, message.verdict, message.retry_after_seconds, now
+        )
+        return actions + self._advance(message.ask_id, query, answer, now)
+
+    def query_due(self, event: LimitRequestDue, now: float) -> list[Action]:
+        """Ask another owner besides one that says nothing, and give up in the end."""
+        query = self._queries.get(event.ask_id) or self._late.get(event.ask_id)
+        if query is None:
+            return []
+        actions: list[Action] = []
+        is_silent = now >= query.created_at + REPLY_TIMEOUT_SECONDS
+        for node_id in sorted(query.waiting_for) if is_silent else ():
+            actions += self._channels.mark_lost(node_id, now)
+        if event.ask_id not in self._queries:
+            return actions
+        if is_silent:
+            query.overdue |= query.waiting_for
+            query.excluded |= query.waiting_for
+            query.waiting_for.clear()
+        return actions + self._advance(event.ask_id, query, None, now)
+
+    def _advance(
+        self, ask_id: int, query: _PermitQuery, answer: Admitted | Rejected | None, now: float
+    ) -> list[Action]:
+        if ask_id not in self._queries:
+            return []
+        if answer is None:
+            answer = self._query_next(ask_id, query, now)
+        if answer is None:
+            return []
+        self._finish(ask_id)
+        return [*self.on_decision(query.exchange_id, answer, now), *self.take_actions()]
+
+    def opened(self, now: float) -> list[Action]:
+        """Ask owners for the requests that waited for the link to other nodes."""
+        actions: list[Action] = []
+        for ask_id, query in list(self._queries.items()):
+            actions += self._advance(ask_id, query, None, now)
+        return [*actions, *self.take_actions()]
+
+    def _finish(self, ask_id: int) -> None:
+        """Forget a question, but for those who may still answer it."""
+        query = self._queries.pop(ask_id)
+        del self._waiting[query.exchange_id]
+        query.waiting_for |= query.overdue
+        if query.waiting_for:
+            self._late[ask_id] = query
+            if len(self._late) > MAX_LATE_QUERIES:
+                del self._late[next(iter(self._late))]
+
+    def _handle_late_answer(
+        self, sender: NodeIdentity, message: LimitAnswer, now: float
+    ) -> list[Action]:
+        """Give back what an owner has permitted for a request that did not wait for it."""
+        query = self._late.get(message.ask_id)
+        if query is None or sender.node_id not in query.waiting_for:
+            return []
+        query.waiting_for.discard(sender.node_id)
+        if not query.waiting_for:
+            del self._late[message.ask_id]
+        if message.verdict is not LimitVerdict.GRANTED:
+            return []
+        return self._channels.get(sender).note(query.tenant.name, -1, now)
+
+    def owner_lost(self, node_id: str, now: float) -> list[Action]:
+        """Ask others where an owner that is out of reach was asked."""
+        waiting = [
+            (key, query) for key, query in self._queries.items() if node_id in query.waiting_for
+        ]
+        actions: list[Action] = []
+        for ask_id, query in waiting:
+            query.waiting_for.discard(node_id)
+            query.excluded.add(node_id)
+            actions += self._advance(ask_id, query, None, now)
+        return actions
+
+    def _decide_by_reserve(self, query: _PermitQuery, now: float) -> Admitted | Rejected:
+        own = self._channels.own
+        if own is not None and self._reserve.take(query.tenant, own.node_id, now):
+            self._note(self._owners.get(query.tenant.name), query.tenant.name, 1, now)
+            return self._admit("reserve")
+        seconds = max(query.retry_after_seconds, MIN_RETRY_SECONDS)
+        seconds = min(seconds, MAX_UNREACHABLE_RETRY_SECONDS)
+        self._count("unreached")
+        return Rejected(ForwardFailureKind.NOT_RUN, UNREACHABLE_REASON, self._spread(seconds))
+
+    def _note(self, owners: Iterable[NodeIdentity], name: str, requests: int, now: float) -> None:
+        self._outbox += self._channels.note(owners, name, requests, now)
+
+    def _spread(self, seconds: float) -> float:
+        return seconds * (1.0 + RETRY_JITTER * self._random.random())
+
+    def _admit(self, decision: str) -> Admitted:
+        self._count(decision)
+        return _COUNTED
+
+    def _count(self, decision: str) -> None:
+        self._outbox.append(Count("limit_requests_total", labels=(("way", decision),)))
--- a/wingquay/forwarding/arrival/limits/reserve.py
+++ b/wingquay/forwarding/arrival/limits/reserve.py
@@ -3,10 +3,10 @@
 from collections.abc import Callable
 
 from ....model.tenants import Tenant
-from .budget import budget_of
+from .budget import compute_budget
 from .limit_settings import LimitSettings
-from .owners import reserve_rank
-from .sliding_count import SlidingCount
+from .sliding_window_counter import SlidingWindowCounter
+from .tenant_owners import reserve_rank
 
 
 class Reserve:
@@ -16,25 +16,25 @@
     ----------
     names
         Returns the ids of all nodes of the store, reachable or not.
-    born_at
+    started_at
         When this life of the node began: what its last one let run is not known for a window.
     """
 
     def __init__(
-        self, settings: LimitSettings, names: Callable[[], list[str]], born_at: float
+        self, settings: LimitSettings, names: Callable[[], list[str]], started_at: float
     ) -> None:
         self._settings = settings
         self._names = names
-        self._born_at = born_at
-        self._used: dict[str, SlidingCount] = {}
+        self._started_at = started_at
+        self._used: dict[str, SlidingWindowCounter] = {}
 
     def take(self, tenant: Tenant, own_id: str, now: float) -> bool:
         """Let a request run if the node is one of the few and has its one left."""
         window_seconds = self._settings.window_seconds
-        if now < self._born_at + window_seconds:
+        if now < self._started_at + window_seconds:
             return False
-        used = self._used.setdefault(tenant.name, SlidingCount(window_seconds))
-        nodes = budget_of(tenant, self._settings).reserves
+        used = self._used.setdefault(tenant.name, SlidingWindowCounter(window_seconds))
+        nodes = compute_budget(tenant, self._settings).reserve_nodes
         if used.total(now) or reserve_rank(tenant.name, own_id, self._names()) >= nodes:
             return False
         used.add(1, now)
--- a/wingquay/forwarding/arrival/limits/owners.py
+++ b/wingquay/forwarding/arrival/limits/tenant_owners.py
@@ -12,7 +12,7 @@
 from ....ports.peer_link import NodeIdentity
 from ...knowledge.node_groups import GroupNode
 
-MOST_OWNERS = 8
+MAX_OWNERS = 8
 """Nodes that count for all others. Each node keeps a connection to every one of them; at 470 nodes
 and 58,000 requests a second an owner takes in two times 7,250 requests a second, in batches."""
 
@@ -31,29 +31,29 @@
     identities: tuple[NodeIdentity, ...]
 
 
-class Owners:
+class TenantOwners:
     """Knows the owners, and for how long a node has been one by its own view.
 
     Parameters
     ----------
-    memory_seconds
+    history_seconds
         For how long earlier views matter.
     """
 
-    def __init__(self, memory_seconds: float) -> None:
-        self._memory_seconds = memory_seconds
-        self._sets: list[OwnerSet] = []
+    def __init__(self, history_seconds: float) -> None:
+        self._history_seconds = history_seconds
+        self._history: list[OwnerSet] = []
         self._pairs: dict[str, tuple[NodeIdentity, ...]] = {}
 
     @property
     def identities(self) -> tuple[NodeIdentity, ...]:
         """All owners; empty before any node is known."""
-        return self._sets[-1].identities if self._sets else ()
+        return self._history[-1].identities if self._history else ()
 
     @property
     def since(self) -> float:
         """When the owners became these by this node's view."""
-        return self._sets[-1].since if self._sets else float("inf")
+        return self._history[-1].since if self._history else float("inf")
 
     @property
     def digest(self) -> int:
@@ -63,16 +63,16 @@
 
     def update(self, nodes: Iterable[GroupNode], now: float) -> bool:
         """Take in the nodes of the store; return whether the owners are others than before."""
-        chosen = tuple(node.record.identity for node in _strongest_by_zone(nodes))
-        if self._sets and self._sets[-1].identities == chosen:
+        chosen = tuple(node.record.identity for node in _fastest_by_zone(nodes))
+        if self._history and self._history[-1].identities == chosen:
             return False
-        self._sets.append(OwnerSet(now, chosen))
+        self._history.append(OwnerSet(now, chosen))
         self._pairs.clear()
-        while len(self._sets) > 1 and self._sets[1].since <= now - self._memory_seconds:
-            del self._sets[0]
+        while len(self._history) > 1 and self._history[1].since <= now - self._history_seconds:
+            del self._history[0]
         return True
 
-    def of(self, tenant: str) -> tuple[NodeIdentity, ...]:
+    def get(self, tenant: str) -> tuple[NodeIdentity, ...]:
         """Return the primary and the second owner of a tenant, as far as there are any."""
         pair = self._pairs.get(tenant)
         if pair is None:
@@ -80,16 +80,16 @@
             self._pairs[tenant] = pair
         return pair
 
-    def place(self, tenant: str, name: str) -> int | None:
+    def position(self, tenant: str, name: str) -> int | None:
         """Return a node's place among a tenant's owners; ``None``: it is none of them."""
-        return _place(self.of(tenant), name)
+        return _position(self.get(tenant), name)
 
-    def held_since(self, tenant: str, name: str) -> float:
+    def position_since(self, tenant: str, name: str) -> float:
         """Return since when a node has had its present place."""
-        place = self.place(tenant, name)
+        position = self.position(tenant, name)
         since = self.since
-        for item in reversed(self._sets[:-1]):
-            if _place(_pair(item.identities, tenant), name) != place:
+        for item in reversed(self._history[:-1]):
+            if _position(_pair(item.identities, tenant), name) != position:
                 break
             since = item.since
         return since
@@ -97,25 +97,25 @@
     def owned_since(self, tenant: str, name: str) -> float:
         """Return since when a node has been one of a tenant's owners, in whichever place."""
         since = float("inf")
-        for item in reversed(self._sets):
-            if _place(_pair(item.identities, tenant), name) is None:
+        for item in reversed(self._history):
+            if _position(_pair(item.identities, tenant), name) is None:
                 break
             since = item.since
         return since
 
-    def former_place(self, tenant: str, name: str) -> tuple[int | None, float]:
+    def former_position(self, tenant: str, name: str) -> tuple[int | None, float]:
         """Return the place that a node had before its present one, and since when."""
-        present_since = self.held_since(tenant, name)
-        earlier = [item for item in self._sets if item.since < present_since]
+        present_since = self.position_since(tenant, name)
+        earlier = [item for item in self._history if item.since < present_since]
         if not earlier:
             return None, float("inf")
-        place = _place(_pair(earlier[-1].identities, tenant), name)
+        position = _position(_pair(earlier[-1].identities, tenant), name)
         since = earlier[-1].since
         for item in reversed(earlier[:-1]):
-            if _place(_pair(item.identities, tenant), name) != place:
+            if _position(_pair(item.identities, tenant), name) != position:
                 break
             since = item.since
-        return place, since
+        return position, since
 
 
 def reserve_rank(tenant: str, name: str, names: Iterable[str]) -> int:
@@ -132,11 +132,11 @@
     ranked = sorted(identities, key=lambda item: _weight(tenant, item.node_id), reverse=True)
     if len(ranked) < 2:
         return tuple(ranked)
-    far = [item for item in ranked if item.zone != ranked[0].zone]
-    return ranked[0], (far or ranked[1:])[0]
+    other_zones = [item for item in ranked if item.zone != ranked[0].zone]
+    return ranked[0], (other_zones or ranked[1:])[0]
 
 
-def _place(pair: tuple[NodeIdentity, ...], name: str) -> int | None:
+def _position(pair: tuple[NodeIdentity, ...], name: str) -> int | None:
     names: list[str] = [item.node_id for item in pair]
     return names.index(name) if name in names else None
 
@@ -145,7 +145,7 @@
     return xxhash.xxh64_intdigest(f"{tenant}\0{name}".encode())
 
 
-def _strongest_by_zone(nodes: Iterable[GroupNode]) -> list[GroupNode]:
+def _fastest_by_zone(nodes: Iterable[GroupNode]) -> list[GroupNode]:
     """Return the nodes with the fastest processors, of each zone about as many.
 
     If they stood in one zone, a cut around it would take both owners of every tenant from all.
@@ -154,11 +154,11 @@
     def rank(node: GroupNode) -> tuple[float, int]:
         return -node.record.processor, xxhash.xxh64_intdigest(node.name.encode())
 
-    places: dict[str, int] = {}
+    listed_in_zone: dict[str, int] = {}
     ranked: list[tuple[int, tuple[float, int], GroupNode]] = []
     for node in sorted(nodes, key=rank):
         zone = node.record.identity.zone
-        places[zone] = places.get(zone, 0) + 1
-        ranked.append((places[zone], rank(node), node))
+        listed_in_zone[zone] = listed_in_zone.get(zone, 0) + 1
+        ranked.append((listed_in_zone[zone], rank(node), node))
     ranked.sort(key=lambda item: item[:2])
-    return [node for _, _, node in ranked[:MOST_OWNERS]]
+    return [node for _, _, node in ranked[:MAX_OWNERS]]
