--- a/tests/forwarding/test_awaiting_limits.py
+++ b/tests/forwarding/test_awaiting_limits.py
@@ -17,7 +17,11 @@
 from tests.forwarding.linked_nodes import OTHERS
 from tests.forwarding.one_node import OneNode, replica, single_route, table
 from wingquay.forwarding.arrival.admission import Admitted, AwaitsLimit, Rejected
-from wingquay.forwarding.arrival.pending_arrivals import MOST_KEPT, MOST_KEPT_BYTES, PendingArrivals
+from wingquay.forwarding.arrival.pending_arrivals import (
+    MAX_PENDING,
+    MAX_PENDING_BYTES,
+    PendingArrivals,
+)
 from wingquay.forwarding.arrival.pending_arrivals import Arrival as KeptArrival
 from wingquay.forwarding.arrival.request_identity import compute_identity
 from wingquay.forwarding.settling.ending import HELD_REASON
@@ -166,22 +170,22 @@
 
     def test_more_than_a_node_keeps_is_refused_at_once(self) -> None:
         waiting = Waiting()
-        for number in range(2, MOST_KEPT + 2):
+        for number in range(2, MAX_PENDING + 2):
             ask(waiting.node, number, SECRET)
-        self.assertEqual([MOST_KEPT + 1], list(waiting.node.replies))
-        reply = waiting.node.replies[MOST_KEPT + 1]
+        self.assertEqual([MAX_PENDING + 1], list(waiting.node.replies))
+        reply = waiting.node.replies[MAX_PENDING + 1]
         assert isinstance(reply, ReplyFailure)
         self.assertIs(ForwardFailureKind.NOT_RUN, reply.kind)
-        self.assertEqual([("kiosk", MOST_KEPT + 1)], waiting.limits.given_back)
+        self.assertEqual([("kiosk", MAX_PENDING + 1)], waiting.limits.given_back)
         waiting.node.advance(10.0)
-        self.assertEqual(MOST_KEPT + 1, len(set(waiting.limits.given_back)))
-        self.assertEqual(MOST_KEPT + 1, len(waiting.limits.given_back))
+        self.assertEqual(MAX_PENDING + 1, len(set(waiting.limits.given_back)))
+        self.assertEqual(MAX_PENDING + 1, len(waiting.limits.given_back))
 
 
 class KeptArrivalsTest(TestCase):
     def test_bodies_are_bounded_and_make_room_again(self) -> None:
         kept = PendingArrivals()
-        half = MOST_KEPT_BYTES // 2
+        half = MAX_PENDING_BYTES // 2
         self.assertEqual(
             [True, True, False], [kept.add(arrival(number, half)) for number in (1, 2, 3)]
         )
--- a/wingquay/forwarding/arrival/arrival_admission.py
+++ b/wingquay/forwarding/arrival/arrival_admission.py
@@ -11,7 +11,7 @@
 from ..knowledge.configuration_proof import AlwaysProven
 from .admission import Admitted, AwaitsLimit, ConfigurationProof, Rejected, TenantLimits
 from .authentication import authenticate
-from .no_checks import NoLimits
+from .no_limits import NoLimits
 
 UNPROVEN_REASON = "the configuration may be too old to tell whose key is shown"
 
@@ -32,9 +32,9 @@
         tenants = table.tenants
         if tenants is None or route.is_public:
             return None
-        return self._holder(key, tenants, now)
+        return self._authenticate(key, tenants, now)
 
-    def _holder(self, key: str, tenants: TenantDirectory, now: float) -> Tenant | Rejected:
+    def _authenticate(self, key: str, tenants: TenantDirectory, now: float) -> Tenant | Rejected:
         if self.proof.is_proven(now):
             return authenticate(key, tenants)
         seconds = self.proof.retry_after_seconds(now)
--- a/wingquay/forwarding/arrival/limits/requester_role.py
+++ b/wingquay/forwarding/arrival/limits/requester_role.py
@@ -38,7 +38,7 @@
 
 OVER_REASON = "the tenant has had the requests that its limit allows"
 UNREACHABLE_REASON = "no owner of the tenant's limit can permit the request now"
-_COUNTED = Admitted(OpaqueRequest(b"", b"", ()))
+_ADMITTED = Admitted(OpaqueRequest(b"", b"", ()))
 
 
 @dataclass(slots=True, eq=False)
@@ -109,7 +109,7 @@
     ) -> Admitted | Rejected | AwaitsLimit:
         """Count a request, or say why it may not run now."""
         if tenant.requests_per_second <= 0:
-            return _COUNTED
+            return _ADMITTED
         pair = self._owners.get(tenant.name)
         if pair and self._may_start_unasked(pair[0], tenant.name, now):
             self._outbox += self._channels.note(pair, tenant.name, 1, now, True)
@@ -306,7 +306,7 @@
 
     def _admit(self, decision: str) -> Admitted:
         self._count(decision)
-        return _COUNTED
+        return _ADMITTED
 
     def _count(self, decision: str) -> None:
         self._outbox.append(Count("limit_requests_total", labels=(("way", decision),)))
--- a/wingquay/forwarding/arrival/no_checks.py
+++ b/wingquay/forwarding/arrival/no_limits.py
@@ -4,7 +4,7 @@
 from ...ports.forwarding import OpaqueRequest
 from .admission import Admitted, AwaitsLimit, Rejected
 
-_COUNTED = Admitted(OpaqueRequest(b"", b"", ()))
+_ADMITTED = Admitted(OpaqueRequest(b"", b"", ()))
 
 
 class NoLimits:
@@ -14,7 +14,7 @@
         self, _tenant: Tenant, _exchange_id: int, _now: float
     ) -> Admitted | Rejected | AwaitsLimit:
         """Let every request run."""
-        return _COUNTED
+        return _ADMITTED
 
     def give_back(self, _tenant: Tenant, _exchange_id: int, _now: float) -> None:
         """Take nothing back: nothing was counted."""
--- a/wingquay/forwarding/arrival/pending_arrivals.py
+++ b/wingquay/forwarding/arrival/pending_arrivals.py
@@ -10,9 +10,9 @@
 from ...model.value import value
 from ...ports.forwarding import ForwardRequested
 
-MOST_KEPT = 1_000
+MAX_PENDING = 1_000
 """Arrivals; with some 10 ms for an answer that is far more than a node reads in that time."""
-MOST_KEPT_BYTES = 8 * 1024 * 1024
+MAX_PENDING_BYTES = 8 * 1024 * 1024
 """Of their bodies: a node shares 256 MB among all that it does."""
 
 
@@ -54,7 +54,7 @@
     def add(self, arrival: Arrival) -> bool:
         """Take in an arrival, unless too much waits already."""
         size = self._bytes + len(arrival.event.request.body)
-        if len(self._arrivals) >= MOST_KEPT or size > MOST_KEPT_BYTES:
+        if len(self._arrivals) >= MAX_PENDING or size > MAX_PENDING_BYTES:
             return False
         self._arrivals[arrival.event.exchange_id] = arrival
         self._bytes = size
--- a/wingquay/forwarding/arrival/tenant_metrics.py
+++ b/wingquay/forwarding/arrival/tenant_metrics.py
@@ -2,13 +2,13 @@
 
 from ...ports.machine import Count
 
-MOST_NAMED = 100
+MAX_LABELLED_TENANTS = 100
 """Tenants with counters of their own; each has one for each outcome, of 2,000 that are kept."""
-NAMED_FROM_REQUESTS = 10
+MIN_LABELLED_REQUESTS = 10
 """Requests from which on a tenant has counters of its own: the busy ones come to that first."""
 OTHER = "other"
 """Stands for all tenants without counters of their own."""
-NOBODY = "none"
+NO_TENANT = "none"
 """Stands for callers that are not known."""
 
 
@@ -16,7 +16,7 @@
     """Counts requests by tenant and by what was decided about them."""
 
     def __init__(self) -> None:
-        self._named: set[str] = set()
+        self._labelled: set[str] = set()
         self._requests: dict[str, int] = {}
 
     def count(self, tenant: str, outcome: str) -> Count:
@@ -30,15 +30,15 @@
 
     def _label(self, tenant: str) -> str:
         if not tenant:
-            return NOBODY
-        if tenant in self._named:
+            return NO_TENANT
+        if tenant in self._labelled:
             return tenant
-        if len(self._named) >= MOST_NAMED:
+        if len(self._labelled) >= MAX_LABELLED_TENANTS:
             return OTHER
         seen = self._requests.get(tenant, 0) + 1
-        if seen < NAMED_FROM_REQUESTS:
+        if seen < MIN_LABELLED_REQUESTS:
             self._requests[tenant] = seen
             return OTHER
         self._requests.pop(tenant, None)
-        self._named.add(tenant)
+        self._labelled.add(tenant)
         return tenant
--- a/wingquay/forwarding/peers/connection_prewarmer.py
+++ b/wingquay/forwarding/peers/connection_prewarmer.py
@@ -14,7 +14,7 @@
 from ..settings import ForwardingSettings
 from .shard_placement import ShardPlacement
 
-MOST_OPENED = 12
+MAX_OPENED_AT_ONCE = 12
 """Connections that a node opens at a time, twice a second: an owner of 45 shards is done within two
 seconds, and spends 2 ms of processor time on it each time."""
 
@@ -41,7 +41,7 @@
         self._settings = settings
         self._directory = directory
         self._placement = placement
-        self._named: set[str] = set()
+        self._configured: set[str] = set()
         """Services that a configuration has named so far: the old shards among them are leaving."""
         self._opened: set[str] = set()
         """Lives of replicas to which a connection was opened ahead."""
@@ -49,22 +49,22 @@
     def due(self, table: RoutingTable, now: float) -> list[Action]:
         """Return the next few connections to open."""
         for route in table.routes:
-            self._named.update(route.all_services)
+            self._configured.update(route.all_services)
         shard_sets = {route.shards for route in table.routes if route.is_repeatable}
-        shard_sets.add(self._coming())
-        wanted: list[ReplicaState] = []
+        shard_sets.add(self._unconfigured_services())
+        candidates: list[ReplicaState] = []
         for shards in sorted(shard_sets):
             if len(shards) >= self._settings.delegate_min_shards:
-                wanted += self._wanted(shards, now)
-        chosen = wanted[:MOST_OPENED]
+                candidates += self._unused_replicas(shards, now)
+        chosen = candidates[:MAX_OPENED_AT_ONCE]
         self._opened.update(state.life for state in chosen)
         return [OpenConnection(state.record) for state in chosen]
 
-    def _coming(self) -> tuple[str, ...]:
+    def _unconfigured_services(self) -> tuple[str, ...]:
         """Return the services that replicas serve and that no configuration has named yet."""
-        return tuple(sorted(self._directory.services() - self._named))
+        return tuple(sorted(self._directory.services() - self._configured))
 
-    def _wanted(self, shards: tuple[str, ...], now: float) -> list[ReplicaState]:
+    def _unused_replicas(self, shards: tuple[str, ...], now: float) -> list[ReplicaState]:
         """Return the near replicas of own shards to which nothing was ever sent."""
         owners = self._placement.owners(shards, now)
         own = [shard for shard, owner in owners.items() if owner is None]
--- a/wingquay/forwarding/peers/delegated_work.py
+++ b/wingquay/forwarding/peers/delegated_work.py
@@ -40,18 +40,18 @@
 
     def report(self, exchange: Exchange) -> list[Action]:
         """Return the message that tells what is in and has not been told, if there is anything."""
-        fresh = [
+        unreported = [
             (self.positions[call.service], call)
             for call in exchange.calls
             if call.answer is not None and call.service not in self._reported
         ]
-        if not fresh:
+        if not unreported:
             return []
-        self._reported.update(call.service for _, call in fresh)
-        answers = [call.answer for _, call in fresh if call.answer is not None]
+        self._reported.update(call.service for _, call in unreported)
+        answers = [call.answer for _, call in unreported if call.answer is not None]
         message = DelegatedAnswer(
             self.delegation_id,
-            tuple(position for position, _ in fresh),
+            tuple(position for position, _ in unreported),
             tuple(str(answer.signature) for answer in answers),
             merge_top_records([answer.body for answer in answers], exchange.route.merged_records),
         )
@@ -59,24 +59,24 @@
 
     def give_back(self, exchange: Exchange) -> list[Action]:
         """Leave the calls that are not under way to the node; return the message that says so."""
-        given = [call for call in exchange.calls if call.answer is None and not call.attempts]
-        exchange.calls = [call for call in exchange.calls if call not in given]
-        for call in given:
+        returned = [call for call in exchange.calls if call.answer is None and not call.attempts]
+        exchange.calls = [call for call in exchange.calls if call not in returned]
+        for call in returned:
             call.is_waiting = False
         message = DelegatedAnswer(
             self.delegation_id,
-            given_back=tuple(self.positions[call.service] for call in given),
-            arrivals=tuple(call.arrivals for call in given),
+            given_back=tuple(self.positions[call.service] for call in returned),
+            arrivals=tuple(call.arrivals for call in returned),
         )
-        return [SendToPeer(self.node, message)] if given else []
+        return [SendToPeer(self.node, message)] if returned else []
 
     def report_exhausted(self, calls: list[ServiceCall]) -> list[Action]:
         """Return the message that nothing comes of calls any more, if that has not been told."""
-        fresh = [call.service for call in calls if call.service not in self._reported]
-        if not fresh or not self.may_retry:
+        unreported = [call.service for call in calls if call.service not in self._reported]
+        if not unreported or not self.may_retry:
             return []
-        self._reported.update(fresh)
-        positions = tuple(self.positions[service] for service in fresh)
+        self._reported.update(unreported)
+        positions = tuple(self.positions[service] for service in unreported)
         return [SendToPeer(self.node, DelegatedAnswer(self.delegation_id, exhausted=positions))]
 
     def report_held(self, held_seconds: float) -> list[Action]:
@@ -95,7 +95,7 @@
         self._ids = count(1)
         self._open: dict[tuple[str, int], Exchange] = {}
 
-    def unknown(self, message: DelegatedRequest, now: float) -> tuple[int, ...]:
+    def shards_without_replicas(self, message: DelegatedRequest, now: float) -> tuple[int, ...]:
         """Return the positions of the shards of which this node knows no replica.
 
         It may have been cut off from the store while the sender was not.
@@ -122,13 +122,13 @@
         exchange = Exchange(
             event,
             table,
-            route_of(message),
+            build_route(message),
             now,
             now + message.in_time_seconds,
             max(sent_at + message.remaining_seconds, now),
         )
         positions = {shard: position for position, shard in enumerate(message.shards)}
-        exchange.tenant = tenant_of(message)
+        exchange.tenant = build_tenant(message)
         exchange.origin = NodeOrigin(sender, message.delegation_id, positions)
         exchange.calls = [
             ServiceCall(exchange, shard)
@@ -138,7 +138,7 @@
         for call in exchange.calls:
             call.is_owned = message.is_group_share
         self._settlement.add(exchange)
-        self._forget_ended()
+        self._remove_closed()
         self._open[(sender.node_id, message.delegation_id)] = exchange
         return exchange
 
@@ -152,7 +152,9 @@
             Count("delegated_requests_total", labels=labels),
         ]
 
-    def allowed(self, sender: NodeIdentity, message: AllowAttempts, now: float) -> list[Action]:
+    def attempts_allowed(
+        self, sender: NodeIdentity, message: AllowAttempts, now: float
+    ) -> list[Action]:
         """Send to further replicas from now on, where attempts fail or take too long."""
         exchange = self._open.get((sender.node_id, message.delegation_id))
         if exchange is None or not self._settlement.is_open(exchange):
@@ -194,18 +196,18 @@
         labels = (("side", "held"),)
         return [SendToPeer(sender, answer), Count("delegated_requests_total", labels=labels)]
 
-    def _forget_ended(self) -> None:
+    def _remove_closed(self) -> None:
         ended = [key for key, item in self._open.items() if not self._settlement.is_open(item)]
         for key in ended:
             del self._open[key]
 
 
-def tenant_of(message: DelegatedRequest) -> Tenant | None:
+def build_tenant(message: DelegatedRequest) -> Tenant | None:
     """Return who calls, as far as the sender tells: its keys and limits are the sender's affair."""
     return Tenant(message.tenant, ()) if message.tenant else None
 
 
-def route_of(message: DelegatedRequest) -> Route:
+def build_route(message: DelegatedRequest) -> Route:
     """Return the part of the sender's route that concerns its shards."""
     return Route(
         name=message.route_name,
--- a/wingquay/forwarding/peers/delegation.py
+++ b/wingquay/forwarding/peers/delegation.py
@@ -28,7 +28,7 @@
 from .open_delegations import OpenDelegations
 from .takeover_timeout import TakeoverTimeout
 
-MOST_GREETINGS = 3
+MAX_HANDSHAKES = 3
 """Connections opened at once before a request needs them: a handshake takes about a millisecond of
 processor time at either side, and an owner may hear from a whole fleet that starts."""
 
@@ -59,35 +59,37 @@
         self._starter = starter
         self._settlement = settlement
         self._open = OpenDelegations(first_id)
-        takeover = TakeoverTimeout(settings)
-        self._asking = DelegationDispatcher(settings, groups, directory, self._open, takeover)
-        self.placement = self._asking.placement
-        self._reports = DelegationReports(groups, starter, guard, sequential, takeover)
-        self._stepping_in = DelegationTakeover(
-            groups, directory, starter, settlement, self._open, self._asking, takeover
+        takeover_timeout = TakeoverTimeout(settings)
+        self._dispatcher = DelegationDispatcher(
+            settings, groups, directory, self._open, takeover_timeout
         )
-        self._greeted: set[str] = set()
+        self.placement = self._dispatcher.placement
+        self._reports = DelegationReports(groups, starter, guard, sequential, takeover_timeout)
+        self._takeover = DelegationTakeover(
+            groups, directory, starter, settlement, self._open, self._dispatcher, takeover_timeout
+        )
+        self._connected: set[str] = set()
         """Nodes to which the connection was opened, by id."""
 
     def start(self, exchange: Exchange, calls: list[ServiceCall], now: float) -> list[Action]:
         """Start calls of a request: own shards directly, the others through their nodes."""
         if not exchange.is_repeatable:
             return self._starter.begin_all(calls, now)
-        self._asking.count(exchange.route.shards, now)
-        own, actions = self._asking.divide(exchange, calls, now)
+        self._dispatcher.count(exchange.route.shards, now)
+        own, actions = self._dispatcher.dispatch(exchange, calls, now)
         if not actions:
             return self._starter.begin_all(own, now)
         return [*actions, Schedule(now, BeginDue(exchange.exchange_id))]
 
-    def greet(self, table: RoutingTable, now: float) -> list[Action]:
+    def open_connections(self, table: RoutingTable, now: float) -> list[Action]:
         """Open connections to owners of shards before a request needs them, a few at a time."""
         actions: list[Action] = []
         for route in table.routes:
-            if not route.is_repeatable or not self._asking.is_wide(route.shards):
+            if not route.is_repeatable or not self._dispatcher.is_wide(route.shards):
                 continue
-            for owner in self.placement.contacts(route.shards, now):
-                if owner.node_id not in self._greeted and len(actions) < MOST_GREETINGS:
-                    self._greeted.add(owner.node_id)
+            for owner in self.placement.owner_nodes(route.shards, now):
+                if owner.node_id not in self._connected and len(actions) < MAX_HANDSHAKES:
+                    self._connected.add(owner.node_id)
                     actions.append(SendToPeer(owner, Greeting()))
         return actions
 
@@ -97,40 +99,40 @@
         if delegation is None or delegation.node.node_id != sender.node_id:
             return []
         if message.is_rejected:
-            return self._stepping_in.not_taken(delegation, "rejected", now)
+            return self._takeover.rejected(delegation, "rejected", now)
         if message.held_seconds:
             identity = delegation.exchange.identity
             return self._guard.hold(identity, message.held_seconds, sender.node_id, now)
-        actions = self._reports.take(delegation, message, now)
+        actions = self._reports.handle(delegation, message, now)
         if not delegation.open_calls:
-            self._open.forget(delegation)
+            self._open.remove(delegation)
         return actions + self._settlement.settle(delegation.exchange, now)
 
     def due(self, event: DelegationDue, now: float) -> list[Action]:
         """Step in for a node that has not reported in time."""
         delegation = self._open.get(event.delegation_id)
-        if delegation is None or delegation.is_heard or delegation.is_lost:
+        if delegation is None or delegation.is_acknowledged or delegation.is_lost:
             return []
-        return self._stepping_in.lost(delegation, "silent", now)
+        return self._takeover.lost(delegation, "silent", now)
 
     def link_broken(self, event: PeerLinkBroken, now: float) -> list[Action]:
         """Step in for a node whose connection broke or did not come up."""
         node_id = event.node_id
-        self._greeted.discard(node_id)
-        lost = self._open.at(node_id)
+        self._connected.discard(node_id)
+        lost = self._open.get_for_node(node_id)
         actions: list[Action] = []
         for delegation in lost:
             if event.was_open:
-                actions += self._stepping_in.lost(delegation, event.reason, now)
+                actions += self._takeover.lost(delegation, event.reason, now)
             else:
-                actions += self._stepping_in.not_reached(delegation, event.reason, now)
+                actions += self._takeover.unreachable(delegation, event.reason, now)
         self._groups.suspect(node_id, now, is_absent=not event.was_open)
         return actions
 
     def closed(self, exchange: Exchange) -> list[Action]:
         """Let nodes stop working for a request that ended."""
         actions: list[Action] = []
-        for delegation in self._open.take_all_of(exchange):
+        for delegation in self._open.remove_all_for(exchange):
             if delegation.open_calls:
                 message = CancelDelegation(delegation.delegation_id)
                 actions.append(SendToPeer(delegation.node, message))
--- a/wingquay/forwarding/peers/delegation_dispatcher.py
+++ b/wingquay/forwarding/peers/delegation_dispatcher.py
@@ -34,12 +34,12 @@
         groups: NodeGroups,
         directory: ReplicaDirectory,
         open_delegations: OpenDelegations,
-        takeover: TakeoverTimeout,
+        takeover_timeout: TakeoverTimeout,
     ) -> None:
         self._settings = settings
         self._open = open_delegations
-        self._takeover = takeover
-        self._relays = Relays(settings, groups, directory, open_delegations.count_at)
+        self._takeover_timeout = takeover_timeout
+        self._relays = Relays(settings, groups, directory, open_delegations.count_for_node)
         self._rate = RequestRate()
         self.placement = ShardPlacement(settings, groups, directory, self._rate)
         """Which node owns which shard."""
@@ -53,7 +53,7 @@
         if self.is_wide(shards):
             self._rate.count(now)
 
-    def divide(
+    def dispatch(
         self, exchange: Exchange, calls: list[ServiceCall], now: float
     ) -> tuple[list[ServiceCall], list[Action]]:
         """Ask other nodes for calls; return those that are left to this one, too."""
@@ -63,8 +63,8 @@
         if is_wide:
             owners = self.placement.owners(shards, now)
         else:
-            owners = self._relays.owners(shards, now)
-        shares: dict[str, list[ServiceCall]] = {}
+            owners = self._relays.choose(shards, now)
+        calls_by_node: dict[str, list[ServiceCall]] = {}
         nodes: dict[str, NodeIdentity] = {}
         own: list[ServiceCall] = []
         for call in calls:
@@ -73,10 +73,10 @@
                 own.append(call)
                 continue
             nodes[owner.node_id] = owner
-            shares.setdefault(owner.node_id, []).append(call)
+            calls_by_node.setdefault(owner.node_id, []).append(call)
         actions: list[Action] = []
-        for node_id, share in shares.items():
-            actions += self._delegate(exchange, nodes[node_id], share, is_wide, now)
+        for node_id, node_calls in calls_by_node.items():
+            actions += self._delegate(exchange, nodes[node_id], node_calls, is_wide, now)
         for call in own:
             call.is_owned = is_wide and call.service in owners
         return own, actions
@@ -112,7 +112,7 @@
             is_group_share=is_group_share,
             tenant=exchange.tenant_name,
         )
-        due_at = now + self._takeover.seconds(exchange.route)
+        due_at = now + self._takeover_timeout.seconds(exchange.route)
         return [
             SendToPeer(node, message),
             Count("delegated_requests_total", labels=(("side", "sent"),)),
--- a/wingquay/forwarding/peers/delegation_reports.py
+++ b/wingquay/forwarding/peers/delegation_reports.py
@@ -29,35 +29,35 @@
         starter: CallStarter,
         guard: CrashGuard,
         sequential: SequentialSending,
-        takeover: TakeoverTimeout,
+        takeover_timeout: TakeoverTimeout,
     ) -> None:
         self._groups = groups
         self._starter = starter
         self._guard = guard
         self._sequential = sequential
-        self._takeover = takeover
+        self._takeover_timeout = takeover_timeout
 
-    def take(self, delegation: Delegation, message: DelegatedAnswer, now: float) -> list[Action]:
+    def handle(self, delegation: Delegation, message: DelegatedAnswer, now: float) -> list[Action]:
         """Take in a report of a node that works on its share."""
         actions = self._declined(delegation, message.declined, now)
-        if not delegation.is_heard:
-            actions += self._heard(delegation, now)
+        if not delegation.is_acknowledged:
+            actions += self._acknowledged(delegation, now)
         actions += self._given_back(delegation, message, now)
         self._exhausted(delegation, message)
-        return actions + self._take_answers(delegation, message, now)
+        return actions + self._apply_answers(delegation, message, now)
 
-    def _heard(self, delegation: Delegation, now: float) -> list[Action]:
+    def _acknowledged(self, delegation: Delegation, now: float) -> list[Action]:
         """Leave further attempts to a node that is there, unless this node has stepped in."""
-        delegation.is_heard = True
-        self._takeover.heard(now - delegation.sent_at)
+        delegation.is_acknowledged = True
+        self._takeover_timeout.record(now - delegation.sent_at)
         self._groups.trust(delegation.node.node_id)
-        most = delegation.exchange.route.max_attempts
-        if delegation.is_lost or most <= 1:
+        max_attempts = delegation.exchange.route.max_attempts
+        if delegation.is_lost or max_attempts <= 1:
             return []
         for call in delegation.calls:
             if call.service not in delegation.given_back:
-                call.delegated_attempts = most
-        return [SendToPeer(delegation.node, AllowAttempts(delegation.delegation_id, most))]
+                call.delegated_attempts = max_attempts
+        return [SendToPeer(delegation.node, AllowAttempts(delegation.delegation_id, max_attempts))]
 
     def _declined(
         self, delegation: Delegation, positions: tuple[int, ...], now: float
@@ -103,7 +103,7 @@
             call.history.append("exhausted")
         delegation.exchange.failures += len(calls)
 
-    def _take_answers(
+    def _apply_answers(
         self, delegation: Delegation, message: DelegatedAnswer, now: float
     ) -> list[Action]:
         """Take in merged records: they stand with the first shard that they came from."""
--- a/wingquay/forwarding/peers/delegation_takeover.py
+++ b/wingquay/forwarding/peers/delegation_takeover.py
@@ -27,54 +27,54 @@
         starter: CallStarter,
         settlement: Settlement,
         open_delegations: OpenDelegations,
-        asking: DelegationDispatcher,
-        takeover: TakeoverTimeout,
+        dispatcher: DelegationDispatcher,
+        takeover_timeout: TakeoverTimeout,
     ) -> None:
         self._groups = groups
         self._directory = directory
         self._starter = starter
         self._settlement = settlement
         self._open = open_delegations
-        self._asking = asking
-        self._takeover = takeover
+        self._dispatcher = dispatcher
+        self._takeover_timeout = takeover_timeout
 
-    def not_taken(self, delegation: Delegation, reason: str, now: float) -> list[Action]:
+    def rejected(self, delegation: Delegation, reason: str, now: float) -> list[Action]:
         """Ask the shards of a node that has rejected the request."""
-        self._take_back(delegation)
-        return self._step_in(delegation, delegation.open_calls, reason, now)
+        self._undo(delegation)
+        return self._take_over(delegation, delegation.open_calls, reason, now)
 
-    def not_reached(self, delegation: Delegation, reason: str, now: float) -> list[Action]:
+    def unreachable(self, delegation: Delegation, reason: str, now: float) -> list[Action]:
         """Ask for the shards of a node that cannot be reached, through others while it is early.
 
         Most dials that fail do so within the first milliseconds of a request: nothing listens on a
         machine that is starting.
         """
-        self._take_back(delegation)
+        self._undo(delegation)
         calls = delegation.open_calls
         exchange = delegation.exchange
-        if now >= exchange.arrived_at + self._takeover.seconds(exchange.route):
-            return self._step_in(delegation, calls, reason, now)
-        lost = self._pass_over(delegation, calls, reason, is_absent=True, now=now)
-        own, divided = self._asking.divide(exchange, calls, now)
-        return [*lost, *divided, *self._starter.start_all(own, now)]
+        if now >= exchange.arrived_at + self._takeover_timeout.seconds(exchange.route):
+            return self._take_over(delegation, calls, reason, now)
+        lost = self._mark_lost(delegation, calls, reason, is_absent=True, now=now)
+        own, dispatched = self._dispatcher.dispatch(exchange, calls, now)
+        return [*lost, *dispatched, *self._starter.start_all(own, now)]
 
     def lost(self, delegation: Delegation, reason: str, now: float) -> list[Action]:
         """Ask for the shards of a node that is silent or whose connection broke."""
         calls = [call for call in delegation.open_calls if not call.attempts]
         for call in calls:
             call.is_delegate_lost = True
-            if self._can_ask_again(call):
+            if self._can_retry(call):
                 call.delegated_attempts = 0
-        return self._step_in(delegation, calls, reason, now)
+        return self._take_over(delegation, calls, reason, now)
 
-    def _take_back(self, delegation: Delegation) -> None:
+    def _undo(self, delegation: Delegation) -> None:
         """Forget a delegation for which nobody was asked."""
         for call in delegation.open_calls:
             call.delegated_attempts = 0
             call.arrivals -= 1
-        self._open.forget(delegation)
+        self._open.remove(delegation)
 
-    def _can_ask_again(self, call: ServiceCall) -> bool:
+    def _can_retry(self, call: ServiceCall) -> bool:
         """Whether no replica is left that would be one too many, whomever the lost node asked."""
         exchange = call.exchange
         if self._directory.is_renewed_since(call.service, exchange.arrived_at):
@@ -82,7 +82,7 @@
             return False
         return self._directory.replicas_of(call.service) <= exchange.route.max_attempts
 
-    def _step_in(
+    def _take_over(
         self, delegation: Delegation, calls: list[ServiceCall], reason: str, now: float
     ) -> list[Action]:
         """Ask the shards of a node directly and pass the node over for a while.
@@ -91,12 +91,12 @@
         """
         exchange = delegation.exchange
         exchange.failures += len(calls)
-        lost = self._pass_over(delegation, calls, reason, is_absent=False, now=now)
+        lost = self._mark_lost(delegation, calls, reason, is_absent=False, now=now)
         startable = [call for call in calls if call.attempts_left > 0]
         started = self._starter.start_all(startable, now)
         return [*lost, *started, *self._settlement.settle(exchange, now)]
 
-    def _pass_over(
+    def _mark_lost(
         self,
         delegation: Delegation,
         calls: list[ServiceCall],
--- a/wingquay/forwarding/peers/open_delegations.py
+++ b/wingquay/forwarding/peers/open_delegations.py
@@ -17,7 +17,7 @@
     exchange: Exchange
     calls: tuple[ServiceCall, ...]
     sent_at: float
-    is_heard: bool = False
+    is_acknowledged: bool = False
     is_lost: bool = False
     given_back: set[str] = field(default_factory=set)
     """Services of the calls that the node has declined."""
@@ -59,22 +59,22 @@
         """Return a delegation that is under way."""
         return self._by_id.get(delegation_id)
 
-    def at(self, node_id: str) -> list[Delegation]:
+    def get_for_node(self, node_id: str) -> list[Delegation]:
         """Return what is under way at a node."""
         return [item for item in self._by_id.values() if item.node.node_id == node_id]
 
-    def count_at(self, node: NodeIdentity) -> int:
+    def count_for_node(self, node: NodeIdentity) -> int:
         """Return how many delegations are under way at a node."""
-        return len(self.at(node.node_id))
+        return len(self.get_for_node(node.node_id))
 
-    def forget(self, delegation: Delegation) -> None:
+    def remove(self, delegation: Delegation) -> None:
         """Take a delegation out: nothing more is expected of it."""
         self._by_id.pop(delegation.delegation_id, None)
         siblings = self._by_exchange.get(delegation.exchange.exchange_id)
         if siblings is not None:
             siblings.remove(delegation)
 
-    def take_all_of(self, exchange: Exchange) -> list[Delegation]:
+    def remove_all_for(self, exchange: Exchange) -> list[Delegation]:
         """Take out everything that is under way for an exchange, and return it."""
         taken = self._by_exchange.pop(exchange.exchange_id, [])
         return [item for item in taken if self._by_id.pop(item.delegation_id, None) is not None]
--- a/wingquay/forwarding/peers/peer_event_handler.py
+++ b/wingquay/forwarding/peers/peer_event_handler.py
@@ -46,7 +46,7 @@
         self._settings = settings
         self._guard = guard
         self.delegations = delegations
-        self._ahead = ConnectionPrewarmer(settings, directory, delegations.placement)
+        self._prewarmer = ConnectionPrewarmer(settings, directory, delegations.placement)
         self._work = DelegatedWork(directory, settlement, lag)
         settlement.on_closed = self.delegations.closed
 
@@ -65,7 +65,7 @@
         """
         match event:
             case PeerConnectDue():
-                return [] if table is None else self._prepare(table, now)
+                return [] if table is None else self._open_connections(table, now)
             case DelegationDue():
                 return self.delegations.due(event, now)
             case PeerLinkBroken():
@@ -74,9 +74,9 @@
             case PeerReceived(sender, message):
                 return self._received(sender, message, table, now)
 
-    def _prepare(self, table: RoutingTable, now: float) -> list[Action]:
+    def _open_connections(self, table: RoutingTable, now: float) -> list[Action]:
         """Open connections that requests will need, to other nodes and to replicas."""
-        return [*self.delegations.greet(table, now), *self._ahead.due(table, now)]
+        return [*self.delegations.open_connections(table, now), *self._prewarmer.due(table, now)]
 
     def _received(
         self, sender: NodeIdentity, message: PeerMessage, table: RoutingTable | None, now: float
@@ -87,7 +87,7 @@
             case DelegatedAnswer():
                 return self.delegations.answered(sender, message, now)
             case AllowAttempts():
-                return self._work.allowed(sender, message, now)
+                return self._work.attempts_allowed(sender, message, now)
             case CancelDelegation():
                 return self._work.cancelled(sender, message, now)
             case _:
@@ -106,12 +106,12 @@
             identity = compute_identity(message.request, message.tenant)
             held_seconds = self._guard.held_seconds(identity, now)
             return self._work.refuse_held(sender, message, held_seconds)
-        declined = self._work.unknown(message, now)
+        declined = self._work.shards_without_replicas(message, now)
         if len(declined) == len(message.shards):
             return self._work.reject(sender, message)
         exchange = self._work.accept(sender, message, table, declined, now)
-        taken = self._work.acknowledge(sender, message, declined)
+        acknowledgement = self._work.acknowledge(sender, message, declined)
         report_at = now + message.in_time_seconds * self._settings.delegate_report_ratio
         reporting = Schedule(report_at, ReportDue(exchange.exchange_id))
         beginning = Schedule(now, BeginDue(exchange.exchange_id))
-        return [*taken, beginning, reporting]
+        return [*acknowledgement, beginning, reporting]
--- a/wingquay/forwarding/peers/relays.py
+++ b/wingquay/forwarding/peers/relays.py
@@ -17,12 +17,12 @@
 ZONES_VALID_SECONDS = 0.25
 """Time for which the zones of a route's replicas are not looked up again."""
 
-MOST_SHARD_SETS = 8
+MAX_SHARD_SETS = 8
 """Sets of shards that are remembered; old configurations name others."""
 
 
 @value
-class _FarShards:
+class _RemoteShards:
     """The shards of a route that have replicas in other zones only, with these zones."""
 
     valid_until: float
@@ -55,45 +55,45 @@
         self._groups = groups
         self._directory = directory
         self._open_requests = open_requests
-        self._far: dict[tuple[str, ...], _FarShards] = {}
-        self._turn = 0
+        self._remote: dict[tuple[str, ...], _RemoteShards] = {}
+        self._rotation = 0
 
-    def owners(self, shards: tuple[str, ...], now: float) -> dict[str, NodeIdentity]:
+    def choose(self, shards: tuple[str, ...], now: float) -> dict[str, NodeIdentity]:
         """Return who asks the far ones among ``shards``; what is missing is asked directly."""
-        far = dict(self._far_zones(shards, now))
+        remote = dict(self._remote_zones(shards, now))
         owners: dict[str, NodeIdentity] = {}
-        nodes = self._groups.reachable(now) if far else []
-        while nodes and len(far) >= self._settings.relay_min_shards:
-            relay = self._best(nodes, far)
-            near = [shard for shard, zones in far.items() if relay.zone in zones]
-            if len(near) < self._settings.relay_min_shards:
+        nodes = self._groups.reachable(now) if remote else []
+        while nodes and len(remote) >= self._settings.relay_min_shards:
+            relay = self._best(nodes, remote)
+            served = [shard for shard, zones in remote.items() if relay.zone in zones]
+            if len(served) < self._settings.relay_min_shards:
                 break
-            for shard in near:
+            for shard in served:
                 owners[shard] = relay
-                del far[shard]
+                del remote[shard]
         return owners
 
-    def _far_zones(self, shards: tuple[str, ...], now: float) -> dict[str, set[str]]:
-        known = self._far.get(shards)
+    def _remote_zones(self, shards: tuple[str, ...], now: float) -> dict[str, set[str]]:
+        known = self._remote.get(shards)
         if known is None or now >= known.valid_until:
-            if len(self._far) >= MOST_SHARD_SETS:
-                self._far.clear()
-            known = _FarShards(now + ZONES_VALID_SECONDS, self._look_up(shards, now))
-            self._far[shards] = known
+            if len(self._remote) >= MAX_SHARD_SETS:
+                self._remote.clear()
+            known = _RemoteShards(now + ZONES_VALID_SECONDS, self._find_remote(shards, now))
+            self._remote[shards] = known
         return known.zones
 
-    def _look_up(self, shards: tuple[str, ...], now: float) -> dict[str, set[str]]:
+    def _find_remote(self, shards: tuple[str, ...], now: float) -> dict[str, set[str]]:
         found = {shard: self._directory.zones_of(shard, now) for shard in shards}
         own_zone = self._settings.zone
         return {shard: zones for shard, zones in found.items() if zones and own_zone not in zones}
 
-    def _best(self, nodes: list[NodeIdentity], far: dict[str, set[str]]) -> NodeIdentity:
+    def _best(self, nodes: list[NodeIdentity], remote: dict[str, set[str]]) -> NodeIdentity:
         """Return the node whose zone holds most, and of several the least busy one, in turn."""
-        self._turn += 1
-        start = self._turn % len(nodes)
-        in_turn = nodes[start:] + nodes[:start]
+        self._rotation += 1
+        start = self._rotation % len(nodes)
+        rotated = nodes[start:] + nodes[:start]
         covered = {
-            zone: sum(zone in zones for zones in far.values())
+            zone: sum(zone in zones for zones in remote.values())
             for zone in {node.zone for node in nodes}
         }
-        return min(in_turn, key=lambda node: (-covered[node.zone], self._open_requests(node)))
+        return min(rotated, key=lambda node: (-covered[node.zone], self._open_requests(node)))
--- a/wingquay/forwarding/peers/request_rate.py
+++ b/wingquay/forwarding/peers/request_rate.py
@@ -15,12 +15,12 @@
 
     def count(self, now: float) -> None:
         """Take in a request."""
-        self._requests = self._faded(now) + 1.0
+        self._requests = self._decayed(now) + 1.0
         self._counted_at = now
 
     def per_second(self, now: float) -> float:
         """Return the mean number of requests a second."""
-        return self._faded(now) / RATE_MEMORY_SECONDS
+        return self._decayed(now) / RATE_MEMORY_SECONDS
 
-    def _faded(self, now: float) -> float:
+    def _decayed(self, now: float) -> float:
         return self._requests * math.exp(-(now - self._counted_at) / RATE_MEMORY_SECONDS)
--- a/wingquay/forwarding/peers/shard_placement.py
+++ b/wingquay/forwarding/peers/shard_placement.py
@@ -26,15 +26,15 @@
 from .request_rate import RequestRate
 from .zone_choice import choose_zones, spread_zones
 
-VALID_SECONDS = 2.0
+PLACEMENT_VALID_SECONDS = 2.0
 """Time for which a placement stands while nodes stay the same: owners decline shards that moved."""
-MOST_PLACEMENTS = 8
+MAX_PLACEMENTS = 8
 """Sets of shards whose placement is remembered; old configurations name others."""
 ROUNDING_TOLERANCE = 1e-9
 """Part of a shard by which the sum of weights may be off."""
-CODING_SECONDS = 0.0005
+SHARD_CPU_SECONDS = 0.0005
 """Processor time of asking one shard, on a whole core (docs/design/delegation.md)."""
-OWNER_LOAD = 0.2
+MAX_OWNER_LOAD = 0.2
 """Part of a core that the coding of shards may take at an owner before there are more owners: the
 weakest machines of the deployments have half a core, so they are two fifths busy then."""
 
@@ -84,13 +84,13 @@
         known = self._placements.get(shards)
         version = self._groups.version(now)
         if known is None or known.nodes_version != version or now >= known.valid_until:
-            if len(self._placements) >= MOST_PLACEMENTS:
+            if len(self._placements) >= MAX_PLACEMENTS:
                 self._placements.clear()
-            known = _Placement(version, now + VALID_SECONDS, self._place(shards, now))
+            known = _Placement(version, now + PLACEMENT_VALID_SECONDS, self._place(shards, now))
             self._placements[shards] = known
         return known.owners
 
-    def contacts(self, shards: tuple[str, ...], now: float) -> list[NodeIdentity]:
+    def owner_nodes(self, shards: tuple[str, ...], now: float) -> list[NodeIdentity]:
         """Return the nodes that a request over these shards would be sent to."""
         owners = {owner.node_id: owner for owner in self.owners(shards, now).values() if owner}
         return list(owners.values())
@@ -98,22 +98,24 @@
     def sharing_nodes(self, shard: str, now: float) -> int:
         """Return how many nodes usually ask a shard."""
         zones = len(self._directory.zones_of(shard, now)) or 1
-        return zones * self._teams(now)
+        return zones * self._owner_sets(now)
 
     def _place(self, shards: tuple[str, ...], now: float) -> dict[str, NodeIdentity | None]:
         nodes = self._groups.usable_by_zone(now)
         if sum(map(len, nodes.values())) < self._settings.delegate_min_nodes:
             return {}
-        held = {shard: self._directory.zones_of(shard, now) & nodes.keys() for shard in shards}
-        few = choose_zones(self._settings.zone, sorted(nodes), held)
+        replica_zones = {
+            shard: self._directory.zones_of(shard, now) & nodes.keys() for shard in shards
+        }
+        minimum = choose_zones(self._settings.zone, sorted(nodes), replica_zones)
         members = {zone: len(found) for zone, found in nodes.items()}
-        zones = spread_zones(self._settings.zone, members, held, few)
+        zones = spread_zones(self._settings.zone, members, replica_zones, minimum)
         owners: dict[str, NodeIdentity | None] = {}
         for zone in set(zones.values()):
             # Sorted: the same set of shards has the same owners in whatever order it is named.
-            held_there = tuple(sorted(shard for shard in shards if zone in held[shard]))
-            assigned = self._assign(nodes[zone], held_there, len(shards), now)
-            for shard in held_there:
+            zone_shards = tuple(sorted(shard for shard in shards if zone in replica_zones[shard]))
+            assigned = self._assign(nodes[zone], zone_shards, len(shards), now)
+            for shard in zone_shards:
                 if zones[shard] == zone:
                     owners[shard] = self._identity(assigned[shard])
         return owners
@@ -122,29 +124,29 @@
         return None if node.name == self._groups.name else node.record.identity
 
     def _assign(
-        self, nodes: list[GroupNode], held: tuple[str, ...], shards: int, now: float
+        self, nodes: list[GroupNode], replica_zones: tuple[str, ...], shards: int, now: float
     ) -> dict[str, GroupNode]:
         """Return which of a zone's nodes asks each shard that has a replica there."""
-        size = max(1, round(len(held) / math.sqrt(shards)))
-        teams = self._teams(now)
-        members = strongest(nodes, size * teams)
-        own_team = members[_team(self._groups.name, teams) :: teams] or members
-        by_name = {node.name: node for node in own_team}
+        size = max(1, round(len(replica_zones) / math.sqrt(shards)))
+        owner_sets = self._owner_sets(now)
+        members = fastest_nodes(nodes, size * owner_sets)
+        own_set = members[_set_index(self._groups.name, owner_sets) :: owner_sets] or members
+        by_name = {node.name: node for node in own_set}
         weights = {name: node.record.processor for name, node in sorted(by_name.items())}
-        assigned = assign_bounded(weights, held)
+        assigned = assign_bounded(weights, replica_zones)
         return {shard: by_name[name] for shard, name in assigned.items()}
 
-    def _teams(self, now: float) -> int:
+    def _owner_sets(self, now: float) -> int:
         """Return how many sets of owners the requests of all nodes need."""
         shards = self._groups.fan_out
         zones = max(1, self._groups.zones)
         requests_per_second = self._rate.per_second(now) * self._groups.size
-        coding = requests_per_second * CODING_SECONDS * shards / zones
+        cpu_load = requests_per_second * SHARD_CPU_SECONDS * shards / zones
         owners = max(1.0, math.sqrt(shards) / zones)
-        return max(1, math.ceil(coding / (owners * OWNER_LOAD)))
+        return max(1, math.ceil(cpu_load / (owners * MAX_OWNER_LOAD)))
 
 
-def strongest(nodes: Collection[GroupNode], count: int) -> list[GroupNode]:
+def fastest_nodes(nodes: Collection[GroupNode], count: int) -> list[GroupNode]:
     """Return the nodes with the fastest processors; of equal ones the same on every node."""
 
     def rank(node: GroupNode) -> tuple[float, int]:
@@ -161,21 +163,21 @@
     weights
         How much of the work each name can take: all of them are done at about the same time.
     """
-    whole = sum(weights.values())
+    total = sum(weights.values())
     capacity = {
-        name: math.ceil(len(shards) * part / whole - ROUNDING_TOLERANCE)
-        for name, part in weights.items()
+        name: math.ceil(len(shards) * weight / total - ROUNDING_TOLERANCE)
+        for name, weight in weights.items()
     }
-    taken = dict.fromkeys(weights, 0)
+    assigned_counts = dict.fromkeys(weights, 0)
     assigned: dict[str, str] = {}
     for shard in shards:
         suffix = f"\0{shard}"
-        free = [name for name in weights if taken[name] < capacity[name]]
+        free = [name for name in weights if assigned_counts[name] < capacity[name]]
         chosen = max(free, key=lambda name: xxhash.xxh64_intdigest((name + suffix).encode()))
-        taken[chosen] += 1
+        assigned_counts[chosen] += 1
         assigned[shard] = chosen
     return assigned
 
 
-def _team(name: str, teams: int) -> int:
-    return xxhash.xxh64_intdigest(name.encode()) % teams
+def _set_index(name: str, owner_sets: int) -> int:
+    return xxhash.xxh64_intdigest(name.encode()) % owner_sets
--- a/wingquay/forwarding/peers/takeover_timeout.py
+++ b/wingquay/forwarding/peers/takeover_timeout.py
@@ -3,7 +3,7 @@
 from ...model.routing_table import Route
 from ..settings import ForwardingSettings
 
-WEIGHT = 0.1
+MEAN_WEIGHT = 0.1
 """How far one node that is heard moves the mean."""
 
 
@@ -21,17 +21,17 @@
 
     def __init__(self, settings: ForwardingSettings) -> None:
         self._settings = settings
-        self._usual_seconds = 0.0
+        self._mean_seconds = 0.0
         """A moving mean over all nodes; 0 before anything was heard."""
 
-    def heard(self, seconds: float) -> None:
+    def record(self, seconds: float) -> None:
         """Take in how long a node took."""
-        self._usual_seconds += WEIGHT * (seconds - self._usual_seconds)
+        self._mean_seconds += MEAN_WEIGHT * (seconds - self._mean_seconds)
 
     def seconds(self, route: Route) -> float:
         """Return the time after which this node steps in."""
         settings = self._settings
         objective = route.objective_seconds
-        usual = objective * settings.delegate_takeover_ratio
-        slow = self._usual_seconds * settings.delegate_takeover_factor
-        return max(usual, min(slow, objective * settings.delegate_takeover_max_ratio))
+        default = objective * settings.delegate_takeover_ratio
+        scaled = self._mean_seconds * settings.delegate_takeover_factor
+        return max(default, min(scaled, objective * settings.delegate_takeover_max_ratio))
--- a/wingquay/orchestration/load_machine.py
+++ b/wingquay/orchestration/load_machine.py
@@ -9,7 +9,7 @@
 from ..ports.peer import PeerMessage
 from ..query.coordinator import Coordinator
 
-REPORT_SECONDS = 5.0
+REPORT_INTERVAL_SECONDS = 5.0
 
 
 @dataclass(frozen=True, slots=True)
@@ -29,7 +29,7 @@
 
     def handle(self, event: Event, now: float) -> list[Action]:
         """Take in one event."""
-        again = Schedule(now + REPORT_SECONDS, LoadReportDue())
+        again = Schedule(now + REPORT_INTERVAL_SECONDS, LoadReportDue())
         kinds = self._coordinator.kind_statistics.collect_and_reset(now)
         if isinstance(event, Start):
             return [again]
--- a/wingquay/orchestration/node_machine.py
+++ b/wingquay/orchestration/node_machine.py
@@ -67,22 +67,28 @@
         self._identity = identity
         self._settings = settings
         self._owner = OwnerMachine(
-            identity, settings.routing, settings.admission, _child(random_source), settings.disabled
+            identity,
+            settings.routing,
+            settings.admission,
+            _child_source(random_source),
+            settings.disabled,
+        )
+        links = OwnerSelector(
+            identity, settings.routing.owners_per_shard, _child_source(random_source)
         )
-        links = OwnerSelector(identity, settings.routing.owners_per_shard, _child(random_source))
         self._coordinator = Coordinator(identity, settings.query, links, settings.disabled)
         self._configuration = ConfigurationMachine(
-            identity, _child(random_source), settings.disabled
+            identity, _child_source(random_source), settings.disabled
         )
         membership = MembershipMachine(
             identity,
             seeds,
             settings.membership,
             settings.replica_evidence,
-            _child(random_source),
+            _child_source(random_source),
         )
         claims_settings = replace(settings.claims, disabled=settings.disabled)
-        self._claims = ClaimsMachine(claims_settings, identity, _child(random_source))
+        self._claims = ClaimsMachine(claims_settings, identity, _child_source(random_source))
         self._stop = StopMachine(
             settings.stop, self.in_flight, self.assignments_to_hand_over, settings.disabled
         )
@@ -133,28 +139,28 @@
 
     def handle(self, event: Event, now: float) -> list[Action]:
         """Take in ``event`` at ``now`` and return what the surroundings must do, in order."""
-        outward: list[Action] = []
-        waiting: deque[Event] = deque((event,))
-        while waiting:
-            current = waiting.popleft()
+        external: list[Action] = []
+        pending: deque[Event] = deque((event,))
+        while pending:
+            current = pending.popleft()
             for machine in self._machines_for(current):
                 for action in machine.handle(current, now):
-                    self._place(action, waiting, outward)
-        return outward
+                    self._dispatch(action, pending, external)
+        return external
 
     def _machines_for(self, event: Event) -> list[RoutedMachine]:
         if isinstance(event, PeerReceived):
             return self._by_message.get(type(event.message), [])
         return self._by_event.get(type(event), [])
 
-    def _place(self, action: Action, waiting: deque[Event], outward: list[Action]) -> None:
+    def _dispatch(self, action: Action, pending: deque[Event], external: list[Action]) -> None:
         if isinstance(action, Notify):
-            waiting.append(action.event)
+            pending.append(action.event)
         elif isinstance(action, SendToPeer) and action.to.node_id == self._identity.node_id:
-            waiting.append(PeerReceived(self._identity, action.message))
+            pending.append(PeerReceived(self._identity, action.message))
         else:
-            outward.append(action)
+            external.append(action)
 
 
-def _child(random_source: random.Random) -> random.Random:
+def _child_source(random_source: random.Random) -> random.Random:
     return random.Random(random_source.getrandbits(SEED_BITS))
--- a/wingquay/orchestration/stop_machine.py
+++ b/wingquay/orchestration/stop_machine.py
@@ -14,7 +14,7 @@
 from ..ports.peer import PeerMessage
 from .settings import StopSettings
 
-LONGEST_CHECK_GAP = 2.0
+MAX_CHECK_INTERVALS = 2.0
 """Between two checks at most this many check intervals count; more is a pause of the process."""
 
 
@@ -47,7 +47,7 @@
         self._settings = settings
         self._in_flight = in_flight
         self._assignments_to_hand_over = assignments_to_hand_over
-        self._waits = Mechanism.PLANNED_STOP_DRAIN not in disabled
+        self._drains = Mechanism.PLANNED_STOP_DRAIN not in disabled
         self._started_at: float | None = None
         self._checked_at = 0.0
         self._observed_seconds = 0.0
@@ -89,7 +89,7 @@
         elapsed = self._observe(now)
         in_flight = self._in_flight()
         is_drained = in_flight == 0 and self._assignments_to_hand_over() == 0
-        if elapsed >= self._settings.least_seconds and (is_drained or not self._waits):
+        if elapsed >= self._settings.least_seconds and (is_drained or not self._drains):
             return self._exit(in_flight)
         if elapsed >= self._settings.most_seconds:
             return self._exit(in_flight)
@@ -101,8 +101,8 @@
         After a pause, what came meanwhile is still unread: time in which nothing could be read
         does not count as time in which nothing came.
         """
-        longest = self._settings.check_seconds * LONGEST_CHECK_GAP
-        self._observed_seconds += min(now - self._checked_at, longest)
+        max_step_seconds = self._settings.check_seconds * MAX_CHECK_INTERVALS
+        self._observed_seconds += min(now - self._checked_at, max_step_seconds)
         self._checked_at = now
         return self._observed_seconds
 
