--- a/wingquay/forwarding/arrival/__init__.py
+++ b/wingquay/forwarding/arrival/__init__.py
@@ -1,1 +1,1 @@
-"""What is decided about a request before anything is sent for it."""
+"""Checks on a request between its arrival and the first message sent for it."""
--- a/wingquay/forwarding/arrival/admission.py
+++ b/wingquay/forwarding/arrival/admission.py
@@ -1,7 +1,7 @@
-"""Whether an arrived request may be begun: by its key, by how current the keys are, by its limit.
+"""Results and interfaces of the admission checks for arriving requests.
 
-The three questions are answered by parts of their own; this module states what they are asked and
-what they answer.
+A request is admitted if its key is valid, if the configuration that lists the keys is fresh enough,
+and if its tenant is within its limit. Other modules implement the checks.
 """
 
 from typing import Protocol
@@ -13,14 +13,14 @@
 
 @value
 class Admitted:
-    """The request may be begun.
+    """The request may start.
 
     Parameters
     ----------
     request
-        What replicas and other nodes get of it.
+        The request as replicas and other nodes receive it.
     tenant
-        Who calls; ``None``: replicas are told nobody.
+        The calling tenant; ``None`` if replicas receive no tenant.
     """
 
     request: OpaqueRequest
@@ -29,12 +29,12 @@
 
 @value
 class Rejected:
-    """The request has run nowhere and never will.
+    """The request has not run on any replica and will not.
 
     Parameters
     ----------
     retry_after_seconds
-        When it may be tried again; ``None``: it would be rejected again.
+        Time after which a retry can succeed; ``None`` if a retry would be rejected as well.
     """
 
     kind: ForwardFailureKind
@@ -44,30 +44,30 @@
 
 @value
 class AwaitsLimit:
-    """Another node is asked whether the tenant has requests left; its answer goes on with it."""
+    """The decision depends on the reply of another node, which owns the tenant's limit."""
 
 
 class ConfigurationProof(Protocol):
-    """Knows until when the configuration that this node goes by is proven to be in force."""
+    """Evaluates whether the configuration of this node is proven to be in force."""
 
     def is_proven(self, now: float) -> bool:
-        """Whether no key that callers show may have been taken away for too long."""
+        """Return whether the configuration is fresh enough to accept the keys in it."""
         ...
 
     def retry_after_seconds(self, now: float) -> float:
-        """Return after which time the node may know again."""
+        """Return the time until the proof may be renewed, in seconds."""
         ...
 
 
 class TenantLimits(Protocol):
-    """Counts the requests of tenants over all nodes."""
+    """Counts the requests of each tenant across all nodes."""
 
     def admit(
         self, tenant: Tenant, exchange_id: int, now: float
     ) -> Admitted | Rejected | AwaitsLimit:
-        """Count a request, or say why it may not run now."""
+        """Count a request, or return why it may not start now."""
         ...
 
     def give_back(self, tenant: Tenant, exchange_id: int, now: float) -> None:
-        """Take back a request that has run on no replica and never will."""
+        """Undo the count of a request that has run on no replica and will not."""
         ...
--- a/wingquay/forwarding/arrival/arrival_admission.py
+++ b/wingquay/forwarding/arrival/arrival_admission.py
@@ -1,8 +1,8 @@
-"""Asks, in their order, the questions that decide whether an arrived request may be begun.
+"""Runs the admission checks for an arriving request in their fixed order.
 
-First whether the configuration is proven, since a key that may be newer than it must not be called
-unknown; then who holds the key; last, once nothing else can refuse the request, whether its tenant
-has requests left.
+1. Is the configuration proven to be in force? A key newer than the configuration must not be
+reported as unknown. 2. Which tenant does the key belong to? 3. Is the tenant within its limit? This
+check is last because it counts the request.
 """
 
 from ...model.routing_table import Route, RoutingTable
@@ -17,18 +17,21 @@
 
 
 class ArrivalAdmission:
-    """Decides by key, by how current the keys are, and by the tenant's limit."""
+    """Checks the freshness of the configuration, the key and the tenant's limit."""
 
     def __init__(self) -> None:
         self.proof: ConfigurationProof = AlwaysProven()
-        """Knows whether the configuration is in force; replaced by whoever composes the node."""
+        """Proof that the configuration is in force; replaced when the node is assembled."""
         self.limits: TenantLimits = NoLimits()
-        """Counts requests of tenants; replaced by whoever composes the node."""
+        """Counts the requests of tenants; replaced when the node is assembled."""
 
     def identify_caller(
         self, key: str, table: RoutingTable, route: Route, now: float
     ) -> Tenant | Rejected | None:
-        """Return who calls; ``None``: the configuration or the route asks nobody."""
+        """Return the calling tenant.
+
+        ``None`` means that the configuration or the route requires no key.
+        """
         tenants = table.tenants
         if tenants is None or route.is_public:
             return None
@@ -43,9 +46,9 @@
     def admit(
         self, tenant: Tenant, exchange_id: int, now: float
     ) -> Admitted | Rejected | AwaitsLimit:
-        """Count a request of a tenant, or say why it may not run now."""
+        """Count a request of a tenant, or return why it may not start now."""
         return self.limits.admit(tenant, exchange_id, now)
 
     def give_back(self, tenant: Tenant, exchange_id: int, now: float) -> None:
-        """Take back a counted request that has run on no replica and never will."""
+        """Undo the count of a request that has run on no replica and will not."""
         self.limits.give_back(tenant, exchange_id, now)
--- a/wingquay/forwarding/arrival/authentication.py
+++ b/wingquay/forwarding/arrival/authentication.py
@@ -1,7 +1,6 @@
-"""Tells who calls by the key that is shown.
+"""Finds the tenant of a request by its key.
 
-Answers the failure that a key which nobody holds, or no longer holds, has a request run. A caller
-whose key is unknown hears so at once, with nothing run for it: it would be turned away again.
+A request with an unknown or revoked key is rejected before anything is sent for it.
 """
 
 from dataclasses import replace
@@ -15,17 +14,16 @@
 
 
 def authenticate(key: str, tenants: TenantDirectory) -> Tenant | Rejected:
-    """Return the tenant that holds a key, or why there is none."""
+    """Return the tenant that holds a key, or the reason why there is none."""
     if not key:
         return NO_KEY
     return tenants.holder(key) or UNKNOWN_KEY
 
 
 def strip_credentials(event: ForwardRequested) -> ForwardRequested:
-    """Return an arrival without its secret and without what its caller says of its tenant.
+    """Return the event without its key and without the caller's own statement of its tenant.
 
-    Everything behind authentication gets this one: replicas, other nodes and log lines have nothing
-    from which they could tell the key.
+    Only this form is passed on, so replicas, other nodes and log lines never contain the key.
     """
     if not event.key and event.bare_request is None:
         return event
--- a/wingquay/forwarding/arrival/limits/__init__.py
+++ b/wingquay/forwarding/arrival/limits/__init__.py
@@ -1,1 +1,1 @@
-"""Rate and burst of a tenant, summed over all nodes."""
+"""Limits on the rate and burst of each tenant across all nodes."""
--- a/wingquay/forwarding/arrival/limits/budget.py
+++ b/wingquay/forwarding/arrival/limits/budget.py
@@ -1,8 +1,9 @@
-"""How what may run of a tenant is divided, so that no cut of the fleet lets more run than allowed.
+"""Divides a tenant's limit among nodes so that a network partition cannot exceed it.
 
-The bound is the allowance (what callers were promised) and a spare on top. Two owners divide the
-whole but for what stands aside for restarts, for nodes that reach no owner, and for what is under
-way, as `docs/design/limits-over-nodes.md` proves. Every part is a number of requests in a window.
+The bound is the allowance, which callers were promised, plus a spare. Parts of the spare are set
+aside for restarts, for nodes that reach no owner and for requests not reported yet; the two owners
+divide the rest. `docs/design/limits-over-nodes.md` contains the proof. All values are numbers of
+requests per window.
 """
 
 import math
@@ -12,44 +13,41 @@
 from .limit_settings import LimitSettings
 
 JITTER_SHARE = 0.10
-"""Of the spare, permitted on top of the allowance: the way from caller to node takes a few
-milliseconds more or less, so callers that keep their limit seem to exceed it by a request or two.
-A refusal within the limit costs a caller more than one request beyond it costs anybody."""
+"""Share of the spare that is permitted on top of the allowance. Network jitter can make a caller
+that keeps its limit seem to exceed it by a request or two."""
 UNLENT_SHARE = 0.15
-"""Of the spare: what the second owner does not lend. The other side of a cut lives on it for the
-first window, for tenants that were at their limit just then."""
+"""Share of the spare that the second owner never lends. Tenants at their limit use it on the other
+side of a network partition during the first window."""
 UNKNOWN_WINDOW_SHARE = 0.45
-"""Of the spare: what a primary owner permits while it cannot know the last window. All nodes may
-have been killed right after a whole allowance ran. It is the largest part, since it is all that
-tenants get then."""
+"""Share of the spare that a primary owner permits while the requests of the last window are not
+known to it. It is the largest share because nothing else is permitted in that time."""
 RESERVE_SHARE = 0.10
-"""Of the spare: what nodes that reach no owner permit together. More would go to single nodes that
-are cut off, which serve few callers."""
+"""Share of the spare that all nodes without a reachable owner permit together."""
 UNREPORTED_SHARE = 1.0 - JITTER_SHARE - UNLENT_SHARE - UNKNOWN_WINDOW_SHARE - RESERVE_SHARE
-"""Of the spare: begun at once and not told yet when a link breaks, and lost with an owner that
-ends: what arrives within the time of silence."""
+"""Share of the spare for requests that start without a permit and are not reported yet when a link
+breaks or an owner crashes."""
 PRIMARY_SHARE = 0.6
-"""Part of the divided whole that the primary owner may permit without the other's word. Above one
-half: a tenant that is not hot never needs a loan."""
+"""Share of the divisible requests that the primary owner permits without a loan. It is above one
+half so that only hot tenants need a loan."""
 
 LOAN_THRESHOLD = 0.85
-"""Part of what the primary may permit from which on it borrows more. What is left lasts for the few
-milliseconds until it comes: at 500 requests a second of a tenant of 50 in 5 s for 10 ms."""
+"""Share of what the primary may permit at which it borrows more, so that a loan arrives before the
+rest is used up."""
 LOAN_STEPS = 4
-"""In so many steps the second owner's part is lent: what is lent cannot serve anybody behind a cut
-for a window, so no more is borrowed than is needed."""
+"""Number of steps in which the second owner's part is lent. Lent requests are unavailable behind a
+network partition for a window, so the primary borrows no more than it needs."""
 
 
 @value
 class Budget:
-    """The parts of one tenant's bound.
+    """Requests that each owner of a tenant may permit per window.
 
     Parameters
     ----------
     allowance
-        Requests in a window that its callers were promised.
+        Requests per window that callers were promised.
     spare
-        How many more may run.
+        Requests per window that may run beyond the allowance.
     """
 
     allowance: float
@@ -57,36 +55,36 @@
 
     @property
     def max_requests(self) -> float:
-        """What may run at all."""
+        """Maximum number of requests that may run per window."""
         return self.allowance + self.spare
 
     @property
     def primary_with_full_loan(self) -> float:
-        """What a primary owner permits that has the other's part, too."""
+        """Requests that the primary permits with all that the second owner can lend."""
         return self.allowance + JITTER_SHARE * self.spare
 
     @property
     def primary_without_loan(self) -> float:
-        """What a primary owner permits without the other's word."""
+        """Requests that the primary permits without a loan."""
         return self._divisible - self.second_without_lending
 
     @property
     def second_without_lending(self) -> float:
-        """What the second owner permits in its own right if nothing of that is lent."""
+        """Requests that the second owner permits if it lends nothing."""
         return max((1.0 - PRIMARY_SHARE) * self._divisible, self.second_unlendable)
 
     @property
     def second_unlendable(self) -> float:
-        """What the second owner does not lend."""
+        """Requests that the second owner never lends."""
         return UNLENT_SHARE * self.spare
 
     @property
     def lendable(self) -> int:
-        """How many requests the second owner may lend."""
+        """Requests that the second owner can lend."""
         return int(self.second_without_lending - self.second_unlendable)
 
     def primary_with_loan(self, loan: int) -> float:
-        """Return what the primary permits with so much lent to it."""
+        """Return the number of requests that the primary permits with a loan of the given size."""
         return (
             self.primary_with_full_loan
             if loan >= self.lendable
@@ -94,13 +92,13 @@
         )
 
     def second_with_lent(self, lent: int) -> float:
-        """Return what the second owner permits in its own right with so much lent by it."""
+        """Return the number of requests that the second owner permits after it has lent some."""
         return (
             self.second_unlendable if lent >= self.lendable else self.second_without_lending - lent
         )
 
     def required_loan(self, counted: int) -> int:
-        """Return how much the primary needs lent when so many requests count."""
+        """Return the loan that the primary needs when the given number of requests count."""
         for step in range(LOAN_STEPS):
             loan = math.ceil(self.lendable * step / LOAN_STEPS)
             if counted < LOAN_THRESHOLD * self.primary_with_loan(loan):
@@ -109,12 +107,12 @@
 
     @property
     def primary_without_window(self) -> float:
-        """What a primary owner permits that cannot know the last window."""
+        """Requests that a primary permits while the last window is not known to it."""
         return UNKNOWN_WINDOW_SHARE * self.spare
 
     @property
     def reserve_nodes(self) -> int:
-        """How many nodes may let one request run without asking anybody."""
+        """Number of nodes that may each start one request without a permit."""
         return int(RESERVE_SHARE * self.spare)
 
     @property
@@ -123,6 +121,6 @@
 
 
 def compute_budget(tenant: Tenant, settings: LimitSettings) -> Budget:
-    """Return the parts of a tenant's bound."""
+    """Return how a tenant's limit is divided."""
     allowance = tenant.requests_per_second * settings.window_seconds + tenant.burst
     return Budget(allowance, allowance * settings.overage + settings.slack)
--- a/wingquay/forwarding/arrival/limits/distributed_limits.py
+++ b/wingquay/forwarding/arrival/limits/distributed_limits.py
@@ -1,4 +1,4 @@
-"""Joins the parts that keep the limits of tenants: who owns them, what is told, what is asked."""
+"""Enforces tenant limits across nodes: combines ownership, reports, permits and loans."""
 
 import random
 from collections.abc import Callable, Mapping
@@ -32,7 +32,7 @@
 from .tenant_owners import TenantOwners
 
 OWN_EVENTS = (LimitReportDue, LimitAckDue, LimitProbeDue, LimitRequestDue, LimitRefreshDue)
-"""Events by which this part wakes itself."""
+"""Events that this module schedules for itself."""
 OWN_MESSAGES = (
     LimitTell,
     LimitAcknowledgement,
@@ -41,7 +41,7 @@
     LimitOwnersRequest,
     LimitOwnersReply,
 )
-"""Messages of other nodes that this part takes."""
+"""Messages of other nodes that this module handles."""
 LimitEvent = (
     LimitReportDue
     | LimitAckDue
@@ -54,16 +54,18 @@
 
 
 class DistributedLimits:
-    """Keeps the limits of all tenants; made once a configuration has such tenants.
+    """Enforces the limits of all tenants.
+
+    It is created when a configuration first contains a tenant with a limit.
 
     Parameters
     ----------
     settings
-        The bound, and from when on owners are asked first.
+        The bound on requests, and from which usage on nodes ask an owner first.
     random_source
-        Spreads the times that callers are told.
+        Adds jitter to the retry times sent to callers.
     now
-        When this life of the node began, or later.
+        Start of this incarnation of the node, or later.
     """
 
     def __init__(self, settings: LimitSettings, random_source: random.Random, now: float) -> None:
@@ -83,7 +85,7 @@
     def on_decision(
         self, callback: Callable[[int, Admitted | Rejected, float], list[Action]]
     ) -> None:
-        """State what goes on with a request whose answer has come."""
+        """Set the callback that continues a request once its limit was decided."""
         self._requester.on_decision = callback
 
     def open(
@@ -94,16 +96,16 @@
         was_listed_before_start: Callable[[], bool],
         now: float,
     ) -> list[Action]:
-        """Tell and ask other nodes from now on.
+        """Start the exchange of messages with other nodes.
 
         Parameters
         ----------
         groups
-            The nodes of the store.
+            The nodes listed in the store.
         is_listed
-            Whether this node's key is sure to stand in the store.
+            Returns whether this node's key is certainly in the store.
         was_listed_before_start
-            Whether it stood there before this life.
+            Returns whether the key was in the store before this incarnation.
         """
         role = OwnerRole(self._settings, own, self._owners, groups.reachable)
         role.sync.is_listed = is_listed
@@ -115,18 +117,18 @@
         return [*actions, *self._requester.opened(now)]
 
     def set_tenants(self, tenants: Mapping[str, Tenant], now: float) -> list[Action]:
-        """Take in the limits in force."""
+        """Apply the limits in force."""
         self._tenants = tenants
         role = self._channels.role
         return [] if role is None else [*role.set_tenants(tenants, now), *self.refresh_owners(now)]
 
     def refresh_owners(self, now: float) -> list[Action]:
-        """See whether the nodes of the store, and so the owners, are others than before."""
+        """Update the owners if the nodes listed in the store have changed."""
         groups = self._groups
         if groups is None or groups.version(now) == self._nodes_version:
             return []
         self._nodes_version = groups.version(now)
-        # What its last life did as an owner was over when this one began.
+        # The previous incarnation stopped acting as an owner before this one started.
         since = now if self._owners.identities else self._started_at
         if not self._owners.update(groups.all_nodes, since):
             return []
@@ -137,27 +139,27 @@
     def admit(
         self, tenant: Tenant, exchange_id: int, now: float
     ) -> Admitted | Rejected | AwaitsLimit:
-        """Count a request, or say why it may not run now."""
+        """Count a request, or return why it may not start now."""
         return self._requester.admit(tenant, exchange_id, now)
 
     def give_back(self, tenant: Tenant, exchange_id: int, now: float) -> None:
-        """Take back a request that has run on no replica and never will."""
+        """Undo the count of a request that has run on no replica and will not."""
         self._requester.give_back(tenant, exchange_id, now)
 
     def owners_of(self, name: str) -> tuple[NodeIdentity, ...]:
-        """Return the primary and the second owner of a tenant, as far as there are any."""
+        """Return the primary and the second owner of a tenant; fewer if there are fewer nodes."""
         return self._owners.get(name)
 
     def take_actions(self) -> list[Action]:
-        """Return what is to be done besides the answers that `admit` and `give_back` gave."""
+        """Return and clear the actions that `admit` and `give_back` have queued."""
         return self._requester.take_actions()
 
     def resumed(self) -> None:
-        """Take in that this node stood still."""
+        """Handle that this node was suspended."""
         self._channels.resumed()
 
     def handle(self, event: LimitEvent, now: float) -> list[Action]:
-        """Take in an event."""
+        """Handle an event."""
         actions = self.refresh_owners(now)
         match event:
             case PeerReceived(sender, message):
--- a/wingquay/forwarding/arrival/limits/limit_manager.py
+++ b/wingquay/forwarding/arrival/limits/limit_manager.py
@@ -1,4 +1,4 @@
-"""Keeps limits once a configuration states some; a node without them loads and does nothing."""
+"""Starts the enforcement of tenant limits once a configuration contains some."""
 
 import random
 import zlib
@@ -35,18 +35,21 @@
 
 
 class LimitManager:
-    """Follows the configuration and the link to other nodes.
+    """Passes configurations and events to the distributed limits.
+
+    The modules of the distributed limits are imported on first use, so that a node without limits
+    does not load them.
 
     Parameters
     ----------
     name
-        This node's name.
+        Name of this node.
     members
-        The nodes of the store.
+        The nodes listed in the store.
     admission
-        Is told who counts the requests of tenants.
+        Receives the object that counts the requests of tenants.
     on_decision
-        Goes on with a request whose answer has come.
+        Continues a request once its limit was decided.
     """
 
     def __init__(
@@ -68,7 +71,13 @@
         self._is_open = False
 
     def handle(self, event: Event, table: RoutingTable | None, now: float) -> list[Action]:
-        """Take in an event, after all other parts, and the configuration in force."""
+        """Handle an event after all other parts have handled it.
+
+        Parameters
+        ----------
+        table
+            The configuration in force; ``None`` if there is none yet.
+        """
         if isinstance(event, PeerLinkOpened):
             self._own = event.identity
         actions: list[Action] = []
--- a/wingquay/forwarding/arrival/limits/limit_settings.py
+++ b/wingquay/forwarding/arrival/limits/limit_settings.py
@@ -1,28 +1,28 @@
-"""What the platform allows of a tenant's requests, and which way nodes go."""
+"""Settings of the tenant limits."""
 
 from ....model.value import value
 
 HOT_RATIO = 0.5
-"""Part of the allowance from which on a tenant is hot. Below it, what arrives until all nodes know
-(some 30 ms) would have to be another half to exceed the limit: 800 requests a second of a tenant of
-50 in 5 s."""
+"""Share of the allowance at which a tenant becomes hot. It leaves room for the requests that arrive
+before all nodes are notified."""
 
 ASK_FIRST_RATIO = HOT_RATIO
-"""Part of the allowance from which on nodes ask before they begin a request; 0: always. Busy nodes
-send less than half of the messages for it, and a caller of a calm tenant waits for nobody there."""
+"""Share of the allowance at which nodes ask an owner before they start a request; 0 means always.
+Below it, requests start without a network round trip."""
 
 
 @value
 class LimitSettings:
-    """What the platform allows, and which way nodes go.
+    """The bound on a tenant's requests and when nodes ask an owner first.
 
     Parameters
     ----------
     window_seconds, overage, slack
-        Requests of a tenant that run in each window of that length: what its limit allows times one
-        more than the second figure, plus the third, at most.
+        At most ``allowance * (1 + overage) + slack`` requests of a tenant run in each window of
+        this length, where the allowance follows from the tenant's limit.
     ask_first_ratio
-        Part of the allowance from which on nodes ask before they begin a request; 0: always.
+        Share of the allowance at which nodes ask an owner before they start a request; 0 means
+        always.
     """
 
     window_seconds: float = 5.0
--- a/wingquay/forwarding/arrival/limits/owner_channel.py
+++ b/wingquay/forwarding/arrival/limits/owner_channel.py
@@ -1,4 +1,4 @@
-"""What a node has told one owner, and whether that owner can be reached."""
+"""Reports from this node to one owner, and whether that owner is reachable."""
 
 from collections import deque
 from dataclasses import dataclass
@@ -9,53 +9,49 @@
 from ...timers import LimitAckDue, LimitProbeDue, LimitReportDue
 
 REPORT_DELAY_SECONDS = 0.015
-"""Time for which what was begun is gathered before the owner is told. A tenant that sends 800
-requests a second exceeds its limit by 12 more for it."""
+"""Time for which started requests are collected before they are reported."""
 MIN_REPORT_INTERVAL_SECONDS = 0.1
-"""Least time between two tellings. A node with 120 requests a second tells each of 8 owners ten
-times a second so, with three tenants each time, and stays below 12 KB/s with the answers."""
+"""Minimum time between two reports, which bounds the network traffic."""
 REPLY_TIMEOUT_SECONDS = 0.3
-"""Time without an answer after which an owner counts as out of reach. Nodes answer within a few
-milliseconds, starved ones within 0.1 s; what is begun at once meanwhile is not known elsewhere."""
+"""Time without a reply after which an owner is considered unreachable."""
 CONTACT_VALID_SECONDS = 0.3
-"""Time for which an owner that was heard counts as in touch, so that requests may begin before it
-knows of them. Without this bound every node that is cut off would begin one more at any time, 70
-requests of a tenant whose limit leaves room for 5; with it, only what arrives in this time. So
-nodes with few requests ask first, which costs them the same messages, and busy nodes need not."""
+"""Time after a reply during which requests may start before the owner has permitted them. It bounds
+the number of requests that nodes start after they are cut off. Nodes with few requests therefore
+ask first."""
 MIN_PROBE_SECONDS = 0.5
-"""Time after which an owner that was out of reach is told something again, only to be answered."""
+"""Time between the first two probes of an unreachable owner."""
 MAX_PROBE_SECONDS = 4.0
-"""The same when it stays away: half of the calls' windows lie behind until it is asked again."""
+"""Maximum time between two probes of an unreachable owner."""
 
 
 @dataclass(slots=True, eq=False)
 class _Report:
-    """What one message told."""
+    """The contents of one report message."""
 
     sequence: int
     sent_at: float
     counts: dict[str, int]
     without_permit: dict[str, int]
-    """How many of them no owner has permitted."""
+    """Started requests by tenant that no owner has permitted."""
 
 
 class OwnerChannel:
-    """Tells one owner what this node has begun, and knows by its answers whether it is there.
+    """Reports started requests to one owner and detects by its replies whether it is reachable.
 
     Parameters
     ----------
     owner
         The owner.
     window_seconds
-        After this time nothing that was begun counts any more.
+        Time for which a request counts.
     """
 
     def __init__(self, owner: NodeIdentity, window_seconds: float) -> None:
         self.owner = owner
         self.is_lost = False
-        """Whether it is out of reach."""
+        """Whether the owner is considered unreachable."""
         self.asks_first = True
-        """Whether it wants to be asked before every request; so until it has said otherwise."""
+        """Whether the owner wants to permit every request; true until it replies otherwise."""
         self._window_seconds = window_seconds
         self._pending: dict[str, int] = {}
         self._without_permit: dict[str, int] = {}
@@ -64,7 +60,8 @@
         self._is_due = False
         self._last_reply_at = float("-inf")
         self._ask_first_until = float("-inf")
-        """Until when it is asked first: it may have said of hot tenants what was never heard."""
+        """Time until which the owner is asked first, since its messages about hot tenants may be
+        lost."""
         self._sequence = 0
         self._reported_at = float("-inf")
         self._reports: deque[_Report] = deque()
@@ -72,7 +69,7 @@
         self._probe_seconds = MIN_PROBE_SECONDS
 
     def may_start_unasked(self, name: str, now: float) -> bool:
-        """Whether requests of a tenant may begin before this owner knows of them."""
+        """Return whether requests of a tenant may start before this owner has permitted them."""
         if self.is_lost or self.asks_first or now < self._ask_first_until:
             return False
         if now >= self._last_reply_at + CONTACT_VALID_SECONDS:
@@ -80,13 +77,13 @@
         return now >= self._hot_until.get(name, now)
 
     def set_hot(self, name: str, seconds: float, now: float) -> None:
-        """Take in for how long it is to be asked first for a tenant; 0: no longer."""
+        """Store for how long this owner must be asked first for a tenant; 0 ends it."""
         if seconds > 0:
             self._hot_until[name] = now + seconds
         else:
             self._hot_until.pop(name, None)
 
-    # Telling
+    # Reports
 
     def note(
         self,
@@ -96,14 +93,16 @@
         charged: int = 0,
         is_without_permit: bool = False,
     ) -> list[Action]:
-        """Take in what is to be told.
+        """Add requests to the next report.
 
         Parameters
         ----------
+        requests
+            Number of started requests; negative if they are given back.
         charged
-            What another owner may not know of.
+            Requests that the tenant's other owner may not have received.
         is_without_permit
-            Whether the requests were begun without any owner's word.
+            Whether the requests were started without a permit from any owner.
         """
         if is_without_permit:
             self._without_permit[name] = self._without_permit.get(name, 0) + requests
@@ -119,7 +118,7 @@
         return [Schedule(due_at, LimitReportDue(self.owner.node_id))]
 
     def send_report(self, now: float, is_probe: bool = False) -> list[Action]:
-        """Send what is to be told; a probe is sent although there is nothing."""
+        """Send the pending report; a probe is sent even if it is empty."""
         self._is_due = False
         self._drop_expired(now)
         if self.is_lost and not is_probe:
@@ -145,13 +144,13 @@
         return [SendToPeer(self.owner, message), Schedule(now + REPLY_TIMEOUT_SECONDS, timeout)]
 
     def acknowledged(self, sequence: int, now: float) -> list[Action]:
-        """Take in that all up to a message has been counted; return what is told next."""
+        """Handle that the owner has counted all reports up to a sequence number."""
         while self._reports and self._reports[0].sequence <= sequence:
             self._reports.popleft()
         return self.received_reply(now)
 
     def received_reply(self, now: float) -> list[Action]:
-        """Take in that the owner has answered."""
+        """Handle any reply of the owner."""
         self._last_reply_at = now
         was_lost = self.is_lost
         self.is_lost = False
@@ -162,19 +161,20 @@
         log = Log("limit_owner_back", LogLevel.INFO, (("owner", self.owner.node_id),))
         return [log, *self.send_report(now)]
 
-    # Silence
+    # Unreachable owners
 
     def is_silent(self, sequence: int) -> bool:
-        """Whether a message that was sent a while ago has not been acknowledged."""
+        """Return whether the report with this sequence number is still unacknowledged."""
         return bool(self._reports) and self._reports[0].sequence <= sequence
 
     def mark_lost(self, now: float) -> tuple[dict[str, int], list[Action]]:
-        """Take the owner as out of reach.
+        """Mark the owner as unreachable.
 
         Returns
         -------
         tuple
-            What no owner may know of, by tenant, and the next try to reach it.
+            Requests by tenant that no owner may have counted, and the action that schedules a
+            probe.
         """
         if self.is_lost:
             return {}, []
@@ -189,7 +189,7 @@
         return unknown, [Schedule(now + self._probe_seconds, probe)]
 
     def link_broken(self, now: float) -> tuple[dict[str, int], list[Action]]:
-        """Take in that the link is gone and with it, maybe, what was told; it is told again."""
+        """Handle that the link is broken: reports that may be lost are queued again."""
         lost = self.mark_lost(now)
         self.asks_first = True
         self._hot_until.clear()
@@ -202,7 +202,7 @@
         return lost
 
     def probe(self, now: float) -> list[Action]:
-        """Try to reach the owner again, less often the longer it is away."""
+        """Probe the owner, with an interval that doubles up to its maximum."""
         if not self.is_lost:
             return []
         self._probe_seconds = min(2.0 * self._probe_seconds, MAX_PROBE_SECONDS)
--- a/wingquay/forwarding/arrival/limits/owner_channels.py
+++ b/wingquay/forwarding/arrival/limits/owner_channels.py
@@ -1,4 +1,4 @@
-"""All owners as a node sees them: what it has told each, and which are out of reach."""
+"""Reports from this node to all owners, and which owners are reachable."""
 
 from collections.abc import Iterable
 
@@ -12,14 +12,16 @@
 
 
 class OwnerChannels:
-    """Tells owners what this node has begun; itself without a message.
+    """Reports started requests to the owners.
+
+    If this node is an owner itself, it counts the requests directly.
 
     Parameters
     ----------
     owners
-        Who owns which tenant.
+        The owners of each tenant.
     window_seconds
-        For how long a request counts.
+        Time for which a request counts.
     """
 
     def __init__(self, owners: TenantOwners, window_seconds: float) -> None:
@@ -27,16 +29,16 @@
         self._window_seconds = window_seconds
         self._channels: dict[str, OwnerChannel] = {}
         self.own: NodeIdentity | None = None
-        """This node; ``None``: the link to others is not open."""
+        """This node; ``None`` until the link to other nodes is open."""
         self.role: OwnerRole | None = None
-        """What this node does as an owner."""
+        """The owner role of this node; ``None`` until the link to other nodes is open."""
 
     def is_own(self, node: NodeIdentity) -> bool:
-        """Whether a node is this one."""
+        """Return whether a node is this one."""
         return self.own is not None and node.node_id == self.own.node_id
 
     def get(self, owner: NodeIdentity) -> OwnerChannel:
-        """Return what is known of an owner."""
+        """Return the channel to an owner; create it if there is none."""
         channel = self._channels.get(owner.node_id)
         if channel is None:
             channel = OwnerChannel(owner, self._window_seconds)
@@ -51,7 +53,7 @@
         now: float,
         is_without_permit: bool = False,
     ) -> list[Action]:
-        """Tell owners of a tenant, soon, that requests were begun, or ran nowhere."""
+        """Report started requests, or requests that are given back, to owners of a tenant."""
         actions: list[Action] = []
         for owner in owners:
             if not self.is_own(owner):
@@ -61,7 +63,7 @@
         return actions
 
     def owners_changed(self, now: float) -> list[Action]:
-        """Open connections to the owners, and ask all of them first until they say otherwise."""
+        """Open connections to the owners; ask first until they reply otherwise."""
         ids = {owner.node_id for owner in self._owners.identities}
         for node_id in [node_id for node_id in self._channels if node_id not in ids]:
             del self._channels[node_id]
@@ -75,14 +77,14 @@
         return actions
 
     def resumed(self) -> None:
-        """Ask first until owners say otherwise: what they said may lie unread."""
+        """Ask first after a suspension, since messages of the owners may still be unread."""
         for channel in self._channels.values():
             channel.asks_first = True
 
     def acknowledged(
         self, sender: NodeIdentity, message: LimitAcknowledgement, now: float
     ) -> list[Action]:
-        """Take in what an owner has counted, and of which tenants it wants to be asked first."""
+        """Handle an owner's acknowledgement, including its list of hot tenants."""
         channel = self.get(sender)
         channel.asks_first = message.asks_first
         for name, seconds in zip(message.hot, message.hot_seconds, strict=True):
@@ -90,7 +92,7 @@
         return channel.acknowledged(message.sequence, now) if message.sequence else []
 
     def due(self, event: LimitReportDue | LimitAckDue | LimitProbeDue, now: float) -> list[Action]:
-        """Tell, look whether an owner is silent, or try to reach it again."""
+        """Send a report, check whether an owner has replied, or probe it."""
         channel = self._channels.get(event.node_id)
         if channel is None:
             return []
@@ -105,7 +107,7 @@
                 )
 
     def mark_lost(self, node_id: str, now: float, is_broken: bool = False) -> list[Action]:
-        """Take an owner as out of reach, and charge what it may not know to the second ones."""
+        """Mark an owner as unreachable; charge its unacknowledged requests to the second owner."""
         channel = self._channels.get(node_id)
         if channel is None:
             return []
--- a/wingquay/forwarding/arrival/limits/owner_role.py
+++ b/wingquay/forwarding/arrival/limits/owner_role.py
@@ -1,4 +1,4 @@
-"""What a node does for the tenants that it owns: counts, permits, and says who asks first."""
+"""What a node does as an owner of tenants: count, permit, and mark tenants as hot."""
 
 from collections.abc import Callable, Mapping
 
@@ -21,25 +21,25 @@
 from .tenant_usage import OwnerStatus, Permit, TenantUsage
 
 HOT_WINDOWS = 2.0
-"""Windows for which a tenant stays hot after it was last near its limit: one for the requests that
-still count, and one so that a tenant around the threshold is not told about again and again."""
+"""Windows for which a tenant stays hot after it was last near its limit. The second one avoids
+repeated notifications for a tenant around the threshold."""
 MAX_WAITING = 1_000
-"""Questions that wait for a loan; with a few milliseconds for one, far more than arrive."""
+"""Maximum number of permit requests that wait for a loan."""
 
 
 class OwnerRole:
-    """Counts and permits the requests of tenants that this node owns by its own view.
+    """Counts and permits the requests of tenants that this node owns.
 
     Parameters
     ----------
     settings
-        The window, and from which part of the allowance on nodes ask first.
+        The window, and the usage from which on nodes ask first.
     own
         This node.
     owners
-        Who owns which tenant.
+        The owners of each tenant.
     reachable
-        Returns the other nodes that can be told.
+        Returns the other nodes that can be notified.
     """
 
     def __init__(
@@ -56,24 +56,24 @@
         self._tenants: Mapping[str, Tenant] = {}
         self._usages: dict[str, TenantUsage] = {}
         self.sync = OwnerSync(settings, own, owners, self._get_usage, self._get_budget)
-        """Borrows and learns from the other owners."""
+        """Exchange of loans and records with the other owners."""
         self._hot: set[str] = set()
         self._waiting: list[tuple[NodeIdentity, LimitAsk]] = []
         self._notified_asks_first = False
-        """Whether nodes were told to ask before every request."""
+        """Whether nodes were last notified to ask before every request."""
 
     @property
     def tenants(self) -> int:
-        """The number of tenants of which something is known."""
+        """Number of tenants with stored usage."""
         return len(self._usages)
 
     @property
     def is_owner(self) -> bool:
-        """Whether this node owns tenants by its own view."""
+        """Return whether this node is one of the owners."""
         return self._own in self._owners.identities
 
     def set_tenants(self, tenants: Mapping[str, Tenant], now: float) -> list[Action]:
-        """Take in the limits in force; what ran so far goes on counting."""
+        """Apply the limits in force; requests counted so far still count."""
         self._tenants = {
             name: tenant for name, tenant in tenants.items() if tenant.requests_per_second > 0
         }
@@ -86,7 +86,7 @@
         return actions
 
     def count(self, name: str, requests: int, charged: int, now: float) -> list[Action]:
-        """Take in requests that a node has begun, or takes back."""
+        """Count requests that a node has started or gives back."""
         tenant = self._tenants.get(name)
         if tenant is None:
             return []
@@ -97,7 +97,7 @@
         return self._mark_hot(name, usage, now)
 
     def reported(self, sender: NodeIdentity, message: LimitTell, now: float) -> list[Action]:
-        """Take in what a node has begun, and acknowledge it."""
+        """Count the requests in a node's report and acknowledge it."""
         self.sync.refresh_listing(now)
         actions: list[Action] = []
         for name, requests, charged in zip(
@@ -111,7 +111,7 @@
         return [*actions, SendToPeer(sender, answer)]
 
     def permit_requested(self, sender: NodeIdentity, message: LimitAsk, now: float) -> list[Action]:
-        """Answer whether a request may begin; a question waits for a loan that is on its way."""
+        """Reply whether a request may start; wait with the reply if a loan is pending."""
         permit, actions = self.permit(message.tenant, now)
         usage = self._usages.get(message.tenant)
         is_short = permit.verdict is LimitVerdict.ELSEWHERE and len(self._waiting) < MAX_WAITING
@@ -142,27 +142,27 @@
         return permit, [refused, *self._borrow(name, usage, now)]
 
     def asks_first(self, now: float) -> bool:
-        """Whether nodes ask before every request.
+        """Return whether nodes must ask before every request.
 
-        Always where they are set to; else as long as this owner may have to permit less than what
-        lets a tenant count as calm.
+        This is the case if the settings say so, or while this owner may have to permit less than
+        the threshold at which a tenant becomes hot.
         """
         if self._settings.ask_first_ratio <= 0:
             return True
         return not self.sync.is_settled(now) or not self.sync.is_listed(now)
 
     def owners_changed(self, now: float) -> list[Action]:
-        """Ask the other owners what they know: this node may own other tenants from now on.
+        """Request the records of the other owners, since this node may now own other tenants.
 
-        Until a window is over, nodes ask first: those that have not seen the change go on telling
-        the former owners what they begin.
+        For one window, nodes must ask first: those with an older list of owners still report to the
+        former owners.
         """
         if not self.is_owner:
             return []
         return [*self.sync.owners_changed(now), *self._notify_all(now)]
 
     def _notify_all(self, now: float) -> list[Action]:
-        """Tell all nodes whether they ask first."""
+        """Notify all nodes whether they must ask first."""
         self._notified_asks_first = self.asks_first(now)
         notification = LimitAcknowledgement(0, self._notified_asks_first)
         return [SendToPeer(node, notification) for node in self._reachable(now)]
@@ -170,7 +170,7 @@
     def owners_message(
         self, sender: NodeIdentity, message: LimitOwnersRequest | LimitOwnersReply, now: float
     ) -> list[Action]:
-        """Take in what another owner wants or tells."""
+        """Handle a request or reply of another owner."""
         self.sync.refresh_listing(now)
         if isinstance(message, LimitOwnersRequest):
             return self.sync.requested(sender, message, self._tenants, now)
@@ -178,7 +178,7 @@
         return self._retry_waiting(now)
 
     def _retry_waiting(self, now: float) -> list[Action]:
-        """Answer the questions that waited for a loan."""
+        """Answer the permit requests that waited for a loan."""
         waiting, self._waiting = self._waiting, []
         actions: list[Action] = []
         for sender, message in waiting:
@@ -186,7 +186,7 @@
         return actions
 
     def due(self, now: float) -> list[Action]:
-        """Borrow again what is needed, and see which tenants are calm again."""
+        """Renew loans, mark tenants as calm and drop unused records."""
         self.sync.refresh_listing(now)
         actions = self._retry_waiting(now)
         if self._notified_asks_first != self.asks_first(now):
@@ -200,7 +200,7 @@
     # Hot tenants
 
     def _mark_hot(self, name: str, usage: TenantUsage, now: float) -> list[Action]:
-        """Tell all nodes to ask first, and borrow, once a tenant is near its limit."""
+        """Notify all nodes to ask first, and borrow, once a tenant is near its limit."""
         if not self._is_near_limit(name, now):
             return []
         usage.hot_until = now + HOT_WINDOWS * self._settings.window_seconds
@@ -220,7 +220,7 @@
         return [*actions, Log("limit_hot", LogLevel.INFO, fields)]
 
     def _borrow(self, name: str, usage: TenantUsage, now: float) -> list[Action]:
-        """Borrow the second owner's part just before it is needed."""
+        """Borrow from the second owner shortly before the requests are needed."""
         loan = self._required_loan(name, now)
         if not usage.should_borrow(loan, now):
             return []
@@ -229,14 +229,14 @@
         return self.sync.borrow({name: loan}, now)
 
     def _required_loan(self, name: str, now: float) -> int:
-        """Return how much more than its own part this owner, if the primary, needs."""
+        """Return the loan that this owner needs; 0 if it is not the primary."""
         if not self._is_primary(name):
             return 0
         counted = self._usages[name].counted.total(now)
         return self._budget(self._tenants[name]).required_loan(counted)
 
     def _mark_calm(self, now: float) -> list[Action]:
-        """See which tenants are calm again."""
+        """End the hot state of tenants whose usage has dropped."""
         actions: list[Action] = []
         for name in sorted(self._hot):
             usage = self._usages[name]
@@ -249,7 +249,7 @@
         return actions
 
     def _is_near_limit(self, name: str, now: float) -> bool:
-        """Whether a tenant has had the part of its allowance from which on more is needed."""
+        """Return whether the usage of a tenant has reached the threshold of the hot state."""
         tenant = self._tenants.get(name)
         if tenant is None:
             return False
@@ -265,7 +265,7 @@
         return 0.0 if usage is None else max(usage.hot_until - now, 0.0)
 
     def _borrowing(self, now: float) -> dict[str, int]:
-        """Return the tenants whose loans are needed further, and how much of each."""
+        """Return the size of each loan that is still needed, by tenant."""
         loans = {name: self._required_loan(name, now) for name in sorted(self._hot)}
         return {name: loan for name, loan in loans.items() if loan}
 
--- a/wingquay/forwarding/arrival/limits/owner_sync.py
+++ b/wingquay/forwarding/arrival/limits/owner_sync.py
@@ -1,8 +1,8 @@
-"""What the two owners of a tenant lend and tell each other.
+"""Loans and records that the two owners of a tenant exchange.
 
-The primary borrows the second owner's part while a tenant is hot, so that a cut between them can
-let neither go on with more than its own part: the loan ends by the lender's clock after it has
-ended by the borrower's. An owner that has just become it learns the last window from the other one.
+The primary borrows from the second owner while a tenant is hot. A loan expires at the borrower
+before it expires at the lender, so a network partition lets neither exceed its part. A new owner
+requests the records of the last window from the other owner.
 """
 
 from collections.abc import Callable, Iterable, Mapping
@@ -16,22 +16,22 @@
 from .tenant_usage import OwnerStatus, TenantUsage
 
 LOAN_SECONDS = 1.0
-"""How long a loan lasts. A cut ends it so soon; a hot tenant costs two messages in half of it."""
+"""Duration of a loan at the borrower."""
 LOAN_MARGIN_SECONDS = 0.1
-"""How much longer the lender keeps to it: clocks of machines run apart by far less in a second."""
+"""Additional duration of a loan at the lender; covers the difference between their clocks."""
 SYNC_INTERVAL_SECONDS = 0.5
-"""Time between two requests to other owners: a lost one leaves time for another within a loan."""
+"""Time between two requests to other owners; allows for one lost request per loan."""
 
 
 class OwnerSync:
-    """Borrows, lends, learns and tells.
+    """Exchanges loans and records with the other owners.
 
     Parameters
     ----------
     get_usage
-        Returns what is known of a tenant.
-    compute_budget
-        Returns the parts of its bound; ``None``: it has none.
+        Returns the usage of a tenant.
+    get_budget
+        Returns the budget of a tenant; ``None`` if it has no limit.
     """
 
     def __init__(
@@ -50,21 +50,22 @@
         self._request_id = 0
         self._sent_at: dict[int, float] = {}
         self._unknown_tenants: dict[str, frozenset[str]] = {}
-        """Owners, by id, that have told all they know since the owners last changed, and the
-        tenants of which they knew nothing."""
+        """Tenants whose window was unknown to an owner, by the id of the owner. Contains the owners
+        that have sent all their records since the owners last changed."""
         self._changed_at = float("inf")
         self._listed_since = float("-inf")
         self._was_listed = True
         self._has_been_listed = False
         self.was_listed_before_start: Callable[[], bool] = lambda: True
-        """Whether the key stood in the store before this life; replaced by whoever knows."""
+        """Returns whether the key was in the store before this incarnation; set by the caller."""
         self._confirmed_at: dict[str, float] = {}
-        """When owners, by id, were last asked that have the same view of who the owners are."""
+        """When requests were sent to owners that have since confirmed the same list of owners, by
+        id."""
         self.is_listed: Callable[[float], bool] = lambda _: True
-        """Whether this node's key is sure to stand in the store; replaced by whoever knows."""
+        """Returns whether this node's key is certainly in the store; set by the caller."""
 
     def refresh_listing(self, now: float) -> None:
-        """See whether this node's key stands again: others may have been owners meanwhile."""
+        """Restart the window if this node's key was missing: other nodes may have been owners."""
         is_listed = self.is_listed(now)
         if is_listed and not self._was_listed and not self._is_first_listing():
             self._listed_since = now
@@ -74,18 +75,18 @@
         self._was_listed = is_listed
 
     def _is_first_listing(self) -> bool:
-        """Whether this life renews the key of the last one, so that no other took its place."""
+        """Return whether this incarnation has only renewed the key of the previous one."""
         return not self._has_been_listed and self.was_listed_before_start()
 
     def is_settled(self, now: float) -> bool:
-        """Whether the owners have been the same for a window."""
+        """Return whether the owners have been the same for a window."""
         return now >= self._changed_at + self._settings.window_seconds
 
     def status(self, name: str, position: int, is_alone: bool, now: float) -> OwnerStatus:
-        """Return what this node may go by for a tenant.
+        """Return what this node may base its permits for a tenant on.
 
-        Whoever was the second owner until now goes on as that for a window: the first one may not
-        know yet that it is no longer the first.
+        A former second owner keeps that role for a window, since the former primary may not have
+        received the change yet.
         """
         window_seconds = self._settings.window_seconds
         own = self._own.node_id
@@ -103,9 +104,9 @@
         return OwnerStatus(True, False, is_alone, known_at - now)
 
     def _second_status(self, known_at: float, is_alone: bool, now: float) -> OwnerStatus:
-        """Return the standing of a second owner, whose earlier life may have lent its part."""
+        """Return the status of a second owner; its previous incarnation may have lent requests."""
         known_at += LOAN_SECONDS + LOAN_MARGIN_SECONDS
-        # While its key may have lapsed, two others may divide all between them.
+        # While its key may have expired, two other nodes may divide the whole budget.
         is_known = now >= known_at and self.is_listed(now)
         return OwnerStatus(False, is_known, is_alone, max(known_at - now, SYNC_INTERVAL_SECONDS))
 
@@ -118,14 +119,14 @@
         )
 
     def _has_all_records_of(self, other: NodeIdentity) -> bool:
-        """Whether another owner has told all that it could tell."""
+        """Return whether another owner has sent the records of all tenants."""
         return self._unknown_tenants.get(other.node_id) == frozenset()
 
     def _is_still_primary(self, name: str, now: float) -> bool:
-        """Whether no other node can have become the primary owner without this one's knowledge.
+        """Return whether no other node can have become the primary owner unnoticed.
 
-        A node's key may lapse while it cannot reach the store. Then it goes on only as long as the
-        second owner, who would take its place, reaches the store and sees it in the first one.
+        A key may expire while its node cannot reach the store. The node then remains primary only
+        as long as the second owner, its successor, confirms the same list of owners from the store.
         """
         if self.is_listed(now):
             return True
@@ -135,16 +136,16 @@
             for item in self._owners.get(name)[1:]
         )
 
-    # Asking
+    # Requests to other owners
 
     def owners_changed(self, now: float) -> list[Action]:
-        """Ask the other owners for what they know."""
+        """Request the records of the other owners."""
         self._changed_at = self._owners.since
         self._unknown_tenants.clear()
         return self._query_others(True, {}, now)
 
     def borrow(self, loans: Mapping[str, int], now: float) -> list[Action]:
-        """Ask the second owners of tenants to lend so much."""
+        """Request loans from the second owners of tenants."""
         wanted: dict[str, dict[str, int]] = {}
         for name, loan in loans.items():
             for other in self._owners.get(name)[1:]:
@@ -152,7 +153,7 @@
         return self._query_others(False, wanted, now)
 
     def due(self, borrowing: Mapping[str, int], now: float) -> list[Action]:
-        """Renew loans, and ask again for what is not known."""
+        """Renew loans, and repeat requests for missing records."""
         self._sent_at = {key: at for key, at in self._sent_at.items() if at > now - LOAN_SECONDS}
         return [
             *self._query_others(not self.is_settled(now), {}, now),
@@ -182,7 +183,7 @@
         return actions
 
     def replied(self, sender: NodeIdentity, reply: LimitOwnersReply, now: float) -> None:
-        """Take in what another owner lends and knows; a reply that is too late lends nothing."""
+        """Apply the loans and records of a reply; a late reply lends nothing."""
         sent_at = self._sent_at.pop(reply.request_id, None)
         if sent_at is None:
             return
@@ -200,7 +201,7 @@
                 entries = list(zip(record.ages_seconds, record.counts, strict=True))
                 self._get_usage(record.tenant).counted.merge(entries, now)
 
-    # Being asked
+    # Requests from other owners
 
     def requested(
         self,
@@ -209,15 +210,15 @@
         names: Iterable[str],
         now: float,
     ) -> list[Action]:
-        """Lend and tell.
+        """Reply to another owner with loans and records.
 
         Parameters
         ----------
         names
-            All tenants that have a limit.
+            All tenants with a limit.
         """
         lent, loans = self._lend(sender, request, now)
-        # Who is cut off from the store as well cannot tell whether others became owners.
+        # A node that may be cut off from the store cannot confirm the list of owners.
         is_same_view = request.owners == self._owners.digest and self.is_listed(now)
         sends_records = is_same_view and request.wants_records
         shared = (
@@ -238,7 +239,7 @@
     def _lend(
         self, sender: NodeIdentity, request: LimitOwnersRequest, now: float
     ) -> tuple[tuple[str, ...], tuple[int, ...]]:
-        """Lend what is wanted, as far as it may be."""
+        """Lend the requested numbers, as far as allowed."""
         until = now + LOAN_SECONDS + LOAN_MARGIN_SECONDS
         loans: dict[str, int] = {}
         for name, wanted in zip(request.wants_loans, request.wanted, strict=True):
@@ -248,7 +249,7 @@
         return tuple(loans), tuple(loans.values())
 
     def _may_lend(self, name: str, sender: NodeIdentity, now: float) -> bool:
-        """Whether the sender is the primary, and this node knows what it permitted itself."""
+        """Return whether the sender is the primary and this node's own permits are all recorded."""
         own = self._own.node_id
         if (
             self._owners.position(name, sender.node_id) != 0
--- a/wingquay/forwarding/arrival/limits/requester_role.py
+++ b/wingquay/forwarding/arrival/limits/requester_role.py
@@ -1,4 +1,4 @@
-"""What a node does with a tenant's request: begins it at once, asks an owner first, or refuses."""
+"""Decides whether a node starts a request, asks an owner for a permit first, or refuses it."""
 
 import random
 from collections.abc import Callable, Iterable
@@ -23,18 +23,16 @@
 from .tenant_usage import MIN_RETRY_SECONDS
 
 SECOND_OWNER_DELAY_SECONDS = 0.05
-"""Time after which the second owner is asked as well, when the primary is out of reach and this
-node has not noticed yet: a request waits for an answer for a fifth of its objective only, which is
-0.08 s for the most urgent ones. Nodes answer within a few milliseconds."""
+"""Time after which the second owner is asked as well. It is short because a request waits only a
+fraction of its objective for a permit."""
 MAX_UNREACHABLE_RETRY_SECONDS = 1.0
-"""Longest time that a caller is told when no owner could permit its request: a cut may end, and a
-restarted owner may learn the last window, at any time."""
+"""Maximum retry time sent to a caller when no owner could decide: a network partition or the
+restart of an owner may end soon."""
 RETRY_JITTER = 0.1
-"""Part of the time told to callers that is drawn on top, so that those who were refused together do
-not return together."""
+"""Maximum random addition to retry times, as a share of them; prevents simultaneous retries."""
 
 MAX_LATE_QUERIES = 1_000
-"""Questions whose late answers are still told apart: as many as requests that may wait."""
+"""Maximum number of decided queries for which late replies are still matched."""
 
 OVER_REASON = "the tenant has had the requests that its limit allows"
 UNREACHABLE_REASON = "no owner of the tenant's limit can permit the request now"
@@ -43,7 +41,7 @@
 
 @dataclass(slots=True, eq=False)
 class _PermitQuery:
-    """A request that waits for an owner's word."""
+    """A request that waits for a permit from an owner."""
 
     tenant: Tenant
     exchange_id: int
@@ -51,25 +49,25 @@
     waiting_for: set[str] = field(default_factory=set)
     excluded: set[str] = field(default_factory=set)
     overdue: set[str] = field(default_factory=set)
-    """Owners whose answer is no longer waited for."""
+    """Owners that have not replied in time."""
     retry_after_seconds: float = 0.0
 
 
 class RequesterRole:
-    """Counts the requests that this node begins, over all nodes.
+    """Counts the requests that start at this node, through the owners of their tenants.
 
     Parameters
     ----------
     settings
-        The bound, and from when on owners are asked first.
+        The bound on requests, and from which usage on owners are asked first.
     owners
-        Who owns which tenant.
-    contacts
-        What the owners were told, and which can be reached.
+        The owners of each tenant.
+    channels
+        The reports to the owners, and which owners are reachable.
     reserve
-        What may run when none can.
+        Requests that may start while no owner is reachable.
     random_source
-        Spreads the times that callers are told.
+        Adds jitter to the retry times sent to callers.
     """
 
     def __init__(
@@ -87,18 +85,18 @@
         self._random = random_source
         self._queries: dict[int, _PermitQuery] = {}
         self._waiting: dict[int, int] = {}
-        """The questions of requests, by the node's number of the request."""
+        """Query ids by exchange id."""
         self._late: dict[int, _PermitQuery] = {}
-        """Questions that were settled before all who were asked had answered."""
+        """Decided queries for which some owners have not replied yet."""
         self._last_ask_id = 0
         self._outbox: list[Action] = []
         self.on_decision: Callable[[int, Admitted | Rejected, float], list[Action]] = (
             lambda _exchange_id, _answer, _now: []
         )
-        """Goes on with a request whose answer has come; replaced by whoever composes the node."""
+        """Continues a request once its limit was decided; replaced when the node is assembled."""
 
     def take_actions(self) -> list[Action]:
-        """Return what is to be done besides the answers that were given."""
+        """Return and clear the queued actions."""
         taken, self._outbox = self._outbox, []
         return taken
 
@@ -107,7 +105,7 @@
     def admit(
         self, tenant: Tenant, exchange_id: int, now: float
     ) -> Admitted | Rejected | AwaitsLimit:
-        """Count a request, or say why it may not run now."""
+        """Count a request, or return why it may not start now."""
         if tenant.requests_per_second <= 0:
             return _ADMITTED
         pair = self._owners.get(tenant.name)
@@ -127,9 +125,10 @@
         return AwaitsLimit()
 
     def give_back(self, tenant: Tenant, exchange_id: int, now: float) -> None:
-        """Take back a request that has run on no replica and never will.
+        """Undo the count of a request that has run on no replica and will not.
 
-        One that still waits was not counted; what an owner permits for it later is given back then.
+        A request that still waits is not counted yet; a permit that arrives for it later is given
+        back then.
         """
         ask_id = self._waiting.get(exchange_id)
         if ask_id is not None:
@@ -143,12 +142,12 @@
             return False
         return self._channels.get(primary).may_start_unasked(name, now)
 
-    # Asking
+    # Permit queries
 
     def _query_next(
         self, ask_id: int, query: _PermitQuery, now: float
     ) -> Admitted | Rejected | None:
-        """Ask the next owner that may answer; ``None``: an answer is awaited."""
+        """Query the next owner; return ``None`` while a reply is pending."""
         for owner in self._owners.get(query.tenant.name):
             node_id = owner.node_id
             if node_id in query.excluded or node_id in query.waiting_for:
@@ -168,7 +167,7 @@
         return None if query.waiting_for or is_opening else self._decide_by_reserve(query, now)
 
     def _query_own(self, query: _PermitQuery, now: float) -> Admitted | Rejected | None:
-        """Ask this node itself, which is an owner."""
+        """Decide at this node, which is an owner."""
         own, role = self._channels.own, self._channels.role
         if own is None or role is None:
             return None
@@ -185,7 +184,7 @@
         retry_seconds: float,
         now: float,
     ) -> Admitted | Rejected | None:
-        """Return what an owner's word means; ``None``: another one may say more."""
+        """Return the decision for an owner's verdict; ``None`` if another owner may decide."""
         if verdict is LimitVerdict.GRANTED:
             others = [
                 item for item in self._owners.get(query.tenant.name) if item.node_id != node_id
@@ -200,7 +199,7 @@
         return None
 
     def answered(self, sender: NodeIdentity, message: LimitAnswer, now: float) -> list[Action]:
-        """Take in an owner's word; what it permits too late is given back."""
+        """Handle an owner's reply; a permit that comes too late is given back."""
         channel = self._channels.get(sender)
         channel.asks_first = message.asks_first
         actions = channel.received_reply(now)
@@ -217,7 +216,7 @@
         return actions + self._advance(message.ask_id, query, answer, now)
 
     def query_due(self, event: LimitRequestDue, now: float) -> list[Action]:
-        """Ask another owner besides one that says nothing, and give up in the end."""
+        """Query the next owner if one has not replied; after the timeout stop waiting for it."""
         query = self._queries.get(event.ask_id) or self._late.get(event.ask_id)
         if query is None:
             return []
@@ -246,14 +245,14 @@
         return [*self.on_decision(query.exchange_id, answer, now), *self.take_actions()]
 
     def opened(self, now: float) -> list[Action]:
-        """Ask owners for the requests that waited for the link to other nodes."""
+        """Query owners for the requests that waited for the link to other nodes."""
         actions: list[Action] = []
         for ask_id, query in list(self._queries.items()):
             actions += self._advance(ask_id, query, None, now)
         return [*actions, *self.take_actions()]
 
     def _finish(self, ask_id: int) -> None:
-        """Forget a question, but for those who may still answer it."""
+        """Remove a query; keep it for late replies if some are still expected."""
         query = self._queries.pop(ask_id)
         del self._waiting[query.exchange_id]
         query.waiting_for |= query.overdue
@@ -265,7 +264,7 @@
     def _handle_late_answer(
         self, sender: NodeIdentity, message: LimitAnswer, now: float
     ) -> list[Action]:
-        """Give back what an owner has permitted for a request that did not wait for it."""
+        """Give back a permit for a request that no longer waits for it."""
         query = self._late.get(message.ask_id)
         if query is None or sender.node_id not in query.waiting_for:
             return []
@@ -277,7 +276,7 @@
         return self._channels.get(sender).note(query.tenant.name, -1, now)
 
     def owner_lost(self, node_id: str, now: float) -> list[Action]:
-        """Ask others where an owner that is out of reach was asked."""
+        """Query other owners where a reply of an unreachable owner was pending."""
         waiting = [
             (key, query) for key, query in self._queries.items() if node_id in query.waiting_for
         ]
--- a/wingquay/forwarding/arrival/limits/reserve.py
+++ b/wingquay/forwarding/arrival/limits/reserve.py
@@ -1,4 +1,4 @@
-"""Requests that a node lets run without asking anybody, when it reaches no owner of the tenant."""
+"""Requests that a node may start without a permit when it reaches no owner of the tenant."""
 
 from collections.abc import Callable
 
@@ -10,14 +10,15 @@
 
 
 class Reserve:
-    """Lets one request of a tenant run in a window, on a few nodes.
+    """Permits one request per tenant and window on a small number of nodes.
 
     Parameters
     ----------
     names
-        Returns the ids of all nodes of the store, reachable or not.
+        Returns the ids of all nodes listed in the store, reachable or not.
     started_at
-        When this life of the node began: what its last one let run is not known for a window.
+        Start of this incarnation of the node. The reserve is empty for one window afterwards, since
+        the previous incarnation may have used it.
     """
 
     def __init__(
@@ -29,7 +30,7 @@
         self._used: dict[str, SlidingWindowCounter] = {}
 
     def take(self, tenant: Tenant, own_id: str, now: float) -> bool:
-        """Let a request run if the node is one of the few and has its one left."""
+        """Return whether a request may start, and count it if so."""
         window_seconds = self._settings.window_seconds
         if now < self._started_at + window_seconds:
             return False
--- a/wingquay/forwarding/arrival/limits/sliding_window_counter.py
+++ b/wingquay/forwarding/arrival/limits/sliding_window_counter.py
@@ -1,17 +1,16 @@
-"""Counts requests in a window that slides, so that no moment is better than another for a burst."""
+"""Counts requests in a sliding window."""
 
 from collections import deque
 from dataclasses import dataclass
 
 BUCKET_SECONDS = 0.02
-"""Requests that came so near to each other are kept as one entry and leave the window with the last
-of them: 250 entries for a window of 5 s, however many requests a tenant sends. A caller at its
-limit loses 0.4% of it so."""
+"""Width of a bucket. All requests of a bucket leave the window with its last one, which bounds
+memory at a small loss of precision."""
 
 
 @dataclass(slots=True, eq=False)
 class _Bucket:
-    """Requests that came at about the same time."""
+    """Requests that arrived within one bucket width."""
 
     first_at: float
     last_at: float
@@ -19,12 +18,12 @@
 
 
 class SlidingWindowCounter:
-    """How many requests there were within the last window; never less than there were.
+    """Counts the requests of the last window; never counts too few.
 
     Parameters
     ----------
     window_seconds
-        For how long a request counts.
+        Time for which a request counts.
     """
 
     def __init__(self, window_seconds: float) -> None:
@@ -33,14 +32,14 @@
         self._total = 0
 
     def total(self, now: float) -> int:
-        """Return the number of requests that still count."""
+        """Return the number of requests in the window."""
         entries = self._buckets
         while entries and entries[0].last_at <= now - self._window_seconds:
             self._total -= entries.popleft().requests
         return self._total
 
     def add(self, requests: int, at: float) -> None:
-        """Count requests; times that go back count as the last one."""
+        """Count requests; ``at`` may be earlier than the last one, which then stays the latest."""
         last = self._buckets[-1] if self._buckets else None
         self._total += requests
         if last is not None and at < last.first_at + BUCKET_SECONDS:
@@ -50,9 +49,10 @@
             self._buckets.append(_Bucket(at, at, requests))
 
     def remove(self, requests: int) -> None:
-        """Take out requests that ran nowhere.
+        """Remove requests that have not run.
 
-        The oldest go: which ones ran is not known, and so the count errs on the side of too many.
+        The oldest are removed: since it is not known which ones have run, the count is rather too
+        high.
         """
         while requests > 0 and self._buckets:
             oldest = self._buckets[0]
@@ -64,7 +64,7 @@
                 self._buckets.popleft()
 
     def seconds_until_capacity(self, limit: float, now: float) -> float:
-        """Return after which time one more request makes no more than ``most``."""
+        """Return the time until one more request does not exceed ``limit``, in seconds."""
         surplus = self.total(now) + 1 - limit
         for bucket in self._buckets:
             if surplus <= 0:
@@ -75,14 +75,14 @@
         return 0.0 if surplus <= 0 else self._window_seconds
 
     def entries(self, now: float) -> list[tuple[float, int]]:
-        """Return how long ago requests came, and how many, the oldest first."""
+        """Return the age in seconds and the number of requests of each bucket, oldest first."""
         self.total(now)
         return [(now - bucket.last_at, bucket.requests) for bucket in self._buckets]
 
     def merge(self, entries: list[tuple[float, int]], now: float) -> None:
-        """Take in what another count of the same window has, where that is more.
+        """Merge the entries of another counter of the same window.
 
-        Both may hold the same requests, so the greater of the two stands for each grain of time.
+        Both may contain the same requests, so the larger running total applies at each age.
         """
         own = self.entries(now)
         merged = _merge_max(own, entries)
@@ -96,7 +96,7 @@
 def _merge_max(
     own: list[tuple[float, int]], other: list[tuple[float, int]]
 ) -> list[tuple[float, int]]:
-    """Return a series, oldest first, whose sums up to each age are at least those of both."""
+    """Return a series, oldest first, whose running totals are at least those of both."""
     steps = sorted(
         [(age, 0, count) for age, count in own] + [(age, 1, count) for age, count in other]
     )
--- a/wingquay/forwarding/arrival/limits/tenant_owners.py
+++ b/wingquay/forwarding/arrival/limits/tenant_owners.py
@@ -1,7 +1,7 @@
-"""Which two nodes count a tenant's requests.
+"""Chooses the two nodes that count the requests of a tenant.
 
-All nodes must agree, whoever they can reach. So the owners are chosen from the names in the store,
-and two nodes that see the same keys choose the same ones.
+All nodes must choose the same owners, whichever nodes they can reach. The choice therefore depends
+only on the nodes listed in the store.
 """
 
 from collections.abc import Iterable
@@ -13,18 +13,17 @@
 from ...knowledge.node_groups import GroupNode
 
 MAX_OWNERS = 8
-"""Nodes that count for all others. Each node keeps a connection to every one of them; at 470 nodes
-and 58,000 requests a second an owner takes in two times 7,250 requests a second, in batches."""
+"""Maximum number of owners; every node has a connection to each of them."""
 
 
 @value
 class OwnerSet:
-    """The owners by one view of the store.
+    """The owners at one time.
 
     Parameters
     ----------
     since
-        When the view changed to this one.
+        When the list of owners changed to this one.
     """
 
     since: float
@@ -32,12 +31,12 @@
 
 
 class TenantOwners:
-    """Knows the owners, and for how long a node has been one by its own view.
+    """Stores the owners, and since when each node has been one.
 
     Parameters
     ----------
     history_seconds
-        For how long earlier views matter.
+        Time for which former owners are stored.
     """
 
     def __init__(self, history_seconds: float) -> None:
@@ -47,22 +46,22 @@
 
     @property
     def identities(self) -> tuple[NodeIdentity, ...]:
-        """All owners; empty before any node is known."""
+        """All owners; empty before the nodes are known."""
         return self._history[-1].identities if self._history else ()
 
     @property
     def since(self) -> float:
-        """When the owners became these by this node's view."""
+        """When the list of owners last changed; infinite before there are any."""
         return self._history[-1].since if self._history else float("inf")
 
     @property
     def digest(self) -> int:
-        """Tells apart two views of who the owners are."""
+        """Digest of the list of owners, for comparison between nodes."""
         names = "\0".join(item.node_id for item in self.identities)
         return xxhash.xxh64_intdigest(names.encode())
 
     def update(self, nodes: Iterable[GroupNode], now: float) -> bool:
-        """Take in the nodes of the store; return whether the owners are others than before."""
+        """Choose the owners among the nodes of the store; return whether they have changed."""
         chosen = tuple(node.record.identity for node in _fastest_by_zone(nodes))
         if self._history and self._history[-1].identities == chosen:
             return False
@@ -73,7 +72,7 @@
         return True
 
     def get(self, tenant: str) -> tuple[NodeIdentity, ...]:
-        """Return the primary and the second owner of a tenant, as far as there are any."""
+        """Return the primary and the second owner of a tenant; fewer if there are fewer nodes."""
         pair = self._pairs.get(tenant)
         if pair is None:
             pair = _pair(self.identities, tenant)
@@ -81,11 +80,11 @@
         return pair
 
     def position(self, tenant: str, name: str) -> int | None:
-        """Return a node's place among a tenant's owners; ``None``: it is none of them."""
+        """Return 0 if a node is the tenant's primary owner, 1 if second, ``None`` otherwise."""
         return _position(self.get(tenant), name)
 
     def position_since(self, tenant: str, name: str) -> float:
-        """Return since when a node has had its present place."""
+        """Return since when a node has had its current position."""
         position = self.position(tenant, name)
         since = self.since
         for item in reversed(self._history[:-1]):
@@ -95,7 +94,7 @@
         return since
 
     def owned_since(self, tenant: str, name: str) -> float:
-        """Return since when a node has been one of a tenant's owners, in whichever place."""
+        """Return since when a node has been an owner of a tenant, in either position."""
         since = float("inf")
         for item in reversed(self._history):
             if _position(_pair(item.identities, tenant), name) is None:
@@ -104,7 +103,7 @@
         return since
 
     def former_position(self, tenant: str, name: str) -> tuple[int | None, float]:
-        """Return the place that a node had before its present one, and since when."""
+        """Return the previous position of a node and since when it had it."""
         present_since = self.position_since(tenant, name)
         earlier = [item for item in self._history if item.since < present_since]
         if not earlier:
@@ -119,15 +118,15 @@
 
 
 def reserve_rank(tenant: str, name: str, names: Iterable[str]) -> int:
-    """Return a node's place in an order of all nodes that is another for each tenant."""
+    """Return the rank of a node among all nodes; each tenant has its own order."""
     own = _weight(tenant, name)
     return sum(_weight(tenant, other) > own for other in names)
 
 
 def _pair(identities: tuple[NodeIdentity, ...], tenant: str) -> tuple[NodeIdentity, ...]:
-    """Return the first in the tenant's order, and the first one of another zone.
+    """Return the tenant's first owner by rank, and the first of another zone.
 
-    Whoever follows when one of the two goes finds the other one still there.
+    When one of the two leaves, the other remains an owner, so its records are not lost.
     """
     ranked = sorted(identities, key=lambda item: _weight(tenant, item.node_id), reverse=True)
     if len(ranked) < 2:
@@ -146,9 +145,10 @@
 
 
 def _fastest_by_zone(nodes: Iterable[GroupNode]) -> list[GroupNode]:
-    """Return the nodes with the fastest processors, of each zone about as many.
+    """Return the nodes with the fastest processors, evenly distributed over the zones.
 
-    If they stood in one zone, a cut around it would take both owners of every tenant from all.
+    With owners in a single zone, a network partition could separate both owners of a tenant from
+    all other nodes.
     """
 
     def rank(node: GroupNode) -> tuple[float, int]:
--- a/wingquay/forwarding/arrival/limits/tenant_usage.py
+++ b/wingquay/forwarding/arrival/limits/tenant_usage.py
@@ -1,4 +1,4 @@
-"""What an owner knows of one tenant, and whether one more request may run."""
+"""Usage of one tenant as stored at an owner, and whether one more request may run."""
 
 from ....model.value import value
 from ....ports.limit_messages import LimitVerdict
@@ -6,28 +6,26 @@
 from .sliding_window_counter import SlidingWindowCounter
 
 MIN_RETRY_SECONDS = 0.3
-"""Before that, nothing that made an owner or a node refuse can have changed: it is the time after
-which a silent owner counts as out of reach."""
+"""Minimum retry time: a refusal cannot be revised before an unreachable owner is detected."""
 
 BORROW_RETRY_SECONDS = 0.05
-"""Time after which a loan that has not come, or was too small, is asked for again: word comes
-within a few milliseconds, and questions wait for it."""
+"""Time after which a loan that is missing or too small is requested again."""
 
 
 @value
 class OwnerStatus:
-    """What an owner may go by when it permits requests of a tenant.
+    """What an owner bases its permits for a tenant on.
 
     Parameters
     ----------
     is_primary
-        Whether it is the primary owner; else it is the second one.
+        Whether it is the primary owner, else the second one.
     knows_window
-        Whether it knows what ran in the last window, and what it permitted itself.
+        Whether it has the records of the last window, including its own permits.
     is_alone
         Whether there is no other owner.
     window_known_in_seconds
-        When it will know the window.
+        Time until it has the records of a whole window.
     """
 
     is_primary: bool
@@ -38,66 +36,66 @@
 
 @value
 class Permit:
-    """Whether a request may run; if not, after which time one may."""
+    """Whether a request may run, and otherwise the time until a retry can succeed."""
 
     verdict: LimitVerdict
     retry_after_seconds: float = 0.0
 
 
 class TenantUsage:
-    """Counts one tenant's requests at one of its owners.
+    """Counts the requests of one tenant at one of its owners.
 
     Parameters
     ----------
     window_seconds
-        For how long a request counts.
+        Time for which a request counts.
     """
 
     def __init__(self, window_seconds: float) -> None:
         self._window_seconds = window_seconds
         self.counted = SlidingWindowCounter(window_seconds)
-        """All that is known to run, whoever permitted it."""
+        """All reported and permitted requests, whichever owner permitted them."""
         self.permitted_as_second = SlidingWindowCounter(window_seconds)
-        """What was permitted as the second owner."""
+        """Requests that this node permitted as the second owner."""
         self._lent: list[tuple[float, int]] = []
-        """How much was lent to the primary owner, each until it no longer counts."""
+        """Loans to the primary owner, each with the time until which it reduces the own part."""
         self.loan = 0
-        """How much the second owner has lent to this one, the primary."""
+        """Number of requests that the second owner has lent to this node as the primary."""
         self.loan_until = float("-inf")
-        """Until when."""
+        """Expiry of the current loan."""
         self.loan_requested_at = float("-inf")
-        """When it was last asked for one."""
+        """When a loan was last requested."""
         self.loan_requested = 0
-        """How much was asked for then."""
+        """Size of the last requested loan."""
         self.loan_request_sent_at = float("-inf")
-        """When the question left that the present loan answers."""
+        """When the request that led to the current loan was sent."""
         self.hot_until = float("-inf")
-        """Until when nodes were told to ask first."""
+        """Time until which nodes must ask first for this tenant."""
 
     @property
     def idle_from(self) -> float:
-        """From when on nothing but the count keeps this from being forgotten."""
+        """Time from which on this record can be dropped if it counts no requests."""
         lent_until = max((until for until, _ in self._lent), default=float("-inf"))
         return max(lent_until, self.loan_until + self._window_seconds, self.hot_until)
 
     def loan_at(self, now: float) -> int:
-        """Return how much is lent to this owner."""
+        """Return the number of requests lent to this owner."""
         return self.loan if now < self.loan_until else 0
 
     def awaits_loan(self, now: float) -> bool:
-        """Whether word on a loan may still come."""
+        """Return whether the reply to a loan request is still pending."""
         is_answered = self.loan_request_sent_at >= self.loan_requested_at
         return not is_answered and now < self.loan_requested_at + BORROW_RETRY_SECONDS
 
     def should_borrow(self, loan: int, now: float) -> bool:
-        """Whether to ask for so much: it is more than is lent, and was not just asked for."""
+        """Return whether to request a loan: it is larger than the current one and not pending."""
         if loan <= self.loan_at(now):
             return False
         is_in_vain = self.awaits_loan(now) or self.loan < self.loan_requested
         return not is_in_vain or now >= self.loan_requested_at + BORROW_RETRY_SECONDS
 
     def lend(self, wanted: int, budget: Budget, until: float, now: float) -> int:
-        """Lend no more than what this owner has not permitted itself; return how much."""
+        """Lend requests that this owner has not permitted itself; return their number."""
         free = int(budget.second_without_lending) - self.permitted_as_second.total(now)
         loan = max(0, min(wanted, budget.lendable, free))
         self._lent = [item for item in self._lent if item[0] > now]
@@ -105,7 +103,7 @@
         return loan
 
     def add(self, requests: int, now: float) -> None:
-        """Take in requests that run; less than 0: so many ran nowhere."""
+        """Count requests; a negative number removes requests that have not run."""
         if requests < 0:
             self.counted.remove(-requests)
         elif requests > 0:
--- a/wingquay/forwarding/arrival/no_limits.py
+++ b/wingquay/forwarding/arrival/no_limits.py
@@ -1,4 +1,4 @@
-"""What is asked about the limits of tenants where no other part answers: they never bind."""
+"""Admission without tenant limits."""
 
 from ...model.tenants import Tenant
 from ...ports.forwarding import OpaqueRequest
@@ -8,13 +8,13 @@
 
 
 class NoLimits:
-    """A node that counts no tenant's requests."""
+    """Implements tenant limits for nodes that enforce none."""
 
     def admit(
         self, _tenant: Tenant, _exchange_id: int, _now: float
     ) -> Admitted | Rejected | AwaitsLimit:
-        """Let every request run."""
+        """Admit every request."""
         return _ADMITTED
 
     def give_back(self, _tenant: Tenant, _exchange_id: int, _now: float) -> None:
-        """Take nothing back: nothing was counted."""
+        """Do nothing, since nothing was counted."""
--- a/wingquay/forwarding/arrival/pending_arrivals.py
+++ b/wingquay/forwarding/arrival/pending_arrivals.py
@@ -1,8 +1,8 @@
-"""Arrivals that wait for another node's word on their tenant's limit.
+"""Requests that wait for another node's decision on their tenant's limit.
 
-Answers the failure that such a node says nothing, or that many tenants are near their limits at
-once: what waits is bounded in number and in bytes, and each arrival is refused, truly, while its
-caller still has time for another try.
+The number and total size of waiting requests are bounded, so that an unresponsive node, or many
+tenants near their limits, cannot exhaust memory. A request that does not fit is refused while its
+caller still has time to retry.
 """
 
 from ...model.routing_table import Route, RoutingTable
@@ -11,25 +11,26 @@
 from ...ports.forwarding import ForwardRequested
 
 MAX_PENDING = 1_000
-"""Arrivals; with some 10 ms for an answer that is far more than a node reads in that time."""
+"""Maximum number of waiting requests."""
 MAX_PENDING_BYTES = 8 * 1024 * 1024
-"""Of their bodies: a node shares 256 MB among all that it does."""
+"""Maximum total size of their bodies, in bytes."""
 
 
 @value
 class Arrival:
-    """A request whose caller is known, before anything was done for it.
+    """An authenticated request for which nothing has been sent yet.
 
     Parameters
     ----------
     event
-        It, without its caller's secret.
+        The arrival, without the caller's key.
     table, route
-        What it goes by until its end; the route has the tenant's priority.
+        Configuration and route that apply until the request ends. The route has the tenant's
+        priority.
     tenant
-        Who calls; ``None``: nobody is asked for.
+        The calling tenant; ``None`` if the route requires no key.
     arrived_at, sent_at
-        When this node read it, and when it could have done so had it not been late.
+        When this node read the request, and when it would have read it without event loop lag.
     """
 
     event: ForwardRequested
@@ -41,18 +42,18 @@
 
 
 class PendingArrivals:
-    """Keeps arrivals by the node's number for them."""
+    """Stores waiting requests by exchange id."""
 
     def __init__(self) -> None:
         self._arrivals: dict[int, Arrival] = {}
         self._bytes = 0
 
     def __len__(self) -> int:
-        """Return how many wait."""
+        """Return the number of waiting requests."""
         return len(self._arrivals)
 
     def add(self, arrival: Arrival) -> bool:
-        """Take in an arrival, unless too much waits already."""
+        """Store a request; return whether it fits into the bounds."""
         size = self._bytes + len(arrival.event.request.body)
         if len(self._arrivals) >= MAX_PENDING or size > MAX_PENDING_BYTES:
             return False
@@ -61,7 +62,7 @@
         return True
 
     def remove(self, exchange_id: int) -> Arrival | None:
-        """Return an arrival and forget it."""
+        """Remove and return a request."""
         arrival = self._arrivals.pop(exchange_id, None)
         if arrival is not None:
             self._bytes -= len(arrival.event.request.body)
--- a/wingquay/forwarding/arrival/request_identity.py
+++ b/wingquay/forwarding/arrival/request_identity.py
@@ -1,4 +1,4 @@
-"""What makes two requests the same, at whichever node and in whichever attempt they come."""
+"""Digest that identifies repeats of the same request on all nodes and in all attempts."""
 
 from collections.abc import Iterable
 from hashlib import blake2b
@@ -6,28 +6,28 @@
 from ...ports.forwarding import OpaqueRequest
 
 DIGEST_BYTES = 16
-"""Long enough that nobody can make a request that is taken for another caller's (2^128 tries)."""
+"""Size of a digest in bytes; makes a collision with another caller's request infeasible."""
 LENGTH_BYTES = 8
-"""Each part goes in with its length, so that no two lists of parts run into the same bytes."""
+"""Size of the length prefix of each part in bytes; keeps different lists of parts distinct."""
 _HOST = b"host"
 _TENANT = b"tenant of the caller"
 _CALLER_HEADERS = frozenset({b"authorization", b"cookie"})
-"""Headers that say who calls. All others may differ from one try to the next."""
+"""Headers that identify the caller. All other headers may differ between retries."""
 
 
 def compute_identity(request: OpaqueRequest, tenant: str = "") -> bytes:
-    """Return a digest of what a replica sees of a request and what stays the same in its repeats.
+    """Return a digest of the parts of a request that are the same in all its repeats.
 
-    That is its method, host, target and body, and the headers that say who calls. Left out are the
-    attempt's own id, the time left, and the address it came from, which no replica sees. Some 3 us,
-    and 1.6 ms for each MB of body (least of five runs).
+    These are the method, host, target, body and the headers that identify the caller. The attempt
+    id, the remaining time and the caller's address are left out.
 
     Parameters
     ----------
     request
-        Without its caller's key wherever callers are known by tenant: the digest goes to others.
+        The request, without the caller's key if the configuration has tenants: other nodes receive
+        the digest.
     tenant
-        The name of the tenant that calls; empty: callers are not known by tenant.
+        Name of the calling tenant; empty if the configuration has no tenants.
     """
     digest = blake2b(digest_size=DIGEST_BYTES)
     for part in (*_parts(request), *_tenant_parts(tenant)):
--- a/wingquay/forwarding/arrival/tenant_metrics.py
+++ b/wingquay/forwarding/arrival/tenant_metrics.py
@@ -1,31 +1,37 @@
-"""Counters by tenant, bounded in number whatever the configuration holds."""
+"""Request counters by tenant, bounded in number."""
 
 from ...ports.machine import Count
 
 MAX_LABELLED_TENANTS = 100
-"""Tenants with counters of their own; each has one for each outcome, of 2,000 that are kept."""
+"""Maximum number of tenants with their own label value."""
 MIN_LABELLED_REQUESTS = 10
-"""Requests from which on a tenant has counters of its own: the busy ones come to that first."""
+"""Number of requests after which a tenant receives its own label value."""
 OTHER = "other"
-"""Stands for all tenants without counters of their own."""
+"""Label value for all tenants without their own."""
 NO_TENANT = "none"
-"""Stands for callers that are not known."""
+"""Label value for requests without a known tenant."""
 
 
 class TenantMetrics:
-    """Counts requests by tenant and by what was decided about them."""
+    """Counts requests by tenant and outcome."""
 
     def __init__(self) -> None:
         self._labelled: set[str] = set()
         self._requests: dict[str, int] = {}
 
     def count(self, tenant: str, outcome: str) -> Count:
-        """Return the counting of one request; an empty name stands for a caller not known."""
+        """Return the action that counts one request.
+
+        Parameters
+        ----------
+        tenant
+            Name of the tenant; empty if it is not known.
+        """
         labels = (("tenant", self._label(tenant)), ("outcome", outcome))
         return Count("tenant_requests_total", labels=labels)
 
     def keep_only(self, names: set[str]) -> None:
-        """Forget requests of tenants that a new configuration does not have."""
+        """Drop the request counts of tenants that are not in the new configuration."""
         self._requests = {name: seen for name, seen in self._requests.items() if name in names}
 
     def _label(self, tenant: str) -> str:
--- a/wingquay/forwarding/arrival/tenant_priorities.py
+++ b/wingquay/forwarding/arrival/tenant_priorities.py
@@ -1,7 +1,7 @@
-"""Routes with the priority of the tenant that calls.
+"""Routes with the priority of the calling tenant.
 
-A route is made anew once for each priority and configuration, not for each request: that would take
-more time than the whole rest of the way from a known key to the first sending.
+Such a route is built once per priority and configuration and then cached, since building it for
+each request would be slow.
 """
 
 from dataclasses import replace
@@ -11,14 +11,14 @@
 
 
 class TenantPriorities:
-    """Puts a tenant's priority in the place of the route's."""
+    """Replaces the priority of a route by that of the calling tenant."""
 
     def __init__(self) -> None:
         self._version = -1
         self._routes: dict[tuple[str, str, int], Route] = {}
 
     def apply(self, route: Route, tenant: Tenant, table: RoutingTable) -> Route:
-        """Return the route as the tenant's requests take it."""
+        """Return the route with the tenant's priority, if the tenant has one."""
         priority = tenant.priority
         if priority is None or priority == route.priority:
             return route
--- a/wingquay/forwarding/peers/__init__.py
+++ b/wingquay/forwarding/peers/__init__.py
@@ -1,1 +1,1 @@
-"""Work that nodes do for each other: owners of shards, delegation and relays."""
+"""Work that nodes do for each other: shard ownership, delegation and relays."""
--- a/wingquay/forwarding/peers/connection_prewarmer.py
+++ b/wingquay/forwarding/peers/connection_prewarmer.py
@@ -1,9 +1,9 @@
-"""Opens connections before a request needs them: to shards that this node owns.
+"""Opens connections to replicas before requests need them.
 
-When the index is cut anew, the replicas of the new shards are in the store some seconds before a
-configuration names them. All nodes then turn to them with the same request, and each new connection
-takes a replica's slot for some milliseconds, as long as a small request. So the owners of shards
-that no configuration has named yet open theirs ahead, a few at a time.
+After resharding, the replicas of the new shards are listed in the store some seconds before a
+configuration contains them. Once it does, all nodes send requests to them, and each new connection
+would occupy a replica slot for some milliseconds. The owners of new shards therefore connect in
+advance, a few replicas at a time.
 """
 
 from ...model.routing_table import RoutingTable
@@ -15,8 +15,7 @@
 from .shard_placement import ShardPlacement
 
 MAX_OPENED_AT_ONCE = 12
-"""Connections that a node opens at a time, twice a second: an owner of 45 shards is done within two
-seconds, and spends 2 ms of processor time on it each time."""
+"""Maximum number of connections that a node opens at once; limits the processor time spent."""
 
 
 class ConnectionPrewarmer:
@@ -25,11 +24,11 @@
     Parameters
     ----------
     settings
-        From how many shards on a route is divided among owners; the zone of this node.
+        The minimum number of shards for ownership, and the zone of this node.
     directory
         The replicas.
     placement
-        Who owns which shard.
+        The owners of shards.
     """
 
     def __init__(
@@ -42,12 +41,12 @@
         self._directory = directory
         self._placement = placement
         self._configured: set[str] = set()
-        """Services that a configuration has named so far: the old shards among them are leaving."""
+        """Services that any configuration so far has contained; the remaining ones are new."""
         self._opened: set[str] = set()
-        """Lives of replicas to which a connection was opened ahead."""
+        """Incarnations of replicas to which a connection was opened."""
 
     def due(self, table: RoutingTable, now: float) -> list[Action]:
-        """Return the next few connections to open."""
+        """Return the actions that open the next connections."""
         for route in table.routes:
             self._configured.update(route.all_services)
         shard_sets = {route.shards for route in table.routes if route.is_repeatable}
@@ -61,11 +60,11 @@
         return [OpenConnection(state.record) for state in chosen]
 
     def _unconfigured_services(self) -> tuple[str, ...]:
-        """Return the services that replicas serve and that no configuration has named yet."""
+        """Return the services with replicas that no configuration has contained yet."""
         return tuple(sorted(self._directory.services() - self._configured))
 
     def _unused_replicas(self, shards: tuple[str, ...], now: float) -> list[ReplicaState]:
-        """Return the near replicas of own shards to which nothing was ever sent."""
+        """Return the same-zone replicas of own shards to which nothing was ever sent."""
         owners = self._placement.owners(shards, now)
         own = [shard for shard, owner in owners.items() if owner is None]
         zone = self._settings.zone
--- a/wingquay/forwarding/peers/delegated_work.py
+++ b/wingquay/forwarding/peers/delegated_work.py
@@ -1,7 +1,7 @@
-"""Asks shards for another node's request and reports what comes in.
+"""Work on requests that other nodes delegate to this one.
 
-The work is an exchange like any other, with the same replicas, hedges and budgets; only its replies
-go to the node that asked, piece by piece.
+A delegated request is an exchange like that of a caller, with the same replicas, hedges and
+budgets. Its answers are sent to the delegating node as they arrive.
 """
 
 from dataclasses import dataclass, field, replace
@@ -23,23 +23,23 @@
 
 @dataclass(slots=True, eq=False)
 class NodeOrigin:
-    """The node that waits for an exchange, and what it has been told."""
+    """The delegating node of an exchange, and what has been reported to it."""
 
     node: NodeIdentity
     delegation_id: int
     positions: dict[str, int]
-    """Where each shard stands in the node's request."""
+    """Position of each shard in the delegated request."""
     may_retry: bool = False
-    """Whether further attempts are left to this node: before, the other one may still make them."""
+    """Whether this node may make further attempts; until then the delegating node may make them."""
     _reported: set[str] = field(default_factory=set)
 
     @property
     def name(self) -> str:
-        """The id of the node, for the log."""
+        """The id of the node, for log lines."""
         return self.node.node_id
 
     def report(self, exchange: Exchange) -> list[Action]:
-        """Return the message that tells what is in and has not been told, if there is anything."""
+        """Return the message with the answers not reported yet, if there are any."""
         unreported = [
             (self.positions[call.service], call)
             for call in exchange.calls
@@ -58,7 +58,7 @@
         return [SendToPeer(self.node, message)]
 
     def give_back(self, exchange: Exchange) -> list[Action]:
-        """Leave the calls that are not under way to the node; return the message that says so."""
+        """Return the calls that have no open attempt to the delegating node, with a message."""
         returned = [call for call in exchange.calls if call.answer is None and not call.attempts]
         exchange.calls = [call for call in exchange.calls if call not in returned]
         for call in returned:
@@ -71,7 +71,7 @@
         return [SendToPeer(self.node, message)] if returned else []
 
     def report_exhausted(self, calls: list[ServiceCall]) -> list[Action]:
-        """Return the message that nothing comes of calls any more, if that has not been told."""
+        """Return the message for calls that can no longer be answered, unless already sent."""
         unreported = [call.service for call in calls if call.service not in self._reported]
         if not unreported or not self.may_retry:
             return []
@@ -80,13 +80,13 @@
         return [SendToPeer(self.node, DelegatedAnswer(self.delegation_id, exhausted=positions))]
 
     def report_held(self, held_seconds: float) -> list[Action]:
-        """Return the message that the request is held back."""
+        """Return the message that the request is held."""
         message = DelegatedAnswer(self.delegation_id, held_seconds=held_seconds)
         return [SendToPeer(self.node, message)]
 
 
 class DelegatedWork:
-    """What other nodes have asked of this one."""
+    """Exchanges for requests that other nodes have delegated to this one."""
 
     def __init__(self, directory: ReplicaDirectory, settlement: Settlement, lag: LoopLag) -> None:
         self._lag = lag
@@ -96,9 +96,9 @@
         self._open: dict[tuple[str, int], Exchange] = {}
 
     def shards_without_replicas(self, message: DelegatedRequest, now: float) -> tuple[int, ...]:
-        """Return the positions of the shards of which this node knows no replica.
+        """Return the positions of the shards for which this node has no replica.
 
-        It may have been cut off from the store while the sender was not.
+        This node may have been cut off from the store while the sender was not.
         """
         return tuple(
             position
@@ -114,8 +114,8 @@
         declined: tuple[int, ...],
         now: float,
     ) -> Exchange:
-        """Return an exchange for a node's request; whoever calls starts its calls."""
-        # Numbers of callers' exchanges are positive.
+        """Return an exchange for a delegated request; the calling code starts its calls."""
+        # Exchanges of callers have positive ids.
         exchange_id = -next(self._ids)
         event = ForwardRequested(exchange_id, message.request_id, "", "", message.request)
         sent_at = now - self._lag.seconds
@@ -145,7 +145,7 @@
     def acknowledge(
         self, sender: NodeIdentity, message: DelegatedRequest, declined: tuple[int, ...]
     ) -> list[Action]:
-        """Tell a node that its request was taken, but for the shards at some positions."""
+        """Notify a node that its request was accepted, except for the declined shards."""
         labels = (("side", "taken"),)
         return [
             SendToPeer(sender, DelegatedAnswer(message.delegation_id, declined=declined)),
@@ -155,7 +155,7 @@
     def attempts_allowed(
         self, sender: NodeIdentity, message: AllowAttempts, now: float
     ) -> list[Action]:
-        """Send to further replicas from now on, where attempts fail or take too long."""
+        """Allow further attempts where an attempt fails or takes too long."""
         exchange = self._open.get((sender.node_id, message.delegation_id))
         if exchange is None or not self._settlement.is_open(exchange):
             return []
@@ -167,14 +167,14 @@
     def cancelled(
         self, sender: NodeIdentity, message: CancelDelegation, now: float
     ) -> list[Action]:
-        """Stop working for a request that nobody waits for."""
+        """Stop the work on a request that is no longer needed."""
         exchange = self._open.pop((sender.node_id, message.delegation_id), None)
         if exchange is None or not self._settlement.is_open(exchange):
             return []
         return self._settlement.caller_left(exchange, now)
 
     def link_broken(self, node_id: str, now: float) -> list[Action]:
-        """Stop working for a node that cannot be told."""
+        """Stop the work for a node whose link is broken."""
         actions: list[Action] = []
         for key in [key for key in self._open if key[0] == node_id]:
             exchange = self._open.pop(key)
@@ -183,7 +183,7 @@
         return actions
 
     def reject(self, sender: NodeIdentity, message: DelegatedRequest) -> list[Action]:
-        """Tell a node that its request was not taken."""
+        """Notify a node that its request was not accepted."""
         answer = DelegatedAnswer(message.delegation_id, is_rejected=True)
         labels = (("side", "rejected"),)
         return [SendToPeer(sender, answer), Count("delegated_requests_total", labels=labels)]
@@ -191,7 +191,7 @@
     def refuse_held(
         self, sender: NodeIdentity, message: DelegatedRequest, held_seconds: float
     ) -> list[Action]:
-        """Tell a node that its request is held back: replicas ended under it."""
+        """Notify a node that its request is held because replicas crashed under it."""
         answer = DelegatedAnswer(message.delegation_id, held_seconds=held_seconds)
         labels = (("side", "held"),)
         return [SendToPeer(sender, answer), Count("delegated_requests_total", labels=labels)]
@@ -203,12 +203,12 @@
 
 
 def build_tenant(message: DelegatedRequest) -> Tenant | None:
-    """Return who calls, as far as the sender tells: its keys and limits are the sender's affair."""
+    """Return the tenant named by the sender, without keys and limits: the sender enforces those."""
     return Tenant(message.tenant, ()) if message.tenant else None
 
 
 def build_route(message: DelegatedRequest) -> Route:
-    """Return the part of the sender's route that concerns its shards."""
+    """Return a route with the sender's values for the delegated shards."""
     return Route(
         name=message.route_name,
         host="",
--- a/wingquay/forwarding/peers/delegation.py
+++ b/wingquay/forwarding/peers/delegation.py
@@ -1,12 +1,13 @@
-"""Lets other nodes ask shards of a request, and steps in for lost ones.
+"""Delegates shards of a request to other nodes, and takes over if they fail.
 
-The owners of shards are asked for those of a wide request, a node of another zone for the shards of
-a narrow one that have no replica in this zone.
+A wide request is delegated to the owners of its shards. For a narrow request, the shards without a
+replica in this zone are delegated to a node of another zone.
 
-A node that is asked says so at once, so that one which is killed, frozen or cut off is noticed
-while there is still time to ask its shards directly. Until it is heard, it may send to one replica
-of each shard and this node to the others; from then on all attempts are the other node's. So no
-request reaches more replicas of a shard than its route allows, whatever the two know of each other.
+The other node acknowledges a delegation at once, so that a crashed, frozen or disconnected node is
+detected while there is still time to contact its shards directly. Before the acknowledgement, the
+other node may contact one replica of each shard and this node the others; afterwards all attempts
+are left to the other node. Thus a request never reaches more replicas of a shard than its route
+allows.
 """
 
 from ...model.routing_table import RoutingTable
@@ -29,18 +30,18 @@
 from .takeover_timeout import TakeoverTimeout
 
 MAX_HANDSHAKES = 3
-"""Connections opened at once before a request needs them: a handshake takes about a millisecond of
-processor time at either side, and an owner may hear from a whole fleet that starts."""
+"""Maximum number of connections opened at once in advance; limits the processor time that
+handshakes take when many nodes start together."""
 
 
 class Delegations:
-    """What this node has asked of others.
+    """The delegations of this node.
 
     Parameters
     ----------
     first_id
-        Number of the first delegation, drawn anew at each start: a node keeps its id over its
-        lives, and what its last life has asked for may still be answered.
+        Id of the first delegation. It differs between incarnations of this node, since replies to
+        delegations of the previous one may still arrive.
     """
 
     def __init__(
@@ -69,10 +70,10 @@
             groups, directory, starter, settlement, self._open, self._dispatcher, takeover_timeout
         )
         self._connected: set[str] = set()
-        """Nodes to which the connection was opened, by id."""
+        """Ids of the nodes to which a connection was opened in advance."""
 
     def start(self, exchange: Exchange, calls: list[ServiceCall], now: float) -> list[Action]:
-        """Start calls of a request: own shards directly, the others through their nodes."""
+        """Start the calls of a request: directly, or through the nodes they are delegated to."""
         if not exchange.is_repeatable:
             return self._starter.begin_all(calls, now)
         self._dispatcher.count(exchange.route.shards, now)
@@ -82,7 +83,7 @@
         return [*actions, Schedule(now, BeginDue(exchange.exchange_id))]
 
     def open_connections(self, table: RoutingTable, now: float) -> list[Action]:
-        """Open connections to owners of shards before a request needs them, a few at a time."""
+        """Open connections to owners of shards in advance, a few at a time."""
         actions: list[Action] = []
         for route in table.routes:
             if not route.is_repeatable or not self._dispatcher.is_wide(route.shards):
@@ -94,7 +95,7 @@
         return actions
 
     def answered(self, sender: NodeIdentity, message: DelegatedAnswer, now: float) -> list[Action]:
-        """Take in what a node reports."""
+        """Handle a report of the other node."""
         delegation = self._open.get(message.delegation_id)
         if delegation is None or delegation.node.node_id != sender.node_id:
             return []
@@ -109,14 +110,14 @@
         return actions + self._settlement.settle(delegation.exchange, now)
 
     def due(self, event: DelegationDue, now: float) -> list[Action]:
-        """Step in for a node that has not reported in time."""
+        """Take over from a node that has not acknowledged a delegation in time."""
         delegation = self._open.get(event.delegation_id)
         if delegation is None or delegation.is_acknowledged or delegation.is_lost:
             return []
         return self._takeover.lost(delegation, "silent", now)
 
     def link_broken(self, event: PeerLinkBroken, now: float) -> list[Action]:
-        """Step in for a node whose connection broke or did not come up."""
+        """Take over from a node whose connection broke or could not be opened."""
         node_id = event.node_id
         self._connected.discard(node_id)
         lost = self._open.get_for_node(node_id)
@@ -130,7 +131,7 @@
         return actions
 
     def closed(self, exchange: Exchange) -> list[Action]:
-        """Let nodes stop working for a request that ended."""
+        """Cancel the open delegations of a request that has ended."""
         actions: list[Action] = []
         for delegation in self._open.remove_all_for(exchange):
             if delegation.open_calls:
--- a/wingquay/forwarding/peers/delegation_dispatcher.py
+++ b/wingquay/forwarding/peers/delegation_dispatcher.py
@@ -1,4 +1,4 @@
-"""Divides the calls of a request among this node and others, and asks those for their shares."""
+"""Divides the calls of a request between this node and others, and sends the delegations."""
 
 from collections.abc import Mapping
 
@@ -18,14 +18,14 @@
 
 
 class DelegationDispatcher:
-    """Asks other nodes for shards.
+    """Sends delegations to other nodes.
 
     Parameters
     ----------
     open_delegations
-        Keeps what was asked for.
-    takeover
-        Tells when a node that has said nothing counts as lost.
+        Stores the delegations.
+    takeover_timeout
+        Determines when a node that has not replied is considered lost.
     """
 
     def __init__(
@@ -42,21 +42,21 @@
         self._relays = Relays(settings, groups, directory, open_delegations.count_for_node)
         self._rate = RequestRate()
         self.placement = ShardPlacement(settings, groups, directory, self._rate)
-        """Which node owns which shard."""
+        """The owners of shards."""
 
     def is_wide(self, shards: tuple[str, ...]) -> bool:
-        """Whether a route has so many shards that their owners are asked."""
+        """Return whether a route has enough shards for delegation to their owners."""
         return len(shards) >= self._settings.delegate_min_shards
 
     def count(self, shards: tuple[str, ...], now: float) -> None:
-        """Take in a request: the rate of wide ones decides how many nodes own a shard."""
+        """Count a wide request: their rate determines the number of owners per shard."""
         if self.is_wide(shards):
             self._rate.count(now)
 
     def dispatch(
         self, exchange: Exchange, calls: list[ServiceCall], now: float
     ) -> tuple[list[ServiceCall], list[Action]]:
-        """Ask other nodes for calls; return those that are left to this one, too."""
+        """Delegate calls to other nodes; return the remaining calls and the actions."""
         shards = exchange.route.shards
         is_wide = self.is_wide(shards)
         owners: Mapping[str, NodeIdentity | None]
--- a/wingquay/forwarding/peers/delegation_reports.py
+++ b/wingquay/forwarding/peers/delegation_reports.py
@@ -1,4 +1,4 @@
-"""Takes in what other nodes report of the shards that they were asked for."""
+"""Handles the reports of other nodes on their delegations."""
 
 from ...ports.delegation import AllowAttempts, DelegatedAnswer
 from ...ports.forwarding import ReplicaAnswer
@@ -15,12 +15,12 @@
 
 
 class DelegationReports:
-    """Answers, and shards that a node leaves to this one.
+    """Applies acknowledgements, answers and returned shards.
 
     Parameters
     ----------
-    takeover
-        Takes in how long a node took to say that it has the request.
+    takeover_timeout
+        Records how long nodes take to acknowledge a delegation.
     """
 
     def __init__(
@@ -38,7 +38,7 @@
         self._takeover_timeout = takeover_timeout
 
     def handle(self, delegation: Delegation, message: DelegatedAnswer, now: float) -> list[Action]:
-        """Take in a report of a node that works on its share."""
+        """Handle a report on a delegation."""
         actions = self._declined(delegation, message.declined, now)
         if not delegation.is_acknowledged:
             actions += self._acknowledged(delegation, now)
@@ -47,7 +47,7 @@
         return actions + self._apply_answers(delegation, message, now)
 
     def _acknowledged(self, delegation: Delegation, now: float) -> list[Action]:
-        """Leave further attempts to a node that is there, unless this node has stepped in."""
+        """Leave further attempts to a node that is reachable, unless this node has taken over."""
         delegation.is_acknowledged = True
         self._takeover_timeout.record(now - delegation.sent_at)
         self._groups.trust(delegation.node.node_id)
@@ -62,7 +62,7 @@
     def _declined(
         self, delegation: Delegation, positions: tuple[int, ...], now: float
     ) -> list[Action]:
-        """Ask the shards directly of which the other node knows no replica."""
+        """Contact the shards directly for which the other node has no replica."""
         if not positions or delegation.is_lost:
             return []
         calls = [delegation.calls[position] for position in positions]
@@ -76,7 +76,7 @@
     def _given_back(
         self, delegation: Delegation, message: DelegatedAnswer, now: float
     ) -> list[Action]:
-        """Ask for shards that a node has left to this one, since replicas may end under them."""
+        """Contact the shards returned by the other node, under which replicas may crash."""
         if not message.given_back or delegation.is_lost:
             return []
         exchange = delegation.exchange
@@ -92,7 +92,7 @@
         return self._starter.start_all([call for call in calls if call.attempts_left > 0], now)
 
     def _exhausted(self, delegation: Delegation, message: DelegatedAnswer) -> None:
-        """Take in that nothing comes of shards any more."""
+        """Record that shards can no longer be answered."""
         if not message.exhausted or delegation.is_lost:
             return
         calls = [delegation.calls[position] for position in message.exhausted]
@@ -106,14 +106,15 @@
     def _apply_answers(
         self, delegation: Delegation, message: DelegatedAnswer, now: float
     ) -> list[Action]:
-        """Take in merged records: they stand with the first shard that they came from."""
+        """Apply merged records, which are stored with the first of their shards."""
         exchange = delegation.exchange
         was_sequential = exchange.is_sequential
         body = message.body
         for position, signature in zip(message.shards, message.signatures, strict=True):
             call = delegation.calls[position]
             if call.answer is not None:
-                # Asked directly as well: its records are also among the merged ones.
+                # The shard was contacted directly as well, and the merged records contain its
+                # records too.
                 exchange.signatures.discard(str(call.answer.signature))
             call.record_answer(ReplicaAnswer(MERGED_STATUS, (), body, signature), now)
             exchange.signatures.add(signature)
--- a/wingquay/forwarding/peers/delegation_takeover.py
+++ b/wingquay/forwarding/peers/delegation_takeover.py
@@ -1,4 +1,4 @@
-"""Steps in for nodes that were asked for shards and do not bring them."""
+"""Takes over the shards of nodes that fail to answer a delegation."""
 
 from ...ports.machine import Action, Count, Log, LogLevel
 from ..choice.replica_directory import ReplicaDirectory
@@ -12,12 +12,12 @@
 
 
 class DelegationTakeover:
-    """Asks for the shards of lost nodes, and passes those nodes over for a while.
+    """Contacts the shards of lost nodes, and marks those nodes as suspect for a while.
 
     Parameters
     ----------
-    asking
-        Asks further nodes while a request is young.
+    dispatcher
+        Delegates to further nodes while a request is young.
     """
 
     def __init__(
@@ -39,15 +39,15 @@
         self._takeover_timeout = takeover_timeout
 
     def rejected(self, delegation: Delegation, reason: str, now: float) -> list[Action]:
-        """Ask the shards of a node that has rejected the request."""
+        """Contact the shards of a node that has rejected the delegation."""
         self._undo(delegation)
         return self._take_over(delegation, delegation.open_calls, reason, now)
 
     def unreachable(self, delegation: Delegation, reason: str, now: float) -> list[Action]:
-        """Ask for the shards of a node that cannot be reached, through others while it is early.
+        """Handle a node that cannot be reached: early in a request, delegate to other nodes.
 
-        Most dials that fail do so within the first milliseconds of a request: nothing listens on a
-        machine that is starting.
+        Most failing connection attempts fail within the first milliseconds, because no process
+        listens yet on a machine that is starting.
         """
         self._undo(delegation)
         calls = delegation.open_calls
@@ -59,7 +59,7 @@
         return [*lost, *dispatched, *self._starter.start_all(own, now)]
 
     def lost(self, delegation: Delegation, reason: str, now: float) -> list[Action]:
-        """Ask for the shards of a node that is silent or whose connection broke."""
+        """Contact the shards of a node that is silent or whose connection broke."""
         calls = [call for call in delegation.open_calls if not call.attempts]
         for call in calls:
             call.is_delegate_lost = True
@@ -68,26 +68,27 @@
         return self._take_over(delegation, calls, reason, now)
 
     def _undo(self, delegation: Delegation) -> None:
-        """Forget a delegation for which nobody was asked."""
+        """Remove a delegation that the other node has not started."""
         for call in delegation.open_calls:
             call.delegated_attempts = 0
             call.arrivals -= 1
         self._open.remove(delegation)
 
     def _can_retry(self, call: ServiceCall) -> bool:
-        """Whether no replica is left that would be one too many, whomever the lost node asked."""
+        """Return whether one more attempt stays within the limit in any case."""
         exchange = call.exchange
         if self._directory.is_renewed_since(call.service, exchange.arrived_at):
-            # The lost node may have asked the life before, which is one more.
+            # The lost node may have contacted the previous incarnation, which counts as another
+            # one.
             return False
         return self._directory.replicas_of(call.service) <= exchange.route.max_attempts
 
     def _take_over(
         self, delegation: Delegation, calls: list[ServiceCall], reason: str, now: float
     ) -> list[Action]:
-        """Ask the shards of a node directly and pass the node over for a while.
+        """Contact the shards of a node directly, and mark the node as lost.
 
-        What the node still brings is taken, unless it has rejected the request.
+        Later answers of the node are still used, unless it has rejected the request.
         """
         exchange = delegation.exchange
         exchange.failures += len(calls)
@@ -104,7 +105,7 @@
         is_absent: bool,
         now: float,
     ) -> list[Action]:
-        """Pass a node over for a while."""
+        """Mark a delegation as lost and its node as suspect."""
         delegation.is_lost = True
         node_id = delegation.node.node_id
         self._groups.suspect(node_id, now, is_absent)
--- a/wingquay/forwarding/peers/open_delegations.py
+++ b/wingquay/forwarding/peers/open_delegations.py
@@ -1,4 +1,4 @@
-"""The shards that other nodes were asked for and have not all brought."""
+"""Stores the delegations that are not answered completely."""
 
 from collections.abc import Collection
 from dataclasses import dataclass, field
@@ -10,7 +10,7 @@
 
 @dataclass(slots=True, eq=False)
 class Delegation:
-    """Shards of one request that another node was asked for."""
+    """Shards of one request that are delegated to another node."""
 
     delegation_id: int
     node: NodeIdentity
@@ -20,11 +20,11 @@
     is_acknowledged: bool = False
     is_lost: bool = False
     given_back: set[str] = field(default_factory=set)
-    """Services of the calls that the node has declined."""
+    """Services of the calls that the node has declined, returned or reported as exhausted."""
 
     @property
     def open_calls(self) -> list[ServiceCall]:
-        """The calls without an answer that the node may still bring."""
+        """Calls that the node may still answer."""
         return [
             call
             for call in self.calls
@@ -33,12 +33,12 @@
 
 
 class OpenDelegations:
-    """What is under way at other nodes, by number, by node and by exchange.
+    """Stores open delegations by id, by node and by exchange.
 
     Parameters
     ----------
     first_id
-        Number of the first delegation.
+        Id of the first delegation.
     """
 
     def __init__(self, first_id: int) -> None:
@@ -49,32 +49,32 @@
     def add(
         self, node: NodeIdentity, exchange: Exchange, calls: Collection[ServiceCall], now: float
     ) -> Delegation:
-        """Return a new delegation to a node."""
+        """Store and return a new delegation."""
         delegation = Delegation(next(self._ids), node, exchange, tuple(calls), now)
         self._by_id[delegation.delegation_id] = delegation
         self._by_exchange.setdefault(exchange.exchange_id, []).append(delegation)
         return delegation
 
     def get(self, delegation_id: int) -> Delegation | None:
-        """Return a delegation that is under way."""
+        """Return an open delegation; ``None`` if the id is unknown."""
         return self._by_id.get(delegation_id)
 
     def get_for_node(self, node_id: str) -> list[Delegation]:
-        """Return what is under way at a node."""
+        """Return the open delegations to a node."""
         return [item for item in self._by_id.values() if item.node.node_id == node_id]
 
     def count_for_node(self, node: NodeIdentity) -> int:
-        """Return how many delegations are under way at a node."""
+        """Return the number of open delegations to a node."""
         return len(self.get_for_node(node.node_id))
 
     def remove(self, delegation: Delegation) -> None:
-        """Take a delegation out: nothing more is expected of it."""
+        """Remove a delegation from which no more reports are expected."""
         self._by_id.pop(delegation.delegation_id, None)
         siblings = self._by_exchange.get(delegation.exchange.exchange_id)
         if siblings is not None:
             siblings.remove(delegation)
 
     def remove_all_for(self, exchange: Exchange) -> list[Delegation]:
-        """Take out everything that is under way for an exchange, and return it."""
+        """Remove and return all open delegations of an exchange."""
         taken = self._by_exchange.pop(exchange.exchange_id, [])
         return [item for item in taken if self._by_id.pop(item.delegation_id, None) is not None]
--- a/wingquay/forwarding/peers/peer_event_handler.py
+++ b/wingquay/forwarding/peers/peer_event_handler.py
@@ -1,6 +1,6 @@
-"""What forwarding nodes do for each other: joins both sides of delegation.
+"""Combines both sides of delegation: outgoing delegations and work for other nodes.
 
-Loaded when the link to other nodes opens; a node serves before that.
+Imported when the link to other nodes opens, while the node already serves requests.
 """
 
 from ...model.routing_table import RoutingTable
@@ -31,7 +31,7 @@
     Parameters
     ----------
     delegations
-        What this node asks of others.
+        The delegations of this node to others.
     """
 
     def __init__(
@@ -56,12 +56,12 @@
         table: RoutingTable | None,
         now: float,
     ) -> list[Action]:
-        """Take in an event.
+        """Handle an event.
 
         Parameters
         ----------
         table
-            The configuration for work of other nodes; ``None``: none is taken.
+            The configuration for delegated work; ``None`` if such work is rejected.
         """
         match event:
             case PeerConnectDue():
--- a/wingquay/forwarding/peers/relays.py
+++ b/wingquay/forwarding/peers/relays.py
@@ -1,9 +1,8 @@
-"""Which nodes of other zones are asked for the shards that have no replica in this node's zone.
+"""Chooses relays: nodes of other zones for the shards without a replica in this zone.
 
-Asked directly, every shard sends its own records, signature and headers between the zones: some 1.4
-kB for a shard of 1 kB, so 40 kB for a sweep of 30 shards, of which 2 kB are left once they are
-merged. So one node of a zone that holds the replicas asks them and sends what it merged. It is the
-one with the least work of this node under way, so that a slow one gets less.
+If this node contacted each shard directly, the records, signatures and headers of all shards would
+cross between zones. A relay in the other zone contacts them and sends the merged records only. The
+relay with the fewest open requests of this node is chosen, so that a slow one receives fewer.
 """
 
 from collections.abc import Callable
@@ -15,33 +14,33 @@
 from ..settings import ForwardingSettings
 
 ZONES_VALID_SECONDS = 0.25
-"""Time for which the zones of a route's replicas are not looked up again."""
+"""Time for which the zones of a route's replicas are cached."""
 
 MAX_SHARD_SETS = 8
-"""Sets of shards that are remembered; old configurations name others."""
+"""Maximum number of cached sets of shards."""
 
 
 @value
 class _RemoteShards:
-    """The shards of a route that have replicas in other zones only, with these zones."""
+    """The shards of a route with replicas in other zones only, and those zones."""
 
     valid_until: float
     zones: dict[str, set[str]]
 
 
 class Relays:
-    """Chooses who is asked for far shards.
+    """Chooses relays for shards in other zones.
 
     Parameters
     ----------
     settings
-        The zone of this node and from how many shards on a relay is worth it.
+        The zone of this node, and the minimum number of shards for a relay.
     groups
-        The nodes that can be reached.
+        The reachable nodes.
     directory
-        Tells where replicas are.
+        The zones of replicas.
     open_requests
-        Returns how many requests of this node are under way at another one.
+        Returns the number of open requests of this node at another one.
     """
 
     def __init__(
@@ -59,7 +58,7 @@
         self._rotation = 0
 
     def choose(self, shards: tuple[str, ...], now: float) -> dict[str, NodeIdentity]:
-        """Return who asks the far ones among ``shards``; what is missing is asked directly."""
+        """Return the relay of each remote shard; shards left out are contacted directly."""
         remote = dict(self._remote_zones(shards, now))
         owners: dict[str, NodeIdentity] = {}
         nodes = self._groups.reachable(now) if remote else []
@@ -88,7 +87,10 @@
         return {shard: zones for shard, zones in found.items() if zones and own_zone not in zones}
 
     def _best(self, nodes: list[NodeIdentity], remote: dict[str, set[str]]) -> NodeIdentity:
-        """Return the node whose zone holds most, and of several the least busy one, in turn."""
+        """Return a node of the zone with most shards, with the fewest open requests.
+
+        Ties are resolved in rotation.
+        """
         self._rotation += 1
         start = self._rotation % len(nodes)
         rotated = nodes[start:] + nodes[:start]
--- a/wingquay/forwarding/peers/request_rate.py
+++ b/wingquay/forwarding/peers/request_rate.py
@@ -1,25 +1,25 @@
-"""How many requests arrive at this node in a second, remembered for some seconds."""
+"""Moving average of the number of requests per second at this node."""
 
 import math
 
 RATE_MEMORY_SECONDS = 10.0
-"""Time constant of the mean: a node of a large fleet sees a request every few seconds."""
+"""Time constant of the moving average."""
 
 
 class RequestRate:
-    """A mean that fades: each request counts for less the longer ago it was."""
+    """Exponentially decaying request rate."""
 
     def __init__(self) -> None:
         self._requests = 0.0
         self._counted_at = 0.0
 
     def count(self, now: float) -> None:
-        """Take in a request."""
+        """Count a request."""
         self._requests = self._decayed(now) + 1.0
         self._counted_at = now
 
     def per_second(self, now: float) -> float:
-        """Return the mean number of requests a second."""
+        """Return the average number of requests per second."""
         return self._decayed(now) / RATE_MEMORY_SECONDS
 
     def _decayed(self, now: float) -> float:
--- a/wingquay/forwarding/peers/shard_placement.py
+++ b/wingquay/forwarding/peers/shard_placement.py
@@ -1,16 +1,15 @@
-"""Which node asks which shard of a wide request.
-
-A few nodes of each zone own the shards that have a replica there: as many as share out the coding
-of one request, and more only when the requests of all nodes need it. So whoever asks a shard does
-so for many nodes: its connections are open, it knows the replicas' latencies, and the budget of
-extra arrivals is divided among few. A request goes to owners in as few zones as hold all its
-shards, the node's own zone first, and each owner merges what it has before that crosses between
-zones.
-
-Within a zone the strongest nodes are owners, and every shard belongs to one of them by rendezvous
-hashing with bounded loads (Mirrokni, Thorup and Zadimoghaddam, "Consistent hashing with bounded
-loads", 2018), so that nobody has much more to do than the others and few shards move when a node is
-lost. Views of nodes may differ: any node takes any shard.
+"""Assigns the shards of wide requests to owner nodes.
+
+A few nodes of each zone own the shards with a replica there: enough to share the work of one
+request, and more only if the total request rate requires it. An owner contacts its shards for many
+nodes, so its connections are open, it has recent latencies of the replicas, and the budget of extra
+arrivals is divided among few nodes. A request goes to owners in as few zones as possible,
+preferably in the node's own zone. Each owner merges its records before they cross between zones.
+
+Within a zone the nodes with the fastest processors are owners. Shards are assigned to them by
+rendezvous hashing with bounded loads (Mirrokni, Thorup and Zadimoghaddam, "Consistent hashing with
+bounded loads", 2018), which balances the load and moves few shards when a node is lost. Nodes may
+have different views of the group: any node accepts any shard.
 """
 
 import math
@@ -27,21 +26,21 @@
 from .zone_choice import choose_zones, spread_zones
 
 PLACEMENT_VALID_SECONDS = 2.0
-"""Time for which a placement stands while nodes stay the same: owners decline shards that moved."""
+"""Time for which a placement is cached while the nodes stay the same."""
 MAX_PLACEMENTS = 8
-"""Sets of shards whose placement is remembered; old configurations name others."""
+"""Maximum number of cached placements, one per set of shards."""
 ROUNDING_TOLERANCE = 1e-9
-"""Part of a shard by which the sum of weights may be off."""
+"""Tolerance for rounding errors in the sum of weights, in shards."""
 SHARD_CPU_SECONDS = 0.0005
-"""Processor time of asking one shard, on a whole core (docs/design/delegation.md)."""
+"""Processor time to contact one shard, on a whole core (docs/design/delegation.md)."""
 MAX_OWNER_LOAD = 0.2
-"""Part of a core that the coding of shards may take at an owner before there are more owners: the
-weakest machines of the deployments have half a core, so they are two fifths busy then."""
+"""Maximum load of an owner by contacting shards, as a share of a core. Above it there are more
+owners."""
 
 
 @value
 class _Placement:
-    """Who asks each shard, for as long as the nodes are the same."""
+    """The owner of each shard while the nodes stay the same."""
 
     nodes_version: int
     valid_until: float
@@ -54,13 +53,13 @@
     Parameters
     ----------
     settings
-        The zone of this node and when other nodes are asked at all.
+        The zone of this node, and the minimum number of nodes for delegation.
     groups
-        The nodes that can be reached.
+        The reachable nodes.
     directory
-        Tells where replicas are.
+        The zones of replicas.
     rate
-        How many wide requests arrive at this node.
+        The rate of wide requests at this node.
     """
 
     def __init__(
@@ -77,9 +76,9 @@
         self._placements: dict[tuple[str, ...], _Placement] = {}
 
     def owners(self, shards: tuple[str, ...], now: float) -> Mapping[str, NodeIdentity | None]:
-        """Return who asks each shard.
+        """Return the owner of each shard.
 
-        ``None`` stands for this node, which also asks the shards that are missing.
+        ``None`` stands for this node, which also contacts the shards left out.
         """
         known = self._placements.get(shards)
         version = self._groups.version(now)
@@ -91,12 +90,12 @@
         return known.owners
 
     def owner_nodes(self, shards: tuple[str, ...], now: float) -> list[NodeIdentity]:
-        """Return the nodes that a request over these shards would be sent to."""
+        """Return the other nodes that a request over these shards would be delegated to."""
         owners = {owner.node_id: owner for owner in self.owners(shards, now).values() if owner}
         return list(owners.values())
 
     def sharing_nodes(self, shard: str, now: float) -> int:
-        """Return how many nodes usually ask a shard."""
+        """Return the number of nodes that usually contact a shard."""
         zones = len(self._directory.zones_of(shard, now)) or 1
         return zones * self._owner_sets(now)
 
@@ -112,7 +111,7 @@
         zones = spread_zones(self._settings.zone, members, replica_zones, minimum)
         owners: dict[str, NodeIdentity | None] = {}
         for zone in set(zones.values()):
-            # Sorted: the same set of shards has the same owners in whatever order it is named.
+            # Sorted, so that the owners do not depend on the order of the shards.
             zone_shards = tuple(sorted(shard for shard in shards if zone in replica_zones[shard]))
             assigned = self._assign(nodes[zone], zone_shards, len(shards), now)
             for shard in zone_shards:
@@ -126,7 +125,7 @@
     def _assign(
         self, nodes: list[GroupNode], replica_zones: tuple[str, ...], shards: int, now: float
     ) -> dict[str, GroupNode]:
-        """Return which of a zone's nodes asks each shard that has a replica there."""
+        """Return the owner of each shard with a replica in the zone."""
         size = max(1, round(len(replica_zones) / math.sqrt(shards)))
         owner_sets = self._owner_sets(now)
         members = fastest_nodes(nodes, size * owner_sets)
@@ -137,7 +136,7 @@
         return {shard: by_name[name] for shard, name in assigned.items()}
 
     def _owner_sets(self, now: float) -> int:
-        """Return how many sets of owners the requests of all nodes need."""
+        """Return the number of owner sets that the total request rate requires."""
         shards = self._groups.fan_out
         zones = max(1, self._groups.zones)
         requests_per_second = self._rate.per_second(now) * self._groups.size
@@ -147,7 +146,7 @@
 
 
 def fastest_nodes(nodes: Collection[GroupNode], count: int) -> list[GroupNode]:
-    """Return the nodes with the fastest processors; of equal ones the same on every node."""
+    """Return the nodes with the fastest processors; ties are resolved alike on all nodes."""
 
     def rank(node: GroupNode) -> tuple[float, int]:
         return -node.record.processor, xxhash.xxh64_intdigest(node.name.encode())
@@ -156,12 +155,12 @@
 
 
 def assign_bounded(weights: Mapping[str, float], shards: tuple[str, ...]) -> dict[str, str]:
-    """Return a name for each shard; nobody gets more than its share by weight, rounded up.
+    """Assign shards to names; the load of each is bounded by its weight, rounded up.
 
     Parameters
     ----------
     weights
-        How much of the work each name can take: all of them are done at about the same time.
+        Relative capacity of each name.
     """
     total = sum(weights.values())
     capacity = {
--- a/wingquay/forwarding/peers/takeover_timeout.py
+++ b/wingquay/forwarding/peers/takeover_timeout.py
@@ -1,35 +1,35 @@
-"""When a node that was asked for shards and has not said anything counts as lost."""
+"""Time after which a node that has not acknowledged a delegation is considered lost."""
 
 from ...model.routing_table import Route
 from ..settings import ForwardingSettings
 
 MEAN_WEIGHT = 0.1
-"""How far one node that is heard moves the mean."""
+"""Weight of a new value in the moving average."""
 
 
 class TakeoverTimeout:
-    """Follows how long nodes usually take to say that they have taken a request.
+    """Adapts the takeover timeout to the usual acknowledgement time of nodes.
 
-    Where that is long, since their machines are weak, a silent one is given longer: to step in for
-    all of them would make every node do all work by itself.
+    If nodes are slow on average, a silent node is given more time. Otherwise each node would take
+    over from all others and do all the work itself.
 
     Parameters
     ----------
     settings
-        The time as a share of a route's objective, and in usual times.
+        The timeout as a share of a route's objective and as a multiple of the average.
     """
 
     def __init__(self, settings: ForwardingSettings) -> None:
         self._settings = settings
         self._mean_seconds = 0.0
-        """A moving mean over all nodes; 0 before anything was heard."""
+        """Moving average of the acknowledgement time of all nodes; 0 before the first one."""
 
     def record(self, seconds: float) -> None:
-        """Take in how long a node took."""
+        """Record the acknowledgement time of a node."""
         self._mean_seconds += MEAN_WEIGHT * (seconds - self._mean_seconds)
 
     def seconds(self, route: Route) -> float:
-        """Return the time after which this node steps in."""
+        """Return the time after which this node takes over."""
         settings = self._settings
         objective = route.objective_seconds
         default = objective * settings.delegate_takeover_ratio
--- a/wingquay/forwarding/peers/zone_choice.py
+++ b/wingquay/forwarding/peers/zone_choice.py
@@ -1,28 +1,30 @@
-"""In which zones the shards of a wide request are asked: pure functions over who holds what."""
+"""Chooses the zones in which the shards of a wide request are contacted."""
 
 import math
 from collections.abc import Collection, Mapping
 from itertools import combinations
 
 MAX_ZONES_SEARCHED = 10
-"""Zones up to which every choice is weighed (1,023 of them); beyond, one zone after the other."""
+"""Maximum number of zones for an exhaustive search; a greedy search is used beyond it."""
 MIN_OWNERS_RATIO = 0.75
-"""Owners, as a part of the square root of the number of shards, below which a request goes to
-further zones: some 9 owners of 90 shards are best, and 7 are hardly worse."""
+"""Minimum number of owners as a share of the square root of the number of shards; with fewer, a
+request is spread over further zones."""
 
 
 def choose_zones(
     own_zone: str, zones: list[str], replica_zones: Mapping[str, Collection[str]]
 ) -> dict[str, str]:
-    """Return the zone in which each shard is asked: few zones, the own one wherever it can be.
+    """Return the zone in which each shard is contacted.
+
+    The own zone is used wherever it has a replica; the other shards use as few zones as possible.
 
     Parameters
     ----------
     zones
-        The zones that have nodes, sorted; every node goes on from its own, so that none of them is
-        the second choice of all.
-    held
-        The zones that hold a replica of each shard; a shard that none holds is left out.
+        The zones that have nodes, sorted. Each node prefers the zones that follow its own, which
+        balances the load.
+    replica_zones
+        The zones with a replica of each shard; a shard without a replica is left out.
     """
     remote = {
         shard: frozenset(found)
@@ -49,19 +51,19 @@
     replica_zones: Mapping[str, Collection[str]],
     zones: Mapping[str, str],
 ) -> Mapping[str, str]:
-    """Return the zone in which each shard is asked, in more zones where these have too few nodes.
+    """Return the zone in which each shard is contacted, using more zones if these have few nodes.
 
-    With fewer owners than the square root of the number of shards each of them codes so many that
-    their time outweighs that of a message more, and of the way between zones.
+    With too few owners, the processor time of each one outweighs the cost of further messages and
+    of network round trips to other zones.
 
     Parameters
     ----------
-    members
+    nodes_per_zone
         The number of nodes in each zone.
-    held
-        The zones that hold a replica of each shard.
+    replica_zones
+        The zones with a replica of each shard.
     zones
-        The zone in which each shard would be asked, in as few zones as possible.
+        The zone of each shard with as few zones as possible.
     """
     wanted = math.sqrt(len(zones)) * MIN_OWNERS_RATIO
     names = sorted(nodes_per_zone)
@@ -88,7 +90,7 @@
 
 
 def _minimum_zones(zones: list[str], wanted: set[frozenset[str]]) -> tuple[str, ...]:
-    """Return a smallest choice of zones that has one of each wanted set."""
+    """Return a minimal set of zones with a member in each wanted set; greedy for many zones."""
     if len(zones) <= MAX_ZONES_SEARCHED:
         for count in range(len(zones) + 1):
             for chosen in combinations(zones, count):
--- a/wingquay/orchestration/__init__.py
+++ b/wingquay/orchestration/__init__.py
@@ -1,1 +1,1 @@
-"""Composes the machines of one node."""
+"""Combines the state machines of one node."""
--- a/wingquay/orchestration/caller_access.py
+++ b/wingquay/orchestration/caller_access.py
@@ -1,4 +1,4 @@
-"""Tells the caller interface who may call, whenever another configuration is in force."""
+"""Notifies the caller interface of the permitted callers when the configuration changes."""
 
 from typing import ClassVar
 
@@ -9,13 +9,13 @@
 
 
 class CallerAccess:
-    """Turns the callers of the configuration in force into an action."""
+    """Converts the callers of the configuration in force into an action."""
 
     EVENTS: ClassVar[tuple[type[Event], ...]] = (ConfigurationInForce,)
     PEER_MESSAGES: ClassVar[tuple[type[PeerMessage], ...]] = ()
 
     def handle(self, event: Event, now: float) -> list[Action]:
-        """Take in one event."""
+        """Handle one event."""
         if isinstance(event, ConfigurationInForce):
             return [SetCallers(event.configuration.callers)]
         return []
--- a/wingquay/orchestration/load_machine.py
+++ b/wingquay/orchestration/load_machine.py
@@ -1,4 +1,4 @@
-"""Tells the configuration machine every few seconds what load this node sees."""
+"""Periodically reports the load at this node to the configuration machine."""
 
 from dataclasses import dataclass
 from typing import ClassVar
@@ -14,11 +14,11 @@
 
 @dataclass(frozen=True, slots=True)
 class LoadReportDue(Event):
-    """It is time to report the load."""
+    """Scheduled event that sends the next load report."""
 
 
 class LoadMachine:
-    """Reports load seen by the coordinator and by the owner of this node."""
+    """Reports the load measured by the coordinator and the owner of this node."""
 
     EVENTS: ClassVar[tuple[type[Event], ...]] = (Start, LoadReportDue)
     PEER_MESSAGES: ClassVar[tuple[type[PeerMessage], ...]] = ()
@@ -28,7 +28,7 @@
         self._owner = owner
 
     def handle(self, event: Event, now: float) -> list[Action]:
-        """Take in one event."""
+        """Handle one event."""
         again = Schedule(now + REPORT_INTERVAL_SECONDS, LoadReportDue())
         kinds = self._coordinator.kind_statistics.collect_and_reset(now)
         if isinstance(event, Start):
--- a/wingquay/orchestration/node_machine.py
+++ b/wingquay/orchestration/node_machine.py
@@ -1,8 +1,8 @@
-"""All decision code of one node, as one machine.
+"""All decision logic of one node as a single state machine.
 
-Events are routed by type to the machines that take them; what a machine notifies the others of,
-and what a node sends to itself, is handled at once. The asyncio runtime and the simulator both
-drive exactly this class.
+Events are routed by type to the machines that handle them. Notifications between machines and
+messages of a node to itself are handled immediately. Both the asyncio runtime and the simulator
+drive this class.
 """
 
 import random
@@ -31,13 +31,13 @@
 
 
 class RoutedMachine(Protocol):
-    """A machine that says which events and peer messages it takes."""
+    """A machine that declares the events and peer messages it handles."""
 
     EVENTS: ClassVar[tuple[type[Event], ...]]
     PEER_MESSAGES: ClassVar[tuple[type[PeerMessage], ...]]
 
     def handle(self, event: Event, now: float) -> list[Action]:
-        """Take in one event."""
+        """Handle one event."""
         ...
 
 
@@ -47,13 +47,13 @@
     Parameters
     ----------
     identity
-        Who this node is.
+        Identity of this node.
     seeds
-        Addresses of peers that are asked at the start.
+        Addresses of peers that are contacted at the start.
     listeners
-        Further machines that take events, after all others.
+        Further machines, which handle events after all others.
     random_source
-        Seeds each machine's own source, so that one machine's draws do not shift another's.
+        Seeds a separate source for each machine, so that their random values are independent.
     """
 
     def __init__(
@@ -116,7 +116,7 @@
 
     @property
     def identity(self) -> NodeIdentity:
-        """Who this node is."""
+        """The identity of this node."""
         return self._identity
 
     @property
@@ -130,15 +130,15 @@
         return self._configuration.revision
 
     def in_flight(self) -> int:
-        """Return how many requests and sub-requests have not ended here."""
+        """Return the number of open requests and sub-requests."""
         return self._coordinator.in_flight + self._owner.in_flight
 
     def assignments_to_hand_over(self) -> int:
-        """Return how many assignments with remembered claims wait for their next holder."""
+        """Return the number of assignments with remembered claims still to be handed over."""
         return self._claims.assignments_to_hand_over
 
     def handle(self, event: Event, now: float) -> list[Action]:
-        """Take in ``event`` at ``now`` and return what the surroundings must do, in order."""
+        """Handle ``event`` at ``now``; return the actions for the environment, in order."""
         external: list[Action] = []
         pending: deque[Event] = deque((event,))
         while pending:
--- a/wingquay/orchestration/stop_machine.py
+++ b/wingquay/orchestration/stop_machine.py
@@ -1,7 +1,4 @@
-"""The planned stop: announce, take nothing new, finish everything in flight, exit.
-
-Source: brief, "A planned stop cuts off no request that is in flight".
-"""
+"""Planned stop: announces it, accepts no new work, drains requests in flight, then exits."""
 
 from collections.abc import Callable
 from dataclasses import dataclass
@@ -15,23 +12,24 @@
 from .settings import StopSettings
 
 MAX_CHECK_INTERVALS = 2.0
-"""Between two checks at most this many check intervals count; more is a pause of the process."""
+"""Maximum number of check intervals counted between two checks; a longer gap means that the process
+was paused."""
 
 
 @dataclass(frozen=True, slots=True)
 class StopCheckDue(Event):
-    """It is time to see whether anything is still in flight."""
+    """Scheduled event that checks whether work is still in flight."""
 
 
 class StopMachine:
-    """Readiness and the planned stop.
+    """Controls readiness and the planned stop.
 
     Parameters
     ----------
     in_flight
-        Returns how many requests and sub-requests this node still has.
+        Returns the number of open requests and sub-requests of this node.
     assignments_to_hand_over
-        Returns how many assignments with remembered claims wait for their next holder.
+        Returns the number of assignments with remembered claims that wait for their next holder.
     """
 
     EVENTS: ClassVar[tuple[type[Event], ...]] = (ConfigurationInForce, StopRequested, StopCheckDue)
@@ -55,7 +53,7 @@
         self._has_exited = False
 
     def handle(self, event: Event, now: float) -> list[Action]:
-        """Take in one event."""
+        """Handle one event."""
         match event:
             case ConfigurationInForce():
                 return self._on_configuration()
@@ -96,10 +94,10 @@
         return [Schedule(now + self._settings.check_seconds, StopCheckDue())]
 
     def _observe(self, now: float) -> float:
-        """Return for how long the stop has gone on, pauses of the process left out.
+        """Return the duration of the stop so far in seconds, without pauses of the process.
 
-        After a pause, what came meanwhile is still unread: time in which nothing could be read
-        does not count as time in which nothing came.
+        Messages that arrived during a pause are still unread, so a pause must not count as idle
+        time.
         """
         max_step_seconds = self._settings.check_seconds * MAX_CHECK_INTERVALS
         self._observed_seconds += min(now - self._checked_at, max_step_seconds)
