--- a/tests/forwarding/crashing/test_guard.py
+++ b/tests/forwarding/crashing/test_guard.py
@@ -2,7 +2,7 @@
 
 from testtools import TestCase
 
-from tests.forwarding.linked_nodes import OTHERS, OWN, delegated, join, node_in_group, told
+from tests.forwarding.linked_nodes import OTHERS, OWN, delegated, join, node_in_group, sent_messages
 from tests.forwarding.one_node import (
     HELD_PREFIX,
     OneNode,
@@ -201,7 +201,7 @@
 class NewsTest(TestCase):
     def test_what_is_held_is_told_to_other_nodes(self) -> None:
         one = held_node()
-        news = [item for item in told(one, CrashNews) if item.held_seconds]  # type: ignore[attr-defined]
+        news = [item for item in sent_messages(one, CrashNews) if item.held_seconds]  # type: ignore[attr-defined]
         self.assertEqual(len(OTHERS), len(news))
         self.assertEqual(3, len(news[0].ends))  # type: ignore[attr-defined]
 
@@ -209,7 +209,7 @@
         one = linked()
         one.request("/one/crash")
         one.end_replica(one.sends[0])
-        self.assertEqual([], told(one, CrashNews))
+        self.assertEqual([], sent_messages(one, CrashNews))
 
     def test_ends_of_a_request_that_is_answered_soon_are_not_told(self) -> None:
         one = linked()
@@ -217,18 +217,18 @@
         one.end_replica(one.sends[0])
         one.answer(one.sends[0])
         one.advance(TELL_SECONDS + 0.05)
-        self.assertEqual([], [item for item in told(one, CrashNews) if item.ends])  # type: ignore[attr-defined]
+        self.assertEqual([], [item for item in sent_messages(one, CrashNews) if item.ends])  # type: ignore[attr-defined]
 
     def test_ends_under_an_attempt_that_failed_are_told_before_anything_is_held(self) -> None:
         one = linked()
         end_single(one, 2)
         self.assertEqual([], one.logs("request_held"))
-        self.assertEqual(2, max(len(item.ends) for item in told(one, CrashNews)))  # type: ignore[attr-defined]
+        self.assertEqual(2, max(len(item.ends) for item in sent_messages(one, CrashNews)))  # type: ignore[attr-defined]
 
     def test_ends_of_another_node_count(self) -> None:
         one, two = linked(), linked()
         end_single(one, 2)
-        two.emit(PeerReceived(OTHERS[0], told(one, CrashNews)[-1]))  # type: ignore[arg-type]
+        two.emit(PeerReceived(OTHERS[0], sent_messages(one, CrashNews)[-1]))  # type: ignore[arg-type]
         two.advance(0.2)
         end_single(two, 1)
         self.assertEqual(1, len(two.logs("request_held")))
@@ -237,7 +237,7 @@
         one, two = held_node(), linked()
         number = two.request("/one/crash")
         (send,) = two.sends
-        (news, *_) = [item for item in told(one, CrashNews) if item.held_seconds]  # type: ignore[attr-defined]
+        (news, *_) = [item for item in sent_messages(one, CrashNews) if item.held_seconds]  # type: ignore[attr-defined]
         two.emit(PeerReceived(OTHERS[0], news))  # type: ignore[arg-type]
         self.assertEqual([send.attempt_id], two.cancelled)
         self.assertIs(ForwardFailureKind.FAILED, two.replies[number].kind)  # type: ignore[union-attr]
@@ -246,18 +246,18 @@
 
     def test_news_go_on_once(self) -> None:
         one, two = held_node(), linked()
-        (news, *_) = [item for item in told(one, CrashNews) if item.held_seconds]  # type: ignore[attr-defined]
+        (news, *_) = [item for item in sent_messages(one, CrashNews) if item.held_seconds]  # type: ignore[attr-defined]
         for _ in range(3):
             two.emit(PeerReceived(OTHERS[0], news))  # type: ignore[arg-type]
-        self.assertEqual(1, len(told(two, CrashNews)))
+        self.assertEqual(1, len(sent_messages(two, CrashNews)))
 
     def test_an_answer_anywhere_clears_it_everywhere(self) -> None:
         one, two = linked(), linked()
         end_single(one, 2)
-        two.emit(PeerReceived(OTHERS[0], told(one, CrashNews)[-1]))  # type: ignore[arg-type]
+        two.emit(PeerReceived(OTHERS[0], sent_messages(one, CrashNews)[-1]))  # type: ignore[arg-type]
         two.request("/one/crash")
         two.answer(two.sends[0])
-        cleared = [item for item in told(two, CrashNews) if item.is_cleared]  # type: ignore[attr-defined]
+        cleared = [item for item in sent_messages(two, CrashNews) if item.is_cleared]  # type: ignore[attr-defined]
         one.emit(PeerReceived(OTHERS[0], cleared[0]))  # type: ignore[arg-type]
         end_single(one, 1)
         self.assertEqual([], one.logs("request_held"))
@@ -274,7 +274,7 @@
         self.assertEqual([], asking.sends)
         request = DelegatedRequest(1, "id", opaque_of(owner), "one", ("s",), 0, 0, 1.0, 1.0, 1.0)
         owner.emit(PeerReceived(OTHERS[0], request))
-        (answer,) = told(owner, DelegatedAnswer)
+        (answer,) = sent_messages(owner, DelegatedAnswer)
         self.assertGreater(answer.held_seconds, 0.0)  # type: ignore[attr-defined]
         self.assertEqual([], owner.sends)
 
@@ -299,7 +299,7 @@
         one.emit(PeerReceived(OTHERS[0], request))
         for send in list(one.sends):
             one.lose(send)
-        given = [place for item in told(one, DelegatedAnswer) for place in item.given_back]  # type: ignore[attr-defined]
+        given = [place for item in sent_messages(one, DelegatedAnswer) for place in item.given_back]  # type: ignore[attr-defined]
         # The first end alone may be an accident: the node may not ask a second replica by itself.
         self.assertEqual(list(range(SHARDS)), sorted(given))
         self.assertEqual([], one.sends)
--- a/tests/forwarding/known_callers.py
+++ b/tests/forwarding/known_callers.py
@@ -1,4 +1,4 @@
-"""Callers with keys, and stand-ins for the parts that prove the configuration and count limits."""
+"""Callers with keys, and fakes for the proof of the configuration and the tenant limits."""
 
 from dataclasses import replace
 
@@ -19,28 +19,28 @@
 
 
 def with_tenants(configuration: RoutingTable, *tenants: Tenant) -> RoutingTable:
-    """Return a configuration that tells callers apart."""
+    """Return a configuration with tenants."""
     return replace(configuration, tenants=TenantDirectory(tenants))
 
 
-class Proof:
-    """Says what a test lets it say."""
+class FakeProof:
+    """A proof whose results are set by the test."""
 
     def __init__(self) -> None:
         self.proven = True
         self.seconds = 0.7
 
     def is_proven(self, _now: float) -> bool:
-        """Return what the test has set."""
+        """Return the result set by the test."""
         return self.proven
 
     def retry_after_seconds(self, _now: float) -> float:
-        """Return what the test has set."""
+        """Return the time set by the test."""
         return self.seconds
 
 
-class Limits:
-    """Answers what a test lets it answer, and keeps account of what is counted."""
+class FakeLimits:
+    """Limits whose decision is set by the test; records all calls."""
 
     def __init__(self, answer: Admitted | Rejected | AwaitsLimit = ADMITTED) -> None:
         self.answer = answer
@@ -50,16 +50,16 @@
     def admit(
         self, tenant: Tenant, exchange_id: int, _now: float
     ) -> Admitted | Rejected | AwaitsLimit:
-        """Take note of the question; return what the test has set."""
+        """Record the call; return the decision set by the test."""
         self.asked.append((tenant.name, exchange_id))
         return self.answer
 
     def give_back(self, tenant: Tenant, exchange_id: int, _now: float) -> None:
-        """Take note."""
+        """Record the call."""
         self.given_back.append((tenant.name, exchange_id))
 
 
-def ask(
+def send_request(
     node: OneNode,
     number: int,
     key: str = "",
@@ -67,7 +67,7 @@
     forged_tenant: str = "",
     deadline_seconds: float | None = 2.0,
 ) -> int:
-    """Let a caller send a request as the platform's adapter understands it; return its number."""
+    """Send a request as the platform adapter passes it on; return its number."""
     own: list[tuple[bytes, bytes]] = []
     if key:
         own.append((b"Authorization", b"Bearer " + key.encode()))
@@ -91,8 +91,8 @@
     return number
 
 
-def everything_but_replies(node: OneNode) -> str:
-    """Return all that leaves the decisions of a node, with headers and bodies written out."""
+def output_without_replies(node: OneNode) -> str:
+    """Return all actions of a node except replies as text, including headers and bodies."""
     parts: list[str] = []
     for action in node.actions:
         parts.append(repr(action))
@@ -111,8 +111,8 @@
     ]
 
 
-def ended(node: OneNode) -> list[Log]:
-    """Return the lines of requests that ended without being simply served."""
+def request_ended_lines(node: OneNode) -> list[Log]:
+    """Return the log lines of requests that ended without a normal reply."""
     return [
         action
         for action in node.actions
--- a/tests/forwarding/limits/fleet.py
+++ b/tests/forwarding/limits/fleet.py
@@ -1,4 +1,4 @@
-"""Nodes that keep limits together, on a network that delays, cuts and breaks."""
+"""Simulated nodes with tenant limits on a network with delays, partitions and broken links."""
 
 import heapq
 import random
@@ -35,7 +35,7 @@
 
 
 class LimitFleet:
-    """Nodes in four zones; what ran is remembered whoever knows of it."""
+    """Nodes in four zones; records every request that runs."""
 
     def __init__(
         self, nodes: int, *tenants: Tenant, seed: int = 1, settings: LimitSettings = SETTINGS
@@ -48,9 +48,9 @@
         self.incarnations = dict.fromkeys(self.identities, 0)
         self.limits: dict[str, DistributedLimits] = {}
         self.groups: dict[str, NodeGroups] = {}
-        self.cut: set[tuple[str, str]] = set()
+        self.partition: set[tuple[str, str]] = set()
         self.unlisted: set[str] = set()
-        """Nodes whose key may have lapsed, as they know themselves."""
+        """Nodes whose own key may have expired, as they assume themselves."""
         self.suspended: dict[str, list[tuple[int, Event]]] = {}
         self.ran: dict[str, list[float]] = defaultdict(list)
         self.answers: dict[int, Admitted | Rejected] = {}
@@ -104,14 +104,14 @@
             self._handle(name, incarnation, event)
 
     def remove_keys(self, *gone: str, seen_by: list[str]) -> None:
-        """Take the keys of nodes from the store as other nodes see it."""
+        """Remove the keys of nodes from the store as seen by other nodes."""
         for name in seen_by:
             for other in gone:
                 self.groups[name].remove(other)
             self.perform(name, self.limits[name].refresh_owners(self.now))
 
     def add_keys(self, *new: str, seen_by: list[str]) -> None:
-        """Put the keys of nodes into the store as other nodes see it."""
+        """Add the keys of nodes to the store as seen by other nodes."""
         for name in seen_by:
             for other in new:
                 self.groups[name].put(other, NodeRecord(self.identities[other]))
@@ -128,19 +128,19 @@
         inside = set(names)
         for one in inside:
             for other in set(self.identities) - inside:
-                self.cut.add((one, other))
+                self.partition.add((one, other))
                 if not one_way:
-                    self.cut.add((other, one))
+                    self.partition.add((other, one))
 
     def join(self) -> None:
-        self.cut.clear()
+        self.partition.clear()
         for (source, target), held in sorted(self._held.items()):
             for action in held:
                 self._send(source, target, action)
         self._held.clear()
 
-    def break_cut_links(self) -> None:
-        for source, target in sorted(self.cut):
+    def break_partitioned_links(self) -> None:
+        for source, target in sorted(self.partition):
             if source in self.limits and target in self.limits:
                 self._break(source, target)
 
@@ -151,7 +151,7 @@
             self._push(self.now + 0.005, source, event)
 
     def _send(self, source: str, target: str, action: SendToPeer) -> None:
-        if (source, target) in self.cut:
+        if (source, target) in self.partition:
             self._held[source, target].append(action)
             return
         at = max(self._last_at[source, target], self.now + self.random.uniform(0.0005, 0.003))
@@ -190,7 +190,7 @@
     # Callers
 
     def request(self, node: str, name: str = "t", runs: bool = True) -> int:
-        """Let a request arrive; `runs`: a replica takes it if the node lets it begin."""
+        """Send a request to a node; `runs`: a replica runs it if it is admitted."""
         number = next(self._numbers)
         node_limits = self.limits.get(node)
         if node_limits is None or node in self.suspended:
@@ -220,7 +220,7 @@
     def load(
         self, rate: float, seconds: float, nodes: list[str] | None = None, name: str = "t"
     ) -> list[int]:
-        """Let requests arrive at random nodes, evenly in time; return their numbers."""
+        """Send requests to random nodes at a constant rate; return their numbers."""
         numbers = []
         for _ in range(round(rate * seconds)):
             alive = [item for item in (nodes or sorted(self.limits)) if item in self.limits]
@@ -229,10 +229,10 @@
             self.advance(1.0 / rate)
         return numbers
 
-    # What must hold
+    # Results
 
     def max_in_window(self, name: str = "t") -> int:
-        """Return the most that ran in any window."""
+        """Return the maximum number of requests that ran in any window."""
         times = sorted(self.ran[name])
         start = most = 0
         for end, at in enumerate(times):
--- a/tests/forwarding/limits/test_fleet_limits.py
+++ b/tests/forwarding/limits/test_fleet_limits.py
@@ -1,4 +1,4 @@
-"""The sum of a tenant's requests over many nodes, in calm and through failures."""
+"""Limits of a tenant over many nodes, in normal operation and under failures."""
 
 import testtools
 
@@ -9,8 +9,8 @@
 from wingquay.ports.limit_messages import LimitAsk, LimitTell
 
 NODES = 20
-USUAL = 3.0
-"""Requests a second; the limit allows 50 in 5 s, so ten a second for a while."""
+NORMAL_RATE = 3.0
+"""Requests per second; the limit allows 50 in 5 s."""
 ALWAYS_ASK = LimitSettings(WINDOW_SECONDS, 0.1, 20.0, ask_first_ratio=0.0)
 
 
@@ -27,14 +27,14 @@
         answers = [fleet.answers[number] for number in numbers if number in fleet.answers]
         return [answer for answer in answers if isinstance(answer, Rejected)]
 
-    def test_within_the_limit_nobody_is_refused_or_waits_for_long(self) -> None:
+    def test_within_the_limit_requests_are_neither_refused_nor_delayed(self) -> None:
         fleet = self.settled()
-        numbers = fleet.load(USUAL, 20.0)
+        numbers = fleet.load(NORMAL_RATE, 20.0)
         fleet.advance(1.0)
         self.assertEqual([], self.refused(fleet, numbers))
         self.assertLess(max(fleet.waited.values()), 0.01)
 
-    def test_nobody_waits_at_busy_nodes(self) -> None:
+    def test_at_busy_nodes_most_requests_start_without_a_query(self) -> None:
         fleet = LimitFleet(4, tenant(rate=500.0, burst=500.0))
         fleet.advance(2.0 * WINDOW_SECONDS)
         numbers = fleet.load(200.0, 10.0)
@@ -52,11 +52,11 @@
             self.assertEqual([], self.refused(fleet, numbers))
             self.assertLess(max(fleet.waited.values()), 0.02)
 
-    def test_a_hot_tenant_gets_its_limit_and_no_more(self) -> None:
+    def test_a_hot_tenant_receives_its_limit_and_no_more(self) -> None:
         for settings in (None, ALWAYS_ASK):
             options = {} if settings is None else {"settings": settings}
             fleet = self.settled(**options)
-            fleet.load(USUAL, 10.0)
+            fleet.load(NORMAL_RATE, 10.0)
             numbers = fleet.load(7.5 * 10.0, 20.0)
             fleet.advance(1.0)
             self.assert_limit_holds(fleet)
@@ -65,7 +65,7 @@
             kinds = {answer.kind for answer in refused}
             self.assertEqual({ForwardFailureKind.OVER_LIMIT}, kinds)
 
-    def test_whoever_is_refused_is_told_when_the_window_has_room(self) -> None:
+    def test_a_refusal_contains_the_time_until_the_window_has_capacity(self) -> None:
         fleet = self.settled()
         first = fleet.load(500.0, 0.2)
         fleet.advance(0.1)
@@ -77,7 +77,7 @@
             self.assertLess(answer.retry_after_seconds, 1.1 * WINDOW_SECONDS + 0.1)
         self.assertGreater(len({answer.retry_after_seconds for answer in refused}), 10)
 
-    def test_a_burst_on_all_nodes_at_once_is_kept(self) -> None:
+    def test_a_simultaneous_burst_on_all_nodes_stays_within_the_limit(self) -> None:
         fleet = self.settled(nodes=70)
         for _ in range(20):
             for name in sorted(fleet.limits):
@@ -85,32 +85,32 @@
             fleet.advance(0.05)
         self.assert_limit_holds(fleet)
 
-    def test_both_sides_of_a_cut_stay_below_together(self) -> None:
+    def test_both_sides_of_a_partition_together_stay_within_the_limit(self) -> None:
         for one_way in (False, True):
-            for usual in (USUAL, 60.0):
+            for rate in (NORMAL_RATE, 60.0):
                 fleet = self.settled()
-                fleet.load(usual, 6.0)
+                fleet.load(rate, 6.0)
                 owners = fleet.owners()
                 side = [name for name in sorted(fleet.limits) if int(name[1:]) % 3 == 0]
                 for owner in owners:
                     inside = [*(name for name in side if name not in owners), owner]
                     fleet.separate(*inside, one_way=one_way)
                     fleet.load(60.0, 8.0)
-                    fleet.break_cut_links()
+                    fleet.break_partitioned_links()
                     fleet.load(60.0, 8.0)
                     fleet.join()
                     fleet.load(60.0, 8.0)
                 self.assert_limit_holds(fleet)
 
-    def test_a_calm_tenant_that_surges_behind_a_cut_stays_below(self) -> None:
+    def test_a_calm_tenant_that_surges_in_a_partition_stays_within_the_limit(self) -> None:
         fleet = self.settled()
-        fleet.load(USUAL, 6.0)
+        fleet.load(NORMAL_RATE, 6.0)
         side = [name for name in sorted(fleet.limits) if int(name[1:]) % 3 == 0]
         fleet.separate(*side, *fleet.owners())
         fleet.load(60.0, 8.0)
         self.assert_limit_holds(fleet)
 
-    def test_a_request_that_no_longer_waits_is_given_back_when_it_is_permitted(self) -> None:
+    def test_a_late_permit_is_given_back(self) -> None:
         fleet = self.settled()
         node = next(name for name in sorted(fleet.limits) if name not in fleet.owners())
         node_limits = fleet.limits[node]
@@ -123,7 +123,7 @@
         fleet.advance(1.0)
         self.assertEqual([], self.refused(fleet, numbers))
 
-    def test_what_a_second_owner_permits_is_not_charged_to_it_again(self) -> None:
+    def test_permits_of_a_second_owner_are_charged_to_it_only_once(self) -> None:
         fleet = self.settled(settings=ALWAYS_ASK)
         primary, second = fleet.owners()
         fleet.separate(primary)
@@ -137,30 +137,30 @@
         begun = sum(isinstance(fleet.answers[number], Admitted) for number in numbers)
         self.assertEqual(begun, permitted_as_second)
 
-    def test_calm_tenants_are_served_on_both_sides_of_a_cut(self) -> None:
+    def test_calm_tenants_are_served_on_both_sides_of_a_partition(self) -> None:
         fleet = self.settled()
-        fleet.load(USUAL, 6.0)
+        fleet.load(NORMAL_RATE, 6.0)
         second = fleet.owners()[1]
         side = [name for name in sorted(fleet.limits) if name[1:] > "10" or name == second]
         fleet.separate(*[name for name in side if name != fleet.owners()[0]])
-        numbers = fleet.load(USUAL, 10.0)
+        numbers = fleet.load(NORMAL_RATE, 10.0)
         fleet.advance(1.0)
         self.assertEqual([], self.refused(fleet, numbers))
         self.assertLess(max(fleet.waited.values()), 0.35)
 
-    def test_an_owner_that_dies_is_replaced_at_once_and_learns_when_it_is_back(self) -> None:
+    def test_an_owner_is_replaced_when_it_crashes_and_restored_after_a_restart(self) -> None:
         for position in (0, 1):
             fleet = self.settled()
-            fleet.load(USUAL, 6.0)
+            fleet.load(NORMAL_RATE, 6.0)
             victim = fleet.owners()[position]
             fleet.kill(victim)
-            numbers = fleet.load(USUAL, 2.0)
+            numbers = fleet.load(NORMAL_RATE, 2.0)
             fleet.start(victim)
-            numbers += fleet.load(USUAL, 20.0)
+            numbers += fleet.load(NORMAL_RATE, 20.0)
             fleet.advance(1.0)
             self.assertEqual([], self.refused(fleet, numbers))
 
-    def test_an_owner_that_dies_under_a_hot_tenant_permits_no_more(self) -> None:
+    def test_owner_crashes_under_a_hot_tenant_stay_within_the_limit(self) -> None:
         for position in (0, 1):
             fleet = self.settled()
             for _ in range(3):
@@ -172,7 +172,7 @@
             fleet.load(60.0, 6.0)
             self.assert_limit_holds(fleet)
 
-    def test_all_nodes_killed_at_once_keep_the_sum(self) -> None:
+    def test_a_simultaneous_crash_of_all_nodes_stays_within_the_limit(self) -> None:
         fleet = self.settled()
         fleet.load(60.0, 6.0)
         for name in sorted(fleet.limits):
@@ -184,7 +184,7 @@
         self.assert_limit_holds(fleet)
         self.assertGreater(len([at for at in fleet.ran["t"] if at > fleet.now - 5.0]), 45)
 
-    def test_an_owner_whose_key_lapses_behind_a_cut_makes_room_for_the_next(self) -> None:
+    def test_an_owner_whose_key_expires_in_a_partition_is_replaced_within_the_limit(self) -> None:
         for one_way, has_both in ((False, False), (True, False), (False, True)):
             fleet = self.settled()
             fleet.load(60.0, 6.0)
@@ -193,7 +193,7 @@
             inside = sorted({*inside, first, second} if has_both else {*inside, first})
             outside = [name for name in sorted(fleet.limits) if name not in inside]
             fleet.separate(*inside, one_way=one_way)
-            fleet.break_cut_links()
+            fleet.break_partitioned_links()
             fleet.load(60.0, 12.0)
             fleet.unlisted.update(inside)
             fleet.load(60.0, 6.0)
@@ -206,8 +206,8 @@
             fleet.load(60.0, 20.0)
             self.assert_limit_holds(fleet)
 
-    def test_owners_that_come_and_go_by_the_store_keep_the_sum_and_calm_tenants(self) -> None:
-        for rate in (USUAL, 60.0):
+    def test_changes_of_owners_stay_within_the_limit_and_refuse_no_calm_tenant(self) -> None:
+        for rate in (NORMAL_RATE, 60.0):
             fleet = self.settled()
             numbers = fleet.load(rate, 10.0)
             for position in (0, 1):
@@ -220,10 +220,10 @@
                 fleet.add_keys(gone, seen_by=sorted(fleet.limits))
                 numbers += fleet.load(rate, 10.0)
             self.assert_limit_holds(fleet)
-            if rate == USUAL:
+            if rate == NORMAL_RATE:
                 self.assertEqual([], self.refused(fleet, numbers))
 
-    def test_nodes_that_see_a_change_of_owners_late_keep_the_sum(self) -> None:
+    def test_late_detection_of_a_change_of_owners_stays_within_the_limit(self) -> None:
         fleet = self.settled()
         fleet.load(60.0, 10.0)
         gone = fleet.owners()[0]
@@ -239,7 +239,7 @@
         fleet.load(60.0, 10.0)
         self.assert_limit_holds(fleet)
 
-    def test_a_lowered_limit_binds_after_a_window(self) -> None:
+    def test_a_lowered_limit_applies_after_a_window(self) -> None:
         fleet = self.settled()
         fleet.load(9.0, 10.0)
         fleet.configure(tenant(rate=0.4, burst=1.0))
@@ -248,7 +248,7 @@
         fleet.load(9.0, 15.0)
         self.assert_limit_holds(fleet)
 
-    def test_what_ran_nowhere_gives_its_unit_back(self) -> None:
+    def test_requests_that_did_not_run_are_given_back(self) -> None:
         fleet = self.settled()
         for _ in range(200):
             fleet.request("n01", runs=False)
@@ -257,7 +257,7 @@
         fleet.advance(1.0)
         self.assertEqual([], self.refused(fleet, numbers))
 
-    def test_no_limit_asks_nobody(self) -> None:
+    def test_a_tenant_without_a_limit_causes_no_messages(self) -> None:
         fleet = LimitFleet(NODES, tenant(rate=0.0))
         fleet.advance(1.0)
         fleet.messages.clear()
@@ -268,7 +268,7 @@
         ]
         self.assertEqual([], reported)
 
-    def test_hot_and_calm_again_are_told_in_one_line_each(self) -> None:
+    def test_hot_and_calm_are_logged_once_each(self) -> None:
         fleet = self.settled()
         fleet.load(60.0, 20.0)
         fleet.advance(30.0)
--- a/tests/forwarding/limits/test_limit_parts.py
+++ b/tests/forwarding/limits/test_limit_parts.py
@@ -1,4 +1,4 @@
-"""The window that slides, the division of a bound, and who owns a tenant."""
+"""The sliding window, the budget of a limit and the choice of owners."""
 
 import random
 
@@ -30,7 +30,7 @@
 
 class SlidingWindowCounterTest(testtools.TestCase):
     @given(times=TIMES)
-    def test_never_less_than_there_were_and_little_more(self, times: list[float]) -> None:
+    def test_the_count_is_never_too_low_and_little_too_high(self, times: list[float]) -> None:
         times.sort()
         count = SlidingWindowCounter(5.0)
         for number, at in enumerate(times, 1):
@@ -40,7 +40,9 @@
             self.assertLessEqual(count.total(at), more)
 
     @given(times=TIMES, most=st.integers(1, 20))
-    def test_room_comes_when_it_says(self, times: list[float], most: int) -> None:
+    def test_capacity_is_available_at_the_predicted_time(
+        self, times: list[float], most: int
+    ) -> None:
         times.sort()
         count = SlidingWindowCounter(5.0)
         for at in times:
@@ -49,23 +51,21 @@
         after = times[-1] + wait + 1e-9
         self.assertLessEqual(count.total(after) + 1, most)
 
-    @given(times=TIMES, back=st.integers(0, 60))
-    def test_what_is_taken_back_never_makes_it_less_than_what_ran(
-        self, times: list[float], back: int
-    ) -> None:
+    @given(times=TIMES, removed=st.integers(0, 60))
+    def test_removal_never_makes_the_count_too_low(self, times: list[float], removed: int) -> None:
         times.sort()
         count = SlidingWindowCounter(5.0)
         for at in times:
             count.add(1, at)
-        count.remove(back)
+        count.remove(removed)
         alive = [at for at in times if at > times[-1] - 5.0]
         for later in (0.0, 1.0, 3.0, 6.0):
             now = times[-1] + later
-            ran = alive[back:]  # the worst case: those that came last ran
+            ran = alive[removed:]  # the worst case: the latest requests ran
             self.assertGreaterEqual(count.total(now), true_total(ran, now))
 
     @given(own=TIMES, other=TIMES)
-    def test_joined_with_another_count_it_is_at_least_each(
+    def test_a_merged_count_is_at_least_each_of_both(
         self, own: list[float], other: list[float]
     ) -> None:
         counts = []
@@ -87,21 +87,21 @@
         overage=st.floats(0.0, 0.5),
         slack=st.floats(0.0, 100.0),
     )
-    def test_the_parts_of_all_sides_of_any_cut_are_within_the_bound(
+    def test_the_parts_of_all_sides_of_a_partition_are_within_the_bound(
         self, rate: float, burst: float, overage: float, slack: float
     ) -> None:
         budget = compute_budget(tenant(rate=rate, burst=burst), LimitSettings(5.0, overage, slack))
-        apart = (
+        set_aside = (
             budget.primary_without_window + budget.reserve_nodes + UNREPORTED_SHARE * budget.spare
         )
         most = budget.max_requests * (1.0 + 1e-9) + 1e-6
         self.assertLessEqual(
-            budget.primary_without_loan + budget.second_without_lending + apart, most
+            budget.primary_without_loan + budget.second_without_lending + set_aside, most
         )
         for counted in (0, int(0.6 * budget.allowance), int(budget.allowance), 10**9):
             loan = budget.required_loan(counted)
             self.assertLessEqual(
-                budget.primary_with_loan(loan) + budget.second_with_lent(loan) + apart, most
+                budget.primary_with_loan(loan) + budget.second_with_lent(loan) + set_aside, most
             )
             self.assertLess(
                 min(counted, budget.primary_with_full_loan - 1), budget.primary_with_loan(loan)
@@ -111,7 +111,8 @@
 
 class FirstWindowTest(testtools.TestCase):
     def permitted(self, at: float, was_listed_before_start: bool) -> int:
-        """Return how many requests begin at a node that started at 100 and was linked at 103."""
+        """Return the number of requests admitted by a node that started at 100 and linked at
+        103."""
         listed = [False]
         own = identity("n00")
         groups = NodeGroups(ForwardingSettings(zone="a"), "n00")
@@ -126,12 +127,12 @@
         answers = [node_limits.admit(limited, number, at) for number in range(100)]
         return sum(isinstance(answer, Admitted) for answer in answers)
 
-    def test_it_counts_from_the_start_of_a_life_whose_key_stood(self) -> None:
+    def test_it_starts_with_the_incarnation_if_the_key_was_listed_before(self) -> None:
         budget = compute_budget(tenant(), SETTINGS)
         self.assertEqual(int(budget.primary_without_window), self.permitted(104.9, True))
         self.assertEqual(int(budget.primary_with_full_loan), self.permitted(105.1, True))
 
-    def test_it_counts_from_the_writing_of_a_new_key(self) -> None:
+    def test_it_starts_when_a_new_key_is_written(self) -> None:
         budget = compute_budget(tenant(), SETTINGS)
         reserve = 1
         self.assertEqual(int(budget.primary_without_window) + reserve, self.permitted(108.4, False))
@@ -153,21 +154,21 @@
         for number in range(77):
             self.assertEqual(one.get(f"t{number}"), other.get(f"t{number}"))
 
-    def test_the_strongest_of_every_zone_own(self) -> None:
+    def test_the_fastest_nodes_of_each_zone_are_owners(self) -> None:
         owners = TenantOwners(11.0)
         owners.update(self.nodes(70, slow=40), 0.0)
         self.assertEqual(MAX_OWNERS, len(owners.identities))
         self.assertEqual({"a", "b", "c", "d"}, {item.zone for item in owners.identities})
         self.assertTrue(all(item.node_id >= "n040" for item in owners.identities))
 
-    def test_the_two_owners_of_a_tenant_stand_in_two_zones(self) -> None:
+    def test_the_two_owners_of_a_tenant_are_in_different_zones(self) -> None:
         owners = TenantOwners(11.0)
         owners.update(self.nodes(70), 0.0)
         for number in range(77):
             first, second = owners.get(f"t{number}")
             self.assertNotEqual(first.zone, second.zone)
 
-    def test_when_an_owner_goes_the_other_one_stays_and_knows_the_window(self) -> None:
+    def test_when_an_owner_leaves_the_other_one_remains_an_owner(self) -> None:
         owners = TenantOwners(11.0)
         owners.update(self.nodes(8), 0.0)
         before = {f"t{number}": owners.get(f"t{number}") for number in range(77)}
--- a/tests/forwarding/limits/test_node_with_limits.py
+++ b/tests/forwarding/limits/test_node_with_limits.py
@@ -1,8 +1,8 @@
-"""Whole nodes with limited tenants, from the caller's request to the reply."""
+"""Tenant limits at a complete node, from the caller's request to the reply."""
 
 from testtools import TestCase
 
-from tests.forwarding.known_callers import SECRET, ask, with_tenants
+from tests.forwarding.known_callers import SECRET, send_request, with_tenants
 from tests.forwarding.linked_nodes import OTHERS, OWN, join
 from tests.forwarding.one_node import OneNode, replica, single_route, table
 from wingquay.model.tenants import Tenant
@@ -30,7 +30,7 @@
 
 
 def linked(tenant: Tenant) -> OneNode:
-    """Return a node with two others, whose link is open, with callers of a tenant."""
+    """Return a node in a group of three, with an open link and one tenant."""
     node = OneNode()
     records = (replica("r0", "s"), replica("r1", "s"))
     node.start(with_tenants(CONFIGURATION, tenant), *records)
@@ -44,11 +44,11 @@
     return [(action.to, action.message) for action in found if isinstance(action.message, kind)]
 
 
-def asked_node() -> tuple[OneNode, NodeIdentity, LimitAsk]:
-    """Return a node that has asked another one for the request 1 of a tenant."""
+def node_with_pending_query() -> tuple[OneNode, NodeIdentity, LimitAsk]:
+    """Return a node that has queried another one about request 1 of a tenant."""
     for number in range(20):
         node = linked(limited(f"tenant-{number}"))
-        ask(node, 1, SECRET)
+        send_request(node, 1, SECRET)
         asks = sent(node, LimitAsk)
         if asks:
             owner, message = asks[0]
@@ -58,14 +58,14 @@
 
 
 class NodeWithLimitsTest(TestCase):
-    def test_a_request_goes_on_once_the_owner_permits_it(self) -> None:
-        node, owner, message = asked_node()
+    def test_a_request_is_sent_once_the_owner_permits_it(self) -> None:
+        node, owner, message = node_with_pending_query()
         self.assertEqual([], node.sends)
         node.emit(PeerReceived(owner, LimitAnswer(message.ask_id, LimitVerdict.GRANTED)))
         self.assertEqual(1, len(node.sends))
 
-    def test_beyond_the_limit_it_is_refused_with_the_time_of_its_own_window(self) -> None:
-        node, owner, message = asked_node()
+    def test_beyond_the_limit_it_is_refused_with_the_owners_retry_time(self) -> None:
+        node, owner, message = node_with_pending_query()
         node.emit(PeerReceived(owner, LimitAnswer(message.ask_id, LimitVerdict.OVER, 2.0)))
         reply = node.replies[1]
         assert isinstance(reply, ReplyFailure) and reply.retry_after_seconds is not None
@@ -73,30 +73,30 @@
         self.assertTrue(2.0 <= reply.retry_after_seconds <= 2.2, reply)
         self.assertEqual([], node.sends)
 
-    def test_where_nobody_answers_it_is_refused_as_not_run(self) -> None:
-        node, _, _ = asked_node()
+    def test_without_a_reply_it_is_refused_as_not_run(self) -> None:
+        node, _, _ = node_with_pending_query()
         node.advance(0.5)
         reply = node.replies[1]
         assert isinstance(reply, ReplyFailure)
         self.assertEqual(ForwardFailureKind.NOT_RUN, reply.kind)
         self.assertEqual([], node.sends)
 
-    def test_what_is_permitted_after_that_is_given_back(self) -> None:
-        node, owner, message = asked_node()
+    def test_a_permit_after_the_refusal_is_given_back(self) -> None:
+        node, owner, message = node_with_pending_query()
         node.advance(0.5)
         node.actions.clear()
         node.emit(PeerReceived(owner, LimitAnswer(message.ask_id, LimitVerdict.GRANTED)))
         node.advance(0.1)
-        tells = [item for to, item in sent(node, LimitTell) if to == owner]
-        counts = [count for item in tells for count in item.counts]  # type: ignore[attr-defined]
+        reports = [item for to, item in sent(node, LimitTell) if to == owner]
+        counts = [count for item in reports for count in item.counts]  # type: ignore[attr-defined]
         self.assertEqual([-1], counts)
         self.assertEqual([], node.sends)
 
-    def test_a_node_that_owns_a_tenant_permits_by_itself_and_answers_others(self) -> None:
+    def test_an_owner_permits_its_own_requests_and_replies_to_others(self) -> None:
         for number in range(20):
             name = f"tenant-{number}"
             node = linked(limited(name))
-            node.machine._presence._listed_until = float("inf")  # the store keeps its key
+            node.machine._presence._listed_until = float("inf")  # its key stays in the store
             node.advance(12.0)
             node.actions.clear()
             node.emit(PeerReceived(OTHERS[0], LimitAsk(7, name)))
@@ -104,24 +104,24 @@
             assert isinstance(answer, LimitAnswer)
             self.assertEqual((OTHERS[0], 7), (to, answer.ask_id))
             if answer.verdict is LimitVerdict.GRANTED:
-                ask(node, 1, SECRET)
+                send_request(node, 1, SECRET)
                 if len(node.sends) == 1:
                     return
         self.fail("this node owns no tenant")
 
-    def test_a_request_that_came_before_the_link_opened_is_answered_then(self) -> None:
+    def test_a_request_before_the_link_opens_is_decided_afterwards(self) -> None:
         node = OneNode()
         node.start(with_tenants(CONFIGURATION, limited("t")), replica("r0", "s"))
-        ask(node, 1, SECRET)
+        send_request(node, 1, SECRET)
         self.assertEqual(([], {}), (node.sends, node.replies))
         node.emit(PeerLinkOpened(OWN))
         reply = node.replies[1]
-        assert isinstance(reply, ReplyFailure)  # a fresh owner without a spare permits nothing
+        assert isinstance(reply, ReplyFailure)  # a new owner without a spare permits nothing
         self.assertEqual(ForwardFailureKind.NOT_RUN, reply.kind)
 
-    def test_without_limits_nothing_is_asked_told_or_loaded(self) -> None:
+    def test_without_limits_no_message_is_sent_and_no_module_loaded(self) -> None:
         node = linked(limited("free", rate=0.0))
-        ask(node, 1, SECRET)
+        send_request(node, 1, SECRET)
         self.assertEqual(1, len(node.all_sends))
         node.advance(6.0)
         kinds = (LimitAsk, LimitTell, LimitAcknowledgement)
--- a/tests/forwarding/limits/test_stateful_limits.py
+++ b/tests/forwarding/limits/test_stateful_limits.py
@@ -1,4 +1,4 @@
-"""Random histories of nodes that keep limits, against an oracle that knows every run."""
+"""Random histories of nodes with tenant limits; no window may exceed the limit."""
 
 from hypothesis import settings
 from hypothesis import strategies as st
@@ -14,8 +14,8 @@
 NAMES = st.sampled_from([f"n{number:02}" for number in range(NODES)])
 ALWAYS_ASK = LimitSettings(SETTINGS.window_seconds, SETTINGS.overage, SETTINGS.slack, 0.0)
 RATES = {ALWAYS_ASK: (5.0, 30.0, 100.0), SETTINGS: (2.0, 5.0, 15.0)}
-"""Requests a second. What arrives behind a cut before its nodes notice is under way, and
-must fit the part of the budget for that where requests may begin at once."""
+"""Requests per second. Requests that arrive before a partition is detected must fit the share of
+the budget for unreported requests where they may start without a permit."""
 
 
 class LimitHistory(RuleBasedStateMachine):
@@ -38,7 +38,7 @@
     def load(self, rate: int, seconds: float) -> None:
         self.fleet.load(self.rates[rate], seconds)
 
-    @precondition(lambda self: bool(self.fleet.cut))
+    @precondition(lambda self: bool(self.fleet.partition))
     @rule(rate=st.integers(1, 2))
     def load_for_long(self, rate: int) -> None:
         self.fleet.load(self.rates[rate], 2.0 * WINDOW_SECONDS)
@@ -48,32 +48,32 @@
         self.fleet.advance(seconds)
 
     @rule(node=NAMES, count=st.integers(1, 30))
-    def run_nowhere(self, node: str, count: int) -> None:
+    def run_on_no_replica(self, node: str, count: int) -> None:
         for _ in range(count):
             self.fleet.request(node, runs=False)
             self.fleet.advance(0.01)
 
-    @precondition(lambda self: not self.fleet.cut)
+    @precondition(lambda self: not self.fleet.partition)
     @rule(inside=st.sets(NAMES, min_size=1, max_size=NODES - 1), one_way=st.booleans())
-    def cut(self, inside: set[str], one_way: bool) -> None:
+    def partition(self, inside: set[str], one_way: bool) -> None:
         self.inside = inside
         self.fleet.separate(*inside, one_way=one_way)
 
-    @precondition(lambda self: not self.fleet.cut)
+    @precondition(lambda self: not self.fleet.partition)
     @rule(position=st.integers(0, 1), others=st.sets(NAMES, max_size=4), one_way=st.booleans())
-    def cut_owner(self, position: int, others: set[str], one_way: bool) -> None:
+    def partition_owner(self, position: int, others: set[str], one_way: bool) -> None:
         if self.fleet.limits:
-            self.cut({self.fleet.owners()[position], *others}, one_way)
+            self.partition({self.fleet.owners()[position], *others}, one_way)
 
-    @precondition(lambda self: bool(self.fleet.cut))
+    @precondition(lambda self: bool(self.fleet.partition))
     @rule()
     def break_links(self) -> None:
-        self.fleet.break_cut_links()
+        self.fleet.break_partitioned_links()
 
-    @precondition(lambda self: bool(self.fleet.cut) and not self.has_expired)
+    @precondition(lambda self: bool(self.fleet.partition) and not self.has_expired)
     @rule()
     def remove_keys(self) -> None:
-        """Let the keys of the nodes inside lapse, which they know before."""
+        """Let the keys of the nodes inside the partition expire; those nodes detect it first."""
         self.has_expired = True
         self.fleet.unlisted.update(self.inside)
         self.fleet.load(self.rates[2], 2.0)
@@ -81,7 +81,7 @@
         self.fleet.remove_keys(*sorted(self.inside), seen_by=sorted(awake - self.inside))
         self.fleet.load(self.rates[2], 2.0 * WINDOW_SECONDS)
 
-    @precondition(lambda self: bool(self.fleet.cut))
+    @precondition(lambda self: bool(self.fleet.partition))
     @rule()
     def heal(self) -> None:
         self.fleet.join()
@@ -104,12 +104,12 @@
             self.fleet.start(name)
 
     @precondition(lambda self: not self.has_expired)
-    @rule(dark_seconds=st.floats(0.5, 3.0))
-    def power(self, dark_seconds: float) -> None:
+    @rule(outage_seconds=st.floats(0.5, 3.0))
+    def power_failure(self, outage_seconds: float) -> None:
         self.fleet.load(self.rates[2], WINDOW_SECONDS)
         for name in sorted(self.fleet.limits):
             self.fleet.kill(name)
-        self.fleet.advance(dark_seconds)
+        self.fleet.advance(outage_seconds)
         self.restart()
         self.fleet.load(self.rates[2], WINDOW_SECONDS)
 
@@ -137,7 +137,7 @@
             assert len(within) <= self.allowed(end), (len(within), self.allowed(end), end)
 
     def allowed(self, end: float) -> float:
-        """Return the greatest bound in force during the last two windows."""
+        """Return the highest bound in force during the last two windows."""
         until = [*(at for at, _ in self.limits[1:]), float("inf")]
         bounds = [
             compute_budget(limit, self.fleet.settings).max_requests
--- a/tests/forwarding/played_service.py
+++ b/tests/forwarding/played_service.py
@@ -35,7 +35,9 @@
         """Let a caller ask."""
         if key:
             number = FIRST_WITH_KEY + len(self._arrived)
-            known_callers.ask(self.node, number, key, path, deadline_seconds=deadline_seconds)
+            known_callers.send_request(
+                self.node, number, key, path, deadline_seconds=deadline_seconds
+            )
         else:
             number = self.node.request(path, deadline_seconds)
         self._arrived[f"id-{number}"] = self.node.now
--- a/tests/forwarding/test_awaiting_limits.py
+++ b/tests/forwarding/test_awaiting_limits.py
@@ -1,4 +1,4 @@
-"""Arrivals that wait for word on their tenant's limit: go on, or end truly, exactly once."""
+"""Requests that wait for a decision on their tenant's limit end exactly once."""
 
 from testtools import TestCase
 
@@ -7,10 +7,10 @@
     BARE_HEADERS,
     KIOSK,
     SECRET,
-    Limits,
-    ask,
-    ended,
-    everything_but_replies,
+    FakeLimits,
+    output_without_replies,
+    request_ended_lines,
+    send_request,
     tenant_counts,
     with_tenants,
 )
@@ -22,7 +22,7 @@
     MAX_PENDING_BYTES,
     PendingArrivals,
 )
-from wingquay.forwarding.arrival.pending_arrivals import Arrival as KeptArrival
+from wingquay.forwarding.arrival.pending_arrivals import Arrival as PendingArrival
 from wingquay.forwarding.arrival.request_identity import compute_identity
 from wingquay.forwarding.settling.ending import HELD_REASON
 from wingquay.model.tenants import Tenant
@@ -37,24 +37,24 @@
 from wingquay.ports.peer_link import PeerReceived
 
 OBJECTIVE_SECONDS = 0.4
-OFFER_SECONDS = 0.08
-OVER_LIMIT = Rejected(ForwardFailureKind.OVER_LIMIT, "the tenant has had its requests", 1.25)
-NO_WORD = "no word on the limit of its tenant came in time"
+MAX_WAIT_SECONDS = 0.08
+OVER_LIMIT = Rejected(ForwardFailureKind.OVER_LIMIT, "the tenant has reached its limit", 1.25)
+NO_DECISION = "no word on the limit of its tenant came in time"
 
 
 class Waiting:
-    """A node of which one request awaits word on its tenant's limit."""
+    """A node with one request that waits for a decision on its tenant's limit."""
 
     def __init__(self, deadline_seconds: float | None = 2.0) -> None:
-        self.limits = Limits(AwaitsLimit())
+        self.limits = FakeLimits(AwaitsLimit())
         self.node = OneNode()
         configuration = with_tenants(table(4, single_route(priority=1)), KIOSK)
         self.node.start(configuration, replica("r0", "s"), replica("r1", "s"))
         self.node.machine._forwarding.admission.limits = self.limits
-        self.number = ask(self.node, 1, SECRET, deadline_seconds=deadline_seconds)
+        self.number = send_request(self.node, 1, SECRET, deadline_seconds=deadline_seconds)
 
     def answer(self, answer: Admitted | Rejected) -> None:
-        """Let the word come."""
+        """Let the decision arrive."""
         machine = self.node.machine._forwarding
         for action in machine.limit_answered(self.number, answer, self.node.now):
             self.node._take(action)
@@ -67,16 +67,16 @@
 
 
 class AwaitingLimitTest(TestCase):
-    def test_nothing_is_sent_or_said_before_the_word_comes(self) -> None:
+    def test_nothing_is_sent_or_answered_before_the_decision(self) -> None:
         waiting = Waiting()
-        waiting.node.advance(OFFER_SECONDS / 2)
+        waiting.node.advance(MAX_WAIT_SECONDS / 2)
         self.assertEqual(([], {}), (waiting.node.all_sends, waiting.node.replies))
         self.assertEqual(1, waiting.node.machine._forwarding.open_exchanges)
 
-    def test_an_admitted_request_goes_on_as_it_arrived(self) -> None:
+    def test_an_admitted_request_keeps_its_configuration_and_times(self) -> None:
         waiting = Waiting()
         node = waiting.node
-        node.advance(OFFER_SECONDS / 2)
+        node.advance(MAX_WAIT_SECONDS / 2)
         node.change(configuration=with_tenants(table(5, single_route(priority=2))))
         waiting.answer(ADMITTED)
         (send,) = node.sends
@@ -97,7 +97,7 @@
         self.assertEqual(([("kiosk", 1)], []), (waiting.limits.asked, waiting.limits.given_back))
         self.assertEqual([("other", "allowed")], tenant_counts(node))
 
-    def test_a_request_over_the_limit_hears_so_and_gives_nothing_back(self) -> None:
+    def test_a_request_over_the_limit_is_refused_without_giving_back(self) -> None:
         waiting = Waiting()
         waiting.answer(OVER_LIMIT)
         self.assertEqual(
@@ -106,19 +106,19 @@
         waiting.node.advance(10.0)
         self.assertEqual(([], []), (waiting.node.all_sends, waiting.limits.given_back))
 
-    def test_without_word_it_is_refused_while_coming_back_is_worth_it(self) -> None:
-        for deadline_seconds, expected in ((2.0, OFFER_SECONDS), (0.05, 0.03), (None, 0.08)):
+    def test_without_a_decision_it_is_refused_in_time_for_a_retry(self) -> None:
+        for deadline_seconds, expected in ((2.0, MAX_WAIT_SECONDS), (0.05, 0.03), (None, 0.08)):
             waiting = Waiting(deadline_seconds)
             waiting.node.advance(10.0)
             self.assertEqual(
-                ReplyFailure(1, ForwardFailureKind.NOT_RUN, NO_WORD, 0.1), waiting.reply
+                ReplyFailure(1, ForwardFailureKind.NOT_RUN, NO_DECISION, 0.1), waiting.reply
             )
             waited = waiting.node.replied_at[waiting.number] - 100.0
             self.assertEqual(expected, round(waited, 6))
             self.assertEqual([("kiosk", 1)], waiting.limits.given_back)
             self.assertEqual(0, waiting.node.machine._forwarding.open_exchanges)
 
-    def test_word_that_comes_too_late_starts_nothing(self) -> None:
+    def test_a_late_decision_sends_nothing(self) -> None:
         waiting = Waiting()
         waiting.node.advance(10.0)
         for answer in (ADMITTED, OVER_LIMIT):
@@ -126,7 +126,7 @@
         self.assertEqual([], waiting.node.all_sends)
         self.assertEqual([("kiosk", 1)], waiting.limits.given_back)
 
-    def test_a_caller_that_leaves_gives_its_unit_back_once(self) -> None:
+    def test_a_request_of_a_caller_that_left_is_given_back_once(self) -> None:
         waiting = Waiting()
         waiting.node.leave(waiting.number)
         waiting.node.leave(waiting.number)
@@ -135,13 +135,13 @@
         self.assertEqual([], waiting.node.all_sends)
         self.assertEqual({}, waiting.node.replies)
         self.assertEqual([("kiosk", 1)], waiting.limits.given_back)
-        lines = [dict(line.fields) for line in ended(waiting.node)]
+        lines = [dict(line.fields) for line in request_ended_lines(waiting.node)]
         self.assertEqual(
             [("id-1", "caller_left", "kiosk")],
             [(line["request_id"], line["outcome"], line["tenant"]) for line in lines],
         )
 
-    def test_an_admitted_request_that_runs_nowhere_gives_its_unit_back_once(self) -> None:
+    def test_an_admitted_request_that_did_not_run_is_given_back_once(self) -> None:
         waiting = Waiting()
         waiting.answer(ADMITTED)
         while waiting.number not in waiting.node.replies:
@@ -152,7 +152,7 @@
         waiting.node.advance(10.0)
         self.assertEqual([("kiosk", 1)], waiting.limits.given_back)
 
-    def test_a_request_that_was_held_back_meanwhile_starts_nothing(self) -> None:
+    def test_a_request_held_while_it_waits_sends_nothing(self) -> None:
         waiting = Waiting()
         bare = OpaqueRequest(b"GET", b"/one/x", BARE_HEADERS)
         news = CrashNews(compute_identity(bare, "kiosk"), held_seconds=60.0)
@@ -163,15 +163,15 @@
         )
         self.assertEqual(([], [("kiosk", 1)]), (waiting.node.all_sends, waiting.limits.given_back))
 
-    def test_what_waits_shows_no_key(self) -> None:
+    def test_a_waiting_request_does_not_expose_its_key(self) -> None:
         waiting = Waiting()
         waiting.node.advance(10.0)
-        self.assertNotIn(SECRET, everything_but_replies(waiting.node))
+        self.assertNotIn(SECRET, output_without_replies(waiting.node))
 
-    def test_more_than_a_node_keeps_is_refused_at_once(self) -> None:
+    def test_requests_beyond_the_maximum_are_refused_at_once(self) -> None:
         waiting = Waiting()
         for number in range(2, MAX_PENDING + 2):
-            ask(waiting.node, number, SECRET)
+            send_request(waiting.node, number, SECRET)
         self.assertEqual([MAX_PENDING + 1], list(waiting.node.replies))
         reply = waiting.node.replies[MAX_PENDING + 1]
         assert isinstance(reply, ReplyFailure)
@@ -182,21 +182,21 @@
         self.assertEqual(MAX_PENDING + 1, len(waiting.limits.given_back))
 
 
-class KeptArrivalsTest(TestCase):
-    def test_bodies_are_bounded_and_make_room_again(self) -> None:
-        kept = PendingArrivals()
+class PendingArrivalsTest(TestCase):
+    def test_the_total_body_size_is_bounded_and_released(self) -> None:
+        pending = PendingArrivals()
         half = MAX_PENDING_BYTES // 2
         self.assertEqual(
-            [True, True, False], [kept.add(arrival(number, half)) for number in (1, 2, 3)]
+            [True, True, False], [pending.add(arrival(number, half)) for number in (1, 2, 3)]
         )
-        taken = kept.remove(1)
+        taken = pending.remove(1)
         assert taken is not None
-        self.assertEqual((1, None, 1), (taken.event.exchange_id, kept.remove(1), len(kept)))
-        self.assertTrue(kept.add(arrival(4, half)))
+        self.assertEqual((1, None, 1), (taken.event.exchange_id, pending.remove(1), len(pending)))
+        self.assertTrue(pending.add(arrival(4, half)))
 
 
-def arrival(number: int, body_bytes: int) -> KeptArrival:
+def arrival(number: int, body_bytes: int) -> PendingArrival:
     request = OpaqueRequest(b"POST", b"/", (), bytes(body_bytes))
     event = ForwardRequested(number, "id", "", "", request)
     tenant = Tenant("kiosk", ())
-    return KeptArrival(event, table(1), single_route(), tenant, 0.0, 0.0)
+    return PendingArrival(event, table(1), single_route(), tenant, 0.0, 0.0)
--- a/tests/forwarding/test_callers_stateful.py
+++ b/tests/forwarding/test_callers_stateful.py
@@ -1,4 +1,4 @@
-"""Random histories of callers with keys at one node against an oracle that knows every run."""
+"""Random histories of callers with keys at one node, compared with an oracle."""
 
 from dataclasses import dataclass, field
 
@@ -8,9 +8,9 @@
 from tests.forwarding.known_callers import (
     ADMITTED,
     BARE_HEADERS,
-    Limits,
-    Proof,
-    ask,
+    FakeLimits,
+    FakeProof,
+    send_request,
     with_tenants,
 )
 from tests.forwarding.one_node import OneNode, replica, sharded_route, single_route, table
@@ -31,31 +31,31 @@
 OVER_LIMIT = Rejected(ForwardFailureKind.OVER_LIMIT, "over", 1.0)
 ANSWERS = (ADMITTED, AwaitsLimit(), AwaitsLimit(), OVER_LIMIT)
 PROVEN = (True, True, True, False)
-LONG_SECONDS = 10.0
-"""No request of these routes is open for longer."""
+MAX_OPEN_SECONDS = 10.0
+"""Maximum time for which a request of these routes is open."""
 HOLDERS = st.dictionaries(st.sampled_from(SECRETS), st.sampled_from(NAMES), min_size=2)
 
 
 @dataclass
 class Expected:
-    """What the oracle says of one request, by what held when it arrived."""
+    """What the oracle expects for one request, given the state at its arrival."""
 
     request: OpaqueRequest
     tenant: str
     refusals: tuple[ForwardFailureKind, ...] = ()
-    """Answers of which one must come at once."""
+    """Failures of which one must be returned at once; empty if the request is admitted."""
     may_have_run: set[int] = field(default_factory=set)
-    """Its sendings that may have run, as long as it is open."""
+    """Ids of its attempts that may have run, while the request is open."""
 
 
 class CallerHistory(RuleBasedStateMachine):
-    """Callers, the operator, replicas and the parts that are asked act in any order."""
+    """Callers, the operator, replicas, the proof and the limits act in any order."""
 
     def __init__(self) -> None:
         super().__init__()
         self.node = OneNode()
-        self.limits = Limits()
-        self.proof = Proof()
+        self.limits = FakeLimits()
+        self.proof = FakeProof()
         self.version = 1
         self.holders: dict[str, str] | None = {SECRETS[0]: NAMES[0], SECRETS[1]: NAMES[1]}
         self.expected: dict[int, Expected] = {}
@@ -101,7 +101,7 @@
         self.node.change(configuration=self.configuration())
 
     @rule(is_proven=st.sampled_from(PROVEN), answer=st.sampled_from(ANSWERS))
-    def others_say(self, is_proven: bool, answer: object) -> None:
+    def proof_and_limits_change(self, is_proven: bool, answer: object) -> None:
         self.proof.proven = is_proven
         self.limits.answer = answer
 
@@ -111,15 +111,15 @@
         forged=st.sampled_from(("", *NAMES)),
         deadline=st.sampled_from((0.05, 0.5, None)),
     )
-    def callers_ask(self, paths: list[str], key: str, forged: str, deadline: float | None) -> None:
+    def callers_send(self, paths: list[str], key: str, forged: str, deadline: float | None) -> None:
         for path in paths:
-            self.caller_asks(path, key, forged, deadline)
+            self.caller_sends(path, key, forged, deadline)
 
-    def caller_asks(self, path: str, key: str, forged: str, deadline: float | None) -> None:
+    def caller_sends(self, path: str, key: str, forged: str, deadline: float | None) -> None:
         number = len(self.expected) + 1
         self.expected[number] = self.expectation(path, key, forged)
         counted = len(self.limits.asked)
-        ask(self.node, number, key, path, forged, deadline)
+        send_request(self.node, number, key, path, forged, deadline)
         if len(self.limits.asked) > counted and self.limits.answer is OVER_LIMIT:
             self.rejected.add(number)
         if len(self.limits.asked) > counted and isinstance(self.limits.answer, AwaitsLimit):
@@ -132,7 +132,7 @@
             assert len(self.limits.asked) == counted or reply.kind is OVER_LIMIT.kind
 
     def expectation(self, path: str, key: str, forged: str) -> Expected:
-        """Return what must become of a request that arrives now."""
+        """Return the expected result of a request that arrives now."""
         target = path.encode()
         bare = OpaqueRequest(b"GET", target, BARE_HEADERS)
         if path.startswith("/none/"):
@@ -153,7 +153,7 @@
 
     @precondition(lambda self: self.awaiting)
     @rule(data=st.data(), answer=st.sampled_from((ADMITTED, OVER_LIMIT)))
-    def word_comes(self, data: st.DataObject, answer: object) -> None:
+    def limit_is_decided(self, data: st.DataObject, answer: object) -> None:
         number = data.draw(st.sampled_from(sorted(self.awaiting)))
         is_open = self.is_open(number)
         self.awaiting.discard(number)
@@ -172,7 +172,7 @@
 
     @precondition(lambda self: self.node.sends)
     @rule(data=st.data(), outcome=st.sampled_from(("ok", "not_run", "not_sent", "broken")))
-    def replica_acts(self, data: st.DataObject, outcome: str) -> None:
+    def replica_responds(self, data: st.DataObject, outcome: str) -> None:
         send = data.draw(st.sampled_from(self.node.sends))
         number = self.number_of(send)
         if outcome in ("not_run", "not_sent") and self.is_open(number):
@@ -191,7 +191,7 @@
         self.node.advance(seconds)
 
     @invariant()
-    def replicas_get_what_the_oracle_says(self) -> None:
+    def replicas_receive_what_the_oracle_expects(self) -> None:
         for send in self.node.all_sends[self.seen_sends :]:
             expected = self.expected[self.number_of(send)]
             assert not expected.refusals
@@ -204,18 +204,18 @@
         assert len(self.limits.given_back) == len(set(self.limits.given_back))
 
     def teardown(self) -> None:
-        self.node.advance(LONG_SECONDS)
-        self.replicas_get_what_the_oracle_says()
+        self.node.advance(MAX_OPEN_SECONDS)
+        self.replicas_receive_what_the_oracle_expects()
         assert not [number for number in self.expected if self.is_open(number)]
         assert self.node.machine._forwarding.open_exchanges == 0
-        owed = [
+        to_give_back = [
             (name, number)
             for name, number in self.limits.asked
             if number not in self.rejected and not self.expected[number].may_have_run
         ]
-        assert sorted(owed) == sorted(self.limits.given_back)
-        told = "\n".join(repr(action) for action in self.node.actions)
-        assert not [secret for secret in SECRETS if secret in told]
+        assert sorted(to_give_back) == sorted(self.limits.given_back)
+        output = "\n".join(repr(action) for action in self.node.actions)
+        assert not [secret for secret in SECRETS if secret in output]
 
     def is_open(self, number: int) -> bool:
         return number not in self.node.replies and number not in self.left
--- a/tests/forwarding/test_connections_ahead.py
+++ b/tests/forwarding/test_connection_prewarmer.py
@@ -1,4 +1,4 @@
-"""Connections that no request needs yet: to shards that are coming, to replicas out of reach."""
+"""Connections that are opened before requests need them: to new shards and unreachable replicas."""
 
 from dataclasses import replace
 
@@ -16,16 +16,16 @@
 from wingquay.ports.peer_link import PeerLinkOpened
 
 SHARDS = 12
-COMING = tuple(f"n{number}" for number in range(SHARDS))
+NEW_SHARDS = tuple(f"n{number}" for number in range(SHARDS))
 
 
 def opened(node: OneNode) -> list[ReplicaRecord]:
-    """Return the replicas to which connections were opened ahead."""
+    """Return the replicas to which connections were opened in advance."""
     return [action.replica for action in node.actions if isinstance(action, OpenConnection)]
 
 
-class ComingShardsTest(TestCase):
-    """Replicas of shards that no configuration names yet."""
+class NewShardsTest(TestCase):
+    """Replicas of shards that no configuration contains yet."""
 
     def setUp(self) -> None:
         super().setUp()
@@ -36,41 +36,41 @@
         join(self.node, *OTHERS)
         self.node.advance(2.0)
 
-    def come(self) -> list[ReplicaRecord]:
-        """Let the replicas of coming shards be there for a while; return what was opened."""
+    def add_new_shards(self) -> list[ReplicaRecord]:
+        """Add replicas of new shards and wait; return the replicas that were connected to."""
         before = len(opened(self.node))
-        records = [replica(f"{name}{zone}", name, zone) for name in COMING for zone in "ab"]
+        records = [replica(f"{name}{zone}", name, zone) for name in NEW_SHARDS for zone in "ab"]
         self.node.change(*records)
         self.node.advance(2.0)
         return opened(self.node)[before:]
 
-    def test_the_owner_connects_to_near_replicas_once(self) -> None:
-        ahead = self.come()
-        self.assertTrue(ahead)
-        self.assertEqual({"a"}, {record.zone for record in ahead})
-        self.assertTrue({record.service for record in ahead} < set(COMING))
-        ids = [record.replica_id for record in ahead]
+    def test_the_owner_connects_to_same_zone_replicas_once(self) -> None:
+        prewarmed = self.add_new_shards()
+        self.assertTrue(prewarmed)
+        self.assertEqual({"a"}, {record.zone for record in prewarmed})
+        self.assertTrue({record.service for record in prewarmed} < set(NEW_SHARDS))
+        ids = [record.replica_id for record in prewarmed]
         self.assertEqual(len(set(ids)), len(ids))
 
-    def test_the_shards_are_those_that_it_owns_once_they_are_named(self) -> None:
-        ahead = {record.service for record in self.come()}
-        names = tuple(reversed(COMING))
+    def test_the_shards_are_those_it_owns_once_configured(self) -> None:
+        prewarmed = {record.service for record in self.add_new_shards()}
+        names = tuple(reversed(NEW_SHARDS))
         route = replace(sharded_route(SHARDS), shards=names)
         self.node.change(configuration=table(2, route))
         before = len(self.node.all_sends)
         self.node.request("/all/x")
-        asked = {send.replica.service for send in self.node.all_sends[before:]}
-        self.assertEqual(ahead, asked)
+        contacted_replicas = {send.replica.service for send in self.node.all_sends[before:]}
+        self.assertEqual(prewarmed, contacted_replicas)
 
-    def test_few_services_that_nobody_names_are_left_alone(self) -> None:
-        self.node.change(*(replica(f"{name}a", name) for name in COMING[:9]))
+    def test_a_few_unconfigured_services_are_not_prewarmed(self) -> None:
+        self.node.change(*(replica(f"{name}a", name) for name in NEW_SHARDS[:9]))
         before = len(opened(self.node))
         self.node.advance(2.0)
         self.assertEqual([], opened(self.node)[before:])
 
 
-class OutOfReachTest(TestCase):
-    """Every request would lose time by trying a replica that does not take connections."""
+class UnreachableReplicaTest(TestCase):
+    """Requests avoid a replica that accepts no connections, until an attempt succeeds."""
 
     def setUp(self) -> None:
         super().setUp()
@@ -89,7 +89,7 @@
         while self.node.sends:
             self.node.answer(self.node.sends[0])
 
-    def asked(self) -> set[str]:
+    def contacted_replicas(self) -> set[str]:
         before = len(self.node.all_sends)
         number = self.request()
         found = {send.replica.replica_id for send in self.node.all_sends[before:]}
@@ -97,22 +97,22 @@
         self.assertIsInstance(self.node.replies[number], ReplyMerged)
         return found
 
-    def test_it_gets_no_request_until_a_connection_comes_up(self) -> None:
+    def test_it_receives_no_request_until_a_connection_succeeds(self) -> None:
         self.node.advance(0.35)
         self.assertEqual(["r0"], [record.replica_id for record in opened(self.node)])
-        self.assertNotIn("r0", self.asked())
+        self.assertNotIn("r0", self.contacted_replicas())
         self.node.emit(ConnectionTried("r0"))
-        self.assertIn("r0", self.asked())
+        self.assertIn("r0", self.contacted_replicas())
         self.assertEqual(1, len(self.node.logs("replica_in_reach")))
 
-    def test_it_is_tried_again_less_often_each_time(self) -> None:
+    def test_connection_attempts_back_off(self) -> None:
         for tries in range(1, 4):
             self.node.advance(2.1)
             self.assertEqual(tries, len(opened(self.node)))
             self.node.emit(ConnectionTried("r0", "refused"))
-        self.assertNotIn("r0", self.asked())
+        self.assertNotIn("r0", self.contacted_replicas())
 
-    def test_several_failures_are_followed_by_one_try(self) -> None:
+    def test_several_failures_cause_one_connection_attempt(self) -> None:
         node = OneNode()
         node.start(table(1, single_route()), replica("r0", "s"), replica("r1", "s"))
         for _ in range(4):
@@ -123,7 +123,7 @@
         node.advance(2.1)
         self.assertEqual(["r0"], [record.replica_id for record in opened(node)])
 
-    def test_one_that_leaves_is_not_tried(self) -> None:
+    def test_a_draining_replica_is_not_tried(self) -> None:
         self.node.change(replica("r0", "s0", is_draining=True))
         self.node.advance(6.0)
         self.assertEqual([], opened(self.node))
--- a/tests/forwarding/test_request_identity.py
+++ b/tests/forwarding/test_request_identity.py
@@ -1,4 +1,4 @@
-"""What makes two requests the same."""
+"""The digest that identifies repeats of the same request."""
 
 from testtools import TestCase
 
@@ -10,7 +10,7 @@
 
 
 class RequestIdentityTest(TestCase):
-    def test_what_differs_from_try_to_try_makes_no_other_request(self) -> None:
+    def test_headers_that_differ_between_retries_do_not_change_the_identity(self) -> None:
         for headers in (
             ((b"host", b"Search.Example"),),
             ((b"Accept", b"text/plain"), (b"Host", b"search.example")),
@@ -19,7 +19,7 @@
             same = OpaqueRequest(b"GET", b"/a?b=1", headers)
             self.assertEqual(compute_identity(USUAL), compute_identity(same), headers)
 
-    def test_method_host_target_body_and_who_calls_make_another_request(self) -> None:
+    def test_method_host_target_body_and_caller_change_the_identity(self) -> None:
         others = [
             OpaqueRequest(b"POST", b"/a?b=1", HEADERS),
             OpaqueRequest(b"GET", b"/a?b=2", HEADERS),
@@ -33,13 +33,13 @@
         digests = {compute_identity(request) for request in (USUAL, *others)}
         self.assertEqual(1 + len(others), len(digests))
 
-    def test_parts_do_not_run_into_each_other(self) -> None:
+    def test_adjacent_parts_are_kept_distinct(self) -> None:
         self.assertNotEqual(
             compute_identity(OpaqueRequest(b"GET", b"/ab", (), b"c")),
             compute_identity(OpaqueRequest(b"GET", b"/a", (), b"bc")),
         )
 
-    def test_a_digest_has_the_same_size_whatever_the_request_has(self) -> None:
+    def test_the_digest_has_a_fixed_size(self) -> None:
         large = OpaqueRequest(b"POST", b"/a", HEADERS, b"x" * 100_000)
         self.assertEqual(
             [DIGEST_BYTES] * 2, [len(compute_identity(item)) for item in (USUAL, large)]
--- a/tests/forwarding/test_revocation.py
+++ b/tests/forwarding/test_revocation.py
@@ -2,7 +2,7 @@
 
 from testtools import TestCase
 
-from tests.forwarding.known_callers import KIOSK, SECRET, ask, with_tenants
+from tests.forwarding.known_callers import KIOSK, SECRET, send_request, with_tenants
 from tests.forwarding.one_node import OneNode, replica, single_route, table
 from tests.forwarding.test_configuration_proof import answer, strict
 from wingquay.model.routing_table import RoutingTable
@@ -40,7 +40,7 @@
 
     def outcome(self, node: OneNode, key: str = SECRET, path: str = "/one/x") -> str:
         """Return what a request comes to: served, or why not."""
-        number = ask(node, next(self.numbers), key, path)
+        number = send_request(node, next(self.numbers), key, path)
         for send in list(node.sends):
             node.answer(send)
         reply = node.replies[number]
@@ -112,7 +112,7 @@
         for _ in range(3):
             node.advance(2.0)
             node.emit(WatchBroken(node.last_watch_id, "down"))
-        number = ask(node, next(self.numbers), SECRET)
+        number = send_request(node, next(self.numbers), SECRET)
         reply = node.replies[number]
         assert isinstance(reply, ReplyFailure)
         # The third pause after a look that was lost, and the time of an answer.
--- a/tests/forwarding/test_shard_placement.py
+++ b/tests/forwarding/test_shard_placement.py
@@ -1,4 +1,4 @@
-"""Who asks which shard of a wide request: owners in few zones, the same on every node."""
+"""Assignment of the shards of wide requests: owners in few zones, the same on every node."""
 
 import random
 from collections import Counter
@@ -35,7 +35,7 @@
 
 
 class Fleet:
-    """One node's view of nodes and replicas; each shard has replicas in neighbouring zones."""
+    """The nodes and replicas as seen by one node; a shard has replicas in adjacent zones."""
 
     def __init__(
         self,
@@ -61,13 +61,13 @@
         self.placement = ShardPlacement(settings, self.groups, self.directory, self.rate)
 
     def owners(self, now: float = 1.0) -> dict[str, str]:
-        """Return the name of the node that asks each shard."""
+        """Return the name of the owner of each shard."""
         found: Mapping[str, NodeIdentity | None] = self.placement.owners(shards(), now)
         return {shard: owner.host if owner else self.own for shard, owner in found.items()}
 
 
 class AssignmentTest(TestCase):
-    def test_nobody_has_more_than_an_even_share(self) -> None:
+    def test_no_name_has_more_than_an_even_share(self) -> None:
         names = dict.fromkeys(names_of(("a",), 8), 0.7)
         for count in (90, 135, 750):
             assigned = assign_bounded(names, shards(count))
@@ -100,33 +100,33 @@
             load.update(set(chosen.values()))
         self.assertEqual({3}, set(load.values()))
 
-    def test_the_second_choice_is_spread_where_any_zone_would_do(self) -> None:
+    def test_the_second_zone_differs_between_zones(self) -> None:
         zones = ["a", "b", "c", "d"]
-        held = {f"s{n}": set(zones) - {zones[n % 4]} for n in range(40)}
-        others = [set(choose_zones(own, zones, held).values()) - {own} for own in zones]
+        replica_zones = {f"s{n}": set(zones) - {zones[n % 4]} for n in range(40)}
+        others = [set(choose_zones(own, zones, replica_zones).values()) - {own} for own in zones]
         self.assertEqual([{"b"}, {"c"}, {"d"}, {"a"}], others)
 
-    def test_shards_that_no_zone_holds_are_left_out(self) -> None:
-        held: dict[str, set[str]] = {"s0": {"a"}, "s1": set(), "s2": {"b"}}
-        self.assertEqual({"s0": "a", "s2": "b"}, choose_zones("a", ["a", "b"], held))
+    def test_shards_without_replicas_are_left_out(self) -> None:
+        replica_zones: dict[str, set[str]] = {"s0": {"a"}, "s1": set(), "s2": {"b"}}
+        self.assertEqual({"s0": "a", "s2": "b"}, choose_zones("a", ["a", "b"], replica_zones))
 
     def test_many_zones_and_a_zone_without_nodes(self) -> None:
         zones = [f"z{number:02}" for number in range(14)]
-        held = {f"s{n}": {zones[n % 14], zones[(n + 1) % 14]} for n in range(28)}
-        chosen = choose_zones("elsewhere", zones, held)
-        self.assertTrue(all(zone in held[shard] for shard, zone in chosen.items()))
+        replica_zones = {f"s{n}": {zones[n % 14], zones[(n + 1) % 14]} for n in range(28)}
+        chosen = choose_zones("elsewhere", zones, replica_zones)
+        self.assertTrue(all(zone in replica_zones[shard] for shard, zone in chosen.items()))
         self.assertLessEqual(len(set(chosen.values())), 9)
 
 
 class OwnersTest(TestCase):
-    def test_every_shard_is_asked_where_it_has_a_replica(self) -> None:
+    def test_every_owner_has_a_same_zone_replica(self) -> None:
         fleet = Fleet()
         owners = fleet.owners()
         self.assertEqual(set(shards()), set(owners))
         for shard, name in owners.items():
             self.assertIn(name[0], fleet.directory.zones_of(shard, 1.0))
 
-    def test_a_request_goes_to_about_the_root_of_its_shards(self) -> None:
+    def test_the_number_of_owners_is_about_the_square_root_of_the_shards(self) -> None:
         owners = Counter(Fleet().owners().values())
         self.assertEqual(9, len(owners))
         self.assertLessEqual(max(owners.values()), 10)
@@ -138,15 +138,15 @@
                 asked.setdefault((shard, name[0]), set()).add(name)
         self.assertEqual({1}, {len(names) for names in asked.values()})
 
-    def test_the_strongest_nodes_are_owners(self) -> None:
+    def test_the_fastest_nodes_are_owners(self) -> None:
         self.assertTrue(all(int(name[1:]) >= 29 for name in Fleet().owners().values()))
 
-    def test_an_owner_asks_its_own_shards_itself(self) -> None:
+    def test_an_owner_contacts_its_own_shards_itself(self) -> None:
         fleet = Fleet(own="a31")
         found = fleet.placement.owners(shards(), 1.0)
         self.assertIn(len([1 for owner in found.values() if owner is None]), range(9, 11))
 
-    def test_nodes_that_failed_are_passed_over_and_few_shards_move(self) -> None:
+    def test_failed_nodes_are_avoided_and_few_shards_move(self) -> None:
         fleet = Fleet()
         before = fleet.owners()
         lost = next(name for name in before.values() if name[0] == "a")
@@ -165,7 +165,7 @@
         lacking = {shard for number, shard in enumerate(shards()) if ZONES[number % 6] == "c"}
         self.assertEqual(set(shards()) - lacking, set(fleet.owners()))
 
-    def test_too_few_nodes_ask_everything_themselves(self) -> None:
+    def test_too_few_nodes_use_no_owners(self) -> None:
         self.assertEqual({}, Fleet(zones=("a", "b"), nodes=1, strong=0).owners())
 
     def test_a_placement_follows_replicas_within_seconds(self) -> None:
@@ -181,7 +181,7 @@
 
 class LoadTest(TestCase):
     def requests(self, fleet: Fleet, per_second: float) -> None:
-        """Let requests arrive at this node, as they do at every other, for half a minute."""
+        """Count requests at this node, at the rate of every other node, for half a minute."""
         for number in range(int(30 * per_second)):
             fleet.rate.count(number / per_second)
 
@@ -198,13 +198,13 @@
         self.assertEqual(3, sizes[0])
         self.assertGreater(sizes[2], 2 * sizes[0])
 
-    def test_limits_are_divided_among_those_that_ask(self) -> None:
+    def test_the_number_of_sharing_nodes_grows_with_the_rate(self) -> None:
         fleet = Fleet()
         self.assertEqual(2, fleet.placement.sharing_nodes("s0", 1.0))
         self.requests(fleet, 1.0)
         self.assertGreater(fleet.placement.sharing_nodes("s0", 30.0), 2)
 
-    def test_the_rate_fades(self) -> None:
+    def test_the_rate_decays(self) -> None:
         rate = RequestRate()
         for number in range(200):
             rate.count(number / 2.0)
@@ -213,14 +213,14 @@
 
 
 class SpreadTest(TestCase):
-    """Zones with few nodes, each of which would have too many shards to code by itself."""
+    """Zones with too few nodes for the shards of a wide request."""
 
     SHARDS = tuple(f"s{number:02}" for number in range(90))
 
-    def spread(self, members: dict[str, int], held: str = "abc") -> Counter[str]:
+    def spread(self, nodes_per_zone: dict[str, int], replica_zones: str = "abc") -> Counter[str]:
         zones = dict.fromkeys(self.SHARDS, "a")
-        by_shard = {shard: set(held) for shard in self.SHARDS}
-        return Counter(spread_zones("a", members, by_shard, zones).values())
+        by_shard = {shard: set(replica_zones) for shard in self.SHARDS}
+        return Counter(spread_zones("a", nodes_per_zone, by_shard, zones).values())
 
     def test_a_zone_with_enough_nodes_keeps_its_requests(self) -> None:
         self.assertEqual({"a": 90}, self.spread({"a": 19, "b": 20, "c": 18, "d": 19}))
@@ -232,12 +232,12 @@
         self.assertEqual({"a": 23, "b": 23, "c": 44}, shares)
 
     def test_zones_without_replicas_are_left_out(self) -> None:
-        self.assertEqual({"a": 90}, self.spread({"a": 4, "b": 4}, held="a"))
+        self.assertEqual({"a": 90}, self.spread({"a": 4, "b": 4}, replica_zones="a"))
 
-    def test_a_shard_that_only_another_zone_holds_stays_there(self) -> None:
-        held = {shard: {"d"} if shard == "s00" else {"a", "b"} for shard in self.SHARDS}
+    def test_a_shard_with_replicas_in_one_zone_only_stays_there(self) -> None:
+        replica_zones = {shard: {"d"} if shard == "s00" else {"a", "b"} for shard in self.SHARDS}
         zones = {shard: "d" if shard == "s00" else "a" for shard in self.SHARDS}
-        members = {"a": 2, "b": 2, "d": 1}
-        spread = spread_zones("a", members, held, zones)
+        nodes_per_zone = {"a": 2, "b": 2, "d": 1}
+        spread = spread_zones("a", nodes_per_zone, replica_zones, zones)
         self.assertEqual("d", spread["s00"])
         self.assertEqual({"a", "b", "d"}, set(spread.values()))
--- a/tests/forwarding/test_tenants_at_other_nodes.py
+++ b/tests/forwarding/test_tenants_at_other_nodes.py
@@ -1,4 +1,4 @@
-"""Tenant and priority go with the work that other nodes do; the key goes nowhere."""
+"""Delegated requests contain the tenant and the priority, but never the key."""
 
 from dataclasses import replace
 
@@ -10,21 +10,21 @@
     KIOSK,
     OTHER_SECRET,
     SECRET,
-    Limits,
-    ask,
-    everything_but_replies,
+    FakeLimits,
+    output_without_replies,
+    send_request,
     tenant_counts,
     with_tenants,
 )
 from tests.forwarding.linked_nodes import (
-    FAR_NODES,
     OBJECTIVE_SECONDS,
     OTHERS,
     OWN,
+    REMOTE_NODES,
     SHARDS,
     delegated,
     join,
-    told,
+    sent_messages,
 )
 from tests.forwarding.one_node import (
     HELD_PREFIX,
@@ -49,7 +49,7 @@
 
 
 def linked_node(configuration: RoutingTable, zone: str = "a") -> OneNode:
-    """Return a node whose link is open, with shards and single replicas in a zone."""
+    """Return a node with an open link, shards with replicas in a zone and a single service."""
     node = OneNode(delegate_min_shards=10)
     shards = [
         replica(f"r{number}-{copy}", f"s{number}", zone)
@@ -59,15 +59,15 @@
     singles = [replica(f"single-{number}", "s") for number in range(6)]
     node.start(configuration, *shards, *singles)
     node.emit(PeerLinkOpened(OWN))
-    join(node, *OTHERS, *FAR_NODES)
+    join(node, *OTHERS, *REMOTE_NODES)
     return node
 
 
-def configured(zone: str = "a", limits: Limits | None = None) -> OneNode:
-    """Return such a node that knows two tenants."""
+def configured(zone: str = "a", limits: FakeLimits | None = None) -> OneNode:
+    """Return such a node with two tenants in its configuration."""
     routes = (sharded_route(SHARDS, priority=1), single_route())
     node = linked_node(with_tenants(table(4, *routes), KIOSK, ARCHIVE), zone)
-    node.machine._forwarding.admission.limits = Limits() if limits is None else limits
+    node.machine._forwarding.admission.limits = FakeLimits() if limits is None else limits
     return node
 
 
@@ -87,22 +87,22 @@
     )
 
 
-class AskingNodeTest(TestCase):
-    def test_owners_and_relays_are_told_tenant_and_priority_and_get_the_bare_request(self) -> None:
+class DelegatingNodeTest(TestCase):
+    def test_owners_and_relays_receive_tenant_and_priority_but_no_key(self) -> None:
         for zone in "ab":
             node = configured(zone)
-            ask(node, 1, SECRET, "/all/x", forged_tenant="archive")
+            send_request(node, 1, SECRET, "/all/x", forged_tenant="archive")
             messages = [asked for _, asked in delegated(node)]
             self.assertNotEqual([], messages)
             for asked in messages:
                 self.assertEqual((BARE, "kiosk", 3), (asked.request, asked.tenant, asked.priority))
             for send in node.sends:
                 self.assertEqual((BARE, "kiosk"), (send.request, send.tenant))
-            self.assertNotIn(SECRET, everything_but_replies(node))
+            self.assertNotIn(SECRET, output_without_replies(node))
 
-    def test_without_tenants_they_get_what_came(self) -> None:
+    def test_without_tenants_they_receive_the_request_unchanged(self) -> None:
         node = linked_node(table(4, sharded_route(SHARDS, priority=1)))
-        ask(node, 1, SECRET, "/all/x", forged_tenant="mine")
+        send_request(node, 1, SECRET, "/all/x", forged_tenant="mine")
         own = ((b"Authorization", b"Bearer " + SECRET.encode()), (b"Tenant", b"mine"))
         request = OpaqueRequest(b"GET", b"/all/x", (*BARE_HEADERS, *own))
         messages = [asked for _, asked in delegated(node)]
@@ -111,15 +111,15 @@
             self.assertEqual((request, "", 1), (asked.request, asked.tenant, asked.priority))
 
     def test_a_wide_request_counts_once(self) -> None:
-        limits = Limits()
+        limits = FakeLimits()
         node = configured(limits=limits)
-        ask(node, 1, SECRET, "/all/x")
+        send_request(node, 1, SECRET, "/all/x")
         self.assertEqual([("kiosk", 1)], limits.asked)
 
-    def test_what_no_node_took_is_given_back_once(self) -> None:
-        limits = Limits()
+    def test_a_request_that_no_node_accepted_is_given_back_once(self) -> None:
+        limits = FakeLimits()
         node = configured(limits=limits)
-        number = ask(node, 1, SECRET, "/all/x", deadline_seconds=0.09)
+        number = send_request(node, 1, SECRET, "/all/x", deadline_seconds=0.09)
         for sender, asked in delegated(node):
             rejected = DelegatedAnswer(asked.delegation_id, is_rejected=True)
             node.emit(PeerReceived(sender, rejected))
@@ -132,18 +132,18 @@
         self.assertIs(ForwardFailureKind.NOT_RUN, reply.kind)
         self.assertEqual([("kiosk", 1)], limits.given_back)
 
-    def test_what_another_node_may_have_sent_is_not_given_back(self) -> None:
-        limits = Limits()
+    def test_a_request_that_another_node_may_have_sent_is_not_given_back(self) -> None:
+        limits = FakeLimits()
         node = configured(limits=limits)
-        number = ask(node, 1, SECRET, "/all/x")
+        number = send_request(node, 1, SECRET, "/all/x")
         node.leave(number)
         node.advance(5.0)
         self.assertEqual([], limits.given_back)
 
 
-class AskedNodeTest(TestCase):
-    def test_replicas_are_told_the_tenant_that_the_asking_node_told(self) -> None:
-        # The asked node may go by an older configuration, or by a newer one without the tenant.
+class DelegateNodeTest(TestCase):
+    def test_replicas_receive_the_tenant_named_by_the_delegating_node(self) -> None:
+        # The delegate may have an older configuration, or a newer one without the tenant.
         without = linked_node(table(3, sharded_route(SHARDS)))
         for node in (configured(), without):
             node.emit(PeerReceived(OTHERS[0], message()))
@@ -153,8 +153,8 @@
             exchange = next(iter(node.machine._forwarding._settlement._exchanges.values()))
             self.assertEqual(3, exchange.route.priority)
 
-    def test_it_counts_nothing_and_gives_nothing_back(self) -> None:
-        limits = Limits()
+    def test_a_delegated_request_is_not_counted_again(self) -> None:
+        limits = FakeLimits()
         node = configured(limits=limits)
         node.emit(PeerReceived(OTHERS[0], message()))
         while node.sends:
@@ -167,21 +167,25 @@
 
 
 class CrashIdentityTest(TestCase):
-    def end_three(self, node: OneNode, key: str) -> None:
-        """Let a request of a caller end three replicas."""
+    def crash_three(self, node: OneNode, key: str) -> None:
+        """Let a request of a caller crash three replicas."""
         for number in range(1, 4):
             if not node.sends:
-                ask(node, number, key, "/one/crash")
+                send_request(node, number, key, "/one/crash")
             node.end_replica(node.sends[0])
             node.advance(TELL_SECONDS + 0.05)
 
-    def test_it_is_made_of_the_bare_request_and_the_tenant(self) -> None:
+    def test_it_covers_the_request_without_the_key_and_the_tenant(self) -> None:
         expected = compute_identity(CRASHING, "kiosk")
         node = configured()
-        self.end_three(node, SECRET)
+        self.crash_three(node, SECRET)
         self.assertEqual(
             {expected},
-            {item.identity for item in told(node, CrashNews) if isinstance(item, CrashNews)},
+            {
+                item.identity
+                for item in sent_messages(node, CrashNews)
+                if isinstance(item, CrashNews)
+            },
         )
         (line,) = node.logs("request_held")
         self.assertEqual(
@@ -195,33 +199,33 @@
         assert isinstance(written, CompareAndSwap)
         self.assertEqual(HELD_PREFIX + expected.hex(), written.key)
         self.assertNotIn(SECRET.encode(), written.value or b"")
-        self.assertNotIn(SECRET, everything_but_replies(node))
+        self.assertNotIn(SECRET, output_without_replies(node))
 
-    def test_another_tenants_same_request_is_another_one(self) -> None:
-        limits = Limits()
+    def test_the_same_request_of_another_tenant_is_not_held(self) -> None:
+        limits = FakeLimits()
         node = configured(limits=limits)
-        self.end_three(node, SECRET)
+        self.crash_three(node, SECRET)
         before = len(node.all_sends)
-        reply = node.replies[ask(node, 8, SECRET, "/one/crash", forged_tenant="x")]
+        reply = node.replies[send_request(node, 8, SECRET, "/one/crash", forged_tenant="x")]
         assert isinstance(reply, ReplyFailure)
         self.assertIs(ForwardFailureKind.NOT_RUN, reply.kind)
         self.assertNotIn(("kiosk", 8), limits.asked)
         self.assertEqual(("other", "held"), tenant_counts(node)[-1])
-        ask(node, 9, OTHER_SECRET, "/one/crash")
+        send_request(node, 9, OTHER_SECRET, "/one/crash")
         self.assertEqual(before + 1, len(node.all_sends))
 
-    def test_the_asked_node_holds_the_same_request_back(self) -> None:
+    def test_a_delegate_holds_the_same_request(self) -> None:
         node = configured()
         news = CrashNews(compute_identity(BARE, "kiosk"), held_seconds=HELD_SECONDS)
         node.emit(PeerReceived(OTHERS[1], news))
         node.emit(PeerReceived(OTHERS[0], message()))
         self.assertEqual([], node.sends)
-        answer = told(node, DelegatedAnswer)[-1]
+        answer = sent_messages(node, DelegatedAnswer)[-1]
         self.assertEqual(DelegatedAnswer(5, held_seconds=HELD_SECONDS), answer)
         node.emit(PeerReceived(OTHERS[0], replace(message("archive"), delegation_id=6)))
         self.assertEqual(2, len(node.sends))
 
-    def test_a_digest_tells_tenants_apart_and_is_as_before_without_one(self) -> None:
+    def test_the_digest_depends_on_the_tenant_if_there_is_one(self) -> None:
         digests = {compute_identity(BARE, name) for name in ("", "a", "b", "ab")}
         self.assertEqual(4, len(digests))
         self.assertEqual(compute_identity(BARE), compute_identity(BARE, ""))
--- a/tests/orchestration/test_stop_machine.py
+++ b/tests/orchestration/test_stop_machine.py
@@ -1,4 +1,4 @@
-"""The planned stop counts only time in which the process ran."""
+"""A planned stop does not count time in which the process was paused."""
 
 import testtools
 
@@ -19,12 +19,12 @@
         actions = self.machine.handle(StopCheckDue(), now)
         return any(isinstance(action, Exit) for action in actions)
 
-    def test_it_ends_after_the_shortest_time(self):
+    def test_it_exits_after_the_minimum_time(self):
         checks = [100.0 + 0.05 * number for number in range(1, 30)]
         exits = [now for now in checks if self.exits_at(now)]
         self.assertEqual([101.0], [round(now, 2) for now in exits])
 
-    def test_what_came_in_a_pause_is_read_before_it_ends(self):
+    def test_messages_that_arrive_during_a_pause_are_read_before_the_exit(self):
         self.assertFalse(self.exits_at(100.05))
         self.assertFalse(self.exits_at(140.0))
         self.assertFalse(self.exits_at(140.05))
--- a/tests/test_stop.py
+++ b/tests/test_stop.py
@@ -1,4 +1,4 @@
-"""A planned stop of a real node, under load: nothing in flight is cut off."""
+"""A planned stop of a real node under load cuts off no request in flight."""
 
 import asyncio
 
@@ -17,7 +17,7 @@
 )
 
 TIME_LIMIT_SECONDS = 30.0
-ASKERS_PER_NODE = 4
+CALLERS_PER_NODE = 4
 ANSWERS_BEFORE_STOP = 20
 SWEEP = Question("lookup", "sweep")
 
@@ -39,8 +39,8 @@
 )
 
 
-class LoadedSystem:
-    """Two nodes, and callers that keep asking each of them until it refuses."""
+class SystemUnderLoad:
+    """Two nodes, and callers that send requests to each of them until one is refused."""
 
     def __init__(self) -> None:
         self.deployment = DemoDeployment(1, PROFILE, PROFILE.zones)
@@ -57,12 +57,12 @@
         plan = await operator.propose(intents_for(self.deployment.configuration))
         await operator.confirm(plan["plan_id"])
         await operator.close()
-        self._askers = [
-            asyncio.create_task(self._keep_asking(index % len(nodes)))
-            for index in range(ASKERS_PER_NODE * len(nodes))
+        self._callers = [
+            asyncio.create_task(self._keep_sending(index % len(nodes)))
+            for index in range(CALLERS_PER_NODE * len(nodes))
         ]
 
-    async def _keep_asking(self, node_index: int) -> None:
+    async def _keep_sending(self, node_index: int) -> None:
         while not self.done:
             reply = await self.caller.ask(node_index, SWEEP)
             self.replies.append(reply)
@@ -76,13 +76,13 @@
 
     async def finish(self) -> None:
         self.done = True
-        await asyncio.gather(*self._askers)
+        await asyncio.gather(*self._callers)
         await self.caller.close()
         await self.deployment.close()
 
 
 async def stop_under_load() -> tuple[Exit, list[Reply]]:
-    system = LoadedSystem()
+    system = SystemUnderLoad()
     async with asyncio.timeout(TIME_LIMIT_SECONDS):
         await system.start()
         await system.wait_for_answers(ANSWERS_BEFORE_STOP)
@@ -96,7 +96,7 @@
 
 
 class PlannedStopTest(testtools.TestCase):
-    def test_planned_stop_cuts_nothing_off(self) -> None:
+    def test_a_planned_stop_cuts_off_no_request(self) -> None:
         ended, replies = asyncio.run(stop_under_load())
         self.assertEqual(Exit(0), ended)
         self.assertEqual([], [reply.difference for reply in replies if reply.difference])
--- a/wingquay/forwarding/arrival/arrival_admission.py
+++ b/wingquay/forwarding/arrival/arrival_admission.py
@@ -13,7 +13,7 @@
 from .authentication import authenticate
 from .no_limits import NoLimits
 
-UNPROVEN_REASON = "the configuration may be too old to tell whose key is shown"
+UNPROVEN_REASON = "the configuration may be too old to authenticate the key"
 
 
 class ArrivalAdmission:
--- a/wingquay/forwarding/arrival/authentication.py
+++ b/wingquay/forwarding/arrival/authentication.py
@@ -9,8 +9,10 @@
 from ...ports.forwarding import ForwardFailureKind, ForwardRequested
 from .admission import Rejected
 
-NO_KEY = Rejected(ForwardFailureKind.UNKNOWN_CALLER, "the request shows no key, or several")
-UNKNOWN_KEY = Rejected(ForwardFailureKind.UNKNOWN_CALLER, "no tenant holds the key that is shown")
+NO_KEY = Rejected(ForwardFailureKind.UNKNOWN_CALLER, "the request contains no key, or several")
+UNKNOWN_KEY = Rejected(
+    ForwardFailureKind.UNKNOWN_CALLER, "the key in the request belongs to no tenant"
+)
 
 
 def authenticate(key: str, tenants: TenantDirectory) -> Tenant | Rejected:
--- a/wingquay/forwarding/arrival/limits/requester_role.py
+++ b/wingquay/forwarding/arrival/limits/requester_role.py
@@ -34,8 +34,8 @@
 MAX_LATE_QUERIES = 1_000
 """Maximum number of decided queries for which late replies are still matched."""
 
-OVER_REASON = "the tenant has had the requests that its limit allows"
-UNREACHABLE_REASON = "no owner of the tenant's limit can permit the request now"
+OVER_REASON = "the tenant has reached its request limit"
+UNREACHABLE_REASON = "no owner of the tenant's limit can currently permit the request"
 _ADMITTED = Admitted(OpaqueRequest(b"", b"", ()))
 
 
--- a/wingquay/forwarding/peers/delegation_dispatcher.py
+++ b/wingquay/forwarding/peers/delegation_dispatcher.py
@@ -96,7 +96,7 @@
             call.is_begun = True
             call.delegated_attempts = 1
             call.arrivals += 1
-            call.history.append(f"asked through {node.node_id}")
+            call.history.append(f"delegated to {node.node_id}")
         in_time_seconds = exchange.cutoff_at - now - settings.delegate_return_seconds
         message = DelegatedRequest(
             delegation_id=delegation.delegation_id,
--- a/wingquay/forwarding/peers/delegation_reports.py
+++ b/wingquay/forwarding/peers/delegation_reports.py
@@ -86,7 +86,7 @@
             call.arrivals += arrivals - 1
             call.delegated_attempts = arrivals
             call.is_delegate_lost = arrivals > 0
-            call.history.append(f"given back after {arrivals}")
+            call.history.append(f"returned after {arrivals}")
             exchange.unexplained_disconnects += arrivals
         exchange.failures += len(calls)
         return self._starter.start_all([call for call in calls if call.attempts_left > 0], now)
--- a/wingquay/forwarding/peers/delegation_takeover.py
+++ b/wingquay/forwarding/peers/delegation_takeover.py
@@ -111,7 +111,7 @@
         self._groups.suspect(node_id, now, is_absent)
         fields = (
             ("request_id", delegation.exchange.event.request_id),
-            ("node_asked", node_id),
+            ("delegate", node_id),
             ("shards", len(calls)),
             ("reason", reason),
         )
