--- a/wingquay/forwarding/arrival/limits/limit_manager.py
+++ b/wingquay/forwarding/arrival/limits/limit_manager.py
@@ -90,7 +90,7 @@
             self._is_open = True
             members = self._members
             actions += distributed.open(
-                self._own, members.groups, members.is_listed, members.has_stood, now
+                self._own, members.groups, members.is_listed, members.reused_key, now
             )
         if isinstance(event, Woken):
             distributed.resumed()
--- a/wingquay/forwarding/peers/connection_prewarmer.py
+++ b/wingquay/forwarding/peers/connection_prewarmer.py
@@ -56,7 +56,7 @@
             if len(shards) >= self._settings.delegate_min_shards:
                 candidates += self._unused_replicas(shards, now)
         chosen = candidates[:MAX_OPENED_AT_ONCE]
-        self._opened.update(state.life for state in chosen)
+        self._opened.update(state.incarnation for state in chosen)
         return [OpenConnection(state.record) for state in chosen]
 
     def _unconfigured_services(self) -> tuple[str, ...]:
@@ -71,6 +71,8 @@
         return [
             state
             for shard in own
-            for state in self._directory.usable(shard, now)
-            if state.record.zone == zone and state.is_untouched and state.life not in self._opened
+            for state in self._directory.candidates(shard, now)
+            if state.record.zone == zone
+            and state.is_unused
+            and state.incarnation not in self._opened
         ]
--- a/wingquay/forwarding/peers/delegation_takeover.py
+++ b/wingquay/forwarding/peers/delegation_takeover.py
@@ -56,7 +56,7 @@
             return self._take_over(delegation, calls, reason, now)
         lost = self._mark_lost(delegation, calls, reason, is_absent=True, now=now)
         own, dispatched = self._dispatcher.dispatch(exchange, calls, now)
-        return [*lost, *dispatched, *self._starter.start_all(own, now)]
+        return [*lost, *dispatched, *self._starter.send_or_queue_all(own, now)]
 
     def lost(self, delegation: Delegation, reason: str, now: float) -> list[Action]:
         """Contact the shards of a node that is silent or whose connection broke."""
@@ -77,11 +77,11 @@
     def _can_retry(self, call: ServiceCall) -> bool:
         """Return whether one more attempt stays within the limit in any case."""
         exchange = call.exchange
-        if self._directory.is_renewed_since(call.service, exchange.arrived_at):
+        if self._directory.has_restarted_since(call.service, exchange.arrived_at):
             # The lost node may have contacted the previous incarnation, which counts as another
             # one.
             return False
-        return self._directory.replicas_of(call.service) <= exchange.route.max_attempts
+        return self._directory.replica_count(call.service) <= exchange.route.max_attempts
 
     def _take_over(
         self, delegation: Delegation, calls: list[ServiceCall], reason: str, now: float
@@ -94,7 +94,7 @@
         exchange.failures += len(calls)
         lost = self._mark_lost(delegation, calls, reason, is_absent=False, now=now)
         startable = [call for call in calls if call.attempts_left > 0]
-        started = self._starter.start_all(startable, now)
+        started = self._starter.send_or_queue_all(startable, now)
         return [*lost, *started, *self._settlement.settle(exchange, now)]
 
     def _mark_lost(
