--- a/wingquay/forwarding/arrival/arrival_admission.py
+++ b/wingquay/forwarding/arrival/arrival_admission.py
@@ -10,8 +10,8 @@
 from ...ports.forwarding import ForwardFailureKind
 from ..knowledge.configuration_proof import AlwaysProven
 from .admission import Admitted, AwaitsLimit, ConfigurationProof, Rejected, TenantLimits
+from .admit_all import NoLimits
 from .authentication import authenticate
-from .no_limits import NoLimits
 
 UNPROVEN_REASON = "the configuration may be too old to authenticate the key"
 
