--- a/wingquay/forwarding/arrival/limits/owner_channel.py
+++ b/wingquay/forwarding/arrival/limits/owner_channel.py
@@ -19,7 +19,7 @@
 the number of requests that nodes start after they are cut off. Nodes with few requests therefore
 ask first."""
 MIN_PROBE_SECONDS = 0.5
-"""Time between the first two probes of an unreachable owner."""
+"""Time until an unreachable owner is first probed."""
 MAX_PROBE_SECONDS = 4.0
 """Maximum time between two probes of an unreachable owner."""
 
@@ -68,7 +68,7 @@
         self._hot_until: dict[str, float] = {}
         self._probe_seconds = MIN_PROBE_SECONDS
 
-    def may_start_unasked(self, name: str, now: float) -> bool:
+    def may_start_without_permit(self, name: str, now: float) -> bool:
         """Return whether requests of a tenant may start before this owner has permitted them."""
         if self.is_lost or self.asks_first or now < self._ask_first_until:
             return False
@@ -85,7 +85,7 @@
 
     # Reports
 
-    def note(
+    def report_requests(
         self,
         name: str,
         requests: int,
@@ -180,13 +180,13 @@
             return {}, []
         self.is_lost = True
         self._drop_expired(now)
-        unknown: dict[str, int] = {}
+        uncounted: dict[str, int] = {}
         for counts in [*(report.without_permit for report in self._reports), self._without_permit]:
             for name, requests in counts.items():
-                unknown[name] = unknown.get(name, 0) + requests
+                uncounted[name] = uncounted.get(name, 0) + requests
         self._without_permit = {}
         probe = LimitProbeDue(self.owner.node_id)
-        return unknown, [Schedule(now + self._probe_seconds, probe)]
+        return uncounted, [Schedule(now + self._probe_seconds, probe)]
 
     def link_broken(self, now: float) -> tuple[dict[str, int], list[Action]]:
         """Handle that the link is broken: reports that may be lost are queued again."""
--- a/wingquay/forwarding/arrival/limits/owner_channels.py
+++ b/wingquay/forwarding/arrival/limits/owner_channels.py
@@ -45,7 +45,7 @@
             self._channels[owner.node_id] = channel
         return channel
 
-    def note(
+    def report_requests(
         self,
         owners: Iterable[NodeIdentity],
         name: str,
@@ -57,7 +57,9 @@
         actions: list[Action] = []
         for owner in owners:
             if not self.is_own(owner):
-                actions += self.get(owner).note(name, requests, now, 0, is_without_permit)
+                actions += self.get(owner).report_requests(
+                    name, requests, now, 0, is_without_permit
+                )
             elif self.role is not None:
                 actions += self.role.count(name, requests, 0, now)
         return actions
@@ -125,5 +127,5 @@
 
     def _charge(self, second: NodeIdentity, name: str, requests: int, now: float) -> list[Action]:
         if not self.is_own(second):
-            return self.get(second).note(name, 0, now, requests)
+            return self.get(second).report_requests(name, 0, now, requests)
         return [] if self.role is None else self.role.count(name, 0, requests, now)
--- a/wingquay/forwarding/arrival/limits/owner_role.py
+++ b/wingquay/forwarding/arrival/limits/owner_role.py
@@ -33,7 +33,7 @@
     Parameters
     ----------
     settings
-        The window, and the usage from which on nodes ask first.
+        The window, and the usage at which nodes ask first.
     own
         This node.
     owners
@@ -114,8 +114,8 @@
         """Reply whether a request may start; wait with the reply if a loan is pending."""
         permit, actions = self.permit(message.tenant, now)
         usage = self._usages.get(message.tenant)
-        is_short = permit.verdict is LimitVerdict.ELSEWHERE and len(self._waiting) < MAX_WAITING
-        if is_short and usage is not None and usage.awaits_loan(now):
+        can_wait = permit.verdict is LimitVerdict.ELSEWHERE and len(self._waiting) < MAX_WAITING
+        if can_wait and usage is not None and usage.awaits_loan(now):
             self._waiting.append((sender, message))
             return actions
         answer = LimitAnswer(
@@ -178,7 +178,7 @@
         return self._retry_waiting(now)
 
     def _retry_waiting(self, now: float) -> list[Action]:
-        """Answer the permit requests that waited for a loan."""
+        """Handle the permit requests that waited for a loan once more."""
         waiting, self._waiting = self._waiting, []
         actions: list[Action] = []
         for sender, message in waiting:
--- a/wingquay/forwarding/arrival/limits/owner_sync.py
+++ b/wingquay/forwarding/arrival/limits/owner_sync.py
@@ -50,8 +50,8 @@
         self._request_id = 0
         self._sent_at: dict[int, float] = {}
         self._unknown_tenants: dict[str, frozenset[str]] = {}
-        """Tenants whose window was unknown to an owner, by the id of the owner. Contains the owners
-        that have sent all their records since the owners last changed."""
+        """Tenants without a complete window at an owner, by the id of the owner. Contains the
+        owners that have sent their records since the list of owners last changed."""
         self._changed_at = float("inf")
         self._listed_since = float("-inf")
         self._was_listed = True
@@ -59,13 +59,12 @@
         self.was_listed_before_start: Callable[[], bool] = lambda: True
         """Returns whether the key was in the store before this incarnation; set by the caller."""
         self._confirmed_at: dict[str, float] = {}
-        """When requests were sent to owners that have since confirmed the same list of owners, by
-        id."""
+        """Send time of the last request with which an owner confirmed the list of owners, by id."""
         self.is_listed: Callable[[float], bool] = lambda _: True
         """Returns whether this node's key is certainly in the store; set by the caller."""
 
     def refresh_listing(self, now: float) -> None:
-        """Restart the window if this node's key was missing: other nodes may have been owners."""
+        """Restart the window once a missing key is back: other nodes may have been owners."""
         is_listed = self.is_listed(now)
         if is_listed and not self._was_listed and not self._is_first_listing():
             self._listed_since = now
@@ -249,7 +248,7 @@
         return tuple(loans), tuple(loans.values())
 
     def _may_lend(self, name: str, sender: NodeIdentity, now: float) -> bool:
-        """Return whether the sender is the primary and this node's own permits are all recorded."""
+        """Return whether the sender is the primary and all permits of this node are recorded."""
         own = self._own.node_id
         if (
             self._owners.position(name, sender.node_id) != 0
--- a/wingquay/forwarding/arrival/limits/requester_role.py
+++ b/wingquay/forwarding/arrival/limits/requester_role.py
@@ -59,7 +59,7 @@
     Parameters
     ----------
     settings
-        The bound on requests, and from which usage on owners are asked first.
+        The bound on requests, and the usage at which owners are asked first.
     owners
         The owners of each tenant.
     channels
@@ -109,9 +109,9 @@
         if tenant.requests_per_second <= 0:
             return _ADMITTED
         pair = self._owners.get(tenant.name)
-        if pair and self._may_start_unasked(pair[0], tenant.name, now):
-            self._outbox += self._channels.note(pair, tenant.name, 1, now, True)
-            return self._admit("at_once")
+        if pair and self._may_start_without_permit(pair[0], tenant.name, now):
+            self._outbox += self._channels.report_requests(pair, tenant.name, 1, now, True)
+            return self._admitted("at_once")
         self._last_ask_id += 1
         ask_id = self._last_ask_id
         query = _PermitQuery(tenant, exchange_id, now)
@@ -134,20 +134,20 @@
         if ask_id is not None:
             self._finish(ask_id)
         elif tenant.requests_per_second > 0:
-            self._note(self._owners.get(tenant.name), tenant.name, -1, now)
+            self._report_requests(self._owners.get(tenant.name), tenant.name, -1, now)
             self._count("given_back")
 
-    def _may_start_unasked(self, primary: NodeIdentity, name: str, now: float) -> bool:
+    def _may_start_without_permit(self, primary: NodeIdentity, name: str, now: float) -> bool:
         if self._settings.ask_first_ratio <= 0 or self._channels.is_own(primary):
             return False
-        return self._channels.get(primary).may_start_unasked(name, now)
+        return self._channels.get(primary).may_start_without_permit(name, now)
 
     # Permit queries
 
     def _query_next(
         self, ask_id: int, query: _PermitQuery, now: float
     ) -> Admitted | Rejected | None:
-        """Query the next owner; return ``None`` while a reply is pending."""
+        """Query the next owner; return the decision, or ``None`` while a reply is pending."""
         for owner in self._owners.get(query.tenant.name):
             node_id = owner.node_id
             if node_id in query.excluded or node_id in query.waiting_for:
@@ -189,8 +189,8 @@
             others = [
                 item for item in self._owners.get(query.tenant.name) if item.node_id != node_id
             ]
-            self._note(others, query.tenant.name, 1, now)
-            return self._admit("permitted")
+            self._report_requests(others, query.tenant.name, 1, now)
+            return self._admitted("permitted")
         if verdict is LimitVerdict.OVER:
             self._count("over")
             seconds = self._spread(max(retry_seconds, 0.0))
@@ -273,7 +273,7 @@
             del self._late[message.ask_id]
         if message.verdict is not LimitVerdict.GRANTED:
             return []
-        return self._channels.get(sender).note(query.tenant.name, -1, now)
+        return self._channels.get(sender).report_requests(query.tenant.name, -1, now)
 
     def owner_lost(self, node_id: str, now: float) -> list[Action]:
         """Query other owners where a reply of an unreachable owner was pending."""
@@ -290,20 +290,22 @@
     def _decide_by_reserve(self, query: _PermitQuery, now: float) -> Admitted | Rejected:
         own = self._channels.own
         if own is not None and self._reserve.take(query.tenant, own.node_id, now):
-            self._note(self._owners.get(query.tenant.name), query.tenant.name, 1, now)
-            return self._admit("reserve")
+            self._report_requests(self._owners.get(query.tenant.name), query.tenant.name, 1, now)
+            return self._admitted("reserve")
         seconds = max(query.retry_after_seconds, MIN_RETRY_SECONDS)
         seconds = min(seconds, MAX_UNREACHABLE_RETRY_SECONDS)
         self._count("unreached")
         return Rejected(ForwardFailureKind.NOT_RUN, UNREACHABLE_REASON, self._spread(seconds))
 
-    def _note(self, owners: Iterable[NodeIdentity], name: str, requests: int, now: float) -> None:
-        self._outbox += self._channels.note(owners, name, requests, now)
+    def _report_requests(
+        self, owners: Iterable[NodeIdentity], name: str, requests: int, now: float
+    ) -> None:
+        self._outbox += self._channels.report_requests(owners, name, requests, now)
 
     def _spread(self, seconds: float) -> float:
         return seconds * (1.0 + RETRY_JITTER * self._random.random())
 
-    def _admit(self, decision: str) -> Admitted:
+    def _admitted(self, decision: str) -> Admitted:
         self._count(decision)
         return _ADMITTED
 
--- a/wingquay/forwarding/arrival/tenant_priorities.py
+++ b/wingquay/forwarding/arrival/tenant_priorities.py
@@ -26,8 +26,8 @@
             self._version = table.version
             self._routes.clear()
         key = (route.host, route.path_prefix, priority)
-        known = self._routes.get(key)
-        if known is None:
-            known = replace(route, priority=priority)
-            self._routes[key] = known
-        return known
+        cached = self._routes.get(key)
+        if cached is None:
+            cached = replace(route, priority=priority)
+            self._routes[key] = cached
+        return cached
--- a/wingquay/forwarding/peers/delegated_work.py
+++ b/wingquay/forwarding/peers/delegated_work.py
@@ -58,7 +58,7 @@
         return [SendToPeer(self.node, message)]
 
     def give_back(self, exchange: Exchange) -> list[Action]:
-        """Return the calls that have no open attempt to the delegating node, with a message."""
+        """Leave calls without an open attempt to the delegating node; return the message."""
         returned = [call for call in exchange.calls if call.answer is None and not call.attempts]
         exchange.calls = [call for call in exchange.calls if call not in returned]
         for call in returned:
--- a/wingquay/forwarding/peers/delegation_reports.py
+++ b/wingquay/forwarding/peers/delegation_reports.py
@@ -62,7 +62,7 @@
     def _declined(
         self, delegation: Delegation, positions: tuple[int, ...], now: float
     ) -> list[Action]:
-        """Contact the shards directly for which the other node has no replica."""
+        """Directly contact the shards for which the other node has no replica."""
         if not positions or delegation.is_lost:
             return []
         calls = [delegation.calls[position] for position in positions]
--- a/wingquay/forwarding/peers/delegation_takeover.py
+++ b/wingquay/forwarding/peers/delegation_takeover.py
@@ -75,7 +75,7 @@
         self._open.remove(delegation)
 
     def _can_retry(self, call: ServiceCall) -> bool:
-        """Return whether one more attempt stays within the limit in any case."""
+        """Return whether another attempt fits the limit, whichever replicas the lost node used."""
         exchange = call.exchange
         if self._directory.has_restarted_since(call.service, exchange.arrived_at):
             # The lost node may have contacted the previous incarnation, which counts as another
--- a/wingquay/forwarding/peers/relays.py
+++ b/wingquay/forwarding/peers/relays.py
@@ -60,7 +60,7 @@
     def choose(self, shards: tuple[str, ...], now: float) -> dict[str, NodeIdentity]:
         """Return the relay of each remote shard; shards left out are contacted directly."""
         remote = dict(self._remote_zones(shards, now))
-        owners: dict[str, NodeIdentity] = {}
+        relays: dict[str, NodeIdentity] = {}
         nodes = self._groups.reachable(now) if remote else []
         while nodes and len(remote) >= self._settings.relay_min_shards:
             relay = self._best(nodes, remote)
@@ -68,18 +68,18 @@
             if len(served) < self._settings.relay_min_shards:
                 break
             for shard in served:
-                owners[shard] = relay
+                relays[shard] = relay
                 del remote[shard]
-        return owners
+        return relays
 
     def _remote_zones(self, shards: tuple[str, ...], now: float) -> dict[str, set[str]]:
-        known = self._remote.get(shards)
-        if known is None or now >= known.valid_until:
+        cached = self._remote.get(shards)
+        if cached is None or now >= cached.valid_until:
             if len(self._remote) >= MAX_SHARD_SETS:
                 self._remote.clear()
-            known = _RemoteShards(now + ZONES_VALID_SECONDS, self._find_remote(shards, now))
-            self._remote[shards] = known
-        return known.zones
+            cached = _RemoteShards(now + ZONES_VALID_SECONDS, self._find_remote(shards, now))
+            self._remote[shards] = cached
+        return cached.zones
 
     def _find_remote(self, shards: tuple[str, ...], now: float) -> dict[str, set[str]]:
         found = {shard: self._directory.zones_of(shard, now) for shard in shards}
--- a/wingquay/forwarding/peers/shard_placement.py
+++ b/wingquay/forwarding/peers/shard_placement.py
@@ -80,14 +80,16 @@
 
         ``None`` stands for this node, which also contacts the shards left out.
         """
-        known = self._placements.get(shards)
+        cached = self._placements.get(shards)
         version = self._groups.version(now)
-        if known is None or known.nodes_version != version or now >= known.valid_until:
+        if cached is None or cached.nodes_version != version or now >= cached.valid_until:
             if len(self._placements) >= MAX_PLACEMENTS:
                 self._placements.clear()
-            known = _Placement(version, now + PLACEMENT_VALID_SECONDS, self._place(shards, now))
-            self._placements[shards] = known
-        return known.owners
+            cached = _Placement(
+                version, now + PLACEMENT_VALID_SECONDS, self._compute_owners(shards, now)
+            )
+            self._placements[shards] = cached
+        return cached.owners
 
     def owner_nodes(self, shards: tuple[str, ...], now: float) -> list[NodeIdentity]:
         """Return the other nodes that a request over these shards would be delegated to."""
@@ -99,16 +101,18 @@
         zones = len(self._directory.zones_of(shard, now)) or 1
         return zones * self._owner_sets(now)
 
-    def _place(self, shards: tuple[str, ...], now: float) -> dict[str, NodeIdentity | None]:
+    def _compute_owners(
+        self, shards: tuple[str, ...], now: float
+    ) -> dict[str, NodeIdentity | None]:
         nodes = self._groups.usable_by_zone(now)
         if sum(map(len, nodes.values())) < self._settings.delegate_min_nodes:
             return {}
         replica_zones = {
             shard: self._directory.zones_of(shard, now) & nodes.keys() for shard in shards
         }
-        minimum = choose_zones(self._settings.zone, sorted(nodes), replica_zones)
-        members = {zone: len(found) for zone, found in nodes.items()}
-        zones = spread_zones(self._settings.zone, members, replica_zones, minimum)
+        fewest_zones = choose_zones(self._settings.zone, sorted(nodes), replica_zones)
+        nodes_per_zone = {zone: len(found) for zone, found in nodes.items()}
+        zones = spread_zones(self._settings.zone, nodes_per_zone, replica_zones, fewest_zones)
         owners: dict[str, NodeIdentity | None] = {}
         for zone in set(zones.values()):
             # Sorted, so that the owners do not depend on the order of the shards.
@@ -123,16 +127,16 @@
         return None if node.name == self._groups.name else node.record.identity
 
     def _assign(
-        self, nodes: list[GroupNode], replica_zones: tuple[str, ...], shards: int, now: float
+        self, nodes: list[GroupNode], zone_shards: tuple[str, ...], shards: int, now: float
     ) -> dict[str, GroupNode]:
         """Return the owner of each shard with a replica in the zone."""
-        size = max(1, round(len(replica_zones) / math.sqrt(shards)))
+        size = max(1, round(len(zone_shards) / math.sqrt(shards)))
         owner_sets = self._owner_sets(now)
-        members = fastest_nodes(nodes, size * owner_sets)
-        own_set = members[_set_index(self._groups.name, owner_sets) :: owner_sets] or members
+        selected = fastest_nodes(nodes, size * owner_sets)
+        own_set = selected[_set_index(self._groups.name, owner_sets) :: owner_sets] or selected
         by_name = {node.name: node for node in own_set}
         weights = {name: node.record.processor for name, node in sorted(by_name.items())}
-        assigned = assign_bounded(weights, replica_zones)
+        assigned = assign_bounded(weights, zone_shards)
         return {shard: by_name[name] for shard, name in assigned.items()}
 
     def _owner_sets(self, now: float) -> int:
--- a/wingquay/forwarding/peers/zone_choice.py
+++ b/wingquay/forwarding/peers/zone_choice.py
@@ -27,18 +27,23 @@
         The zones with a replica of each shard; a shard without a replica is left out.
     """
     remote = {
-        shard: frozenset(found)
-        for shard, found in replica_zones.items()
-        if found and own_zone not in found
+        shard: frozenset(holding_zones)
+        for shard, holding_zones in replica_zones.items()
+        if holding_zones and own_zone not in holding_zones
     }
     start = zones.index(own_zone) if own_zone in zones else 0
     others = [zone for zone in zones[start:] + zones[:start] if zone != own_zone]
     chosen = _minimum_zones(others, set(remote.values()))
     assigned_counts = dict.fromkeys(chosen, 0)
-    result = {shard: own_zone for shard, found in replica_zones.items() if own_zone in found}
-    for shard, found in remote.items():
+    result = {
+        shard: own_zone
+        for shard, holding_zones in replica_zones.items()
+        if own_zone in holding_zones
+    }
+    for shard, holding_zones in remote.items():
         zone = min(
-            (zone for zone in chosen if zone in found), key=lambda zone: assigned_counts[zone]
+            (zone for zone in chosen if zone in holding_zones),
+            key=lambda zone: assigned_counts[zone],
         )
         assigned_counts[zone] += 1
         result[shard] = zone
@@ -72,7 +77,7 @@
     for zone in names[start:] + names[:start]:
         if sum(nodes_per_zone[name] for name in used) >= wanted:
             break
-        if any(zone in found for found in replica_zones.values()):
+        if any(zone in holding_zones for holding_zones in replica_zones.values()):
             used.add(zone)
     if used == set(zones.values()):
         return zones
@@ -94,12 +99,14 @@
     if len(zones) <= MAX_ZONES_SEARCHED:
         for count in range(len(zones) + 1):
             for chosen in combinations(zones, count):
-                if all(not found.isdisjoint(chosen) for found in wanted):
+                if all(not holding_zones.isdisjoint(chosen) for holding_zones in wanted):
                     return chosen
     chosen_so_far: tuple[str, ...] = ()
     uncovered = set(wanted)
     while uncovered:
-        best = max(zones, key=lambda zone: sum(zone in found for found in uncovered))
+        best = max(
+            zones, key=lambda zone: sum(zone in holding_zones for holding_zones in uncovered)
+        )
         chosen_so_far += (best,)
-        uncovered = {found for found in uncovered if best not in found}
+        uncovered = {holding_zones for holding_zones in uncovered if best not in holding_zones}
     return chosen_so_far
