--- a/wingquay/forwarding/arrival/limits/budget.py
+++ b/wingquay/forwarding/arrival/limits/budget.py
@@ -1,9 +1,10 @@
 """Divides a tenant's limit among nodes so that a network partition cannot exceed it.
 
 The bound is the allowance, which callers were promised, plus a spare. Parts of the spare are set
-aside for restarts, for nodes that reach no owner and for requests not reported yet; the two owners
-divide the rest. `docs/design/limits-over-nodes.md` contains the proof. All values are numbers of
-requests per window.
+aside for restarts, for nodes that reach no owner and for requests not reported yet. The rest is
+divided between the two owners of the tenant, the primary and the second one; the second owner lends
+part of its requests to the primary. `docs/design/limits-over-nodes.md` contains the proof. All
+values are numbers of requests per window.
 """
 
 import math
@@ -16,8 +17,8 @@
 """Share of the spare that is permitted on top of the allowance. Network jitter can make a caller
 that keeps its limit seem to exceed it by a request or two."""
 UNLENT_SHARE = 0.15
-"""Share of the spare that the second owner never lends. Tenants at their limit use it on the other
-side of a network partition during the first window."""
+"""Share of the spare that the second owner never lends, so that it can still permit requests when a
+network partition separates it from the primary."""
 UNKNOWN_WINDOW_SHARE = 0.45
 """Share of the spare that a primary owner permits while the requests of the last window are not
 known to it. It is the largest share because nothing else is permitted in that time."""
--- a/wingquay/forwarding/arrival/limits/distributed_limits.py
+++ b/wingquay/forwarding/arrival/limits/distributed_limits.py
@@ -65,7 +65,7 @@
     random_source
         Adds jitter to the retry times sent to callers.
     now
-        Start of this incarnation of the node, or later.
+        Current time, which is at or after the start of this incarnation of the node.
     """
 
     def __init__(self, settings: LimitSettings, random_source: random.Random, now: float) -> None:
@@ -170,7 +170,7 @@
             case LimitRequestDue():
                 actions += self._requester.query_due(event, now)
             case LimitRefreshDue():
-                actions += self._owner_due(now)
+                actions += self._refresh_due(now)
             case _:
                 actions += self._channels.due(event, now)
         return [*actions, *self.take_actions()]
@@ -193,7 +193,7 @@
                 return role.owners_message(sender, message, now)
         return []
 
-    def _owner_due(self, now: float) -> list[Action]:
+    def _refresh_due(self, now: float) -> list[Action]:
         self._is_due = False
         role = self._channels.role
         if role is None or not role.is_owner:
--- a/wingquay/forwarding/arrival/limits/limit_manager.py
+++ b/wingquay/forwarding/arrival/limits/limit_manager.py
@@ -102,14 +102,14 @@
         self._table = table
         tenants = {} if table.tenants is None else table.tenants.by_name
         if self._distributed is None and table.tenants is not None and table.tenants.is_limited:
-            self._distributed = self._begin(now)
+            self._distributed = self._create(now)
         return [] if self._distributed is None else self._distributed.set_tenants(tenants, now)
 
-    def _begin(self, now: float) -> "DistributedLimits":
+    def _create(self, now: float) -> "DistributedLimits":
         from .distributed_limits import DistributedLimits
 
-        spread = random.Random(zlib.crc32(self._name.encode()))
-        distributed = DistributedLimits(self._settings, spread, now)
+        jitter_source = random.Random(zlib.crc32(self._name.encode()))
+        distributed = DistributedLimits(self._settings, jitter_source, now)
         distributed.on_decision(self._on_decision)
         self._admission.limits = distributed
         return distributed
--- a/wingquay/forwarding/arrival/limits/owner_sync.py
+++ b/wingquay/forwarding/arrival/limits/owner_sync.py
@@ -82,7 +82,7 @@
         return now >= self._changed_at + self._settings.window_seconds
 
     def status(self, name: str, position: int, is_alone: bool, now: float) -> OwnerStatus:
-        """Return what this node may base its permits for a tenant on.
+        """Return the role of this node for a tenant, and whether its records are complete.
 
         A former second owner keeps that role for a window, since the former primary may not have
         received the change yet.
@@ -129,9 +129,9 @@
         """
         if self.is_listed(now):
             return True
-        seconds = LOAN_SECONDS
+        validity_seconds = LOAN_SECONDS
         return any(
-            now < self._confirmed_at.get(item.node_id, float("-inf")) + seconds
+            now < self._confirmed_at.get(item.node_id, float("-inf")) + validity_seconds
             for item in self._owners.get(name)[1:]
         )
 
--- a/wingquay/forwarding/arrival/limits/sliding_window_counter.py
+++ b/wingquay/forwarding/arrival/limits/sliding_window_counter.py
@@ -33,9 +33,9 @@
 
     def total(self, now: float) -> int:
         """Return the number of requests in the window."""
-        entries = self._buckets
-        while entries and entries[0].last_at <= now - self._window_seconds:
-            self._total -= entries.popleft().requests
+        buckets = self._buckets
+        while buckets and buckets[0].last_at <= now - self._window_seconds:
+            self._total -= buckets.popleft().requests
         return self._total
 
     def add(self, requests: int, at: float) -> None:
--- a/wingquay/forwarding/arrival/limits/tenant_owners.py
+++ b/wingquay/forwarding/arrival/limits/tenant_owners.py
@@ -104,8 +104,8 @@
 
     def former_position(self, tenant: str, name: str) -> tuple[int | None, float]:
         """Return the previous position of a node and since when it had it."""
-        present_since = self.position_since(tenant, name)
-        earlier = [item for item in self._history if item.since < present_since]
+        current_since = self.position_since(tenant, name)
+        earlier = [item for item in self._history if item.since < current_since]
         if not earlier:
             return None, float("inf")
         position = _position(_pair(earlier[-1].identities, tenant), name)
--- a/wingquay/forwarding/arrival/limits/tenant_usage.py
+++ b/wingquay/forwarding/arrival/limits/tenant_usage.py
@@ -14,7 +14,7 @@
 
 @value
 class OwnerStatus:
-    """What an owner bases its permits for a tenant on.
+    """Role of an owner for a tenant, and whether its records are complete.
 
     Parameters
     ----------
@@ -91,8 +91,8 @@
         """Return whether to request a loan: it is larger than the current one and not pending."""
         if loan <= self.loan_at(now):
             return False
-        is_in_vain = self.awaits_loan(now) or self.loan < self.loan_requested
-        return not is_in_vain or now >= self.loan_requested_at + BORROW_RETRY_SECONDS
+        is_repeat = self.awaits_loan(now) or self.loan < self.loan_requested
+        return not is_repeat or now >= self.loan_requested_at + BORROW_RETRY_SECONDS
 
     def lend(self, wanted: int, budget: Budget, until: float, now: float) -> int:
         """Lend requests that this owner has not permitted itself; return their number."""
@@ -123,10 +123,10 @@
             seconds = self.counted.seconds_until_capacity(budget.primary_with_full_loan, now)
             return Permit(LimitVerdict.OVER, seconds)
         if status.is_primary:
-            return self._as_primary(budget, status, now)
-        return self._as_second(budget, status, now)
+            return self._permit_as_primary(budget, status, now)
+        return self._permit_as_second(budget, status, now)
 
-    def _as_primary(self, budget: Budget, status: OwnerStatus, now: float) -> Permit:
+    def _permit_as_primary(self, budget: Budget, status: OwnerStatus, now: float) -> Permit:
         limit = self._primary_limit(budget, status, now)
         if self.counted.total(now) + 1 <= limit:
             return Permit(LimitVerdict.GRANTED)
@@ -142,7 +142,7 @@
         loan = self.loan_at(now)
         return budget.primary_with_loan(loan) if loan else budget.primary_without_loan
 
-    def _as_second(self, budget: Budget, status: OwnerStatus, now: float) -> Permit:
+    def _permit_as_second(self, budget: Budget, status: OwnerStatus, now: float) -> Permit:
         if not status.knows_window:
             return Permit(LimitVerdict.ELSEWHERE, status.window_known_in_seconds)
         lent = max((loan for until, loan in self._lent if until > now), default=0)
