--- a/tests/forwarding/known_callers.py
+++ b/tests/forwarding/known_callers.py
@@ -44,14 +44,14 @@
 
     def __init__(self, answer: Admitted | Rejected | AwaitsLimit = ADMITTED) -> None:
         self.answer = answer
-        self.asked: list[tuple[str, int]] = []
+        self.admit_calls: list[tuple[str, int]] = []
         self.given_back: list[tuple[str, int]] = []
 
     def admit(
         self, tenant: Tenant, exchange_id: int, _now: float
     ) -> Admitted | Rejected | AwaitsLimit:
         """Record the call; return the decision set by the test."""
-        self.asked.append((tenant.name, exchange_id))
+        self.admit_calls.append((tenant.name, exchange_id))
         return self.answer
 
     def give_back(self, tenant: Tenant, exchange_id: int, _now: float) -> None:
--- a/tests/forwarding/limits/fleet.py
+++ b/tests/forwarding/limits/fleet.py
@@ -57,7 +57,7 @@
         self.waited: dict[int, float] = {}
         self.messages: list[SendToPeer] = []
         self.logs: list[Log] = []
-        self._asked: dict[int, tuple[str, float, bool]] = {}
+        self._open_requests: dict[int, tuple[str, float, bool]] = {}
         self._held: dict[tuple[str, str], list[SendToPeer]] = defaultdict(list)
         self._last_at: dict[tuple[str, str], float] = defaultdict(float)
         self._due: list[tuple[float, int, str, int, Event]] = []
@@ -74,8 +74,8 @@
         )
         node_limits.on_decision(self._answered)
         groups = NodeGroups(ForwardingSettings(zone="a"), name)
-        for other, known in self.identities.items():
-            groups.put(other, NodeRecord(known))
+        for other, node_identity in self.identities.items():
+            groups.put(other, NodeRecord(node_identity))
         self.limits[name], self.groups[name] = node_limits, groups
         own = self.identities[name]
         self.perform(name, node_limits.set_tenants(self.tenants, self.now))
@@ -103,17 +103,17 @@
         for incarnation, event in waiting:
             self._handle(name, incarnation, event)
 
-    def remove_keys(self, *gone: str, seen_by: list[str]) -> None:
+    def remove_keys(self, *removed: str, seen_by: list[str]) -> None:
         """Remove the keys of nodes from the store as seen by other nodes."""
         for name in seen_by:
-            for other in gone:
+            for other in removed:
                 self.groups[name].remove(other)
             self.perform(name, self.limits[name].refresh_owners(self.now))
 
-    def add_keys(self, *new: str, seen_by: list[str]) -> None:
+    def add_keys(self, *added: str, seen_by: list[str]) -> None:
         """Add the keys of nodes to the store as seen by other nodes."""
         for name in seen_by:
-            for other in new:
+            for other in added:
                 self.groups[name].put(other, NodeRecord(self.identities[other]))
             self.perform(name, self.limits[name].refresh_owners(self.now))
 
@@ -195,7 +195,7 @@
         node_limits = self.limits.get(node)
         if node_limits is None or node in self.suspended:
             return number
-        self._asked[number] = (name, self.now, runs)
+        self._open_requests[number] = (name, self.now, runs)
         answer = node_limits.admit(self.tenants[name], number, self.now)
         self.perform(node, node_limits.take_actions())
         if not isinstance(answer, AwaitsLimit):
@@ -209,9 +209,9 @@
     def _settle(
         self, number: int, answer: Admitted | Rejected, node_limits: DistributedLimits | None
     ) -> None:
-        name, asked_at, runs = self._asked.pop(number)
+        name, arrived_at, runs = self._open_requests.pop(number)
         self.answers[number] = answer
-        self.waited[number] = self.now - asked_at
+        self.waited[number] = self.now - arrived_at
         if isinstance(answer, Admitted) and runs:
             self.ran[name].append(self.now)
         elif isinstance(answer, Admitted) and node_limits is not None:
@@ -234,12 +234,12 @@
     def max_in_window(self, name: str = "t") -> int:
         """Return the maximum number of requests that ran in any window."""
         times = sorted(self.ran[name])
-        start = most = 0
+        start = maximum = 0
         for end, at in enumerate(times):
             while times[start] <= at - WINDOW_SECONDS:
                 start += 1
-            most = max(most, end - start + 1)
-        return most
+            maximum = max(maximum, end - start + 1)
+        return maximum
 
     def allowed(self, name: str = "t") -> float:
         return compute_budget(self.tenants[name], self.settings).max_requests
--- a/tests/forwarding/limits/test_fleet_limits.py
+++ b/tests/forwarding/limits/test_fleet_limits.py
@@ -211,13 +211,13 @@
             fleet = self.settled()
             numbers = fleet.load(rate, 10.0)
             for position in (0, 1):
-                gone = fleet.owners()[position]
-                fleet.kill(gone)
+                removed = fleet.owners()[position]
+                fleet.kill(removed)
                 fleet.load(rate, 2.0)
-                fleet.remove_keys(gone, seen_by=sorted(fleet.limits))
+                fleet.remove_keys(removed, seen_by=sorted(fleet.limits))
                 numbers += fleet.load(rate, 10.0)
-                fleet.start(gone)
-                fleet.add_keys(gone, seen_by=sorted(fleet.limits))
+                fleet.start(removed)
+                fleet.add_keys(removed, seen_by=sorted(fleet.limits))
                 numbers += fleet.load(rate, 10.0)
             self.assert_limit_holds(fleet)
             if rate == NORMAL_RATE:
@@ -226,16 +226,16 @@
     def test_late_detection_of_a_change_of_owners_stays_within_the_limit(self) -> None:
         fleet = self.settled()
         fleet.load(60.0, 10.0)
-        gone = fleet.owners()[0]
-        early = [name for name in sorted(fleet.limits) if int(name[1:]) % 2 or name == gone]
+        removed = fleet.owners()[0]
+        early = [name for name in sorted(fleet.limits) if int(name[1:]) % 2 or name == removed]
         late = [name for name in sorted(fleet.limits) if name not in early]
-        fleet.remove_keys(gone, seen_by=late)
+        fleet.remove_keys(removed, seen_by=late)
         fleet.load(60.0, 4.0)
-        fleet.remove_keys(gone, seen_by=early)
+        fleet.remove_keys(removed, seen_by=early)
         fleet.load(60.0, 10.0)
-        fleet.add_keys(gone, seen_by=early)
+        fleet.add_keys(removed, seen_by=early)
         fleet.load(60.0, 4.0)
-        fleet.add_keys(gone, seen_by=late)
+        fleet.add_keys(removed, seen_by=late)
         fleet.load(60.0, 10.0)
         self.assert_limit_holds(fleet)
 
--- a/tests/forwarding/limits/test_limit_parts.py
+++ b/tests/forwarding/limits/test_limit_parts.py
@@ -39,17 +39,17 @@
             more = true_total(times[:number], at, 5.0 + BUCKET_SECONDS)
             self.assertLessEqual(count.total(at), more)
 
-    @given(times=TIMES, most=st.integers(1, 20))
+    @given(times=TIMES, limit=st.integers(1, 20))
     def test_capacity_is_available_at_the_predicted_time(
-        self, times: list[float], most: int
+        self, times: list[float], limit: int
     ) -> None:
         times.sort()
         count = SlidingWindowCounter(5.0)
         for at in times:
             count.add(1, at)
-        wait = count.seconds_until_capacity(most, times[-1])
+        wait = count.seconds_until_capacity(limit, times[-1])
         after = times[-1] + wait + 1e-9
-        self.assertLessEqual(count.total(after) + 1, most)
+        self.assertLessEqual(count.total(after) + 1, limit)
 
     @given(times=TIMES, removed=st.integers(0, 60))
     def test_removal_never_makes_the_count_too_low(self, times: list[float], removed: int) -> None:
@@ -94,14 +94,14 @@
         set_aside = (
             budget.primary_without_window + budget.reserve_nodes + UNREPORTED_SHARE * budget.spare
         )
-        most = budget.max_requests * (1.0 + 1e-9) + 1e-6
+        bound = budget.max_requests * (1.0 + 1e-9) + 1e-6
         self.assertLessEqual(
-            budget.primary_without_loan + budget.second_without_lending + set_aside, most
+            budget.primary_without_loan + budget.second_without_lending + set_aside, bound
         )
         for counted in (0, int(0.6 * budget.allowance), int(budget.allowance), 10**9):
             loan = budget.required_loan(counted)
             self.assertLessEqual(
-                budget.primary_with_loan(loan) + budget.second_with_lent(loan) + set_aside, most
+                budget.primary_with_loan(loan) + budget.second_with_lent(loan) + set_aside, bound
             )
             self.assertLess(
                 min(counted, budget.primary_with_full_loan - 1), budget.primary_with_loan(loan)
@@ -143,8 +143,12 @@
     def nodes(self, count: int, slow: int = 0) -> list[GroupNode]:
         found = []
         for number in range(count):
-            known = identity(f"n{number:03}", "abcd"[number % 4])
-            found.append(GroupNode(known.node_id, NodeRecord(known, 0.5 if number < slow else 1.0)))
+            node_identity = identity(f"n{number:03}", "abcd"[number % 4])
+            found.append(
+                GroupNode(
+                    node_identity.node_id, NodeRecord(node_identity, 0.5 if number < slow else 1.0)
+                )
+            )
         return found
 
     def test_two_views_of_the_same_nodes_agree(self) -> None:
@@ -174,11 +178,13 @@
         before = {f"t{number}": owners.get(f"t{number}") for number in range(77)}
         owners.update(self.nodes(7), 20.0)
         for name, pair in before.items():
-            left = [item for item in pair if item.node_id != "n007"]
-            for known in left:
-                own = known.node_id
-                self.assertIn(known, owners.get(name))
+            remaining = [item for item in pair if item.node_id != "n007"]
+            for node_identity in remaining:
+                own = node_identity.node_id
+                self.assertIn(node_identity, owners.get(name))
                 position = owners.position(name, own)
-                was = [item.node_id for item in pair].index(own)
-                self.assertEqual(0.0 if position == was else 20.0, owners.position_since(name, own))
+                former_position = [item.node_id for item in pair].index(own)
+                self.assertEqual(
+                    0.0 if position == former_position else 20.0, owners.position_since(name, own)
+                )
                 self.assertEqual(0.0, owners.owned_since(name, own))
--- a/tests/forwarding/test_awaiting_limits.py
+++ b/tests/forwarding/test_awaiting_limits.py
@@ -94,7 +94,9 @@
         node.answer(send)
         self.assertIsInstance(node.replies[waiting.number], ReplyUnchanged)
         node.advance(10.0)
-        self.assertEqual(([("kiosk", 1)], []), (waiting.limits.asked, waiting.limits.given_back))
+        self.assertEqual(
+            ([("kiosk", 1)], []), (waiting.limits.admit_calls, waiting.limits.given_back)
+        )
         self.assertEqual([("other", "allowed")], tenant_counts(node))
 
     def test_a_request_over_the_limit_is_refused_without_giving_back(self) -> None:
--- a/tests/forwarding/test_callers.py
+++ b/tests/forwarding/test_callers.py
@@ -81,7 +81,7 @@
             (send,) = node.sends
             self.assertEqual((bare(f"{PUBLIC}x"), ""), (send.request, send.tenant))
             node.answer(send)
-            self.assertEqual(([], []), (limits.asked, tenant_counts(node)))
+            self.assertEqual(([], []), (limits.admit_calls, tenant_counts(node)))
 
     def test_a_retry_sends_the_same_request_and_tenant(self) -> None:
         node = node_with(KIOSK)
@@ -149,7 +149,7 @@
             self.assertEqual(
                 ReplyFailure(1, ForwardFailureKind.UNKNOWN_CALLER, reason), node.replies[number]
             )
-            self.assertEqual(([], [], []), (node.all_sends, limits.asked, limits.given_back))
+            self.assertEqual(([], [], []), (node.all_sends, limits.admit_calls, limits.given_back))
             self.assertEqual([("none", "unknown_caller")], tenant_counts(node))
             self.assertEqual(0, node.machine._forwarding.open_exchanges)
 
@@ -174,7 +174,7 @@
             self.assertEqual(
                 ReplyFailure(1, ForwardFailureKind.NOT_RUN, UNPROVEN, 0.7), node.replies[number]
             )
-            self.assertEqual(([], []), (node.all_sends, limits.asked))
+            self.assertEqual(([], []), (node.all_sends, limits.admit_calls))
             self.assertEqual([("none", "unproven")], tenant_counts(node))
 
     def test_over_the_limit_the_reply_contains_the_retry_time(self) -> None:
@@ -186,7 +186,7 @@
             node.replies[number],
         )
         self.assertEqual(
-            ([], [("kiosk", 1)], []), (node.all_sends, limits.asked, limits.given_back)
+            ([], [("kiosk", 1)], []), (node.all_sends, limits.admit_calls, limits.given_back)
         )
 
     def test_missing_routes_and_late_requests_are_rejected_before_the_key_is_checked(self) -> None:
@@ -201,7 +201,7 @@
         node.machine._forwarding.lag.seconds = 3.0
         reply = reply_to(node, send_request(node, 2, "other"))
         self.assertEqual("its time was over before it could be read", reply.reason)
-        self.assertEqual([], limits.asked)
+        self.assertEqual([], limits.admit_calls)
 
     def test_without_a_configuration_no_key_is_rejected_as_unknown(self) -> None:
         node = OneNode()
@@ -248,7 +248,7 @@
             elif end == "fail":
                 node.fail(node.sends[0], SendFailureKind.BROKEN)
             node.advance(10.0)
-            self.assertEqual(([("kiosk", 1)], []), (limits.asked, limits.given_back), end)
+            self.assertEqual(([("kiosk", 1)], []), (limits.admit_calls, limits.given_back), end)
 
     def test_a_request_with_several_attempts_counts_once(self) -> None:
         limits = FakeLimits()
@@ -256,7 +256,7 @@
         send_request(node, 1, SECRET)
         node.advance(0.3)
         self.assertEqual(2, len(node.all_sends))
-        self.assertEqual([("kiosk", 1)], limits.asked)
+        self.assertEqual([("kiosk", 1)], limits.admit_calls)
 
 
 class KeySecrecyTest(TestCase):
@@ -335,7 +335,7 @@
             node.answer(send, body=b"body")
             self.assertEqual(b"body", node.replies[number].answer.body)
             self.assertEqual([], tenant_counts(node))
-        self.assertEqual([], limits.asked)
+        self.assertEqual([], limits.admit_calls)
 
 
 def reply_to(node: OneNode, number: int) -> ReplyFailure:
--- a/tests/forwarding/test_callers_stateful.py
+++ b/tests/forwarding/test_callers_stateful.py
@@ -118,18 +118,18 @@
     def caller_sends(self, path: str, key: str, forged: str, deadline: float | None) -> None:
         number = len(self.expected) + 1
         self.expected[number] = self.expectation(path, key, forged)
-        counted = len(self.limits.asked)
+        counted = len(self.limits.admit_calls)
         send_request(self.node, number, key, path, forged, deadline)
-        if len(self.limits.asked) > counted and self.limits.answer is OVER_LIMIT:
+        if len(self.limits.admit_calls) > counted and self.limits.answer is OVER_LIMIT:
             self.rejected.add(number)
-        if len(self.limits.asked) > counted and isinstance(self.limits.answer, AwaitsLimit):
+        if len(self.limits.admit_calls) > counted and isinstance(self.limits.answer, AwaitsLimit):
             self.awaiting.add(number)
         refusals = self.expected[number].refusals
         if refusals:
             reply = self.node.replies[number]
             assert isinstance(reply, ReplyFailure)
             assert reply.kind in refusals
-            assert len(self.limits.asked) == counted or reply.kind is OVER_LIMIT.kind
+            assert len(self.limits.admit_calls) == counted or reply.kind is OVER_LIMIT.kind
 
     def expectation(self, path: str, key: str, forged: str) -> Expected:
         """Return the expected result of a request that arrives now."""
@@ -210,7 +210,7 @@
         assert self.node.machine._forwarding.open_exchanges == 0
         to_give_back = [
             (name, number)
-            for name, number in self.limits.asked
+            for name, number in self.limits.admit_calls
             if number not in self.rejected and not self.expected[number].may_have_run
         ]
         assert sorted(to_give_back) == sorted(self.limits.given_back)
--- a/tests/forwarding/test_delegation.py
+++ b/tests/forwarding/test_delegation.py
@@ -42,10 +42,10 @@
     def test_every_shard_is_contacted_by_exactly_one_node(self) -> None:
         node = node_in_group()
         node.request("/all/x")
-        asked = [shard for _, message in delegated(node) for shard in message.shards]
+        delegated_shards = [shard for _, message in delegated(node) for shard in message.shards]
         own = [send.replica.service for send in node.sends]
-        self.assertEqual({f"s{number}" for number in range(SHARDS)}, set(asked + own))
-        self.assertEqual(SHARDS, len(asked + own))
+        self.assertEqual({f"s{number}" for number in range(SHARDS)}, set(delegated_shards + own))
+        self.assertEqual(SHARDS, len(delegated_shards + own))
         self.assertEqual([4, 4], [len(message.shards) for _, message in delegated(node)])
 
     def test_narrow_requests_and_small_groups_are_not_delegated(self) -> None:
@@ -77,8 +77,8 @@
     def test_shards_of_a_silent_node_are_taken_over_and_the_node_is_avoided(self) -> None:
         node = node_in_group()
         node.request("/all/x")
-        (silent, message), (lively, _) = delegated(node)
-        node.emit(PeerReceived(lively, DelegatedAnswer(delegated(node)[1][1].delegation_id)))
+        (silent, message), (responsive, _) = delegated(node)
+        node.emit(PeerReceived(responsive, DelegatedAnswer(delegated(node)[1][1].delegation_id)))
         before = len(node.sends)
         node.advance(OBJECTIVE_SECONDS * 0.6)
         direct = {send.replica.service for send in node.sends[before:]}
--- a/tests/forwarding/test_relays.py
+++ b/tests/forwarding/test_relays.py
@@ -22,7 +22,7 @@
 
 SHARDS = 6
 OWN = NodeIdentity("node-1-a", "", "a", "10.0.1.1", 7)
-NEIGHBOUR = NodeIdentity("node-2-a", "", "a", "10.0.1.2", 7)
+SAME_ZONE_NODE = NodeIdentity("node-2-a", "", "a", "10.0.1.2", 7)
 REMOTE = [NodeIdentity(f"node-{number}-b", "", "b", f"10.0.2.{number}", 7) for number in (1, 2)]
 OTHER = NodeIdentity("node-1-c", "", "c", "10.0.3.1", 7)
 
@@ -39,7 +39,7 @@
     ]
     node.start(table(1, sharded_route(shards)), *records)
     node.emit(PeerLinkOpened(OWN))
-    join(node, NEIGHBOUR, *nodes)
+    join(node, SAME_ZONE_NODE, *nodes)
     return node
 
 
--- a/tests/forwarding/test_remote_owners.py
+++ b/tests/forwarding/test_remote_owners.py
@@ -41,10 +41,12 @@
         node = node_without_local_replicas()
         node.request("/all/x")
         self.assertEqual([], node.sends)
-        asked = delegated(node)
-        self.assertTrue({to.node_id for to, _ in asked} <= {item.node_id for item in REMOTE_NODES})
-        self.assertEqual(SHARDS, sum(len(message.shards) for _, message in asked))
-        self.assertTrue(all(message.is_group_share for _, message in asked))
+        delegations = delegated(node)
+        self.assertTrue(
+            {to.node_id for to, _ in delegations} <= {item.node_id for item in REMOTE_NODES}
+        )
+        self.assertEqual(SHARDS, sum(len(message.shards) for _, message in delegations))
+        self.assertTrue(all(message.is_group_share for _, message in delegations))
 
     def test_connections_to_owners_are_opened_in_advance(self) -> None:
         node = node_without_local_replicas()
@@ -75,10 +77,10 @@
     def test_shards_of_an_unreachable_node_are_delegated_to_another(self) -> None:
         node = node_without_local_replicas()
         number = node.request("/all/x")
-        (absent, first_request), *others = delegated(node)
-        node.emit(PeerLinkBroken(absent.node_id, "refused", was_open=False))
+        (unreachable, first_request), *others = delegated(node)
+        node.emit(PeerLinkBroken(unreachable.node_id, "refused", was_open=False))
         again = delegated(node)[1 + len(others) :]
-        self.assertNotIn(absent.node_id, {to.node_id for to, _ in again})
+        self.assertNotIn(unreachable.node_id, {to.node_id for to, _ in again})
         moved = [shard for _, message in again for shard in message.shards]
         self.assertEqual(sorted(first_request.shards), sorted(moved))
         self.assertEqual([], node.sends)
@@ -89,23 +91,23 @@
     def test_late_in_a_request_they_are_contacted_directly(self) -> None:
         node = node_without_local_replicas()
         node.request("/all/x")
-        ((absent, first_request), *_) = delegated(node)
+        ((unreachable, first_request), *_) = delegated(node)
         node.stall(OBJECTIVE_SECONDS * 0.46)
         before = len(delegated(node))
-        node.emit(PeerLinkBroken(absent.node_id, "timed out", was_open=False))
+        node.emit(PeerLinkBroken(unreachable.node_id, "timed out", was_open=False))
         self.assertEqual(before, len(delegated(node)))
-        asked = {send.replica.service for send in node.all_sends}
-        self.assertTrue(set(first_request.shards) <= asked)
+        contacted = {send.replica.service for send in node.all_sends}
+        self.assertTrue(set(first_request.shards) <= contacted)
 
     def test_an_unreachable_node_is_avoided_for_less_time_than_a_silent_one(self) -> None:
         for was_open, seconds in ((False, 0.25), (True, 1.05)):
             node = node_without_local_replicas()
             node.request("/all/x")
-            ((gone, _), *_) = delegated(node)
-            node.emit(PeerLinkBroken(gone.node_id, "test", was_open))
+            ((failed_node, _), *_) = delegated(node)
+            node.emit(PeerLinkBroken(failed_node.node_id, "test", was_open))
             groups = node.machine._members.groups
-            self.assertNotIn(gone, groups.reachable(node.now + seconds - 0.1))
-            self.assertIn(gone, groups.reachable(node.now + seconds))
+            self.assertNotIn(failed_node, groups.reachable(node.now + seconds - 0.1))
+            self.assertIn(failed_node, groups.reachable(node.now + seconds))
 
     def test_a_late_acknowledgement_ends_the_suspicion(self) -> None:
         node = node_without_local_replicas()
@@ -141,8 +143,8 @@
         kinds = [type(action) for action in actions]
         self.assertIn(SendToPeer, kinds)
         self.assertNotIn(SendToReplica, kinds)
-        asked = DelegatedRequest(1, "id-8", request, "/all/", ("s0", "s1"), 3, 1, 0.1, 0.08, 1.0)
-        actions = node.machine.handle(PeerReceived(OTHERS[0], asked), node.now)
+        message = DelegatedRequest(1, "id-8", request, "/all/", ("s0", "s1"), 3, 1, 0.1, 0.08, 1.0)
+        actions = node.machine.handle(PeerReceived(OTHERS[0], message), node.now)
         self.assertIn(SendToPeer, [type(action) for action in actions])
         self.assertNotIn(SendToReplica, [type(action) for action in actions])
 
--- a/tests/forwarding/test_request_identity.py
+++ b/tests/forwarding/test_request_identity.py
@@ -6,7 +6,7 @@
 from wingquay.ports.forwarding import OpaqueRequest
 
 HEADERS = ((b"Host", b"search.example"), (b"Request-Id", b"1"), (b"Accept", b"*/*"))
-USUAL = OpaqueRequest(b"GET", b"/a?b=1", HEADERS)
+REQUEST = OpaqueRequest(b"GET", b"/a?b=1", HEADERS)
 
 
 class RequestIdentityTest(TestCase):
@@ -17,7 +17,7 @@
             ((b"Host", b"search.example"), (b"Request-Id", b"2"), (b"Deadline-Ms", b"70")),
         ):
             same = OpaqueRequest(b"GET", b"/a?b=1", headers)
-            self.assertEqual(compute_identity(USUAL), compute_identity(same), headers)
+            self.assertEqual(compute_identity(REQUEST), compute_identity(same), headers)
 
     def test_method_host_target_body_and_caller_change_the_identity(self) -> None:
         others = [
@@ -30,7 +30,7 @@
             OpaqueRequest(b"GET", b"/a?b=1", (*HEADERS, (b"Authorization", b"Bearer b"))),
             OpaqueRequest(b"GET", b"/a?b=1", (*HEADERS, (b"Cookie", b"Bearer a"))),
         ]
-        digests = {compute_identity(request) for request in (USUAL, *others)}
+        digests = {compute_identity(request) for request in (REQUEST, *others)}
         self.assertEqual(1 + len(others), len(digests))
 
     def test_adjacent_parts_are_kept_distinct(self) -> None:
@@ -42,5 +42,5 @@
     def test_the_digest_has_a_fixed_size(self) -> None:
         large = OpaqueRequest(b"POST", b"/a", HEADERS, b"x" * 100_000)
         self.assertEqual(
-            [DIGEST_BYTES] * 2, [len(compute_identity(item)) for item in (USUAL, large)]
+            [DIGEST_BYTES] * 2, [len(compute_identity(item)) for item in (REQUEST, large)]
         )
--- a/tests/forwarding/test_shard_placement.py
+++ b/tests/forwarding/test_shard_placement.py
@@ -17,8 +17,8 @@
 
 ZONES = ("a", "b", "c", "d", "e", "f")
 SHARDS = 87
-STRONG = 2.15
-WEAK = 0.516
+FAST_PROCESSOR = 2.15
+SLOW_PROCESSOR = 0.516
 
 
 def shards(count: int = SHARDS) -> tuple[str, ...]:
@@ -43,14 +43,14 @@
         zones: tuple[str, ...] = ZONES,
         nodes: int = 32,
         copies: int = 2,
-        strong: int = 3,
+        fast_nodes: int = 3,
     ) -> None:
         settings = ForwardingSettings(zone=own[0])
         self.own = own
         self.groups = NodeGroups(settings, own)
         self.groups.set_fan_out(SHARDS)
         for name in names_of(zones, nodes):
-            processor = STRONG if int(name[1:]) >= nodes - strong else WEAK
+            processor = FAST_PROCESSOR if int(name[1:]) >= nodes - fast_nodes else SLOW_PROCESSOR
             self.groups.put(name, NodeRecord(identity(name), processor))
         self.directory = ReplicaDirectory(settings, random.Random(1))
         for number, shard in enumerate(shards()):
@@ -132,11 +132,11 @@
         self.assertLessEqual(max(owners.values()), 10)
 
     def test_all_nodes_agree_on_the_owner_in_a_zone(self) -> None:
-        asked: dict[tuple[str, str], set[str]] = {}
+        owners_by_shard_and_zone: dict[tuple[str, str], set[str]] = {}
         for own in ("a00", "a17", "b03", "c05", "d09", "e01", "f31"):
             for shard, name in Fleet(own).owners().items():
-                asked.setdefault((shard, name[0]), set()).add(name)
-        self.assertEqual({1}, {len(names) for names in asked.values()})
+                owners_by_shard_and_zone.setdefault((shard, name[0]), set()).add(name)
+        self.assertEqual({1}, {len(names) for names in owners_by_shard_and_zone.values()})
 
     def test_the_fastest_nodes_are_owners(self) -> None:
         self.assertTrue(all(int(name[1:]) >= 29 for name in Fleet().owners().values()))
@@ -166,7 +166,7 @@
         self.assertEqual(set(shards()) - lacking, set(fleet.owners()))
 
     def test_too_few_nodes_use_no_owners(self) -> None:
-        self.assertEqual({}, Fleet(zones=("a", "b"), nodes=1, strong=0).owners())
+        self.assertEqual({}, Fleet(zones=("a", "b"), nodes=1, fast_nodes=0).owners())
 
     def test_a_placement_follows_replicas_within_seconds(self) -> None:
         fleet = Fleet()
--- a/tests/forwarding/test_tenants_at_other_nodes.py
+++ b/tests/forwarding/test_tenants_at_other_nodes.py
@@ -92,10 +92,17 @@
         for zone in "ab":
             node = configured(zone)
             send_request(node, 1, SECRET, "/all/x", forged_tenant="archive")
-            messages = [asked for _, asked in delegated(node)]
+            messages = [delegated_request for _, delegated_request in delegated(node)]
             self.assertNotEqual([], messages)
-            for asked in messages:
-                self.assertEqual((BARE, "kiosk", 3), (asked.request, asked.tenant, asked.priority))
+            for delegated_request in messages:
+                self.assertEqual(
+                    (BARE, "kiosk", 3),
+                    (
+                        delegated_request.request,
+                        delegated_request.tenant,
+                        delegated_request.priority,
+                    ),
+                )
             for send in node.sends:
                 self.assertEqual((BARE, "kiosk"), (send.request, send.tenant))
             self.assertNotIn(SECRET, output_without_replies(node))
@@ -105,23 +112,26 @@
         send_request(node, 1, SECRET, "/all/x", forged_tenant="mine")
         own = ((b"Authorization", b"Bearer " + SECRET.encode()), (b"Tenant", b"mine"))
         request = OpaqueRequest(b"GET", b"/all/x", (*BARE_HEADERS, *own))
-        messages = [asked for _, asked in delegated(node)]
+        messages = [delegated_request for _, delegated_request in delegated(node)]
         self.assertNotEqual([], messages)
-        for asked in messages:
-            self.assertEqual((request, "", 1), (asked.request, asked.tenant, asked.priority))
+        for delegated_request in messages:
+            self.assertEqual(
+                (request, "", 1),
+                (delegated_request.request, delegated_request.tenant, delegated_request.priority),
+            )
 
     def test_a_wide_request_counts_once(self) -> None:
         limits = FakeLimits()
         node = configured(limits=limits)
         send_request(node, 1, SECRET, "/all/x")
-        self.assertEqual([("kiosk", 1)], limits.asked)
+        self.assertEqual([("kiosk", 1)], limits.admit_calls)
 
     def test_a_request_that_no_node_accepted_is_given_back_once(self) -> None:
         limits = FakeLimits()
         node = configured(limits=limits)
         number = send_request(node, 1, SECRET, "/all/x", deadline_seconds=0.09)
-        for sender, asked in delegated(node):
-            rejected = DelegatedAnswer(asked.delegation_id, is_rejected=True)
+        for sender, delegated_request in delegated(node):
+            rejected = DelegatedAnswer(delegated_request.delegation_id, is_rejected=True)
             node.emit(PeerReceived(sender, rejected))
         while number not in node.replies:
             for send in list(node.sends):
@@ -161,7 +171,7 @@
             node.answer(node.sends[0], 503, signature=None, not_run=True)
         node.emit(PeerReceived(OTHERS[0], CancelDelegation(5)))
         node.advance(5.0)
-        self.assertEqual(([], [], []), (limits.asked, limits.given_back, tenant_counts(node)))
+        self.assertEqual(([], [], []), (limits.admit_calls, limits.given_back, tenant_counts(node)))
         (line,) = node.logs("request_ended")
         self.assertEqual(("id-9", "kiosk"), (line["request_id"], line["tenant"]))
 
@@ -193,8 +203,10 @@
             (line["digest"], line["tenant"], line["target"]),
         )
         requests = [item for item in node.actions if isinstance(item, StoreRequest)]
-        (asked,) = [item for item in requests if item.operation_id.startswith("held-request-")]
-        node.emit(StoreResponse(asked.operation_id, LeaseState(7, HELD_SECONDS)))
+        (delegated_request,) = [
+            item for item in requests if item.operation_id.startswith("held-request-")
+        ]
+        node.emit(StoreResponse(delegated_request.operation_id, LeaseState(7, HELD_SECONDS)))
         written = node.last(StoreRequest).operation
         assert isinstance(written, CompareAndSwap)
         self.assertEqual(HELD_PREFIX + expected.hex(), written.key)
@@ -209,7 +221,7 @@
         reply = node.replies[send_request(node, 8, SECRET, "/one/crash", forged_tenant="x")]
         assert isinstance(reply, ReplyFailure)
         self.assertIs(ForwardFailureKind.NOT_RUN, reply.kind)
-        self.assertNotIn(("kiosk", 8), limits.asked)
+        self.assertNotIn(("kiosk", 8), limits.admit_calls)
         self.assertEqual(("other", "held"), tenant_counts(node)[-1])
         send_request(node, 9, OTHER_SECRET, "/one/crash")
         self.assertEqual(before + 1, len(node.all_sends))
--- a/tests/test_stop.py
+++ b/tests/test_stop.py
@@ -81,24 +81,24 @@
         await self.deployment.close()
 
 
-async def stop_under_load() -> tuple[Exit, list[Reply]]:
+async def run_stop_under_load() -> tuple[Exit, list[Reply]]:
     system = SystemUnderLoad()
     async with asyncio.timeout(TIME_LIMIT_SECONDS):
         await system.start()
         await system.wait_for_answers(ANSWERS_BEFORE_STOP)
-        leaving = system.deployment.nodes[0]
-        leaving.request_stop()
-        ended = await leaving.exited()
-        await leaving.close()
+        stopping = system.deployment.nodes[0]
+        stopping.request_stop()
+        exit_action = await stopping.exited()
+        await stopping.close()
         await system.wait_for_answers(ANSWERS_BEFORE_STOP)
         await system.finish()
-    return ended, system.replies
+    return exit_action, system.replies
 
 
 class PlannedStopTest(testtools.TestCase):
     def test_a_planned_stop_cuts_off_no_request(self) -> None:
-        ended, replies = asyncio.run(stop_under_load())
-        self.assertEqual(Exit(0), ended)
+        exit_action, replies = asyncio.run(run_stop_under_load())
+        self.assertEqual(Exit(0), exit_action)
         self.assertEqual([], [reply.difference for reply in replies if reply.difference])
         outcomes = {reply.node_index: set[Outcome | None]() for reply in replies}
         for reply in replies:
--- a/wingquay/forwarding/arrival/arrival_admission.py
+++ b/wingquay/forwarding/arrival/arrival_admission.py
@@ -1,8 +1,8 @@
 """Runs the admission checks for an arriving request in their fixed order.
 
-1. Is the configuration proven to be in force? A key newer than the configuration must not be
-reported as unknown. 2. Which tenant does the key belong to? 3. Is the tenant within its limit? This
-check is last because it counts the request.
+The proof of the configuration is checked first, since a key that is newer than the configuration
+must not be rejected as unknown. The key is checked next. The tenant's limit is checked last, since
+that check counts the request.
 """
 
 from ...model.routing_table import Route, RoutingTable
--- a/wingquay/forwarding/arrival/pending_arrivals.py
+++ b/wingquay/forwarding/arrival/pending_arrivals.py
@@ -53,7 +53,7 @@
         return len(self._arrivals)
 
     def add(self, arrival: Arrival) -> bool:
-        """Store a request; return whether it fits into the bounds."""
+        """Store a request; return False if the bounds would be exceeded."""
         size = self._bytes + len(arrival.event.request.body)
         if len(self._arrivals) >= MAX_PENDING or size > MAX_PENDING_BYTES:
             return False
--- a/wingquay/forwarding/arrival/request_identity.py
+++ b/wingquay/forwarding/arrival/request_identity.py
@@ -6,7 +6,7 @@
 from ...ports.forwarding import OpaqueRequest
 
 DIGEST_BYTES = 16
-"""Size of a digest in bytes; makes a collision with another caller's request infeasible."""
+"""Size of a digest in bytes; long enough to resist deliberate collisions."""
 LENGTH_BYTES = 8
 """Size of the length prefix of each part in bytes; keeps different lists of parts distinct."""
 _HOST = b"host"
--- a/wingquay/forwarding/arrival/tenant_metrics.py
+++ b/wingquay/forwarding/arrival/tenant_metrics.py
@@ -1,4 +1,4 @@
-"""Request counters by tenant, bounded in number."""
+"""Request counters by tenant, with a bounded number of label values."""
 
 from ...ports.machine import Count
 
@@ -7,7 +7,7 @@
 MIN_LABELLED_REQUESTS = 10
 """Number of requests after which a tenant receives its own label value."""
 OTHER = "other"
-"""Label value for all tenants without their own."""
+"""Label value for tenants without a label value of their own."""
 NO_TENANT = "none"
 """Label value for requests without a known tenant."""
 
