--- a/tests/forwarding/known_callers.py
+++ b/tests/forwarding/known_callers.py
@@ -85,7 +85,7 @@
             request,
             deadline_seconds,
             key=key,
-            bare_request=bare,
+            stripped_request=bare,
         )
     )
     return number
--- a/tests/forwarding/limits/test_fleet_limits.py
+++ b/tests/forwarding/limits/test_fleet_limits.py
@@ -6,7 +6,7 @@
 from wingquay.forwarding.arrival.admission import Admitted, Rejected
 from wingquay.forwarding.arrival.limits.limit_settings import LimitSettings
 from wingquay.ports.forwarding import ForwardFailureKind
-from wingquay.ports.limit_messages import LimitAsk, LimitTell
+from wingquay.ports.limit_messages import LimitReport, LimitRequest
 
 NODES = 20
 NORMAL_RATE = 3.0
@@ -264,7 +264,7 @@
         numbers = fleet.load(100.0, 2.0)
         self.assertTrue(all(isinstance(fleet.answers[number], Admitted) for number in numbers))
         reported = [
-            item for item in fleet.messages if isinstance(item.message, LimitTell | LimitAsk)
+            item for item in fleet.messages if isinstance(item.message, LimitReport | LimitRequest)
         ]
         self.assertEqual([], reported)
 
--- a/tests/forwarding/test_awaiting_limits.py
+++ b/tests/forwarding/test_awaiting_limits.py
@@ -26,7 +26,7 @@
 from wingquay.forwarding.arrival.request_identity import compute_identity
 from wingquay.forwarding.settling.ending import HELD_REASON
 from wingquay.model.tenants import Tenant
-from wingquay.ports.crash_news import CrashNews
+from wingquay.ports.crash_messages import CrashReport
 from wingquay.ports.forwarding import (
     ForwardFailureKind,
     ForwardRequested,
@@ -39,7 +39,7 @@
 OBJECTIVE_SECONDS = 0.4
 MAX_WAIT_SECONDS = 0.08
 OVER_LIMIT = Rejected(ForwardFailureKind.OVER_LIMIT, "the tenant has reached its limit", 1.25)
-NO_DECISION = "no word on the limit of its tenant came in time"
+NO_DECISION = "no answer on the tenant's limit arrived in time"
 
 
 class Waiting:
@@ -56,8 +56,8 @@
     def answer(self, answer: Admitted | Rejected) -> None:
         """Let the decision arrive."""
         machine = self.node.machine._forwarding
-        for action in machine.limit_answered(self.number, answer, self.node.now):
-            self.node._take(action)
+        for action in machine.on_limit_answered(self.number, answer, self.node.now):
+            self.node._apply_action(action)
 
     @property
     def reply(self) -> ReplyFailure:
@@ -157,7 +157,7 @@
     def test_a_request_held_while_it_waits_sends_nothing(self) -> None:
         waiting = Waiting()
         bare = OpaqueRequest(b"GET", b"/one/x", BARE_HEADERS)
-        news = CrashNews(compute_identity(bare, "kiosk"), held_seconds=60.0)
+        news = CrashReport(compute_identity(bare, "kiosk"), held_seconds=60.0)
         waiting.node.emit(PeerReceived(OTHERS[0], news))
         waiting.answer(ADMITTED)
         self.assertEqual(
--- a/tests/forwarding/test_callers.py
+++ b/tests/forwarding/test_callers.py
@@ -200,7 +200,7 @@
         )
         node.machine._forwarding.lag.seconds = 3.0
         reply = reply_to(node, send_request(node, 2, "other"))
-        self.assertEqual("its time was over before it could be read", reply.reason)
+        self.assertEqual("the request's deadline passed before it was read", reply.reason)
         self.assertEqual([], limits.admit_calls)
 
     def test_without_a_configuration_no_key_is_rejected_as_unknown(self) -> None:
--- a/tests/forwarding/test_proof_fleet.py
+++ b/tests/forwarding/test_proof_fleet.py
@@ -24,7 +24,7 @@
 
 def age_seconds(node: FleetNode) -> float:
     """Return how long ago the configuration of a node was proven."""
-    return node.machine._keeper.age_seconds(node.now)
+    return node.machine._proof_manager.age_seconds(node.now)
 
 
 def overdue(fleet: Fleet) -> list[tuple[int, int]]:
--- a/tests/forwarding/test_remote_owners.py
+++ b/tests/forwarding/test_remote_owners.py
@@ -19,7 +19,7 @@
 from wingquay.ports.delegation import (
     DelegatedAnswer,
     DelegatedRequest,
-    Greeting,
+    PrewarmMessage,
 )
 from wingquay.ports.forwarding import (
     ForwardRequested,
@@ -55,7 +55,7 @@
         connected = [
             action.to.node_id
             for action in node.actions
-            if isinstance(action, SendToPeer) and isinstance(action.message, Greeting)
+            if isinstance(action, SendToPeer) and isinstance(action.message, PrewarmMessage)
         ]
         node.request("/all/x")
         self.assertEqual({to.node_id for to, _ in delegated(node)}, set(connected))
@@ -64,15 +64,15 @@
     def test_a_connection_that_broke_is_opened_again(self) -> None:
         node = node_without_local_replicas()
         node.advance(1.1)
-        before = len(sent_messages(node, Greeting))
+        before = len(sent_messages(node, PrewarmMessage))
         broken = next(
             action.to
             for action in node.actions
-            if isinstance(action, SendToPeer) and isinstance(action.message, Greeting)
+            if isinstance(action, SendToPeer) and isinstance(action.message, PrewarmMessage)
         )
         node.emit(PeerLinkBroken(broken.node_id, "reset", True))
         node.advance(4.0)
-        self.assertGreater(len(sent_messages(node, Greeting)), before)
+        self.assertGreater(len(sent_messages(node, PrewarmMessage)), before)
 
     def test_shards_of_an_unreachable_node_are_delegated_to_another(self) -> None:
         node = node_without_local_replicas()
@@ -106,8 +106,8 @@
             ((failed_node, _), *_) = delegated(node)
             node.emit(PeerLinkBroken(failed_node.node_id, "test", was_open))
             groups = node.machine._members.groups
-            self.assertNotIn(failed_node, groups.reachable(node.now + seconds - 0.1))
-            self.assertIn(failed_node, groups.reachable(node.now + seconds))
+            self.assertNotIn(failed_node, groups.usable_others(node.now + seconds - 0.1))
+            self.assertIn(failed_node, groups.usable_others(node.now + seconds))
 
     def test_a_late_acknowledgement_ends_the_suspicion(self) -> None:
         node = node_without_local_replicas()
@@ -115,9 +115,9 @@
         ((late, message), *_) = delegated(node)
         node.advance(OBJECTIVE_SECONDS * 0.5)
         groups = node.machine._members.groups
-        self.assertNotIn(late, groups.reachable(node.now))
+        self.assertNotIn(late, groups.usable_others(node.now))
         node.emit(PeerReceived(late, DelegatedAnswer(message.delegation_id)))
-        self.assertIn(late, groups.reachable(node.now))
+        self.assertIn(late, groups.usable_others(node.now))
 
     def test_the_takeover_timeout_adapts_to_slow_nodes(self) -> None:
         for acknowledgement_seconds, is_lost in ((0.001, True), (0.02, False)):
@@ -164,4 +164,4 @@
     def test_narrow_routes_open_no_connections(self) -> None:
         node = node_without_local_replicas(shards=9)
         node.advance(2.0)
-        self.assertEqual([], sent_messages(node, Greeting))
+        self.assertEqual([], sent_messages(node, PrewarmMessage))
--- a/tests/forwarding/test_tenants_at_other_nodes.py
+++ b/tests/forwarding/test_tenants_at_other_nodes.py
@@ -35,9 +35,9 @@
     table,
 )
 from wingquay.forwarding.arrival.request_identity import compute_identity
-from wingquay.forwarding.crashing.guard import TELL_SECONDS
+from wingquay.forwarding.crashing.guard import REPORT_DELAY_SECONDS
 from wingquay.model.routing_table import RoutingTable
-from wingquay.ports.crash_news import CrashNews
+from wingquay.ports.crash_messages import CrashReport
 from wingquay.ports.delegation import CancelDelegation, DelegatedAnswer, DelegatedRequest
 from wingquay.ports.forwarding import ForwardFailureKind, OpaqueRequest, ReplyFailure
 from wingquay.ports.peer_link import PeerLinkOpened, PeerReceived
@@ -81,7 +81,7 @@
         merged_records=3,
         priority=3,
         objective_seconds=OBJECTIVE_SECONDS,
-        in_time_seconds=0.09,
+        cutoff_seconds=0.09,
         remaining_seconds=1.0,
         tenant=tenant,
     )
@@ -183,7 +183,7 @@
             if not node.sends:
                 send_request(node, number, key, "/one/crash")
             node.crash_replica(node.sends[0])
-            node.advance(TELL_SECONDS + 0.05)
+            node.advance(REPORT_DELAY_SECONDS + 0.05)
 
     def test_it_covers_the_request_without_the_key_and_the_tenant(self) -> None:
         expected = compute_identity(CRASHING, "kiosk")
@@ -193,8 +193,8 @@
             {expected},
             {
                 item.identity
-                for item in sent_messages(node, CrashNews)
-                if isinstance(item, CrashNews)
+                for item in sent_messages(node, CrashReport)
+                if isinstance(item, CrashReport)
             },
         )
         (line,) = node.logs("request_held")
@@ -228,7 +228,7 @@
 
     def test_a_delegate_holds_the_same_request(self) -> None:
         node = configured()
-        news = CrashNews(compute_identity(BARE, "kiosk"), held_seconds=HELD_SECONDS)
+        news = CrashReport(compute_identity(BARE, "kiosk"), held_seconds=HELD_SECONDS)
         node.emit(PeerReceived(OTHERS[1], news))
         node.emit(PeerReceived(OTHERS[0], message()))
         self.assertEqual([], node.sends)
--- a/wingquay/forwarding/arrival/limits/distributed_limits.py
+++ b/wingquay/forwarding/arrival/limits/distributed_limits.py
@@ -6,11 +6,11 @@
 from ....model.tenants import Tenant
 from ....ports.limit_messages import (
     LimitAcknowledgement,
-    LimitAnswer,
-    LimitAsk,
     LimitOwnersReply,
     LimitOwnersRequest,
-    LimitTell,
+    LimitReply,
+    LimitReport,
+    LimitRequest,
 )
 from ....ports.machine import Action, Schedule
 from ....ports.peer_link import NodeIdentity, PeerLinkBroken, PeerMessage, PeerReceived
@@ -34,10 +34,10 @@
 OWN_EVENTS = (LimitReportDue, LimitAckDue, LimitProbeDue, LimitRequestDue, LimitRefreshDue)
 """Events that this module schedules for itself."""
 OWN_MESSAGES = (
-    LimitTell,
+    LimitReport,
     LimitAcknowledgement,
-    LimitAsk,
-    LimitAnswer,
+    LimitRequest,
+    LimitReply,
     LimitOwnersRequest,
     LimitOwnersReply,
 )
@@ -107,7 +107,7 @@
         was_listed_before_start
             Returns whether the key was in the store before this incarnation.
         """
-        role = OwnerRole(self._settings, own, self._owners, groups.reachable)
+        role = OwnerRole(self._settings, own, self._owners, groups.usable_others)
         role.sync.is_listed = is_listed
         role.sync.was_listed_before_start = was_listed_before_start
         self._groups = groups
@@ -179,15 +179,15 @@
         match message:
             case LimitAcknowledgement():
                 return self._channels.acknowledged(sender, message, now)
-            case LimitAnswer():
+            case LimitReply():
                 return self._requester.answered(sender, message, now)
         role = self._channels.role
         if role is None:
             return []
         match message:
-            case LimitTell():
+            case LimitReport():
                 return role.reported(sender, message, now)
-            case LimitAsk():
+            case LimitRequest():
                 return role.permit_requested(sender, message, now)
             case LimitOwnersRequest() | LimitOwnersReply():
                 return role.owners_message(sender, message, now)
--- a/wingquay/forwarding/arrival/limits/owner_channel.py
+++ b/wingquay/forwarding/arrival/limits/owner_channel.py
@@ -3,7 +3,7 @@
 from collections import deque
 from dataclasses import dataclass
 
-from ....ports.limit_messages import LimitTell
+from ....ports.limit_messages import LimitReport
 from ....ports.machine import Action, Log, LogLevel, Schedule
 from ....ports.peer_link import NodeIdentity, SendToPeer
 from ...timers import LimitAckDue, LimitProbeDue, LimitReportDue
@@ -50,7 +50,7 @@
         self.owner = owner
         self.is_lost = False
         """Whether the owner is considered unreachable."""
-        self.asks_first = True
+        self.requires_permit = True
         """Whether the owner wants to permit every request; true until it replies otherwise."""
         self._window_seconds = window_seconds
         self._pending: dict[str, int] = {}
@@ -70,7 +70,7 @@
 
     def may_start_without_permit(self, name: str, now: float) -> bool:
         """Return whether requests of a tenant may start before this owner has permitted them."""
-        if self.is_lost or self.asks_first or now < self._ask_first_until:
+        if self.is_lost or self.requires_permit or now < self._ask_first_until:
             return False
         if now >= self._last_reply_at + CONTACT_VALID_SECONDS:
             return False
@@ -134,7 +134,7 @@
         self._sequence += 1
         self._reports.append(_Report(self._sequence, now, counts, without_permit))
         names = tuple(counts)
-        message = LimitTell(
+        message = LimitReport(
             self._sequence,
             names,
             tuple(counts.values()),
@@ -191,7 +191,7 @@
     def link_broken(self, now: float) -> tuple[dict[str, int], list[Action]]:
         """Handle that the link is broken: reports that may be lost are queued again."""
         lost = self.mark_lost(now)
-        self.asks_first = True
+        self.requires_permit = True
         self._hot_until.clear()
         if not self._pending:
             self._pending_since = now
--- a/wingquay/forwarding/arrival/limits/owner_channels.py
+++ b/wingquay/forwarding/arrival/limits/owner_channels.py
@@ -74,21 +74,21 @@
             if not self.is_own(owner):
                 channel = self.get(owner)
                 channel.owner = owner
-                channel.asks_first = True
+                channel.requires_permit = True
                 actions += channel.send_report(now, True)
         return actions
 
     def resumed(self) -> None:
         """Ask first after a suspension, since messages of the owners may still be unread."""
         for channel in self._channels.values():
-            channel.asks_first = True
+            channel.requires_permit = True
 
     def acknowledged(
         self, sender: NodeIdentity, message: LimitAcknowledgement, now: float
     ) -> list[Action]:
         """Handle an owner's acknowledgement, including its list of hot tenants."""
         channel = self.get(sender)
-        channel.asks_first = message.asks_first
+        channel.requires_permit = message.requires_permit
         for name, seconds in zip(message.hot, message.hot_seconds, strict=True):
             channel.set_hot(name, seconds, now)
         return channel.acknowledged(message.sequence, now) if message.sequence else []
--- a/wingquay/forwarding/arrival/limits/owner_role.py
+++ b/wingquay/forwarding/arrival/limits/owner_role.py
@@ -5,11 +5,11 @@
 from ....model.tenants import Tenant
 from ....ports.limit_messages import (
     LimitAcknowledgement,
-    LimitAnswer,
-    LimitAsk,
     LimitOwnersReply,
     LimitOwnersRequest,
-    LimitTell,
+    LimitReply,
+    LimitReport,
+    LimitRequest,
     LimitVerdict,
 )
 from ....ports.machine import Action, Count, Log, LogLevel
@@ -58,8 +58,8 @@
         self.sync = OwnerSync(settings, own, owners, self._get_usage, self._get_budget)
         """Exchange of loans and records with the other owners."""
         self._hot: set[str] = set()
-        self._waiting: list[tuple[NodeIdentity, LimitAsk]] = []
-        self._notified_asks_first = False
+        self._waiting: list[tuple[NodeIdentity, LimitRequest]] = []
+        self._notified_requires_permit = False
         """Whether nodes were last notified to ask before every request."""
 
     @property
@@ -96,7 +96,7 @@
             usage.permitted_as_second.add(charged, now)
         return self._mark_hot(name, usage, now)
 
-    def reported(self, sender: NodeIdentity, message: LimitTell, now: float) -> list[Action]:
+    def reported(self, sender: NodeIdentity, message: LimitReport, now: float) -> list[Action]:
         """Count the requests in a node's report and acknowledge it."""
         self.sync.refresh_listing(now)
         actions: list[Action] = []
@@ -106,23 +106,25 @@
             actions += self.count(name, requests, charged, now)
         hot = tuple(name for name in message.tenants if self._hot_seconds(name, now) > 0)
         seconds = tuple(self._hot_seconds(name, now) for name in hot)
-        asks_first = self.asks_first(now)
-        answer = LimitAcknowledgement(message.sequence, asks_first, hot, seconds)
+        requires_permit = self.requires_permit(now)
+        answer = LimitAcknowledgement(message.sequence, requires_permit, hot, seconds)
         return [*actions, SendToPeer(sender, answer)]
 
-    def permit_requested(self, sender: NodeIdentity, message: LimitAsk, now: float) -> list[Action]:
+    def permit_requested(
+        self, sender: NodeIdentity, message: LimitRequest, now: float
+    ) -> list[Action]:
         """Reply whether a request may start; wait with the reply if a loan is pending."""
         permit, actions = self.permit(message.tenant, now)
         usage = self._usages.get(message.tenant)
-        can_wait = permit.verdict is LimitVerdict.ELSEWHERE and len(self._waiting) < MAX_WAITING
+        can_wait = permit.verdict is LimitVerdict.OTHER_OWNER and len(self._waiting) < MAX_WAITING
         if can_wait and usage is not None and usage.awaits_loan(now):
             self._waiting.append((sender, message))
             return actions
-        answer = LimitAnswer(
+        answer = LimitReply(
             message.ask_id,
             permit.verdict,
             permit.retry_after_seconds,
-            self.asks_first(now),
+            self.requires_permit(now),
             self._hot_seconds(message.tenant, now),
         )
         return [SendToPeer(sender, answer), *actions]
@@ -132,7 +134,7 @@
         tenant = self._tenants.get(name)
         status = self._status(name, now)
         if tenant is None or status is None:
-            return Permit(LimitVerdict.NOT_MINE), []
+            return Permit(LimitVerdict.NOT_OWNER), []
         usage = self._get_usage(name)
         permit = usage.permit(self._budget(tenant), status, now)
         if permit.verdict is LimitVerdict.GRANTED:
@@ -141,7 +143,7 @@
         refused = Count("limit_not_permitted_total", labels=labels)
         return permit, [refused, *self._borrow(name, usage, now)]
 
-    def asks_first(self, now: float) -> bool:
+    def requires_permit(self, now: float) -> bool:
         """Return whether nodes must ask before every request.
 
         This is the case if the settings say so, or while this owner may have to permit less than
@@ -163,8 +165,8 @@
 
     def _notify_all(self, now: float) -> list[Action]:
         """Notify all nodes whether they must ask first."""
-        self._notified_asks_first = self.asks_first(now)
-        notification = LimitAcknowledgement(0, self._notified_asks_first)
+        self._notified_requires_permit = self.requires_permit(now)
+        notification = LimitAcknowledgement(0, self._notified_requires_permit)
         return [SendToPeer(node, notification) for node in self._reachable(now)]
 
     def owners_message(
@@ -189,7 +191,7 @@
         """Renew loans, mark tenants as calm and drop unused records."""
         self.sync.refresh_listing(now)
         actions = self._retry_waiting(now)
-        if self._notified_asks_first != self.asks_first(now):
+        if self._notified_requires_permit != self.requires_permit(now):
             actions += self._notify_all(now)
         actions += self._mark_calm(now)
         for name in [name for name, usage in self._usages.items() if not usage.counted.total(now)]:
@@ -213,7 +215,7 @@
         actions.append(Count("limit_hot_total"))
         if self._settings.ask_first_ratio > 0:
             seconds = HOT_WINDOWS * self._settings.window_seconds
-            notification = LimitAcknowledgement(0, self.asks_first(now), (name,), (seconds,))
+            notification = LimitAcknowledgement(0, self.requires_permit(now), (name,), (seconds,))
             actions += [SendToPeer(node, notification) for node in self._reachable(now)]
         allowed = round(self._budget(self._tenants[name]).allowance, 1)
         fields = (("tenant", name), ("counted", usage.counted.total(now)), ("allowed", allowed))
--- a/wingquay/forwarding/arrival/limits/requester_role.py
+++ b/wingquay/forwarding/arrival/limits/requester_role.py
@@ -7,8 +7,8 @@
 from ....model.tenants import Tenant
 from ....ports.forwarding import ForwardFailureKind, OpaqueRequest
 from ....ports.limit_messages import (
-    LimitAnswer,
-    LimitAsk,
+    LimitReply,
+    LimitRequest,
     LimitVerdict,
 )
 from ....ports.machine import Action, Count, Schedule
@@ -160,7 +160,7 @@
             if self._channels.get(owner).is_lost:
                 continue
             query.waiting_for.add(node_id)
-            self._outbox.append(SendToPeer(owner, LimitAsk(ask_id, query.tenant.name)))
+            self._outbox.append(SendToPeer(owner, LimitRequest(ask_id, query.tenant.name)))
             self._count("asked")
             return None
         is_opening = self._channels.own is None and now < query.created_at + REPLY_TIMEOUT_SECONDS
@@ -191,17 +191,17 @@
             ]
             self._report_requests(others, query.tenant.name, 1, now)
             return self._admitted("permitted")
-        if verdict is LimitVerdict.OVER:
+        if verdict is LimitVerdict.EXCEEDED:
             self._count("over")
             seconds = self._spread(max(retry_seconds, 0.0))
             return Rejected(ForwardFailureKind.OVER_LIMIT, OVER_REASON, seconds)
         query.retry_after_seconds = max(query.retry_after_seconds, retry_seconds)
         return None
 
-    def answered(self, sender: NodeIdentity, message: LimitAnswer, now: float) -> list[Action]:
+    def answered(self, sender: NodeIdentity, message: LimitReply, now: float) -> list[Action]:
         """Handle an owner's reply; a permit that comes too late is given back."""
         channel = self._channels.get(sender)
-        channel.asks_first = message.asks_first
+        channel.requires_permit = message.requires_permit
         actions = channel.received_reply(now)
         query = self._queries.get(message.ask_id)
         if query is None:
@@ -262,7 +262,7 @@
                 del self._late[next(iter(self._late))]
 
     def _handle_late_answer(
-        self, sender: NodeIdentity, message: LimitAnswer, now: float
+        self, sender: NodeIdentity, message: LimitReply, now: float
     ) -> list[Action]:
         """Give back a permit for a request that no longer waits for it."""
         query = self._late.get(message.ask_id)
--- a/wingquay/forwarding/arrival/limits/tenant_usage.py
+++ b/wingquay/forwarding/arrival/limits/tenant_usage.py
@@ -121,7 +121,7 @@
     def _evaluate(self, budget: Budget, status: OwnerStatus, now: float) -> Permit:
         if self.counted.total(now) + 1 > budget.primary_with_full_loan:
             seconds = self.counted.seconds_until_capacity(budget.primary_with_full_loan, now)
-            return Permit(LimitVerdict.OVER, seconds)
+            return Permit(LimitVerdict.EXCEEDED, seconds)
         if status.is_primary:
             return self._permit_as_primary(budget, status, now)
         return self._permit_as_second(budget, status, now)
@@ -131,8 +131,8 @@
         if self.counted.total(now) + 1 <= limit:
             return Permit(LimitVerdict.GRANTED)
         if not status.knows_window:
-            return Permit(LimitVerdict.ELSEWHERE, status.window_known_in_seconds)
-        return Permit(LimitVerdict.ELSEWHERE, MIN_RETRY_SECONDS)
+            return Permit(LimitVerdict.OTHER_OWNER, status.window_known_in_seconds)
+        return Permit(LimitVerdict.OTHER_OWNER, MIN_RETRY_SECONDS)
 
     def _primary_limit(self, budget: Budget, status: OwnerStatus, now: float) -> float:
         if not status.knows_window:
@@ -144,11 +144,11 @@
 
     def _permit_as_second(self, budget: Budget, status: OwnerStatus, now: float) -> Permit:
         if not status.knows_window:
-            return Permit(LimitVerdict.ELSEWHERE, status.window_known_in_seconds)
+            return Permit(LimitVerdict.OTHER_OWNER, status.window_known_in_seconds)
         lent = max((loan for until, loan in self._lent if until > now), default=0)
         limit = budget.second_with_lent(lent) if lent else budget.second_without_lending
         if self.permitted_as_second.total(now) + 1 <= limit:
             return Permit(LimitVerdict.GRANTED)
         return Permit(
-            LimitVerdict.ELSEWHERE, self.permitted_as_second.seconds_until_capacity(limit, now)
+            LimitVerdict.OTHER_OWNER, self.permitted_as_second.seconds_until_capacity(limit, now)
         )
--- a/wingquay/forwarding/forwarding_machine.py
+++ b/wingquay/forwarding/forwarding_machine.py
@@ -1,18 +1,18 @@
-"""Passes requests on to replicas: one replica, or one of each shard with a merged answer."""
+"""Forwards requests to one replica, or to one replica of each shard with a merged answer."""
 
 import random
 from typing import TYPE_CHECKING
 
 from ..model.routing_table import RoutingTable
-from ..ports.crash_news import CrashNews
+from ..ports.crash_messages import CrashReport
 from ..ports.forwarding import (
-    CallerLeft,
+    CallerDisconnected,
     ConnectionTried,
     ForwardRequested,
     ReplicaAnswered,
     SendFailed,
 )
-from ..ports.machine import Action, Event, Woken
+from ..ports.machine import Action, Event, ProcessResumed
 from ..ports.peer_link import PeerLinkBroken, PeerReceived
 from .arrival.admission import Admitted, Rejected
 from .choice.replica_directory import ReplicaDirectory
@@ -40,7 +40,7 @@
 from .timers import (
     AbandonDue,
     BeginDue,
-    CrashNewsDue,
+    CrashReportDue,
     CutoffDue,
     DelegationDue,
     ExchangeEndDue,
@@ -56,26 +56,26 @@
     from .peers.peer_event_handler import PeerEventHandler
 
 DELEGATION_ID_BITS = 62
-"""Size of the first number of what is asked of other nodes: no two lives of a node share one."""
+"""Size of the random first delegation id, so that ids differ between incarnations of a node."""
 
 
 class ForwardingMachine:
-    """Decides what happens to each request.
+    """State machine that handles the requests of one node, from arrival to reply.
 
     Parameters
     ----------
     settings
-        Times and budgets.
+        Time limits and budgets.
     directory
-        The replicas; kept up to date by another machine.
+        The replicas; updated by the owner.
     nodes
-        How many nodes there are; kept up to date by another machine.
+        The number of nodes; updated by the owner.
     key, name
         This node's key in the store, and its name.
     random_source
-        Starts the rounds of weighted routes and the numbers of what is asked of other nodes.
+        Sets the starting points of weighted routes and of delegation ids.
     waiting
-        How requests wait.
+        Settings of waiting requests.
     """
 
     def __init__(
@@ -91,20 +91,20 @@
         self._settings = settings
         self._directory = directory
         self._latencies = RouteLatencies(settings)
-        self._limits = SendingQuotas(settings, directory, nodes, key, waiting)
-        self._sender = AttemptSender(settings, directory, self._latencies, self._limits)
+        self._quotas = SendingQuotas(settings, directory, nodes, key, waiting)
+        self._sender = AttemptSender(settings, directory, self._latencies, self._quotas)
         self._random = random_source
         ending = ExchangeEnding(random_source)
-        self._line = CallQueue(self._latencies)
+        self._queue = CallQueue(self._latencies)
         self._waiting = WaitingPolicy(
-            waiting, settings, directory, self._latencies, self._limits, self._line
+            waiting, settings, directory, self._latencies, self._quotas, self._queue
         )
         self._settlement = Settlement(self._waiting, directory, self._sender, ending)
-        self._starter = CallStarter(self._sender, self._waiting, self._line)
+        self._starter = CallStarter(self._sender, self._waiting, self._queue)
         self.lag = LoopLag()
-        """How late this node is; kept up to date by its owner."""
+        """Processing lag of this node; updated by the owner."""
         self.guard = CrashGuard(name, random_source, self.lag)
-        """Keeps requests that end replicas from replicas."""
+        """Keeps requests that crash replicas away from the replicas."""
         self.guard.on_held = self._end_held
         sequential = SequentialSending(self._starter)
         self._sequential = sequential
@@ -131,34 +131,34 @@
             self._settlement, self._opening, self.guard, self.lag, ending
         )
         self.admission = self._arrival.admission
-        """Asks whether requests may be begun; who composes the node gives it who answers."""
+        """Admits arriving requests; the owner of this machine sets what it consults."""
         self._table: RoutingTable | None = None
         self._peers: PeerEventHandler | None = None
         self.is_stopping = False
-        """Whether work of other nodes is rejected."""
+        """Whether delegated requests are rejected because this node is stopping."""
 
     @property
-    def is_asked(self) -> bool:
-        """Whether a request has arrived."""
-        return self._arrival.is_asked
+    def has_received_request(self) -> bool:
+        """Whether a request has arrived since the start."""
+        return self._arrival.has_received_request
 
     @property
     def open_exchanges(self) -> int:
-        """The number of requests without an answer."""
-        return len(self._settlement) + self._arrival.kept
+        """Number of requests without a reply, including those that wait for a tenant's limit."""
+        return len(self._settlement) + self._arrival.pending_count
 
     @property
     def held_exchanges(self) -> int:
-        """The number of requests that are held for missing records of replicas."""
+        """Number of exchanges that are held because replica records are missing."""
         return self._opening.held
 
     @property
     def evidence(self) -> ReachabilityEvidence:
-        """Which replicas and nodes failed lately."""
+        """Recent failures of replicas and nodes."""
         return self._sender.evidence
 
     def enable_peers(self, groups: "NodeGroups") -> None:
-        """Ask other nodes for shards, and be asked by them, from now on."""
+        """Start to delegate calls to other nodes and to accept delegated requests."""
         from .peers.delegation import Delegations
         from .peers.peer_event_handler import PeerEventHandler
 
@@ -180,31 +180,31 @@
             self.lag,
             self.guard,
         )
-        self._limits.placement = delegations.placement
+        self._quotas.placement = delegations.placement
         self._sequential.begin_all = delegations.start
-        self._opening.ask_nodes = delegations.start
-        self.guard.peers = groups.reachable
+        self._opening.delegate_calls = delegations.start
+        self.guard.peers = groups.usable_others
         groups.evidence = self._sender.evidence
 
     def set_table(self, table: RoutingTable) -> None:
-        """Use a configuration for requests that arrive from now on."""
+        """Apply a configuration to requests that arrive from now on."""
         self._table = table
         self._arrival.set_table(table)
         self._opening.set_table(table)
         self._latencies.keep_only(table.routes)
-        self._line.keep_only(table.services)
+        self._queue.keep_only(table.services)
 
     def handle(self, event: Event, now: float) -> list[Action]:
-        """Take in an event and return what is to be done."""
+        """Handle an event and return the resulting actions."""
         match event:
             case ReplicaAnswered():
-                return self._outcomes.answered(event, now)
+                return self._outcomes.on_answered(event, now)
             case ForwardRequested():
-                return self._arrival.requested(event, now)
+                return self._arrival.on_requested(event, now)
             case HedgeDue():
-                return self._hedging.due(event, now)
+                return self._hedging.handle_due(event, now)
             case SendFailed():
-                return self._outcomes.send_failed(event, now)
+                return self._outcomes.on_send_failed(event, now)
             case AbandonDue() | ReconnectDue() | ConnectionTried():
                 return self._replica_event(event, now)
             case (
@@ -212,31 +212,31 @@
                 | CutoffDue()
                 | ExchangeEndDue()
                 | RetryDue()
-                | CallerLeft()
+                | CallerDisconnected()
                 | ReportDue()
             ):
                 return self._exchange_event(event, now)
             case (
                 PeerConnectDue()
                 | DelegationDue()
-                | CrashNewsDue()
+                | CrashReportDue()
                 | PeerReceived()
                 | PeerLinkBroken()
             ):
                 return self._peer_event(event, now)
-        return self._arrival.kept_event(event, now)
+        return self._arrival.on_pending_event(event, now)
 
-    def woken(self, event: Woken, now: float) -> list[Action]:
-        """End what is too late after a suspension; attempts are as old as before it."""
+    def on_resumed(self, event: ProcessResumed, now: float) -> list[Action]:
+        """Handle a suspension: end overdue exchanges; it does not count in the age of attempts."""
         self.lag.seconds = event.seconds
         self._sender.on_suspended(event.seconds)
         return self._settlement.end_overdue(now)
 
-    def limit_answered(
+    def on_limit_answered(
         self, exchange_id: int, answer: Admitted | Rejected, now: float
     ) -> list[Action]:
-        """Go on with a request that waited for word on its tenant's limit."""
-        return self._arrival.limit_answered(exchange_id, answer, now)
+        """Continue a request that was waiting for the answer on its tenant's limit."""
+        return self._arrival.on_limit_answered(exchange_id, answer, now)
 
     def _end_held(self, identity: bytes, now: float) -> list[Action]:
         held_seconds = self.guard.held_seconds(identity, now)
@@ -244,20 +244,20 @@
 
     def _peer_event(
         self,
-        event: PeerConnectDue | DelegationDue | CrashNewsDue | PeerReceived | PeerLinkBroken,
+        event: PeerConnectDue | DelegationDue | CrashReportDue | PeerReceived | PeerLinkBroken,
         now: float,
     ) -> list[Action]:
         match event:
-            case CrashNewsDue():
-                return self.guard.tell_due(event, now)
-            case PeerReceived(sender=sender, message=CrashNews() as news):
-                return self.guard.news(sender, news, now)
+            case CrashReportDue():
+                return self.guard.on_report_due(event, now)
+            case PeerReceived(sender=sender, message=CrashReport() as report):
+                return self.guard.handle_report(sender, report, now)
         if self._peers is None:
             return []
         table = None if self.is_stopping else self._table
         return self._peers.handle(event, table, now)
 
-    # Time
+    # Replicas and exchanges
 
     def _replica_event(
         self, event: AbandonDue | ReconnectDue | ConnectionTried, now: float
@@ -268,11 +268,11 @@
             case ReconnectDue():
                 return self._sender.on_reconnect_due(event, now)
             case ConnectionTried():
-                return self._outcomes.connection_tried(event, now)
+                return self._outcomes.on_connection_tried(event, now)
 
-    def life_over(self, replica: ReplicaState, now: float) -> list[Action]:
-        """Give up the work at a replica that has started again, and ask for it elsewhere."""
-        return self._outcomes.life_over(replica, now)
+    def on_replica_restarted(self, replica: ReplicaState, now: float) -> list[Action]:
+        """Abort the attempts at a replica that has restarted, and retry their calls elsewhere."""
+        return self._outcomes.on_replica_restarted(replica, now)
 
     def _abandon_due(self, event: AbandonDue, now: float) -> list[Action]:
         attempt = self._sender.get(event.attempt_id)
@@ -283,12 +283,12 @@
 
     def _exchange_event(
         self,
-        event: BeginDue | CutoffDue | ExchangeEndDue | RetryDue | CallerLeft | ReportDue,
+        event: BeginDue | CutoffDue | ExchangeEndDue | RetryDue | CallerDisconnected | ReportDue,
         now: float,
     ) -> list[Action]:
         exchange = self._settlement.get(event.exchange_id)
         if exchange is None:
-            return self._arrival.kept_event(event, now)
+            return self._arrival.on_pending_event(event, now)
         match event:
             case BeginDue():
                 return self._begin_due(exchange, now)
@@ -298,11 +298,11 @@
                 return self._settlement.settle(exchange, now)
             case ReportDue():
                 return [] if exchange.origin is None else exchange.origin.report(exchange)
-            case CallerLeft():
-                self._opening.not_held(exchange)
-                return self._settlement.caller_left(exchange, now)
+            case CallerDisconnected():
+                self._opening.stop_holding(exchange)
+                return self._settlement.on_caller_left(exchange, now)
             case ExchangeEndDue():
-                return self._settlement.out_of_time(exchange, now)
+                return self._settlement.end_timed_out(exchange, now)
 
     def _begin_due(self, exchange: Exchange, now: float) -> list[Action]:
         if exchange.origin is not None:
--- a/wingquay/forwarding/peers/delegation.py
+++ b/wingquay/forwarding/peers/delegation.py
@@ -11,7 +11,7 @@
 """
 
 from ...model.routing_table import RoutingTable
-from ...ports.delegation import CancelDelegation, DelegatedAnswer, Greeting
+from ...ports.delegation import CancelDelegation, DelegatedAnswer, PrewarmMessage
 from ...ports.machine import Action, Schedule
 from ...ports.peer_link import NodeIdentity, PeerLinkBroken, SendToPeer
 from ..choice.replica_directory import ReplicaDirectory
@@ -91,7 +91,7 @@
             for owner in self.placement.owner_nodes(route.shards, now):
                 if owner.node_id not in self._connected and len(actions) < MAX_HANDSHAKES:
                     self._connected.add(owner.node_id)
-                    actions.append(SendToPeer(owner, Greeting()))
+                    actions.append(SendToPeer(owner, PrewarmMessage()))
         return actions
 
     def answered(self, sender: NodeIdentity, message: DelegatedAnswer, now: float) -> list[Action]:
--- a/wingquay/forwarding/peers/relays.py
+++ b/wingquay/forwarding/peers/relays.py
@@ -61,7 +61,7 @@
         """Return the relay of each remote shard; shards left out are contacted directly."""
         remote = dict(self._remote_zones(shards, now))
         relays: dict[str, NodeIdentity] = {}
-        nodes = self._groups.reachable(now) if remote else []
+        nodes = self._groups.usable_others(now) if remote else []
         while nodes and len(remote) >= self._settings.relay_min_shards:
             relay = self._best(nodes, remote)
             served = [shard for shard, zones in remote.items() if relay.zone in zones]
--- a/wingquay/forwarding/peers/shard_placement.py
+++ b/wingquay/forwarding/peers/shard_placement.py
@@ -141,7 +141,7 @@
 
     def _owner_sets(self, now: float) -> int:
         """Return the number of owner sets that the total request rate requires."""
-        shards = self._groups.fan_out
+        shards = self._groups.max_shard_count
         zones = max(1, self._groups.zones)
         requests_per_second = self._rate.per_second(now) * self._groups.size
         cpu_load = requests_per_second * SHARD_CPU_SECONDS * shards / zones
--- a/wingquay/platform/node.py
+++ b/wingquay/platform/node.py
@@ -23,7 +23,7 @@
 from ..forwarding.arrival.limits.limit_settings import LimitSettings
 from ..forwarding.forwarding_node import ForwardingNode, StoreFormats
 from ..forwarding.knowledge.poll_times import (
-    DEFAULT_CONTACT_SECONDS,
+    DEFAULT_RECOVERY_SECONDS,
     expiry_grace_seconds,
     poll_interval_within,
     poll_times_within,
@@ -40,9 +40,19 @@
     SendToReplica,
     SetForwarding,
 )
-from ..ports.machine import Action, Count, Event, Exit, Log, Observe, Start, StopRequested, Woken
+from ..ports.machine import (
+    Action,
+    Count,
+    Event,
+    Exit,
+    Log,
+    Observe,
+    ProcessResumed,
+    Start,
+    StopRequested,
+)
 from ..ports.peer_link import OpenPeerLink, SendToPeer
-from ..ports.peer_snapshot import AskPeers
+from ..ports.peer_snapshot import RequestPeerSnapshot
 from ..ports.store import StartWatch, StopWatch, StoreRequest
 from ..runtime import NodeRuntime
 from .caller_dialect import PlatformCallerDialect
@@ -203,7 +213,7 @@
         self._runtime.emit(event)
 
     def _woken(self, seconds: float) -> None:
-        self.emit(Woken(seconds))
+        self.emit(ProcessResumed(seconds))
 
     def perform(self, action: Action) -> None:
         """Perform an action that was decided."""
@@ -223,7 +233,7 @@
         runtime.register(StoreRequest, self._store.perform)
         runtime.register(StartWatch, self._store.start_watch)
         runtime.register(StopWatch, self._store.stop_watch)
-        runtime.register(AskPeers, self.peers.ask)
+        runtime.register(RequestPeerSnapshot, self.peers.ask)
         runtime.register(OpenPeerLink, self._open_link)
         runtime.register(SendToPeer, self._send_to_peer)
         runtime.register(SetForwarding, self._set_forwarding)
@@ -272,7 +282,7 @@
 
 def _follower_settings(settings: PlatformSettings, gather_seconds: float) -> FollowerSettings:
     """Return how the store is followed, by the strict bound where there is one."""
-    look = poll_times_within(settings.contact_seconds or DEFAULT_CONTACT_SECONDS)
+    look = poll_times_within(settings.contact_seconds or DEFAULT_RECOVERY_SECONDS)
     usual = FollowerSettings(poll_interval_seconds=gather_seconds, poll_times=look)
     if settings.revocation_seconds is None:
         return usual
