--- a/tests/forwarding/crashing/test_guard.py
+++ b/tests/forwarding/crashing/test_guard.py
@@ -300,7 +300,9 @@
         for send in list(one.sends):
             one.disconnect(send)
         returned = [
-            place for item in sent_messages(one, DelegatedAnswer) for place in item.given_back
+            place
+            for item in sent_messages(one, DelegatedAnswer)
+            for place in item.finished_services
         ]  # type: ignore[attr-defined]
         # Also after the first disconnect, the delegate may not send to a second replica.
         self.assertEqual(list(range(SHARDS)), sorted(returned))
--- a/tests/forwarding/limits/fleet.py
+++ b/tests/forwarding/limits/fleet.py
@@ -72,7 +72,7 @@
         node_limits = DistributedLimits(
             self.settings, random.Random(self.random.random()), self.now
         )
-        node_limits.on_decision(self._answered)
+        node_limits.set_decision_callback(self._answered)
         groups = NodeGroups(ForwardingSettings(zone="a"), name)
         for other, node_identity in self.identities.items():
             groups.put(other, NodeRecord(node_identity))
@@ -99,7 +99,7 @@
     def resume(self, name: str) -> None:
         waiting = self.suspended.pop(name, [])
         if name in self.limits:
-            self.limits[name].resumed()
+            self.limits[name].on_resumed()
         for incarnation, event in waiting:
             self._handle(name, incarnation, event)
 
--- a/tests/forwarding/limits/test_limit_parts.py
+++ b/tests/forwarding/limits/test_limit_parts.py
@@ -92,25 +92,31 @@
     ) -> None:
         budget = compute_budget(tenant(rate=rate, burst=burst), LimitSettings(5.0, overage, slack))
         set_aside = (
-            budget.primary_without_window + budget.reserve_nodes + UNREPORTED_SHARE * budget.spare
+            budget.primary_limit_unknown_window
+            + budget.reserve_nodes
+            + UNREPORTED_SHARE * budget.spare
         )
         bound = budget.max_requests * (1.0 + 1e-9) + 1e-6
         self.assertLessEqual(
-            budget.primary_without_loan + budget.second_without_lending + set_aside, bound
+            budget.primary_limit_no_loan + budget.second_limit_no_loan + set_aside, bound
         )
         for counted in (0, int(0.6 * budget.allowance), int(budget.allowance), 10**9):
             loan = budget.required_loan(counted)
             self.assertLessEqual(
-                budget.primary_with_loan(loan) + budget.second_with_lent(loan) + set_aside, bound
+                budget.primary_limit_with_loan(loan)
+                + budget.second_limit_after_lending(loan)
+                + set_aside,
+                bound,
             )
             self.assertLess(
-                min(counted, budget.primary_with_full_loan - 1), budget.primary_with_loan(loan)
+                min(counted, budget.primary_limit_full_loan - 1),
+                budget.primary_limit_with_loan(loan),
             )
-        self.assertGreaterEqual(budget.primary_with_full_loan, budget.allowance)
+        self.assertGreaterEqual(budget.primary_limit_full_loan, budget.allowance)
 
 
 class FirstWindowTest(testtools.TestCase):
-    def permitted(self, at: float, was_listed_before_start: bool) -> int:
+    def permitted(self, at: float, reused_key: bool) -> int:
         """Return the number of requests admitted by a node that started at 100 and linked at
         103."""
         listed = [False]
@@ -120,23 +126,25 @@
         node_limits = DistributedLimits(SETTINGS, random.Random(1), 100.0)
         limited = tenant()
         node_limits.set_tenants({limited.name: limited}, 100.0)
-        node_limits.open(own, groups, lambda _: listed[0], lambda: was_listed_before_start, 103.0)
+        node_limits.open(own, groups, lambda _: listed[0], lambda: reused_key, 103.0)
         node_limits.handle(LimitRefreshDue(), 103.0)
         listed[0] = True
         node_limits.handle(LimitRefreshDue(), 103.5)
         answers = [node_limits.admit(limited, number, at) for number in range(100)]
         return sum(isinstance(answer, Admitted) for answer in answers)
 
-    def test_it_starts_with_the_incarnation_if_the_key_was_listed_before(self) -> None:
+    def test_the_first_window_starts_with_the_incarnation_if_the_key_was_reused(self) -> None:
         budget = compute_budget(tenant(), SETTINGS)
-        self.assertEqual(int(budget.primary_without_window), self.permitted(104.9, True))
-        self.assertEqual(int(budget.primary_with_full_loan), self.permitted(105.1, True))
+        self.assertEqual(int(budget.primary_limit_unknown_window), self.permitted(104.9, True))
+        self.assertEqual(int(budget.primary_limit_full_loan), self.permitted(105.1, True))
 
-    def test_it_starts_when_a_new_key_is_written(self) -> None:
+    def test_the_first_window_starts_when_a_new_key_is_written(self) -> None:
         budget = compute_budget(tenant(), SETTINGS)
         reserve = 1
-        self.assertEqual(int(budget.primary_without_window) + reserve, self.permitted(108.4, False))
-        self.assertEqual(int(budget.primary_with_full_loan), self.permitted(108.6, False))
+        self.assertEqual(
+            int(budget.primary_limit_unknown_window) + reserve, self.permitted(108.4, False)
+        )
+        self.assertEqual(int(budget.primary_limit_full_loan), self.permitted(108.6, False))
 
 
 class TenantOwnersTest(testtools.TestCase):
@@ -161,9 +169,9 @@
     def test_the_fastest_nodes_of_each_zone_are_owners(self) -> None:
         owners = TenantOwners(11.0)
         owners.update(self.nodes(70, slow=40), 0.0)
-        self.assertEqual(MAX_OWNERS, len(owners.identities))
-        self.assertEqual({"a", "b", "c", "d"}, {item.zone for item in owners.identities})
-        self.assertTrue(all(item.node_id >= "n040" for item in owners.identities))
+        self.assertEqual(MAX_OWNERS, len(owners.all_owners))
+        self.assertEqual({"a", "b", "c", "d"}, {item.zone for item in owners.all_owners})
+        self.assertTrue(all(item.node_id >= "n040" for item in owners.all_owners))
 
     def test_the_two_owners_of_a_tenant_are_in_different_zones(self) -> None:
         owners = TenantOwners(11.0)
--- a/wingquay/forwarding/arrival/admission.py
+++ b/wingquay/forwarding/arrival/admission.py
@@ -18,9 +18,10 @@
     Parameters
     ----------
     request
-        The request as replicas and other nodes receive it.
+        The request as replicas and other nodes receive it; empty in decisions on the limit only.
     tenant
-        The calling tenant; ``None`` if replicas receive no tenant.
+        The calling tenant; ``None`` if replicas receive no tenant, or in decisions on the limit
+        only.
     """
 
     request: OpaqueRequest
--- a/wingquay/forwarding/arrival/arrival_admission.py
+++ b/wingquay/forwarding/arrival/arrival_admission.py
@@ -23,7 +23,7 @@
         self.proof: ConfigurationProof = AlwaysProven()
         """Proof that the configuration is in force; replaced when the node is assembled."""
         self.limits: TenantLimits = NoLimits()
-        """Counts the requests of tenants; replaced when the node is assembled."""
+        """Counts the requests of tenants; replaced once a configuration contains limits."""
 
     def identify_caller(
         self, key: str, table: RoutingTable, route: Route, now: float
--- a/wingquay/forwarding/arrival/limits/distributed_limits.py
+++ b/wingquay/forwarding/arrival/limits/distributed_limits.py
@@ -31,9 +31,9 @@
 from .reserve import Reserve
 from .tenant_owners import TenantOwners
 
-OWN_EVENTS = (LimitReportDue, LimitAckDue, LimitProbeDue, LimitRequestDue, LimitRefreshDue)
+TIMER_EVENTS = (LimitReportDue, LimitAckDue, LimitProbeDue, LimitRequestDue, LimitRefreshDue)
 """Events that this module schedules for itself."""
-OWN_MESSAGES = (
+HANDLED_MESSAGES = (
     LimitReport,
     LimitAcknowledgement,
     LimitRequest,
@@ -82,7 +82,7 @@
         self._tenants: Mapping[str, Tenant] = {}
         self._is_due = False
 
-    def on_decision(
+    def set_decision_callback(
         self, callback: Callable[[int, Admitted | Rejected, float], list[Action]]
     ) -> None:
         """Set the callback that continues a request once its limit was decided."""
@@ -93,7 +93,7 @@
         own: NodeIdentity,
         groups: NodeGroups,
         is_listed: Callable[[float], bool],
-        was_listed_before_start: Callable[[], bool],
+        reused_key: Callable[[], bool],
         now: float,
     ) -> list[Action]:
         """Start the exchange of messages with other nodes.
@@ -104,17 +104,17 @@
             The nodes listed in the store.
         is_listed
             Returns whether this node's key is certainly in the store.
-        was_listed_before_start
+        reused_key
             Returns whether the key was in the store before this incarnation.
         """
         role = OwnerRole(self._settings, own, self._owners, groups.usable_others)
         role.sync.is_listed = is_listed
-        role.sync.was_listed_before_start = was_listed_before_start
+        role.sync.reused_key = reused_key
         self._groups = groups
         self._channels.own = own
         self._channels.role = role
         actions = [*role.set_tenants(self._tenants, now), *self.refresh_owners(now)]
-        return [*actions, *self._requester.opened(now)]
+        return [*actions, *self._requester.on_link_opened(now)]
 
     def set_tenants(self, tenants: Mapping[str, Tenant], now: float) -> list[Action]:
         """Apply the limits in force."""
@@ -129,12 +129,12 @@
             return []
         self._nodes_version = groups.version(now)
         # The previous incarnation stopped acting as an owner before this one started.
-        since = now if self._owners.identities else self._started_at
+        since = now if self._owners.all_owners else self._started_at
         if not self._owners.update(groups.all_nodes, since):
             return []
         role = self._channels.role
-        actions = [] if role is None else role.owners_changed(now)
-        return [*actions, *self._channels.owners_changed(now), *self._schedule(now)]
+        actions = [] if role is None else role.on_owners_changed(now)
+        return [*actions, *self._channels.on_owners_changed(now), *self._schedule(now)]
 
     def admit(
         self, tenant: Tenant, exchange_id: int, now: float
@@ -154,9 +154,9 @@
         """Return and clear the actions that `admit` and `give_back` have queued."""
         return self._requester.take_actions()
 
-    def resumed(self) -> None:
+    def on_resumed(self) -> None:
         """Handle that this node was suspended."""
-        self._channels.resumed()
+        self._channels.on_resumed()
 
     def handle(self, event: LimitEvent, now: float) -> list[Action]:
         """Handle an event."""
@@ -165,32 +165,32 @@
             case PeerReceived(sender, message):
                 actions += self._received(sender, message, now)
             case PeerLinkBroken():
-                actions += self._channels.mark_lost(event.node_id, now, True)
-                actions += self._requester.owner_lost(event.node_id, now)
+                actions += self._channels.mark_unreachable(event.node_id, now, True)
+                actions += self._requester.on_owner_unreachable(event.node_id, now)
             case LimitRequestDue():
-                actions += self._requester.query_due(event, now)
+                actions += self._requester.on_query_due(event, now)
             case LimitRefreshDue():
                 actions += self._refresh_due(now)
             case _:
-                actions += self._channels.due(event, now)
+                actions += self._channels.on_due(event, now)
         return [*actions, *self.take_actions()]
 
     def _received(self, sender: NodeIdentity, message: PeerMessage, now: float) -> list[Action]:
         match message:
             case LimitAcknowledgement():
-                return self._channels.acknowledged(sender, message, now)
+                return self._channels.on_acknowledgement(sender, message, now)
             case LimitReply():
-                return self._requester.answered(sender, message, now)
+                return self._requester.on_reply(sender, message, now)
         role = self._channels.role
         if role is None:
             return []
         match message:
             case LimitReport():
-                return role.reported(sender, message, now)
+                return role.on_report(sender, message, now)
             case LimitRequest():
-                return role.permit_requested(sender, message, now)
+                return role.on_permit_request(sender, message, now)
             case LimitOwnersRequest() | LimitOwnersReply():
-                return role.owners_message(sender, message, now)
+                return role.on_owners_message(sender, message, now)
         return []
 
     def _refresh_due(self, now: float) -> list[Action]:
@@ -198,7 +198,7 @@
         role = self._channels.role
         if role is None or not role.is_owner:
             return []
-        return [*role.due(now), *self._schedule(now)]
+        return [*role.on_due(now), *self._schedule(now)]
 
     def _schedule(self, now: float) -> list[Action]:
         role = self._channels.role
--- a/wingquay/forwarding/arrival/limits/limit_manager.py
+++ b/wingquay/forwarding/arrival/limits/limit_manager.py
@@ -93,7 +93,7 @@
                 self._own, members.groups, members.is_listed, members.reused_key, now
             )
         if isinstance(event, ProcessResumed):
-            distributed.resumed()
+            distributed.on_resumed()
         if isinstance(event, _HANDLED):
             return actions + distributed.handle(event, now)
         return [*actions, *distributed.refresh_owners(now), *distributed.take_actions()]
@@ -110,6 +110,6 @@
 
         jitter_source = random.Random(zlib.crc32(self._name.encode()))
         distributed = DistributedLimits(self._settings, jitter_source, now)
-        distributed.on_decision(self._on_decision)
+        distributed.set_decision_callback(self._on_decision)
         self._admission.limits = distributed
         return distributed
--- a/wingquay/forwarding/arrival/limits/limit_settings.py
+++ b/wingquay/forwarding/arrival/limits/limit_settings.py
@@ -7,8 +7,8 @@
 before all nodes are notified."""
 
 ASK_FIRST_RATIO = HOT_RATIO
-"""Share of the allowance at which nodes ask an owner before they start a request; 0 means always.
-Below it, requests start without a network round trip."""
+"""Share of the allowance at which nodes ask an owner before they start a request; 0 means
+always."""
 
 
 @value
@@ -21,8 +21,8 @@
         At most ``allowance * (1 + overage) + slack`` requests of a tenant run in each window of
         this length, where the allowance follows from the tenant's limit.
     ask_first_ratio
-        Share of the allowance at which nodes ask an owner before they start a request; 0 means
-        always.
+        Share of the allowance at which nodes ask an owner before they start a request, at most
+        ``HOT_RATIO``; 0 means always.
     """
 
     window_seconds: float = 5.0
--- a/wingquay/forwarding/arrival/limits/owner_channel.py
+++ b/wingquay/forwarding/arrival/limits/owner_channel.py
@@ -1,4 +1,4 @@
-"""Reports from this node to one owner, and whether that owner is reachable."""
+"""Reports from this node to one limit owner, and whether that owner is reachable."""
 
 from collections import deque
 from dataclasses import dataclass
@@ -15,9 +15,8 @@
 REPLY_TIMEOUT_SECONDS = 0.3
 """Time without a reply after which an owner is considered unreachable."""
 CONTACT_VALID_SECONDS = 0.3
-"""Time after a reply during which requests may start before the owner has permitted them. It bounds
-the number of requests that nodes start after they are cut off. Nodes with few requests therefore
-ask first."""
+"""Time after a reply during which requests may start before the owner has permitted them. Later, a
+node asks first; this includes nodes with few requests, which seldom report."""
 MIN_PROBE_SECONDS = 0.5
 """Time until an unreachable owner is first probed."""
 MAX_PROBE_SECONDS = 4.0
@@ -31,8 +30,8 @@
     sequence: int
     sent_at: float
     counts: dict[str, int]
-    without_permit: dict[str, int]
-    """Started requests by tenant that no owner has permitted."""
+    before_permit: dict[str, int]
+    """Requests by tenant that started before a permit."""
 
 
 class OwnerChannel:
@@ -48,29 +47,29 @@
 
     def __init__(self, owner: NodeIdentity, window_seconds: float) -> None:
         self.owner = owner
-        self.is_lost = False
+        self.is_unreachable = False
         """Whether the owner is considered unreachable."""
         self.requires_permit = True
         """Whether the owner wants to permit every request; true until it replies otherwise."""
         self._window_seconds = window_seconds
         self._pending: dict[str, int] = {}
-        self._without_permit: dict[str, int] = {}
+        self._before_permit: dict[str, int] = {}
         self._charged: dict[str, int] = {}
         self._pending_since = 0.0
         self._is_due = False
         self._last_reply_at = float("-inf")
         self._ask_first_until = float("-inf")
-        """Time until which the owner is asked first, since its messages about hot tenants may be
-        lost."""
+        """Time until which the owner is asked first, since it may have sent messages about hot
+        tenants while it was unreachable."""
         self._sequence = 0
         self._reported_at = float("-inf")
         self._reports: deque[_Report] = deque()
         self._hot_until: dict[str, float] = {}
         self._probe_seconds = MIN_PROBE_SECONDS
 
-    def may_start_without_permit(self, name: str, now: float) -> bool:
+    def may_start_before_permit(self, name: str, now: float) -> bool:
         """Return whether requests of a tenant may start before this owner has permitted them."""
-        if self.is_lost or self.requires_permit or now < self._ask_first_until:
+        if self.is_unreachable or self.requires_permit or now < self._ask_first_until:
             return False
         if now >= self._last_reply_at + CONTACT_VALID_SECONDS:
             return False
@@ -91,7 +90,7 @@
         requests: int,
         now: float,
         charged: int = 0,
-        is_without_permit: bool = False,
+        is_before_permit: bool = False,
     ) -> list[Action]:
         """Add requests to the next report.
 
@@ -101,17 +100,17 @@
             Number of started requests; negative if they are given back.
         charged
             Requests that the tenant's other owner may not have received.
-        is_without_permit
-            Whether the requests were started without a permit from any owner.
+        is_before_permit
+            Whether the requests were started before a permit because the tenant was not hot.
         """
-        if is_without_permit:
-            self._without_permit[name] = self._without_permit.get(name, 0) + requests
+        if is_before_permit:
+            self._before_permit[name] = self._before_permit.get(name, 0) + requests
         if not self._pending:
             self._pending_since = now
         self._pending[name] = self._pending.get(name, 0) + requests
         if charged:
             self._charged[name] = self._charged.get(name, 0) + charged
-        if self._is_due or self.is_lost:
+        if self._is_due or self.is_unreachable:
             return []
         self._is_due = True
         due_at = max(now + REPORT_DELAY_SECONDS, self._reported_at + MIN_REPORT_INTERVAL_SECONDS)
@@ -121,18 +120,18 @@
         """Send the pending report; a probe is sent even if it is empty."""
         self._is_due = False
         self._drop_expired(now)
-        if self.is_lost and not is_probe:
+        if self.is_unreachable and not is_probe:
             return []
         if not self._pending and not is_probe:
             return []
         reported: tuple[dict[str, int], ...] = ({}, {}, {})
-        if not self.is_lost:
-            reported = (self._pending, self._charged, self._without_permit)
-            self._pending, self._charged, self._without_permit = {}, {}, {}
-        counts, charged, without_permit = reported
+        if not self.is_unreachable:
+            reported = (self._pending, self._charged, self._before_permit)
+            self._pending, self._charged, self._before_permit = {}, {}, {}
+        counts, charged, before_permit = reported
         self._reported_at = now
         self._sequence += 1
-        self._reports.append(_Report(self._sequence, now, counts, without_permit))
+        self._reports.append(_Report(self._sequence, now, counts, before_permit))
         names = tuple(counts)
         message = LimitReport(
             self._sequence,
@@ -143,19 +142,19 @@
         timeout = LimitAckDue(self.owner.node_id, self._sequence)
         return [SendToPeer(self.owner, message), Schedule(now + REPLY_TIMEOUT_SECONDS, timeout)]
 
-    def acknowledged(self, sequence: int, now: float) -> list[Action]:
+    def on_acknowledgement(self, sequence: int, now: float) -> list[Action]:
         """Handle that the owner has counted all reports up to a sequence number."""
         while self._reports and self._reports[0].sequence <= sequence:
             self._reports.popleft()
-        return self.received_reply(now)
+        return self.on_reply(now)
 
-    def received_reply(self, now: float) -> list[Action]:
+    def on_reply(self, now: float) -> list[Action]:
         """Handle any reply of the owner."""
         self._last_reply_at = now
-        was_lost = self.is_lost
-        self.is_lost = False
+        was_unreachable = self.is_unreachable
+        self.is_unreachable = False
         self._probe_seconds = MIN_PROBE_SECONDS
-        if not was_lost:
+        if not was_unreachable:
             return []
         self._ask_first_until = now + self._window_seconds
         log = Log("limit_owner_back", LogLevel.INFO, (("owner", self.owner.node_id),))
@@ -163,34 +162,37 @@
 
     # Unreachable owners
 
-    def is_silent(self, sequence: int) -> bool:
+    def is_unacknowledged(self, sequence: int) -> bool:
         """Return whether the report with this sequence number is still unacknowledged."""
         return bool(self._reports) and self._reports[0].sequence <= sequence
 
-    def mark_lost(self, now: float) -> tuple[dict[str, int], list[Action]]:
+    def mark_unreachable(self, now: float) -> tuple[dict[str, int], list[Action]]:
         """Mark the owner as unreachable.
 
         Returns
         -------
         tuple
-            Requests by tenant that no owner may have counted, and the action that schedules a
-            probe.
+            Requests by tenant that started before a permit and possibly have not been counted, and
+            the action that schedules a probe.
         """
-        if self.is_lost:
+        if self.is_unreachable:
             return {}, []
-        self.is_lost = True
+        self.is_unreachable = True
         self._drop_expired(now)
         uncounted: dict[str, int] = {}
-        for counts in [*(report.without_permit for report in self._reports), self._without_permit]:
+        for counts in [*(report.before_permit for report in self._reports), self._before_permit]:
             for name, requests in counts.items():
                 uncounted[name] = uncounted.get(name, 0) + requests
-        self._without_permit = {}
+        self._before_permit = {}
         probe = LimitProbeDue(self.owner.node_id)
         return uncounted, [Schedule(now + self._probe_seconds, probe)]
 
-    def link_broken(self, now: float) -> tuple[dict[str, int], list[Action]]:
-        """Handle that the link is broken: reports that may be lost are queued again."""
-        lost = self.mark_lost(now)
+    def on_link_broken(self, now: float) -> tuple[dict[str, int], list[Action]]:
+        """Handle a broken link: queue started requests without an acknowledgement again.
+
+        Requests that were given back and charged requests are not queued again.
+        """
+        uncounted = self.mark_unreachable(now)
         self.requires_permit = True
         self._hot_until.clear()
         if not self._pending:
@@ -199,11 +201,11 @@
             for name, requests in report.counts.items():
                 self._pending[name] = self._pending.get(name, 0) + max(requests, 0)
         self._reports.clear()
-        return lost
+        return uncounted
 
     def probe(self, now: float) -> list[Action]:
         """Probe the owner, with an interval that doubles up to its maximum."""
-        if not self.is_lost:
+        if not self.is_unreachable:
             return []
         self._probe_seconds = min(2.0 * self._probe_seconds, MAX_PROBE_SECONDS)
         again = Schedule(now + self._probe_seconds, LimitProbeDue(self.owner.node_id))
@@ -213,7 +215,7 @@
         old = now - self._window_seconds
         while self._reports and self._reports[0].sent_at < old:
             self._reports.popleft()
-        if self._pending and self.is_lost and self._pending_since < old:
+        if self._pending and self.is_unreachable and self._pending_since < old:
             self._pending = {}
             self._charged = {}
         for name in [name for name, until in self._hot_until.items() if until <= now]:
--- a/wingquay/forwarding/arrival/limits/owner_channels.py
+++ b/wingquay/forwarding/arrival/limits/owner_channels.py
@@ -1,4 +1,4 @@
-"""Reports from this node to all owners, and which owners are reachable."""
+"""Reports from this node to all limit owners, and which owners are reachable."""
 
 from collections.abc import Iterable
 
@@ -51,26 +51,24 @@
         name: str,
         requests: int,
         now: float,
-        is_without_permit: bool = False,
+        is_before_permit: bool = False,
     ) -> list[Action]:
         """Report started requests, or requests that are given back, to owners of a tenant."""
         actions: list[Action] = []
         for owner in owners:
             if not self.is_own(owner):
-                actions += self.get(owner).report_requests(
-                    name, requests, now, 0, is_without_permit
-                )
+                actions += self.get(owner).report_requests(name, requests, now, 0, is_before_permit)
             elif self.role is not None:
                 actions += self.role.count(name, requests, 0, now)
         return actions
 
-    def owners_changed(self, now: float) -> list[Action]:
+    def on_owners_changed(self, now: float) -> list[Action]:
         """Open connections to the owners; ask first until they reply otherwise."""
-        ids = {owner.node_id for owner in self._owners.identities}
+        ids = {owner.node_id for owner in self._owners.all_owners}
         for node_id in [node_id for node_id in self._channels if node_id not in ids]:
             del self._channels[node_id]
         actions: list[Action] = []
-        for owner in self._owners.identities:
+        for owner in self._owners.all_owners:
             if not self.is_own(owner):
                 channel = self.get(owner)
                 channel.owner = owner
@@ -78,12 +76,12 @@
                 actions += channel.send_report(now, True)
         return actions
 
-    def resumed(self) -> None:
+    def on_resumed(self) -> None:
         """Ask first after a suspension, since messages of the owners may still be unread."""
         for channel in self._channels.values():
             channel.requires_permit = True
 
-    def acknowledged(
+    def on_acknowledgement(
         self, sender: NodeIdentity, message: LimitAcknowledgement, now: float
     ) -> list[Action]:
         """Handle an owner's acknowledgement, including its list of hot tenants."""
@@ -91,9 +89,11 @@
         channel.requires_permit = message.requires_permit
         for name, seconds in zip(message.hot, message.hot_seconds, strict=True):
             channel.set_hot(name, seconds, now)
-        return channel.acknowledged(message.sequence, now) if message.sequence else []
+        return channel.on_acknowledgement(message.sequence, now) if message.sequence else []
 
-    def due(self, event: LimitReportDue | LimitAckDue | LimitProbeDue, now: float) -> list[Action]:
+    def on_due(
+        self, event: LimitReportDue | LimitAckDue | LimitProbeDue, now: float
+    ) -> list[Action]:
         """Send a report, check whether an owner has replied, or probe it."""
         channel = self._channels.get(event.node_id)
         if channel is None:
@@ -105,21 +105,25 @@
                 return channel.probe(now)
             case LimitAckDue():
                 return (
-                    self.mark_lost(event.node_id, now) if channel.is_silent(event.sequence) else []
+                    self.mark_unreachable(event.node_id, now)
+                    if channel.is_unacknowledged(event.sequence)
+                    else []
                 )
 
-    def mark_lost(self, node_id: str, now: float, is_broken: bool = False) -> list[Action]:
+    def mark_unreachable(self, node_id: str, now: float, is_broken: bool = False) -> list[Action]:
         """Mark an owner as unreachable; charge its unacknowledged requests to the second owner."""
         channel = self._channels.get(node_id)
         if channel is None:
             return []
-        was_lost = channel.is_lost
-        unknown, actions = channel.link_broken(now) if is_broken else channel.mark_lost(now)
-        for name, requests in unknown.items():
+        was_unreachable = channel.is_unreachable
+        uncounted, actions = (
+            channel.on_link_broken(now) if is_broken else channel.mark_unreachable(now)
+        )
+        for name, requests in uncounted.items():
             pair = self._owners.get(name)
             if requests and len(pair) == 2 and pair[0].node_id == node_id:
                 actions += self._charge(pair[1], name, requests, now)
-        if not was_lost:
+        if not was_unreachable:
             fields = (("owner", node_id), ("reason", "broken" if is_broken else "silent"))
             actions.append(Log("limit_owner_lost", LogLevel.WARNING, fields))
             actions.append(Count("limit_owners_lost_total"))
--- a/wingquay/forwarding/arrival/limits/owner_role.py
+++ b/wingquay/forwarding/arrival/limits/owner_role.py
@@ -1,4 +1,4 @@
-"""What a node does as an owner of tenants: count, permit, and mark tenants as hot."""
+"""What a node does as the limit owner of tenants: count, permit, and mark tenants as hot."""
 
 from collections.abc import Callable, Mapping
 
@@ -18,11 +18,10 @@
 from .limit_settings import HOT_RATIO, LimitSettings
 from .owner_sync import OwnerSync
 from .tenant_owners import TenantOwners
-from .tenant_usage import OwnerStatus, Permit, TenantUsage
+from .tenant_usage import OwnerStatus, PermitDecision, TenantUsage
 
 HOT_WINDOWS = 2.0
-"""Windows for which a tenant stays hot after it was last near its limit. The second one avoids
-repeated notifications for a tenant around the threshold."""
+"""Windows for which a tenant stays hot after its usage was last above the hot threshold."""
 MAX_WAITING = 1_000
 """Maximum number of permit requests that wait for a loan."""
 
@@ -58,7 +57,7 @@
         self.sync = OwnerSync(settings, own, owners, self._get_usage, self._get_budget)
         """Exchange of loans and records with the other owners."""
         self._hot: set[str] = set()
-        self._waiting: list[tuple[NodeIdentity, LimitRequest]] = []
+        self._awaiting_loan: list[tuple[NodeIdentity, LimitRequest]] = []
         self._notified_requires_permit = False
         """Whether nodes were last notified to ask before every request."""
 
@@ -70,7 +69,7 @@
     @property
     def is_owner(self) -> bool:
         """Return whether this node is one of the owners."""
-        return self._own in self._owners.identities
+        return self._own in self._owners.all_owners
 
     def set_tenants(self, tenants: Mapping[str, Tenant], now: float) -> list[Action]:
         """Apply the limits in force; requests counted so far still count."""
@@ -96,7 +95,7 @@
             usage.permitted_as_second.add(charged, now)
         return self._mark_hot(name, usage, now)
 
-    def reported(self, sender: NodeIdentity, message: LimitReport, now: float) -> list[Action]:
+    def on_report(self, sender: NodeIdentity, message: LimitReport, now: float) -> list[Action]:
         """Count the requests in a node's report and acknowledge it."""
         self.sync.refresh_listing(now)
         actions: list[Action] = []
@@ -110,15 +109,17 @@
         answer = LimitAcknowledgement(message.sequence, requires_permit, hot, seconds)
         return [*actions, SendToPeer(sender, answer)]
 
-    def permit_requested(
+    def on_permit_request(
         self, sender: NodeIdentity, message: LimitRequest, now: float
     ) -> list[Action]:
         """Reply whether a request may start; wait with the reply if a loan is pending."""
         permit, actions = self.permit(message.tenant, now)
         usage = self._usages.get(message.tenant)
-        can_wait = permit.verdict is LimitVerdict.OTHER_OWNER and len(self._waiting) < MAX_WAITING
+        can_wait = (
+            permit.verdict is LimitVerdict.OTHER_OWNER and len(self._awaiting_loan) < MAX_WAITING
+        )
         if can_wait and usage is not None and usage.awaits_loan(now):
-            self._waiting.append((sender, message))
+            self._awaiting_loan.append((sender, message))
             return actions
         answer = LimitReply(
             message.ask_id,
@@ -129,12 +130,12 @@
         )
         return [SendToPeer(sender, answer), *actions]
 
-    def permit(self, name: str, now: float) -> tuple[Permit, list[Action]]:
+    def permit(self, name: str, now: float) -> tuple[PermitDecision, list[Action]]:
         """Count one more request of a tenant if it may run."""
         tenant = self._tenants.get(name)
         status = self._status(name, now)
         if tenant is None or status is None:
-            return Permit(LimitVerdict.NOT_OWNER), []
+            return PermitDecision(LimitVerdict.NOT_OWNER), []
         usage = self._get_usage(name)
         permit = usage.permit(self._budget(tenant), status, now)
         if permit.verdict is LimitVerdict.GRANTED:
@@ -151,9 +152,9 @@
         """
         if self._settings.ask_first_ratio <= 0:
             return True
-        return not self.sync.is_settled(now) or not self.sync.is_listed(now)
+        return not self.sync.is_unchanged_for_window(now) or not self.sync.is_listed(now)
 
-    def owners_changed(self, now: float) -> list[Action]:
+    def on_owners_changed(self, now: float) -> list[Action]:
         """Request the records of the other owners, since this node may now own other tenants.
 
         For one window, nodes must ask first: those with an older list of owners still report to the
@@ -161,33 +162,33 @@
         """
         if not self.is_owner:
             return []
-        return [*self.sync.owners_changed(now), *self._notify_all(now)]
+        return [*self.sync.on_owners_changed(now), *self._notify_all(now)]
 
     def _notify_all(self, now: float) -> list[Action]:
-        """Notify all nodes whether they must ask first."""
+        """Notify all nodes whether they must ask first; sequence 0 acknowledges no report."""
         self._notified_requires_permit = self.requires_permit(now)
         notification = LimitAcknowledgement(0, self._notified_requires_permit)
         return [SendToPeer(node, notification) for node in self._reachable(now)]
 
-    def owners_message(
+    def on_owners_message(
         self, sender: NodeIdentity, message: LimitOwnersRequest | LimitOwnersReply, now: float
     ) -> list[Action]:
         """Handle a request or reply of another owner."""
         self.sync.refresh_listing(now)
         if isinstance(message, LimitOwnersRequest):
-            return self.sync.requested(sender, message, self._tenants, now)
-        self.sync.replied(sender, message, now)
+            return self.sync.on_request(sender, message, self._tenants, now)
+        self.sync.on_reply(sender, message, now)
         return self._retry_waiting(now)
 
     def _retry_waiting(self, now: float) -> list[Action]:
         """Handle the permit requests that waited for a loan once more."""
-        waiting, self._waiting = self._waiting, []
+        waiting, self._awaiting_loan = self._awaiting_loan, []
         actions: list[Action] = []
         for sender, message in waiting:
-            actions += self.permit_requested(sender, message, now)
+            actions += self.on_permit_request(sender, message, now)
         return actions
 
-    def due(self, now: float) -> list[Action]:
+    def on_due(self, now: float) -> list[Action]:
         """Renew loans, mark tenants as calm and drop unused records."""
         self.sync.refresh_listing(now)
         actions = self._retry_waiting(now)
@@ -197,13 +198,13 @@
         for name in [name for name, usage in self._usages.items() if not usage.counted.total(now)]:
             if name not in self._hot and now >= self._usages[name].idle_from:
                 del self._usages[name]
-        return actions + self.sync.due(self._borrowing(now), now)
+        return actions + self.sync.on_due(self._borrowing(now), now)
 
     # Hot tenants
 
     def _mark_hot(self, name: str, usage: TenantUsage, now: float) -> list[Action]:
-        """Notify all nodes to ask first, and borrow, once a tenant is near its limit."""
-        if not self._is_near_limit(name, now):
+        """Once a tenant is hot, notify all nodes to ask first, and borrow."""
+        if not self._has_hot_usage(name, now):
             return []
         usage.hot_until = now + HOT_WINDOWS * self._settings.window_seconds
         actions = self._borrow(name, usage, now)
@@ -226,7 +227,7 @@
         loan = self._required_loan(name, now)
         if not usage.should_borrow(loan, now):
             return []
-        usage.loan_requested_at = now
+        usage.last_loan_request_at = now
         usage.loan_requested = loan
         return self.sync.borrow({name: loan}, now)
 
@@ -242,7 +243,7 @@
         actions: list[Action] = []
         for name in sorted(self._hot):
             usage = self._usages[name]
-            if now < usage.hot_until or self._is_near_limit(name, now):
+            if now < usage.hot_until or self._has_hot_usage(name, now):
                 continue
             self._hot.discard(name)
             if self._is_primary(name):
@@ -250,8 +251,8 @@
                 actions.append(Log("limit_calm", LogLevel.INFO, fields))
         return actions
 
-    def _is_near_limit(self, name: str, now: float) -> bool:
-        """Return whether the usage of a tenant has reached the threshold of the hot state."""
+    def _has_hot_usage(self, name: str, now: float) -> bool:
+        """Return whether the usage of a tenant has reached the hot threshold."""
         tenant = self._tenants.get(name)
         if tenant is None:
             return False
--- a/wingquay/forwarding/arrival/limits/owner_sync.py
+++ b/wingquay/forwarding/arrival/limits/owner_sync.py
@@ -1,4 +1,4 @@
-"""Loans and records that the two owners of a tenant exchange.
+"""Loans and records that the two limit owners of a tenant exchange.
 
 The primary borrows from the second owner while a tenant is hot. A loan expires at the borrower
 before it expires at the lender, so a network partition lets neither exceed its part. A new owner
@@ -50,14 +50,15 @@
         self._request_id = 0
         self._sent_at: dict[int, float] = {}
         self._unknown_tenants: dict[str, frozenset[str]] = {}
-        """Tenants without a complete window at an owner, by the id of the owner. Contains the
-        owners that have sent their records since the list of owners last changed."""
+        """Tenants whose window is incomplete at another owner, by owner id. An owner without an
+        entry has not sent its records since the owners last changed."""
         self._changed_at = float("inf")
         self._listed_since = float("-inf")
-        self._was_listed = True
-        self._has_been_listed = False
-        self.was_listed_before_start: Callable[[], bool] = lambda: True
-        """Returns whether the key was in the store before this incarnation; set by the caller."""
+        self._was_listed_last_check = True
+        self._has_been_listed_since_start = False
+        self.reused_key: Callable[[], bool] = lambda: True
+        """Returns whether this node's key was in the store before this incarnation; set by the
+        caller."""
         self._confirmed_at: dict[str, float] = {}
         """Send time of the last request with which an owner confirmed the list of owners, by id."""
         self.is_listed: Callable[[float], bool] = lambda _: True
@@ -66,18 +67,18 @@
     def refresh_listing(self, now: float) -> None:
         """Restart the window once a missing key is back: other nodes may have been owners."""
         is_listed = self.is_listed(now)
-        if is_listed and not self._was_listed and not self._is_first_listing():
+        if is_listed and not self._was_listed_last_check and not self._is_key_renewal():
             self._listed_since = now
             self._changed_at = now
             self._unknown_tenants.clear()
-        self._has_been_listed = self._has_been_listed or is_listed
-        self._was_listed = is_listed
+        self._has_been_listed_since_start = self._has_been_listed_since_start or is_listed
+        self._was_listed_last_check = is_listed
 
-    def _is_first_listing(self) -> bool:
-        """Return whether this incarnation has only renewed the key of the previous one."""
-        return not self._has_been_listed and self.was_listed_before_start()
+    def _is_key_renewal(self) -> bool:
+        """Return whether the key of the previous incarnation was renewed without a gap."""
+        return not self._has_been_listed_since_start and self.reused_key()
 
-    def is_settled(self, now: float) -> bool:
+    def is_unchanged_for_window(self, now: float) -> bool:
         """Return whether the owners have been the same for a window."""
         return now >= self._changed_at + self._settings.window_seconds
 
@@ -95,7 +96,7 @@
             return self._second_status(known_at, is_alone, now)
         if not self._is_still_primary(name, now):
             return OwnerStatus(True, False, is_alone, SYNC_INTERVAL_SECONDS)
-        if now >= known_at or self._has_record(name):
+        if now >= known_at or self._other_owner_sent_record(name):
             return OwnerStatus(True, True, is_alone)
         former, former_since = self._owners.former_position(name, own)
         if former == 1:
@@ -105,11 +106,12 @@
     def _second_status(self, known_at: float, is_alone: bool, now: float) -> OwnerStatus:
         """Return the status of a second owner; its previous incarnation may have lent requests."""
         known_at += LOAN_SECONDS + LOAN_MARGIN_SECONDS
-        # While its key may have expired, two other nodes may divide the whole budget.
+        # While this node's key may have expired, other nodes may already be the owners and permit
+        # the whole budget.
         is_known = now >= known_at and self.is_listed(now)
         return OwnerStatus(False, is_known, is_alone, max(known_at - now, SYNC_INTERVAL_SECONDS))
 
-    def _has_record(self, name: str) -> bool:
+    def _other_owner_sent_record(self, name: str) -> bool:
         own = self._own.node_id
         others = [item.node_id for item in self._owners.get(name) if item.node_id != own]
         return any(
@@ -137,7 +139,7 @@
 
     # Requests to other owners
 
-    def owners_changed(self, now: float) -> list[Action]:
+    def on_owners_changed(self, now: float) -> list[Action]:
         """Request the records of the other owners."""
         self._changed_at = self._owners.since
         self._unknown_tenants.clear()
@@ -151,11 +153,11 @@
                 wanted.setdefault(other.node_id, {})[name] = loan
         return self._query_others(False, wanted, now)
 
-    def due(self, borrowing: Mapping[str, int], now: float) -> list[Action]:
+    def on_due(self, borrowing: Mapping[str, int], now: float) -> list[Action]:
         """Renew loans, and repeat requests for missing records."""
         self._sent_at = {key: at for key, at in self._sent_at.items() if at > now - LOAN_SECONDS}
         return [
-            *self._query_others(not self.is_settled(now), {}, now),
+            *self._query_others(not self.is_unchanged_for_window(now), {}, now),
             *self.borrow(borrowing, now),
         ]
 
@@ -163,7 +165,7 @@
         self, wants_records: bool, wanted: dict[str, dict[str, int]], now: float
     ) -> list[Action]:
         actions: list[Action] = []
-        for other in self._owners.identities:
+        for other in self._owners.all_owners:
             loans = wanted.get(other.node_id, {})
             is_unknown = wants_records and not self._has_all_records_of(other)
             is_wanted = loans or is_unknown or not self.is_listed(now)
@@ -181,8 +183,8 @@
             actions.append(SendToPeer(other, request))
         return actions
 
-    def replied(self, sender: NodeIdentity, reply: LimitOwnersReply, now: float) -> None:
-        """Apply the loans and records of a reply; a late reply lends nothing."""
+    def on_reply(self, sender: NodeIdentity, reply: LimitOwnersReply, now: float) -> None:
+        """Apply the loans and records of a reply; a reply that comes too late is ignored."""
         sent_at = self._sent_at.pop(reply.request_id, None)
         if sent_at is None:
             return
@@ -190,7 +192,7 @@
             usage = self._get_usage(name)
             usage.loan_until = sent_at + LOAN_SECONDS
             usage.loan = loan
-            usage.loan_request_sent_at = sent_at
+            usage.current_loan_requested_at = sent_at
         if sent_at < self._changed_at or not reply.is_same_view:
             return
         self._confirmed_at[sender.node_id] = sent_at
@@ -202,7 +204,7 @@
 
     # Requests from other owners
 
-    def requested(
+    def on_request(
         self,
         sender: NodeIdentity,
         request: LimitOwnersRequest,
@@ -223,7 +225,7 @@
         shared = (
             [name for name in names if self._shares_tenant(name, sender)] if sends_records else []
         )
-        unknown = [name for name in shared if not self._has_full_window(name, now)]
+        unknown = [name for name in shared if not self._has_owned_for_window(name, now)]
         reply = LimitOwnersReply(
             request.request_id,
             lent,
@@ -255,9 +257,9 @@
             or self._owners.position(name, own) != 1
         ):
             return False
-        return self.status(name, 1, False, now).knows_window
+        return self.status(name, 1, False, now).has_complete_records
 
-    def _has_full_window(self, name: str, now: float) -> bool:
+    def _has_owned_for_window(self, name: str, now: float) -> bool:
         since = max(self._owners.owned_since(name, self._own.node_id), self._listed_since)
         return now >= since + self._settings.window_seconds
 
--- a/wingquay/forwarding/arrival/limits/requester_role.py
+++ b/wingquay/forwarding/arrival/limits/requester_role.py
@@ -23,8 +23,7 @@
 from .tenant_usage import MIN_RETRY_SECONDS
 
 SECOND_OWNER_DELAY_SECONDS = 0.05
-"""Time after which the second owner is asked as well. It is short because a request waits only a
-fraction of its objective for a permit."""
+"""Time after which the second owner is queried as well."""
 MAX_UNREACHABLE_RETRY_SECONDS = 1.0
 """Maximum retry time sent to a caller when no owner could decide: a network partition or the
 restart of an owner may end soon."""
@@ -47,7 +46,7 @@
     exchange_id: int
     created_at: float
     waiting_for: set[str] = field(default_factory=set)
-    excluded: set[str] = field(default_factory=set)
+    decided_or_lost: set[str] = field(default_factory=set)
     overdue: set[str] = field(default_factory=set)
     """Owners that have not replied in time."""
     retry_after_seconds: float = 0.0
@@ -84,16 +83,17 @@
         self._reserve = reserve
         self._random = random_source
         self._queries: dict[int, _PermitQuery] = {}
-        self._waiting: dict[int, int] = {}
-        """Query ids by exchange id."""
+        self._query_id_by_exchange: dict[int, int] = {}
+        """Ids of pending queries by exchange id."""
         self._late: dict[int, _PermitQuery] = {}
         """Decided queries for which some owners have not replied yet."""
-        self._last_ask_id = 0
+        self._last_query_id = 0
         self._outbox: list[Action] = []
         self.on_decision: Callable[[int, Admitted | Rejected, float], list[Action]] = (
             lambda _exchange_id, _answer, _now: []
         )
-        """Continues a request once its limit was decided; replaced when the node is assembled."""
+        """Continues a request once its limit was decided; replaced once a configuration contains
+        limits."""
 
     def take_actions(self) -> list[Action]:
         """Return and clear the queued actions."""
@@ -109,19 +109,19 @@
         if tenant.requests_per_second <= 0:
             return _ADMITTED
         pair = self._owners.get(tenant.name)
-        if pair and self._may_start_without_permit(pair[0], tenant.name, now):
+        if pair and self._may_start_before_permit(pair[0], tenant.name, now):
             self._outbox += self._channels.report_requests(pair, tenant.name, 1, now, True)
             return self._admitted("at_once")
-        self._last_ask_id += 1
-        ask_id = self._last_ask_id
+        self._last_query_id += 1
+        query_id = self._last_query_id
         query = _PermitQuery(tenant, exchange_id, now)
-        answer = self._query_next(ask_id, query, now)
-        if answer is not None:
-            return answer
-        self._queries[ask_id] = query
-        self._waiting[exchange_id] = ask_id
+        decision = self._query_next(query_id, query, now)
+        if decision is not None:
+            return decision
+        self._queries[query_id] = query
+        self._query_id_by_exchange[exchange_id] = query_id
         for seconds in (SECOND_OWNER_DELAY_SECONDS, REPLY_TIMEOUT_SECONDS):
-            self._outbox.append(Schedule(now + seconds, LimitRequestDue(ask_id)))
+            self._outbox.append(Schedule(now + seconds, LimitRequestDue(query_id)))
         return AwaitsLimit()
 
     def give_back(self, tenant: Tenant, exchange_id: int, now: float) -> None:
@@ -130,37 +130,37 @@
         A request that still waits is not counted yet; a permit that arrives for it later is given
         back then.
         """
-        ask_id = self._waiting.get(exchange_id)
-        if ask_id is not None:
-            self._finish(ask_id)
+        query_id = self._query_id_by_exchange.get(exchange_id)
+        if query_id is not None:
+            self._finish(query_id)
         elif tenant.requests_per_second > 0:
             self._report_requests(self._owners.get(tenant.name), tenant.name, -1, now)
             self._count("given_back")
 
-    def _may_start_without_permit(self, primary: NodeIdentity, name: str, now: float) -> bool:
+    def _may_start_before_permit(self, primary: NodeIdentity, name: str, now: float) -> bool:
         if self._settings.ask_first_ratio <= 0 or self._channels.is_own(primary):
             return False
-        return self._channels.get(primary).may_start_without_permit(name, now)
+        return self._channels.get(primary).may_start_before_permit(name, now)
 
     # Permit queries
 
     def _query_next(
-        self, ask_id: int, query: _PermitQuery, now: float
+        self, query_id: int, query: _PermitQuery, now: float
     ) -> Admitted | Rejected | None:
         """Query the next owner; return the decision, or ``None`` while a reply is pending."""
         for owner in self._owners.get(query.tenant.name):
             node_id = owner.node_id
-            if node_id in query.excluded or node_id in query.waiting_for:
+            if node_id in query.decided_or_lost or node_id in query.waiting_for:
                 continue
             if self._channels.is_own(owner):
-                answer = self._query_own(query, now)
-                if answer is not None:
-                    return answer
+                decision = self._query_own(query, now)
+                if decision is not None:
+                    return decision
                 continue
-            if self._channels.get(owner).is_lost:
+            if self._channels.get(owner).is_unreachable:
                 continue
             query.waiting_for.add(node_id)
-            self._outbox.append(SendToPeer(owner, LimitRequest(ask_id, query.tenant.name)))
+            self._outbox.append(SendToPeer(owner, LimitRequest(query_id, query.tenant.name)))
             self._count("asked")
             return None
         is_opening = self._channels.own is None and now < query.created_at + REPLY_TIMEOUT_SECONDS
@@ -173,7 +173,7 @@
             return None
         permit, actions = role.permit(query.tenant.name, now)
         self._outbox += actions
-        query.excluded.add(own.node_id)
+        query.decided_or_lost.add(own.node_id)
         return self._evaluate(query, own.node_id, permit.verdict, permit.retry_after_seconds, now)
 
     def _evaluate(
@@ -198,70 +198,70 @@
         query.retry_after_seconds = max(query.retry_after_seconds, retry_seconds)
         return None
 
-    def answered(self, sender: NodeIdentity, message: LimitReply, now: float) -> list[Action]:
+    def on_reply(self, sender: NodeIdentity, message: LimitReply, now: float) -> list[Action]:
         """Handle an owner's reply; a permit that comes too late is given back."""
         channel = self._channels.get(sender)
         channel.requires_permit = message.requires_permit
-        actions = channel.received_reply(now)
+        actions = channel.on_reply(now)
         query = self._queries.get(message.ask_id)
         if query is None:
-            return actions + self._handle_late_answer(sender, message, now)
+            return actions + self._handle_late_reply(sender, message, now)
         channel.set_hot(query.tenant.name, message.hot_seconds, now)
         query.waiting_for.discard(sender.node_id)
         query.overdue.discard(sender.node_id)
-        query.excluded.add(sender.node_id)
-        answer = self._evaluate(
+        query.decided_or_lost.add(sender.node_id)
+        decision = self._evaluate(
             query, sender.node_id, message.verdict, message.retry_after_seconds, now
         )
-        return actions + self._advance(message.ask_id, query, answer, now)
+        return actions + self._advance(message.ask_id, query, decision, now)
 
-    def query_due(self, event: LimitRequestDue, now: float) -> list[Action]:
+    def on_query_due(self, event: LimitRequestDue, now: float) -> list[Action]:
         """Query the next owner if one has not replied; after the timeout stop waiting for it."""
         query = self._queries.get(event.ask_id) or self._late.get(event.ask_id)
         if query is None:
             return []
         actions: list[Action] = []
-        is_silent = now >= query.created_at + REPLY_TIMEOUT_SECONDS
-        for node_id in sorted(query.waiting_for) if is_silent else ():
-            actions += self._channels.mark_lost(node_id, now)
+        has_timed_out = now >= query.created_at + REPLY_TIMEOUT_SECONDS
+        for node_id in sorted(query.waiting_for) if has_timed_out else ():
+            actions += self._channels.mark_unreachable(node_id, now)
         if event.ask_id not in self._queries:
             return actions
-        if is_silent:
+        if has_timed_out:
             query.overdue |= query.waiting_for
-            query.excluded |= query.waiting_for
+            query.decided_or_lost |= query.waiting_for
             query.waiting_for.clear()
         return actions + self._advance(event.ask_id, query, None, now)
 
     def _advance(
-        self, ask_id: int, query: _PermitQuery, answer: Admitted | Rejected | None, now: float
+        self, query_id: int, query: _PermitQuery, decision: Admitted | Rejected | None, now: float
     ) -> list[Action]:
-        if ask_id not in self._queries:
+        if query_id not in self._queries:
             return []
-        if answer is None:
-            answer = self._query_next(ask_id, query, now)
-        if answer is None:
+        if decision is None:
+            decision = self._query_next(query_id, query, now)
+        if decision is None:
             return []
-        self._finish(ask_id)
-        return [*self.on_decision(query.exchange_id, answer, now), *self.take_actions()]
+        self._finish(query_id)
+        return [*self.on_decision(query.exchange_id, decision, now), *self.take_actions()]
 
-    def opened(self, now: float) -> list[Action]:
+    def on_link_opened(self, now: float) -> list[Action]:
         """Query owners for the requests that waited for the link to other nodes."""
         actions: list[Action] = []
-        for ask_id, query in list(self._queries.items()):
-            actions += self._advance(ask_id, query, None, now)
+        for query_id, query in list(self._queries.items()):
+            actions += self._advance(query_id, query, None, now)
         return [*actions, *self.take_actions()]
 
-    def _finish(self, ask_id: int) -> None:
+    def _finish(self, query_id: int) -> None:
         """Remove a query; keep it for late replies if some are still expected."""
-        query = self._queries.pop(ask_id)
-        del self._waiting[query.exchange_id]
+        query = self._queries.pop(query_id)
+        del self._query_id_by_exchange[query.exchange_id]
         query.waiting_for |= query.overdue
         if query.waiting_for:
-            self._late[ask_id] = query
+            self._late[query_id] = query
             if len(self._late) > MAX_LATE_QUERIES:
                 del self._late[next(iter(self._late))]
 
-    def _handle_late_answer(
+    def _handle_late_reply(
         self, sender: NodeIdentity, message: LimitReply, now: float
     ) -> list[Action]:
         """Give back a permit for a request that no longer waits for it."""
@@ -275,16 +275,16 @@
             return []
         return self._channels.get(sender).report_requests(query.tenant.name, -1, now)
 
-    def owner_lost(self, node_id: str, now: float) -> list[Action]:
+    def on_owner_unreachable(self, node_id: str, now: float) -> list[Action]:
         """Query other owners where a reply of an unreachable owner was pending."""
         waiting = [
             (key, query) for key, query in self._queries.items() if node_id in query.waiting_for
         ]
         actions: list[Action] = []
-        for ask_id, query in waiting:
+        for query_id, query in waiting:
             query.waiting_for.discard(node_id)
-            query.excluded.add(node_id)
-            actions += self._advance(ask_id, query, None, now)
+            query.decided_or_lost.add(node_id)
+            actions += self._advance(query_id, query, None, now)
         return actions
 
     def _decide_by_reserve(self, query: _PermitQuery, now: float) -> Admitted | Rejected:
--- a/wingquay/forwarding/arrival/limits/reserve.py
+++ b/wingquay/forwarding/arrival/limits/reserve.py
@@ -1,4 +1,4 @@
-"""Requests that a node may start without a permit when it reaches no owner of the tenant."""
+"""Requests that a node may start when it reaches no owner of the tenant."""
 
 from collections.abc import Callable
 
@@ -22,10 +22,10 @@
     """
 
     def __init__(
-        self, settings: LimitSettings, names: Callable[[], list[str]], started_at: float
+        self, settings: LimitSettings, node_ids: Callable[[], list[str]], started_at: float
     ) -> None:
         self._settings = settings
-        self._names = names
+        self._node_ids = node_ids
         self._started_at = started_at
         self._used: dict[str, SlidingWindowCounter] = {}
 
@@ -36,7 +36,7 @@
             return False
         used = self._used.setdefault(tenant.name, SlidingWindowCounter(window_seconds))
         nodes = compute_budget(tenant, self._settings).reserve_nodes
-        if used.total(now) or reserve_rank(tenant.name, own_id, self._names()) >= nodes:
+        if used.total(now) or reserve_rank(tenant.name, own_id, self._node_ids()) >= nodes:
             return False
         used.add(1, now)
         return True
--- a/wingquay/forwarding/arrival/limits/sliding_window_counter.py
+++ b/wingquay/forwarding/arrival/limits/sliding_window_counter.py
@@ -39,7 +39,10 @@
         return self._total
 
     def add(self, requests: int, at: float) -> None:
-        """Count requests; ``at`` may be earlier than the last one, which then stays the latest."""
+        """Count requests.
+
+        A time before the latest counted request is counted in the newest bucket.
+        """
         last = self._buckets[-1] if self._buckets else None
         self._total += requests
         if last is not None and at < last.first_at + BUCKET_SECONDS:
@@ -51,8 +54,8 @@
     def remove(self, requests: int) -> None:
         """Remove requests that have not run.
 
-        The oldest are removed: since it is not known which ones have run, the count is rather too
-        high.
+        The oldest are removed, because they leave the window first. The count is thus never too
+        low, whichever requests have run.
         """
         while requests > 0 and self._buckets:
             oldest = self._buckets[0]
--- a/wingquay/forwarding/peers/connection_prewarmer.py
+++ b/wingquay/forwarding/peers/connection_prewarmer.py
@@ -1,9 +1,9 @@
-"""Opens connections to replicas before requests need them.
+"""Opens connections to unused replicas before requests need them.
 
 After resharding, the replicas of the new shards are listed in the store some seconds before a
 configuration contains them. Once it does, all nodes send requests to them, and each new connection
-would occupy a replica slot for some milliseconds. The owners of new shards therefore connect in
-advance, a few replicas at a time.
+would occupy a replica slot for some milliseconds. The owners of shards therefore connect in
+advance, a few replicas at a time, to replicas of new shards and of configured ones.
 """
 
 from ...model.routing_table import RoutingTable
@@ -45,7 +45,7 @@
         self._opened: set[str] = set()
         """Incarnations of replicas to which a connection was opened."""
 
-    def due(self, table: RoutingTable, now: float) -> list[Action]:
+    def on_due(self, table: RoutingTable, now: float) -> list[Action]:
         """Return the actions that open the next connections."""
         for route in table.routes:
             self._configured.update(route.all_services)
--- a/wingquay/forwarding/peers/delegated_work.py
+++ b/wingquay/forwarding/peers/delegated_work.py
@@ -1,7 +1,8 @@
 """Work on requests that other nodes delegate to this one.
 
 A delegated request is an exchange like that of a caller, with the same replicas, hedges and
-budgets. Its answers are sent to the delegating node as they arrive.
+budgets. Its answers are reported to the delegating node once all have arrived, or at the report
+time; later ones are reported on arrival.
 """
 
 from dataclasses import dataclass, field, replace
@@ -152,7 +153,7 @@
             Count("delegated_requests_total", labels=labels),
         ]
 
-    def attempts_allowed(
+    def on_attempts_allowed(
         self, sender: NodeIdentity, message: AllowAttempts, now: float
     ) -> list[Action]:
         """Allow further attempts where an attempt fails or takes too long."""
@@ -164,7 +165,7 @@
             exchange.origin.may_retry = True
         return [Schedule(now, HedgeDue(exchange.exchange_id))]
 
-    def cancelled(
+    def on_cancelled(
         self, sender: NodeIdentity, message: CancelDelegation, now: float
     ) -> list[Action]:
         """Stop the work on a request that is no longer needed."""
@@ -173,7 +174,7 @@
             return []
         return self._settlement.on_caller_left(exchange, now)
 
-    def link_broken(self, node_id: str, now: float) -> list[Action]:
+    def on_link_broken(self, node_id: str, now: float) -> list[Action]:
         """Stop the work for a node whose link is broken."""
         actions: list[Action] = []
         for key in [key for key in self._open if key[0] == node_id]:
--- a/wingquay/forwarding/peers/delegation.py
+++ b/wingquay/forwarding/peers/delegation.py
@@ -29,9 +29,9 @@
 from .open_delegations import OpenDelegations
 from .takeover_timeout import TakeoverTimeout
 
-MAX_HANDSHAKES = 3
-"""Maximum number of connections opened at once in advance; limits the processor time that
-handshakes take when many nodes start together."""
+MAX_PREWARMED_PEERS = 3
+"""Maximum number of nodes to which connections are opened at once in advance; limits the processor
+time that handshakes take when many nodes start together."""
 
 
 class Delegations:
@@ -69,11 +69,15 @@
         self._takeover = DelegationTakeover(
             groups, directory, starter, settlement, self._open, self._dispatcher, takeover_timeout
         )
-        self._connected: set[str] = set()
+        self._prewarmed_ids: set[str] = set()
         """Ids of the nodes to which a connection was opened in advance."""
 
     def start(self, exchange: Exchange, calls: list[ServiceCall], now: float) -> list[Action]:
-        """Start the calls of a request: directly, or through the nodes they are delegated to."""
+        """Start the calls of a request: directly, or through the nodes they are delegated to.
+
+        With delegations, the own calls start in a later event, so that the delegations are sent
+        first.
+        """
         if not exchange.is_repeatable:
             return self._starter.begin_all(calls, now)
         self._dispatcher.count(exchange.route.shards, now)
@@ -82,25 +86,25 @@
             return self._starter.begin_all(own, now)
         return [*actions, Schedule(now, BeginDue(exchange.exchange_id))]
 
-    def open_connections(self, table: RoutingTable, now: float) -> list[Action]:
+    def prewarm_peers(self, table: RoutingTable, now: float) -> list[Action]:
         """Open connections to owners of shards in advance, a few at a time."""
         actions: list[Action] = []
         for route in table.routes:
             if not route.is_repeatable or not self._dispatcher.is_wide(route.shards):
                 continue
             for owner in self.placement.owner_nodes(route.shards, now):
-                if owner.node_id not in self._connected and len(actions) < MAX_HANDSHAKES:
-                    self._connected.add(owner.node_id)
+                if owner.node_id not in self._prewarmed_ids and len(actions) < MAX_PREWARMED_PEERS:
+                    self._prewarmed_ids.add(owner.node_id)
                     actions.append(SendToPeer(owner, PrewarmMessage()))
         return actions
 
-    def answered(self, sender: NodeIdentity, message: DelegatedAnswer, now: float) -> list[Action]:
+    def on_answer(self, sender: NodeIdentity, message: DelegatedAnswer, now: float) -> list[Action]:
         """Handle a report of the other node."""
         delegation = self._open.get(message.delegation_id)
         if delegation is None or delegation.node.node_id != sender.node_id:
             return []
         if message.is_rejected:
-            return self._takeover.rejected(delegation, "rejected", now)
+            return self._takeover.on_rejected(delegation, "rejected", now)
         if message.held_seconds:
             identity = delegation.exchange.identity
             return self._guard.hold(identity, message.held_seconds, sender.node_id, now)
@@ -109,28 +113,28 @@
             self._open.remove(delegation)
         return actions + self._settlement.settle(delegation.exchange, now)
 
-    def due(self, event: DelegationDue, now: float) -> list[Action]:
+    def on_due(self, event: DelegationDue, now: float) -> list[Action]:
         """Take over from a node that has not acknowledged a delegation in time."""
         delegation = self._open.get(event.delegation_id)
         if delegation is None or delegation.is_acknowledged or delegation.is_lost:
             return []
-        return self._takeover.lost(delegation, "silent", now)
+        return self._takeover.on_lost(delegation, "silent", now)
 
-    def link_broken(self, event: PeerLinkBroken, now: float) -> list[Action]:
+    def on_link_broken(self, event: PeerLinkBroken, now: float) -> list[Action]:
         """Take over from a node whose connection broke or could not be opened."""
         node_id = event.node_id
-        self._connected.discard(node_id)
+        self._prewarmed_ids.discard(node_id)
         lost = self._open.get_for_node(node_id)
         actions: list[Action] = []
         for delegation in lost:
             if event.was_open:
-                actions += self._takeover.lost(delegation, event.reason, now)
+                actions += self._takeover.on_lost(delegation, event.reason, now)
             else:
-                actions += self._takeover.unreachable(delegation, event.reason, now)
+                actions += self._takeover.on_unreachable(delegation, event.reason, now)
         self._groups.suspect(node_id, now, is_absent=not event.was_open)
         return actions
 
-    def closed(self, exchange: Exchange) -> list[Action]:
+    def on_closed(self, exchange: Exchange) -> list[Action]:
         """Cancel the open delegations of a request that has ended."""
         actions: list[Action] = []
         for delegation in self._open.remove_all_for(exchange):
--- a/wingquay/forwarding/peers/delegation_dispatcher.py
+++ b/wingquay/forwarding/peers/delegation_dispatcher.py
@@ -86,7 +86,7 @@
         exchange: Exchange,
         node: NodeIdentity,
         calls: list[ServiceCall],
-        is_group_share: bool,
+        is_wide: bool,
         now: float,
     ) -> list[Action]:
         settings = self._settings
@@ -109,7 +109,7 @@
             objective_seconds=route.objective_seconds,
             cutoff_seconds=max(in_time_seconds, 0.0),
             remaining_seconds=max(exchange.ends_at - now, 0.001),
-            is_group_share=is_group_share,
+            is_group_share=is_wide,
             tenant=exchange.tenant_name,
         )
         due_at = now + self._takeover_timeout.seconds(exchange.route)
--- a/wingquay/forwarding/peers/delegation_reports.py
+++ b/wingquay/forwarding/peers/delegation_reports.py
@@ -55,7 +55,7 @@
         if delegation.is_lost or max_attempts <= 1:
             return []
         for call in delegation.calls:
-            if call.service not in delegation.given_back:
+            if call.service not in delegation.finished_services:
                 call.delegated_attempts = max_attempts
         return [SendToPeer(delegation.node, AllowAttempts(delegation.delegation_id, max_attempts))]
 
@@ -66,7 +66,7 @@
         if not positions or delegation.is_lost:
             return []
         calls = [delegation.calls[position] for position in positions]
-        delegation.given_back.update(call.service for call in calls)
+        delegation.finished_services.update(call.service for call in calls)
         for call in calls:
             call.delegated_attempts = 0
             call.arrivals -= 1
@@ -76,12 +76,15 @@
     def _given_back(
         self, delegation: Delegation, message: DelegatedAnswer, now: float
     ) -> list[Action]:
-        """Contact the shards returned by the other node, under which replicas may crash."""
+        """Contact the shards that the other node has returned.
+
+        It returns them if replicas may crash under this request.
+        """
         if not message.given_back or delegation.is_lost:
             return []
         exchange = delegation.exchange
         calls = [delegation.calls[position] for position in message.given_back]
-        delegation.given_back.update(call.service for call in calls)
+        delegation.finished_services.update(call.service for call in calls)
         for call, arrivals in zip(calls, message.arrivals, strict=True):
             call.arrivals += arrivals - 1
             call.delegated_attempts = arrivals
@@ -98,7 +101,7 @@
         if not message.exhausted or delegation.is_lost:
             return
         calls = [delegation.calls[position] for position in message.exhausted]
-        delegation.given_back.update(call.service for call in calls)
+        delegation.finished_services.update(call.service for call in calls)
         for call in calls:
             call.delegated_attempts = delegation.exchange.route.max_attempts
             call.is_delegate_lost = True
--- a/wingquay/forwarding/peers/delegation_takeover.py
+++ b/wingquay/forwarding/peers/delegation_takeover.py
@@ -38,16 +38,16 @@
         self._dispatcher = dispatcher
         self._takeover_timeout = takeover_timeout
 
-    def rejected(self, delegation: Delegation, reason: str, now: float) -> list[Action]:
-        """Contact the shards of a node that has rejected the delegation."""
+    def on_rejected(self, delegation: Delegation, reason: str, now: float) -> list[Action]:
+        """Contact the shards of a node that has rejected the delegation, and mark it as suspect."""
         self._undo(delegation)
         return self._take_over(delegation, delegation.open_calls, reason, now)
 
-    def unreachable(self, delegation: Delegation, reason: str, now: float) -> list[Action]:
-        """Handle a node that cannot be reached: early in a request, delegate to other nodes.
+    def on_unreachable(self, delegation: Delegation, reason: str, now: float) -> list[Action]:
+        """Handle a node that cannot be reached.
 
-        Most failing connection attempts fail within the first milliseconds, because no process
-        listens yet on a machine that is starting.
+        Early in a request its shards are delegated to other nodes; later this node contacts them
+        itself.
         """
         self._undo(delegation)
         calls = delegation.open_calls
@@ -58,7 +58,7 @@
         own, dispatched = self._dispatcher.dispatch(exchange, calls, now)
         return [*lost, *dispatched, *self._starter.send_or_queue_all(own, now)]
 
-    def lost(self, delegation: Delegation, reason: str, now: float) -> list[Action]:
+    def on_lost(self, delegation: Delegation, reason: str, now: float) -> list[Action]:
         """Contact the shards of a node that is silent or whose connection broke."""
         calls = [call for call in delegation.open_calls if not call.attempts]
         for call in calls:
@@ -75,11 +75,11 @@
         self._open.remove(delegation)
 
     def _can_retry(self, call: ServiceCall) -> bool:
-        """Return whether another attempt fits the limit, whichever replicas the lost node used."""
+        """Return whether this node may contact any replica without exceeding the attempt limit."""
         exchange = call.exchange
         if self._directory.has_restarted_since(call.service, exchange.arrived_at):
-            # The lost node may have contacted the previous incarnation, which counts as another
-            # one.
+            # The lost node may have contacted the previous incarnation, which counts as a separate
+            # replica.
             return False
         return self._directory.replica_count(call.service) <= exchange.route.max_attempts
 
--- a/wingquay/forwarding/peers/open_delegations.py
+++ b/wingquay/forwarding/peers/open_delegations.py
@@ -19,8 +19,8 @@
     sent_at: float
     is_acknowledged: bool = False
     is_lost: bool = False
-    given_back: set[str] = field(default_factory=set)
-    """Services of the calls that the node has declined, returned or reported as exhausted."""
+    finished_services: set[str] = field(default_factory=set)
+    """Services of the calls that the node will not answer: declined, returned or exhausted."""
 
     @property
     def open_calls(self) -> list[ServiceCall]:
@@ -28,7 +28,7 @@
         return [
             call
             for call in self.calls
-            if call.answer is None and call.service not in self.given_back
+            if call.answer is None and call.service not in self.finished_services
         ]
 
 
--- a/wingquay/forwarding/peers/peer_event_handler.py
+++ b/wingquay/forwarding/peers/peer_event_handler.py
@@ -48,7 +48,7 @@
         self.delegations = delegations
         self._prewarmer = ConnectionPrewarmer(settings, directory, delegations.placement)
         self._work = DelegatedWork(directory, settlement, lag)
-        settlement.on_closed = self.delegations.closed
+        settlement.on_closed = self.delegations.on_closed
 
     def handle(
         self,
@@ -67,16 +67,16 @@
             case PeerConnectDue():
                 return [] if table is None else self._open_connections(table, now)
             case DelegationDue():
-                return self.delegations.due(event, now)
+                return self.delegations.on_due(event, now)
             case PeerLinkBroken():
-                actions = self._work.link_broken(event.node_id, now)
-                return actions + self.delegations.link_broken(event, now)
+                actions = self._work.on_link_broken(event.node_id, now)
+                return actions + self.delegations.on_link_broken(event, now)
             case PeerReceived(sender, message):
                 return self._received(sender, message, table, now)
 
     def _open_connections(self, table: RoutingTable, now: float) -> list[Action]:
         """Open connections that requests will need, to other nodes and to replicas."""
-        return [*self.delegations.open_connections(table, now), *self._prewarmer.due(table, now)]
+        return [*self.delegations.prewarm_peers(table, now), *self._prewarmer.on_due(table, now)]
 
     def _received(
         self, sender: NodeIdentity, message: PeerMessage, table: RoutingTable | None, now: float
@@ -85,11 +85,11 @@
             case DelegatedRequest():
                 return self._requested(sender, message, table, now)
             case DelegatedAnswer():
-                return self.delegations.answered(sender, message, now)
+                return self.delegations.on_answer(sender, message, now)
             case AllowAttempts():
-                return self._work.attempts_allowed(sender, message, now)
+                return self._work.on_attempts_allowed(sender, message, now)
             case CancelDelegation():
-                return self._work.cancelled(sender, message, now)
+                return self._work.on_cancelled(sender, message, now)
             case _:
                 return []
 
--- a/wingquay/forwarding/peers/relays.py
+++ b/wingquay/forwarding/peers/relays.py
@@ -2,7 +2,7 @@
 
 If this node contacted each shard directly, the records, signatures and headers of all shards would
 cross between zones. A relay in the other zone contacts them and sends the merged records only. The
-relay with the fewest open requests of this node is chosen, so that a slow one receives fewer.
+relay with the fewest open delegations from this node is chosen, so that a slow one receives fewer.
 """
 
 from collections.abc import Callable
@@ -39,8 +39,8 @@
         The reachable nodes.
     directory
         The zones of replicas.
-    open_requests
-        Returns the number of open requests of this node at another one.
+    open_delegation_count
+        Returns the number of open delegations from this node to another one.
     """
 
     def __init__(
@@ -48,12 +48,12 @@
         settings: ForwardingSettings,
         groups: NodeGroups,
         directory: ReplicaDirectory,
-        open_requests: Callable[[NodeIdentity], int],
+        open_delegation_count: Callable[[NodeIdentity], int],
     ) -> None:
         self._settings = settings
         self._groups = groups
         self._directory = directory
-        self._open_requests = open_requests
+        self._open_delegation_count = open_delegation_count
         self._remote: dict[tuple[str, ...], _RemoteShards] = {}
         self._rotation = 0
 
@@ -87,7 +87,7 @@
         return {shard: zones for shard, zones in found.items() if zones and own_zone not in zones}
 
     def _best(self, nodes: list[NodeIdentity], remote: dict[str, set[str]]) -> NodeIdentity:
-        """Return a node of the zone with most shards, with the fewest open requests.
+        """Return a node of the zone with most shards, with the fewest open delegations.
 
         Ties are resolved in rotation.
         """
@@ -98,4 +98,6 @@
             zone: sum(zone in zones for zones in remote.values())
             for zone in {node.zone for node in nodes}
         }
-        return min(rotated, key=lambda node: (-covered[node.zone], self._open_requests(node)))
+        return min(
+            rotated, key=lambda node: (-covered[node.zone], self._open_delegation_count(node))
+        )
--- a/wingquay/forwarding/peers/request_rate.py
+++ b/wingquay/forwarding/peers/request_rate.py
@@ -2,12 +2,12 @@
 
 import math
 
-RATE_MEMORY_SECONDS = 10.0
+TIME_CONSTANT_SECONDS = 10.0
 """Time constant of the moving average."""
 
 
 class RequestRate:
-    """Exponentially decaying request rate."""
+    """Moving average of the request rate with exponential decay."""
 
     def __init__(self) -> None:
         self._requests = 0.0
@@ -20,7 +20,7 @@
 
     def per_second(self, now: float) -> float:
         """Return the average number of requests per second."""
-        return self._decayed(now) / RATE_MEMORY_SECONDS
+        return self._decayed(now) / TIME_CONSTANT_SECONDS
 
     def _decayed(self, now: float) -> float:
-        return self._requests * math.exp(-(now - self._counted_at) / RATE_MEMORY_SECONDS)
+        return self._requests * math.exp(-(now - self._counted_at) / TIME_CONSTANT_SECONDS)
--- a/wingquay/forwarding/peers/shard_placement.py
+++ b/wingquay/forwarding/peers/shard_placement.py
@@ -48,7 +48,7 @@
 
 
 class ShardPlacement:
-    """Chooses the owners of the shards of wide requests.
+    """Chooses the shard owners for wide requests.
 
     Parameters
     ----------
@@ -99,7 +99,7 @@
     def sharing_nodes(self, shard: str, now: float) -> int:
         """Return the number of nodes that usually contact a shard."""
         zones = len(self._directory.zones_of(shard, now)) or 1
-        return zones * self._owner_sets(now)
+        return zones * self._owner_set_count(now)
 
     def _compute_owners(
         self, shards: tuple[str, ...], now: float
@@ -127,19 +127,21 @@
         return None if node.name == self._groups.name else node.record.identity
 
     def _assign(
-        self, nodes: list[GroupNode], zone_shards: tuple[str, ...], shards: int, now: float
+        self, nodes: list[GroupNode], zone_shards: tuple[str, ...], shard_count: int, now: float
     ) -> dict[str, GroupNode]:
         """Return the owner of each shard with a replica in the zone."""
-        size = max(1, round(len(zone_shards) / math.sqrt(shards)))
-        owner_sets = self._owner_sets(now)
-        selected = fastest_nodes(nodes, size * owner_sets)
-        own_set = selected[_set_index(self._groups.name, owner_sets) :: owner_sets] or selected
+        size = max(1, round(len(zone_shards) / math.sqrt(shard_count)))
+        owner_set_count = self._owner_set_count(now)
+        selected = fastest_nodes(nodes, size * owner_set_count)
+        own_set = (
+            selected[_set_index(self._groups.name, owner_set_count) :: owner_set_count] or selected
+        )
         by_name = {node.name: node for node in own_set}
         weights = {name: node.record.processor for name, node in sorted(by_name.items())}
         assigned = assign_bounded(weights, zone_shards)
         return {shard: by_name[name] for shard, name in assigned.items()}
 
-    def _owner_sets(self, now: float) -> int:
+    def _owner_set_count(self, now: float) -> int:
         """Return the number of owner sets that the total request rate requires."""
         shards = self._groups.max_shard_count
         zones = max(1, self._groups.zones)
@@ -152,10 +154,10 @@
 def fastest_nodes(nodes: Collection[GroupNode], count: int) -> list[GroupNode]:
     """Return the nodes with the fastest processors; ties are resolved alike on all nodes."""
 
-    def rank(node: GroupNode) -> tuple[float, int]:
+    def speed_key(node: GroupNode) -> tuple[float, int]:
         return -node.record.processor, xxhash.xxh64_intdigest(node.name.encode())
 
-    return sorted(nodes, key=rank)[:count]
+    return sorted(nodes, key=speed_key)[:count]
 
 
 def assign_bounded(weights: Mapping[str, float], shards: tuple[str, ...]) -> dict[str, str]:
@@ -182,5 +184,5 @@
     return assigned
 
 
-def _set_index(name: str, owner_sets: int) -> int:
-    return xxhash.xxh64_intdigest(name.encode()) % owner_sets
+def _set_index(name: str, owner_set_count: int) -> int:
+    return xxhash.xxh64_intdigest(name.encode()) % owner_set_count
--- a/wingquay/forwarding/peers/takeover_timeout.py
+++ b/wingquay/forwarding/peers/takeover_timeout.py
@@ -10,8 +10,8 @@
 class TakeoverTimeout:
     """Adapts the takeover timeout to the usual acknowledgement time of nodes.
 
-    If nodes are slow on average, a silent node is given more time. Otherwise each node would take
-    over from all others and do all the work itself.
+    If nodes are slow on average, a silent node is given more time, so that this node does not take
+    over from all of them.
 
     Parameters
     ----------
--- a/wingquay/forwarding/peers/zone_choice.py
+++ b/wingquay/forwarding/peers/zone_choice.py
@@ -7,8 +7,8 @@
 MAX_ZONES_SEARCHED = 10
 """Maximum number of zones for an exhaustive search; a greedy search is used beyond it."""
 MIN_OWNERS_RATIO = 0.75
-"""Minimum number of owners as a share of the square root of the number of shards; with fewer, a
-request is spread over further zones."""
+"""Minimum number of nodes in the chosen zones, as a multiple of the square root of the number of
+shards."""
 
 
 def choose_zones(
@@ -54,12 +54,12 @@
     own_zone: str,
     nodes_per_zone: Mapping[str, int],
     replica_zones: Mapping[str, Collection[str]],
-    zones: Mapping[str, str],
+    zone_by_shard: Mapping[str, str],
 ) -> Mapping[str, str]:
-    """Return the zone in which each shard is contacted, using more zones if these have few nodes.
+    """Return the zone in which each shard is contacted, with enough nodes for the work.
 
-    With too few owners, the processor time of each one outweighs the cost of further messages and
-    of network round trips to other zones.
+    Zones are added until the chosen zones have at least ``MIN_OWNERS_RATIO * sqrt(shards)`` nodes.
+    With fewer, the processor time per node dominates the latency.
 
     Parameters
     ----------
@@ -67,27 +67,27 @@
         The number of nodes in each zone.
     replica_zones
         The zones with a replica of each shard.
-    zones
-        The zone of each shard with as few zones as possible.
+    zone_by_shard
+        The zone of each shard, with as few zones as possible.
     """
-    wanted = math.sqrt(len(zones)) * MIN_OWNERS_RATIO
+    wanted = math.sqrt(len(zone_by_shard)) * MIN_OWNERS_RATIO
     names = sorted(nodes_per_zone)
     start = names.index(own_zone) if own_zone in names else 0
-    used = set(zones.values())
+    used = set(zone_by_shard.values())
     for zone in names[start:] + names[:start]:
         if sum(nodes_per_zone[name] for name in used) >= wanted:
             break
         if any(zone in holding_zones for holding_zones in replica_zones.values()):
             used.add(zone)
-    if used == set(zones.values()):
-        return zones
+    if used == set(zone_by_shard.values()):
+        return zone_by_shard
     assigned_counts = dict.fromkeys(used, 0)
     spread: dict[str, str] = {}
-    for shard in sorted(zones):
+    for shard in sorted(zone_by_shard):
         zone = min(
             (name for name in sorted(used) if name in replica_zones[shard]),
             key=lambda name: assigned_counts[name] / nodes_per_zone[name],
-            default=zones[shard],
+            default=zone_by_shard[shard],
         )
         assigned_counts[zone] += 1
         spread[shard] = zone
--- a/wingquay/orchestration/node_machine.py
+++ b/wingquay/orchestration/node_machine.py
@@ -30,7 +30,7 @@
 SEED_BITS = 64
 
 
-class RoutedMachine(Protocol):
+class SubscribedMachine(Protocol):
     """A machine that declares the events and peer messages it handles."""
 
     EVENTS: ClassVar[tuple[type[Event], ...]]
@@ -42,7 +42,7 @@
 
 
 class NodeMachine:
-    """The machines of one node and the routes between them.
+    """The machines of one node and the events and messages that each of them handles.
 
     Parameters
     ----------
@@ -53,7 +53,7 @@
     listeners
         Further machines, which handle events after all others.
     random_source
-        Seeds a separate source for each machine, so that their random values are independent.
+        Creates a separate source for each machine, so that their random values are independent.
     """
 
     def __init__(
@@ -62,7 +62,7 @@
         settings: NodeMachineSettings,
         random_source: random.Random,
         seeds: Iterable[SeedAddress] = (),
-        listeners: Iterable[RoutedMachine] = (),
+        listeners: Iterable[SubscribedMachine] = (),
     ) -> None:
         self._identity = identity
         self._settings = settings
@@ -73,10 +73,10 @@
             _child_source(random_source),
             settings.disabled,
         )
-        links = OwnerSelector(
+        owner_selector = OwnerSelector(
             identity, settings.routing.owners_per_shard, _child_source(random_source)
         )
-        self._coordinator = Coordinator(identity, settings.query, links, settings.disabled)
+        self._coordinator = Coordinator(identity, settings.query, owner_selector, settings.disabled)
         self._configuration = ConfigurationMachine(
             identity, _child_source(random_source), settings.disabled
         )
@@ -92,7 +92,7 @@
         self._stop = StopMachine(
             settings.stop, self.in_flight, self.assignments_to_hand_over, settings.disabled
         )
-        machines: list[RoutedMachine] = [
+        machines: list[SubscribedMachine] = [
             membership,
             self._configuration,
             self._claims,
@@ -103,12 +103,12 @@
             CallerAccess(),
             *listeners,
         ]
-        self._by_event: dict[type[Event], list[RoutedMachine]] = {}
-        self._by_message: dict[type[PeerMessage], list[RoutedMachine]] = {}
+        self._by_event: dict[type[Event], list[SubscribedMachine]] = {}
+        self._by_message: dict[type[PeerMessage], list[SubscribedMachine]] = {}
         for machine in machines:
-            self._add_routes(machine)
+            self._subscribe(machine)
 
-    def _add_routes(self, machine: RoutedMachine) -> None:
+    def _subscribe(self, machine: SubscribedMachine) -> None:
         for event_type in machine.EVENTS:
             self._by_event.setdefault(event_type, []).append(machine)
         for message_type in machine.PEER_MESSAGES:
@@ -134,7 +134,7 @@
         return self._coordinator.in_flight + self._owner.in_flight
 
     def assignments_to_hand_over(self) -> int:
-        """Return the number of assignments with remembered claims still to be handed over."""
+        """Return the number of assignments whose claims no other node has taken over yet."""
         return self._claims.assignments_to_hand_over
 
     def handle(self, event: Event, now: float) -> list[Action]:
@@ -148,7 +148,7 @@
                     self._dispatch(action, pending, external)
         return external
 
-    def _machines_for(self, event: Event) -> list[RoutedMachine]:
+    def _machines_for(self, event: Event) -> list[SubscribedMachine]:
         if isinstance(event, PeerReceived):
             return self._by_message.get(type(event.message), [])
         return self._by_event.get(type(event), [])
--- a/wingquay/orchestration/stop_machine.py
+++ b/wingquay/orchestration/stop_machine.py
@@ -29,7 +29,7 @@
     in_flight
         Returns the number of open requests and sub-requests of this node.
     assignments_to_hand_over
-        Returns the number of assignments with remembered claims that wait for their next holder.
+        Returns the number of assignments whose claims no other node has taken over yet.
     """
 
     EVENTS: ClassVar[tuple[type[Event], ...]] = (ConfigurationInForce, StopRequested, StopCheckDue)
