--- a/tests/forwarding/crashing/test_guard.py
+++ b/tests/forwarding/crashing/test_guard.py
@@ -302,7 +302,7 @@
         returned = [
             place
             for item in sent_messages(one, DelegatedAnswer)
-            for place in item.finished_services
+            for place in item.given_back
         ]  # type: ignore[attr-defined]
         # Also after the first disconnect, the delegate may not send to a second replica.
         self.assertEqual(list(range(SHARDS)), sorted(returned))
