--- a/wingquay/forwarding/peers/delegated_work.py
+++ b/wingquay/forwarding/peers/delegated_work.py
@@ -58,7 +58,7 @@
         )
         return [SendToPeer(self.node, message)]
 
-    def give_back(self, exchange: Exchange) -> list[Action]:
+    def return_calls(self, exchange: Exchange) -> list[Action]:
         """Leave calls without an open attempt to the delegating node; return the message."""
         returned = [call for call in exchange.calls if call.answer is None and not call.attempts]
         exchange.calls = [call for call in exchange.calls if call not in returned]
@@ -67,7 +67,7 @@
         message = DelegatedAnswer(
             self.delegation_id,
             given_back=tuple(self.positions[call.service] for call in returned),
-            arrivals=tuple(call.arrivals for call in returned),
+            arrivals=tuple(call.send_count for call in returned),
         )
         return [SendToPeer(self.node, message)] if returned else []
 
@@ -137,7 +137,7 @@
             if position not in declined
         ]
         for call in exchange.calls:
-            call.is_owned = message.is_group_share
+            call.is_owned_by_this_node = message.is_group_share
         self._settlement.add(exchange)
         self._remove_closed()
         self._open[(sender.node_id, message.delegation_id)] = exchange
--- a/wingquay/forwarding/peers/delegation_takeover.py
+++ b/wingquay/forwarding/peers/delegation_takeover.py
@@ -71,7 +71,7 @@
         """Remove a delegation that the other node has not started."""
         for call in delegation.open_calls:
             call.delegated_attempts = 0
-            call.arrivals -= 1
+            call.send_count -= 1
         self._open.remove(delegation)
 
     def _can_retry(self, call: ServiceCall) -> bool:
