--- a/wingquay/forwarding/peers/shard_placement.py
+++ b/wingquay/forwarding/peers/shard_placement.py
@@ -3,7 +3,7 @@
 A few nodes of each zone own the shards with a replica there: enough to share the work of one
 request, and more only if the total request rate requires it. An owner contacts its shards for many
 nodes, so its connections are open, it has recent latencies of the replicas, and the budget of extra
-arrivals is divided among few nodes. A request goes to owners in as few zones as possible,
+requests is divided among few nodes. A request goes to owners in as few zones as possible,
 preferably in the node's own zone. Each owner merges its records before they cross between zones.
 
 Within a zone the nodes with the fastest processors are owners. Shards are assigned to them by
