--- a/tests/forwarding/crashing/test_guard.py
+++ b/tests/forwarding/crashing/test_guard.py
@@ -2,7 +2,7 @@
 
 from testtools import TestCase
 
-from tests.forwarding.linked_nodes import OTHERS, OWN, delegated, join, node_in_group, told
+from tests.forwarding.linked_nodes import OTHERS, OWN, delegated, join, node_in_group, sent_messages
 from tests.forwarding.one_node import (
     HELD_PREFIX,
     OneNode,
@@ -201,7 +201,7 @@
 class CrashReportTest(TestCase):
     def test_a_hold_is_reported_to_other_nodes(self) -> None:
         one = node_with_held_request()
-        reports = [item for item in told(one, CrashReport) if item.held_seconds]  # type: ignore[attr-defined]
+        reports = [item for item in sent_messages(one, CrashReport) if item.held_seconds]  # type: ignore[attr-defined]
         self.assertEqual(len(OTHERS), len(reports))
         self.assertEqual(3, len(reports[0].crashes))  # type: ignore[attr-defined]
 
@@ -209,7 +209,7 @@
         one = linked_node()
         one.request("/one/crash")
         one.crash_replica(one.sends[0])
-        self.assertEqual([], told(one, CrashReport))
+        self.assertEqual([], sent_messages(one, CrashReport))
 
     def test_crashes_of_a_request_that_is_answered_soon_are_not_reported(self) -> None:
         one = linked_node()
@@ -217,18 +217,18 @@
         one.crash_replica(one.sends[0])
         one.answer(one.sends[0])
         one.advance(REPORT_DELAY_SECONDS + 0.05)
-        self.assertEqual([], [item for item in told(one, CrashReport) if item.crashes])  # type: ignore[attr-defined]
+        self.assertEqual([], [item for item in sent_messages(one, CrashReport) if item.crashes])  # type: ignore[attr-defined]
 
     def test_crashes_are_reported_before_the_request_is_held(self) -> None:
         one = linked_node()
         crash_single_service(one, 2)
         self.assertEqual([], one.logs("request_held"))
-        self.assertEqual(2, max(len(item.crashes) for item in told(one, CrashReport)))  # type: ignore[attr-defined]
+        self.assertEqual(2, max(len(item.crashes) for item in sent_messages(one, CrashReport)))  # type: ignore[attr-defined]
 
     def test_crashes_reported_by_another_node_count(self) -> None:
         one, two = linked_node(), linked_node()
         crash_single_service(one, 2)
-        two.emit(PeerReceived(OTHERS[0], told(one, CrashReport)[-1]))  # type: ignore[arg-type]
+        two.emit(PeerReceived(OTHERS[0], sent_messages(one, CrashReport)[-1]))  # type: ignore[arg-type]
         two.advance(0.2)
         crash_single_service(two, 1)
         self.assertEqual(1, len(two.logs("request_held")))
@@ -237,7 +237,7 @@
         one, two = node_with_held_request(), linked_node()
         number = two.request("/one/crash")
         (send,) = two.sends
-        (report, *_) = [item for item in told(one, CrashReport) if item.held_seconds]  # type: ignore[attr-defined]
+        (report, *_) = [item for item in sent_messages(one, CrashReport) if item.held_seconds]  # type: ignore[attr-defined]
         two.emit(PeerReceived(OTHERS[0], report))  # type: ignore[arg-type]
         self.assertEqual([send.attempt_id], two.cancelled)
         self.assertIs(ForwardFailureKind.FAILED, two.replies[number].kind)  # type: ignore[union-attr]
@@ -246,18 +246,18 @@
 
     def test_a_report_is_forwarded_once(self) -> None:
         one, two = node_with_held_request(), linked_node()
-        (report, *_) = [item for item in told(one, CrashReport) if item.held_seconds]  # type: ignore[attr-defined]
+        (report, *_) = [item for item in sent_messages(one, CrashReport) if item.held_seconds]  # type: ignore[attr-defined]
         for _ in range(3):
             two.emit(PeerReceived(OTHERS[0], report))  # type: ignore[arg-type]
-        self.assertEqual(1, len(told(two, CrashReport)))
+        self.assertEqual(1, len(sent_messages(two, CrashReport)))
 
     def test_an_answer_at_one_node_clears_the_request_at_others(self) -> None:
         one, two = linked_node(), linked_node()
         crash_single_service(one, 2)
-        two.emit(PeerReceived(OTHERS[0], told(one, CrashReport)[-1]))  # type: ignore[arg-type]
+        two.emit(PeerReceived(OTHERS[0], sent_messages(one, CrashReport)[-1]))  # type: ignore[arg-type]
         two.request("/one/crash")
         two.answer(two.sends[0])
-        cleared = [item for item in told(two, CrashReport) if item.is_cleared]  # type: ignore[attr-defined]
+        cleared = [item for item in sent_messages(two, CrashReport) if item.is_cleared]  # type: ignore[attr-defined]
         one.emit(PeerReceived(OTHERS[0], cleared[0]))  # type: ignore[arg-type]
         crash_single_service(one, 1)
         self.assertEqual([], one.logs("request_held"))
@@ -274,7 +274,7 @@
         self.assertEqual([], delegating.sends)
         request = DelegatedRequest(1, "id", opaque_of(owner), "one", ("s",), 0, 0, 1.0, 1.0, 1.0)
         owner.emit(PeerReceived(OTHERS[0], request))
-        (answer,) = told(owner, DelegatedAnswer)
+        (answer,) = sent_messages(owner, DelegatedAnswer)
         self.assertGreater(answer.held_seconds, 0.0)  # type: ignore[attr-defined]
         self.assertEqual([], owner.sends)
 
@@ -299,7 +299,11 @@
         one.emit(PeerReceived(OTHERS[0], request))
         for send in list(one.sends):
             one.disconnect(send)
-        returned = [position for item in told(one, DelegatedAnswer) for position in item.given_back]  # type: ignore[attr-defined]
+        returned = [
+            position
+            for item in sent_messages(one, DelegatedAnswer)
+            for position in item.given_back
+        ]  # type: ignore[attr-defined]
         # Also after the first disconnect, the delegate may not send to a second replica.
         self.assertEqual(list(range(SHARDS)), sorted(returned))
         self.assertEqual([], one.sends)
--- a/wingquay/forwarding/arrival/no_checks.py
+++ b/wingquay/forwarding/arrival/admit_all.py
@@ -1,20 +1,20 @@
-"""What is asked about the limits of tenants where no other part answers: they never bind."""
+"""Admission without tenant limits."""
 
 from ...model.tenants import Tenant
 from ...ports.forwarding import OpaqueRequest
 from .admission import Admitted, AwaitsLimit, Rejected
 
-_COUNTED = Admitted(OpaqueRequest(b"", b"", ()))
+_ADMITTED = Admitted(OpaqueRequest(b"", b"", ()))
 
 
 class NoLimits:
-    """A node that counts no tenant's requests."""
+    """Implements tenant limits for nodes that enforce none."""
 
     def admit(
         self, _tenant: Tenant, _exchange_id: int, _now: float
     ) -> Admitted | Rejected | AwaitsLimit:
-        """Let every request run."""
-        return _COUNTED
+        """Admit every request."""
+        return _ADMITTED
 
     def give_back(self, _tenant: Tenant, _exchange_id: int, _now: float) -> None:
-        """Take nothing back: nothing was counted."""
+        """Do nothing, since nothing was counted."""
--- a/wingquay/forwarding/arrival/limits/budget.py
+++ b/wingquay/forwarding/arrival/limits/budget.py
@@ -1,8 +1,10 @@
-"""How what may run of a tenant is divided, so that no cut of the fleet lets more run than allowed.
+"""Divides a tenant's limit among nodes so that a network partition cannot exceed it.
 
-The bound is the allowance (what callers were promised) and a spare on top. Two owners divide the
-whole but for what stands aside for restarts, for nodes that reach no owner, and for what is under
-way, as `docs/design/limits-over-nodes.md` proves. Every part is a number of requests in a window.
+The bound is the allowance, which callers were promised, plus a spare. Parts of the spare are set
+aside for restarts, for nodes that reach no owner and for requests not reported yet. The rest is
+divided between the two owners of the tenant, the primary and the second one; the second owner lends
+part of its requests to the primary. `docs/design/limits-over-nodes.md` contains the proof. All
+values are numbers of requests per window.
 """
 
 import math
@@ -11,112 +13,111 @@
 from ....model.value import value
 from .limit_settings import LimitSettings
 
-JITTER_PART = 0.10
-"""Of the spare, permitted on top of the allowance: the way from caller to node takes a few
-milliseconds more or less, so callers that keep their limit seem to exceed it by a request or two.
-A refusal within the limit costs a caller more than one request beyond it costs anybody."""
-APART_PART = 0.15
-"""Of the spare: what the second owner does not lend. The other side of a cut lives on it for the
-first window, for tenants that were at their limit just then."""
-FRESH_PART = 0.45
-"""Of the spare: what a primary owner permits while it cannot know the last window. All nodes may
-have been killed right after a whole allowance ran. It is the largest part, since it is all that
-tenants get then."""
-RESERVE_PART = 0.10
-"""Of the spare: what nodes that reach no owner permit together. More would go to single nodes that
-are cut off, which serve few callers."""
-UNDER_WAY_PART = 1.0 - JITTER_PART - APART_PART - FRESH_PART - RESERVE_PART
-"""Of the spare: begun at once and not told yet when a link breaks, and lost with an owner that
-ends: what arrives within the time of silence."""
+JITTER_SHARE = 0.10
+"""Share of the spare that is permitted on top of the allowance; covers network jitter."""
+UNLENT_SHARE = 0.15
+"""Share of the spare that the second owner never lends, so that it can still permit requests when a
+network partition separates it from the primary."""
+UNKNOWN_WINDOW_SHARE = 0.45
+"""Share of the spare that a primary owner permits while the requests of the last window are unknown
+to it."""
+RESERVE_SHARE = 0.10
+"""Share of the spare for the reserve: requests of all nodes that reach no owner."""
+UNREPORTED_SHARE = 1.0 - JITTER_SHARE - UNLENT_SHARE - UNKNOWN_WINDOW_SHARE - RESERVE_SHARE
+"""Share of the spare for requests that start before a permit and are not reported yet when a link
+breaks or an owner crashes."""
 PRIMARY_SHARE = 0.6
-"""Part of the divided whole that the primary owner may permit without the other's word. Above one
-half: a tenant that is not hot never needs a loan."""
+"""Share of the divided requests that the primary owner permits without a loan."""
 
-LOAN_FROM = 0.85
-"""Part of what the primary may permit from which on it borrows more. What is left lasts for the few
-milliseconds until it comes: at 500 requests a second of a tenant of 50 in 5 s for 10 ms."""
+LOAN_THRESHOLD = 0.85
+"""Share of what the primary may permit at which it borrows more, so that a loan arrives before the
+rest is used up."""
 LOAN_STEPS = 4
-"""In so many steps the second owner's part is lent: what is lent cannot serve anybody behind a cut
-for a window, so no more is borrowed than is needed."""
+"""Number of steps in which the second owner's part is lent. The second owner cannot permit lent
+requests until the loan and one window are over."""
 
 
 @value
 class Budget:
-    """The parts of one tenant's bound.
+    """Requests that each owner of a tenant may permit per window.
 
     Parameters
     ----------
     allowance
-        Requests in a window that its callers were promised.
+        Requests per window that callers were promised.
     spare
-        How many more may run.
+        Requests per window that may run beyond the allowance.
     """
 
     allowance: float
     spare: float
 
     @property
-    def most(self) -> float:
-        """What may run at all."""
+    def max_requests(self) -> float:
+        """Maximum number of requests that may run per window."""
         return self.allowance + self.spare
 
     @property
-    def whole(self) -> float:
-        """What a primary owner permits that has the other's part, too."""
-        return self.allowance + JITTER_PART * self.spare
+    def primary_limit_full_loan(self) -> float:
+        """Requests that the primary permits with all that the second owner can lend."""
+        return self.allowance + JITTER_SHARE * self.spare
 
     @property
-    def primary_alone(self) -> float:
-        """What a primary owner permits without the other's word."""
-        return self._divided - self.second_alone
+    def primary_limit_no_loan(self) -> float:
+        """Requests that the primary permits without a loan."""
+        return self._divisible - self.second_limit_no_loan
 
     @property
-    def second_alone(self) -> float:
-        """What the second owner permits in its own right if nothing of that is lent."""
-        return max((1.0 - PRIMARY_SHARE) * self._divided, self.second_apart)
+    def second_limit_no_loan(self) -> float:
+        """Requests that the second owner permits if it lends nothing."""
+        return max((1.0 - PRIMARY_SHARE) * self._divisible, self.second_unlendable)
 
     @property
-    def second_apart(self) -> float:
-        """What the second owner does not lend."""
-        return APART_PART * self.spare
+    def second_unlendable(self) -> float:
+        """Requests that the second owner never lends."""
+        return UNLENT_SHARE * self.spare
 
     @property
     def lendable(self) -> int:
-        """How many requests the second owner may lend."""
-        return int(self.second_alone - self.second_apart)
-
-    def with_loan(self, loan: int) -> float:
-        """Return what the primary permits with so much lent to it."""
-        return self.whole if loan >= self.lendable else self.primary_alone + loan
-
-    def without(self, lent: int) -> float:
-        """Return what the second owner permits in its own right with so much lent by it."""
-        return self.second_apart if lent >= self.lendable else self.second_alone - lent
-
-    def loan_for(self, counted: int) -> int:
-        """Return how much the primary needs lent when so many requests count."""
+        """Requests that the second owner can lend."""
+        return int(self.second_limit_no_loan - self.second_unlendable)
+
+    def primary_limit_with_loan(self, loan: int) -> float:
+        """Return the number of requests that the primary permits with a loan of the given size."""
+        return (
+            self.primary_limit_full_loan
+            if loan >= self.lendable
+            else self.primary_limit_no_loan + loan
+        )
+
+    def second_limit_after_lending(self, lent: int) -> float:
+        """Return the number of requests that the second owner permits after it has lent some."""
+        return self.second_unlendable if lent >= self.lendable else self.second_limit_no_loan - lent
+
+    def required_loan(self, counted: int) -> int:
+        """Return the loan that the primary needs when the given number of requests count."""
         for step in range(LOAN_STEPS):
             loan = math.ceil(self.lendable * step / LOAN_STEPS)
-            if counted < LOAN_FROM * self.with_loan(loan):
+            if counted < LOAN_THRESHOLD * self.primary_limit_with_loan(loan):
                 return loan
         return self.lendable
 
     @property
-    def fresh(self) -> float:
-        """What a primary owner permits that cannot know the last window."""
-        return FRESH_PART * self.spare
+    def primary_limit_unknown_window(self) -> float:
+        """Requests that a primary permits while the last window is not known to it."""
+        return UNKNOWN_WINDOW_SHARE * self.spare
 
     @property
-    def reserves(self) -> int:
-        """How many nodes may let one request run without asking anybody."""
-        return int(RESERVE_PART * self.spare)
+    def reserve_nodes(self) -> int:
+        """Number of nodes that may each start one request from the reserve."""
+        return int(RESERVE_SHARE * self.spare)
 
     @property
-    def _divided(self) -> float:
-        return self.allowance + (JITTER_PART + APART_PART) * self.spare
+    def _divisible(self) -> float:
+        return self.allowance + (JITTER_SHARE + UNLENT_SHARE) * self.spare
 
 
-def budget_of(tenant: Tenant, settings: LimitSettings) -> Budget:
-    """Return the parts of a tenant's bound."""
+def compute_budget(tenant: Tenant, settings: LimitSettings) -> Budget:
+    """Return how a tenant's limit is divided."""
     allowance = tenant.requests_per_second * settings.window_seconds + tenant.burst
     return Budget(allowance, allowance * settings.overage + settings.slack)
--- a/wingquay/forwarding/peers/delegation_reports.py
+++ b/wingquay/forwarding/peers/delegation_reports.py
@@ -1,4 +1,4 @@
-"""Takes in what other nodes report of the shards that they were asked for."""
+"""Handles the reports of other nodes on their delegations."""
 
 from ...ports.delegation import AllowAttempts, DelegatedAnswer
 from ...ports.forwarding import ReplicaAnswer
@@ -15,12 +15,12 @@
 
 
 class DelegationReports:
-    """Answers, and shards that a node leaves to this one.
+    """Applies acknowledgements, answers and returned shards.
 
     Parameters
     ----------
-    takeover
-        Takes in how long a node took to say that it has the request.
+    takeover_timeout
+        Records how long nodes take to acknowledge a delegation.
     """
 
     def __init__(
@@ -29,44 +29,44 @@
         starter: CallStarter,
         guard: CrashGuard,
         sequential: SequentialSending,
-        takeover: TakeoverTimeout,
+        takeover_timeout: TakeoverTimeout,
     ) -> None:
         self._groups = groups
         self._starter = starter
         self._guard = guard
         self._sequential = sequential
-        self._takeover = takeover
+        self._takeover_timeout = takeover_timeout
 
-    def take(self, delegation: Delegation, message: DelegatedAnswer, now: float) -> list[Action]:
-        """Take in a report of a node that works on its share."""
+    def handle(self, delegation: Delegation, message: DelegatedAnswer, now: float) -> list[Action]:
+        """Handle a report on a delegation."""
         actions = self._declined(delegation, message.declined, now)
-        if not delegation.is_heard:
-            actions += self._heard(delegation, now)
+        if not delegation.is_acknowledged:
+            actions += self._acknowledged(delegation, now)
         actions += self._given_back(delegation, message, now)
         self._exhausted(delegation, message)
-        return actions + self._take_answers(delegation, message, now)
+        return actions + self._apply_answers(delegation, message, now)
 
-    def _heard(self, delegation: Delegation, now: float) -> list[Action]:
-        """Leave further attempts to a node that is there, unless this node has stepped in."""
-        delegation.is_heard = True
-        self._takeover.heard(now - delegation.sent_at)
+    def _acknowledged(self, delegation: Delegation, now: float) -> list[Action]:
+        """Leave further attempts to a node that is reachable, unless this node has taken over."""
+        delegation.is_acknowledged = True
+        self._takeover_timeout.record(now - delegation.sent_at)
         self._groups.clear_suspicion(delegation.node.node_id)
-        most = delegation.exchange.route.max_attempts
-        if delegation.is_lost or most <= 1:
+        max_attempts = delegation.exchange.route.max_attempts
+        if delegation.is_lost or max_attempts <= 1:
             return []
         for call in delegation.calls:
-            if call.service not in delegation.given_back:
-                call.delegated_attempts = most
-        return [SendToPeer(delegation.node, AllowAttempts(delegation.delegation_id, most))]
+            if call.service not in delegation.finished_services:
+                call.delegated_attempts = max_attempts
+        return [SendToPeer(delegation.node, AllowAttempts(delegation.delegation_id, max_attempts))]
 
     def _declined(
         self, delegation: Delegation, positions: tuple[int, ...], now: float
     ) -> list[Action]:
-        """Ask the shards directly of which the other node knows no replica."""
+        """Directly contact the shards for which the other node has no replica."""
         if not positions or delegation.is_lost:
             return []
         calls = [delegation.calls[position] for position in positions]
-        delegation.given_back.update(call.service for call in calls)
+        delegation.finished_services.update(call.service for call in calls)
         for call in calls:
             call.delegated_attempts = 0
             call.send_count -= 1
@@ -76,17 +76,20 @@
     def _given_back(
         self, delegation: Delegation, message: DelegatedAnswer, now: float
     ) -> list[Action]:
-        """Ask for shards that a node has left to this one, since replicas may end under them."""
+        """Contact the shards that the other node has returned.
+
+        It returns them if replicas may crash under this request.
+        """
         if not message.given_back or delegation.is_lost:
             return []
         exchange = delegation.exchange
         calls = [delegation.calls[position] for position in message.given_back]
-        delegation.given_back.update(call.service for call in calls)
+        delegation.finished_services.update(call.service for call in calls)
         for call, arrivals in zip(calls, message.arrivals, strict=True):
             call.send_count += arrivals - 1
             call.delegated_attempts = arrivals
             call.is_delegate_lost = arrivals > 0
-            call.history.append(f"given back after {arrivals}")
+            call.history.append(f"returned after {arrivals}")
             exchange.unexplained_disconnects += arrivals
         exchange.failures += len(calls)
         return self._starter.send_or_queue_all(
@@ -94,28 +97,29 @@
         )
 
     def _exhausted(self, delegation: Delegation, message: DelegatedAnswer) -> None:
-        """Take in that nothing comes of shards any more."""
+        """Record that shards can no longer be answered."""
         if not message.exhausted or delegation.is_lost:
             return
         calls = [delegation.calls[position] for position in message.exhausted]
-        delegation.given_back.update(call.service for call in calls)
+        delegation.finished_services.update(call.service for call in calls)
         for call in calls:
             call.delegated_attempts = delegation.exchange.route.max_attempts
             call.is_delegate_lost = True
             call.history.append("exhausted")
         delegation.exchange.failures += len(calls)
 
-    def _take_answers(
+    def _apply_answers(
         self, delegation: Delegation, message: DelegatedAnswer, now: float
     ) -> list[Action]:
-        """Take in merged records: they stand with the first shard that they came from."""
+        """Apply merged records, which are stored with the first of their shards."""
         exchange = delegation.exchange
         was_sequential = exchange.is_sequential
         body = message.body
         for position, signature in zip(message.shards, message.signatures, strict=True):
             call = delegation.calls[position]
             if call.answer is not None:
-                # Asked directly as well: its records are also among the merged ones.
+                # The shard was contacted directly as well, and the merged records contain its
+                # records too.
                 exchange.signatures.discard(str(call.answer.signature))
             call.record_answer(ReplicaAnswer(MERGED_STATUS, (), body, signature), now)
             exchange.signatures.add(signature)
--- a/wingquay/forwarding/peers/delegation_takeover.py
+++ b/wingquay/forwarding/peers/delegation_takeover.py
@@ -1,4 +1,4 @@
-"""Steps in for nodes that were asked for shards and do not bring them."""
+"""Takes over the shards of nodes that fail to answer a delegation."""
 
 from ...ports.machine import Action, Count, Log, LogLevel
 from ..choice.replica_directory import ReplicaDirectory
@@ -12,12 +12,12 @@
 
 
 class DelegationTakeover:
-    """Asks for the shards of lost nodes, and passes those nodes over for a while.
+    """Contacts the shards of lost nodes, and marks those nodes as suspect for a while.
 
     Parameters
     ----------
-    asking
-        Asks further nodes while a request is young.
+    dispatcher
+        Delegates to further nodes while a request is young.
     """
 
     def __init__(
@@ -27,76 +27,77 @@
         starter: CallStarter,
         settlement: Settlement,
         open_delegations: OpenDelegations,
-        asking: DelegationDispatcher,
-        takeover: TakeoverTimeout,
+        dispatcher: DelegationDispatcher,
+        takeover_timeout: TakeoverTimeout,
     ) -> None:
         self._groups = groups
         self._directory = directory
         self._starter = starter
         self._settlement = settlement
         self._open = open_delegations
-        self._asking = asking
-        self._takeover = takeover
+        self._dispatcher = dispatcher
+        self._takeover_timeout = takeover_timeout
 
-    def not_taken(self, delegation: Delegation, reason: str, now: float) -> list[Action]:
-        """Ask the shards of a node that has rejected the request."""
-        self._take_back(delegation)
-        return self._step_in(delegation, delegation.open_calls, reason, now)
+    def on_rejected(self, delegation: Delegation, reason: str, now: float) -> list[Action]:
+        """Contact the shards of a node that has rejected the delegation, and mark it as suspect."""
+        self._undo(delegation)
+        return self._take_over(delegation, delegation.open_calls, reason, now)
 
-    def not_reached(self, delegation: Delegation, reason: str, now: float) -> list[Action]:
-        """Ask for the shards of a node that cannot be reached, through others while it is early.
+    def on_unreachable(self, delegation: Delegation, reason: str, now: float) -> list[Action]:
+        """Handle a node that cannot be reached.
 
-        Most dials that fail do so within the first milliseconds of a request: nothing listens on a
-        machine that is starting.
+        Early in a request its shards are delegated to other nodes; later this node contacts them
+        itself.
         """
-        self._take_back(delegation)
+        self._undo(delegation)
         calls = delegation.open_calls
         exchange = delegation.exchange
-        if now >= exchange.arrived_at + self._takeover.seconds(exchange.route):
-            return self._step_in(delegation, calls, reason, now)
-        lost = self._pass_over(delegation, calls, reason, is_absent=True, now=now)
-        own, divided = self._asking.divide(exchange, calls, now)
-        return [*lost, *divided, *self._starter.send_or_queue_all(own, now)]
+        if now >= exchange.arrived_at + self._takeover_timeout.seconds(exchange.route):
+            return self._take_over(delegation, calls, reason, now)
+        lost = self._mark_lost(delegation, calls, reason, is_absent=True, now=now)
+        own, dispatched = self._dispatcher.dispatch(exchange, calls, now)
+        return [*lost, *dispatched, *self._starter.send_or_queue_all(own, now)]
 
-    def lost(self, delegation: Delegation, reason: str, now: float) -> list[Action]:
-        """Ask for the shards of a node that is silent or whose connection broke."""
+    def on_lost(self, delegation: Delegation, reason: str, now: float) -> list[Action]:
+        """Contact the shards of a node that is silent or whose connection broke."""
         calls = [call for call in delegation.open_calls if not call.attempts]
         for call in calls:
             call.is_delegate_lost = True
-            if self._can_ask_again(call):
+            if self._can_retry(call):
                 call.delegated_attempts = 0
-        return self._step_in(delegation, calls, reason, now)
+        return self._take_over(delegation, calls, reason, now)
 
-    def _take_back(self, delegation: Delegation) -> None:
-        """Forget a delegation for which nobody was asked."""
+    def _undo(self, delegation: Delegation) -> None:
+        """Remove a delegation that the other node has not started."""
         for call in delegation.open_calls:
             call.delegated_attempts = 0
             call.send_count -= 1
-        self._open.forget(delegation)
+        self._open.remove(delegation)
 
-    def _can_ask_again(self, call: ServiceCall) -> bool:
-        """Whether no replica is left that would be one too many, whomever the lost node asked."""
+    def _can_retry(self, call: ServiceCall) -> bool:
+        """Return whether this node may contact any replica without exceeding the attempt limit."""
         exchange = call.exchange
         if self._directory.has_restarted_since(call.service, exchange.arrived_at):
-            # The lost node may have asked the life before, which is one more.
+            # The lost node may have contacted the previous incarnation, which counts as a separate
+            # replica.
             return False
         return self._directory.replica_count(call.service) <= exchange.route.max_attempts
 
-    def _step_in(
+    def _take_over(
         self, delegation: Delegation, calls: list[ServiceCall], reason: str, now: float
     ) -> list[Action]:
-        """Ask the shards of a node directly and pass the node over for a while.
+        """Contact the shards of a node directly, and mark the node as lost.
 
-        What the node still brings is taken, unless it has rejected the request.
+        Later answers of the node are still used, unless it has rejected the request.
         """
         exchange = delegation.exchange
         exchange.failures += len(calls)
-        lost = self._pass_over(delegation, calls, reason, is_absent=False, now=now)
+        lost = self._mark_lost(delegation, calls, reason, is_absent=False, now=now)
         startable = [call for call in calls if call.attempts_left > 0]
         started = self._starter.send_or_queue_all(startable, now)
         return [*lost, *started, *self._settlement.settle(exchange, now)]
 
-    def _pass_over(
+    def _mark_lost(
         self,
         delegation: Delegation,
         calls: list[ServiceCall],
@@ -104,13 +105,13 @@
         is_absent: bool,
         now: float,
     ) -> list[Action]:
-        """Pass a node over for a while."""
+        """Mark a delegation as lost and its node as suspect."""
         delegation.is_lost = True
         node_id = delegation.node.node_id
         self._groups.suspect(node_id, now, is_absent)
         fields = (
             ("request_id", delegation.exchange.event.request_id),
-            ("node_asked", node_id),
+            ("delegate", node_id),
             ("shards", len(calls)),
             ("reason", reason),
         )
--- a/wingquay/forwarding/peers/takeover_timeout.py
+++ b/wingquay/forwarding/peers/takeover_timeout.py
@@ -1,37 +1,37 @@
-"""When a node that was asked for shards and has not said anything counts as lost."""
+"""Time after which a node that has not acknowledged a delegation is considered lost."""
 
 from ...model.routing_table import Route
 from ..settings import ForwardingSettings
 
-WEIGHT = 0.1
-"""How far one node that is heard moves the mean."""
+MEAN_WEIGHT = 0.1
+"""Weight of a new value in the moving average."""
 
 
 class TakeoverTimeout:
-    """Follows how long nodes usually take to say that they have taken a request.
+    """Adapts the takeover timeout to the usual acknowledgement time of nodes.
 
-    Where that is long, since their machines are weak, a silent one is given longer: to step in for
-    all of them would make every node do all work by itself.
+    If nodes are slow on average, a silent node is given more time, so that this node does not take
+    over from all of them.
 
     Parameters
     ----------
     settings
-        The time as a share of a route's objective, and in usual times.
+        The timeout as a share of a route's objective and as a multiple of the average.
     """
 
     def __init__(self, settings: ForwardingSettings) -> None:
         self._settings = settings
-        self._usual_seconds = 0.0
-        """A moving mean over all nodes; 0 before anything was heard."""
+        self._mean_seconds = 0.0
+        """Moving average of the acknowledgement time of all nodes; 0 before the first one."""
 
-    def heard(self, seconds: float) -> None:
-        """Take in how long a node took."""
-        self._usual_seconds += WEIGHT * (seconds - self._usual_seconds)
+    def record(self, seconds: float) -> None:
+        """Record the acknowledgement time of a node."""
+        self._mean_seconds += MEAN_WEIGHT * (seconds - self._mean_seconds)
 
     def seconds(self, route: Route) -> float:
-        """Return the time after which this node steps in."""
+        """Return the time after which this node takes over."""
         settings = self._settings
         objective = route.objective_seconds
-        usual = objective * settings.delegate_takeover_ratio
-        slow = self._usual_seconds * settings.delegate_takeover_factor
-        return max(usual, min(slow, objective * settings.delegate_takeover_max_ratio))
+        default = objective * settings.delegate_takeover_ratio
+        scaled = self._mean_seconds * settings.delegate_takeover_factor
+        return max(default, min(scaled, objective * settings.delegate_takeover_max_ratio))
