--- a/tests/forwarding/crashing/test_guard.py
+++ b/tests/forwarding/crashing/test_guard.py
@@ -300,9 +300,7 @@
         for send in list(one.sends):
             one.disconnect(send)
         returned = [
-            position
-            for item in sent_messages(one, DelegatedAnswer)
-            for position in item.given_back
+            position for item in sent_messages(one, DelegatedAnswer) for position in item.given_back
         ]  # type: ignore[attr-defined]
         # Also after the first disconnect, the delegate may not send to a second replica.
         self.assertEqual(list(range(SHARDS)), sorted(returned))
--- a/tests/forwarding/test_unreadable_entries.py
+++ b/tests/forwarding/test_unreadable_entries.py
@@ -5,7 +5,7 @@
 from testtools import TestCase
 
 from tests.forwarding.one_node import REPLICA_PREFIX, OneNode, replica, single_route, table
-from wingquay.forwarding.log_limiter import OTHER_LINES_PER_SECOND
+from wingquay.forwarding.log_throttle import OTHER_LINES_PER_SECOND
 from wingquay.ports.store import StoredValue
 
 
--- a/tests/simulation/forwarding/test_tenants.py
+++ b/tests/simulation/forwarding/test_tenants.py
@@ -58,7 +58,7 @@
         self.assert_seen("which the key did not stand for")
 
     def test_a_node_that_forgets_for_whom_it_was_asked(self) -> None:
-        self.patch(delegated_work, "tenant_of", lambda _message: None)
+        self.patch(delegated_work, "build_tenant", lambda _message: None)
         self.assert_seen("told '', which the key did not stand for")
 
     def test_a_known_key_that_is_called_unknown(self) -> None:
--- a/wingquay/forwarding/forwarding_node.py
+++ b/wingquay/forwarding/forwarding_node.py
@@ -43,7 +43,7 @@
     StoreFollower,
 )
 from .knowledge.update_exchange import UpdateExchange
-from .log_limiter import LogLimiter
+from .log_throttle import LogThrottle
 from .periodic_work import RESUME_SECONDS as RESUME_SECONDS
 from .periodic_work import LagDue, PeriodicWork, SweepDue
 from .readiness.departure import Departure
@@ -125,7 +125,7 @@
         self._table: RoutingTable | None = None
         self._update_source = ""
         """Source of the store update being applied: ``poll``, ``listing`` or the id of a node."""
-        self._log_limiter = LogLimiter()
+        self._log_throttle = LogThrottle()
         candidate = random_source.randbytes(CLUSTER_KEY_BYTES)
         self._members = NodeMembership(
             name, settings, formats, self._nodes, self._presence, candidate
@@ -180,7 +180,7 @@
         actions += self._limits.handle(event, self._table, now)
         if self._reachability.observe(event, now):
             actions = actions + self._reachability.handle(event, now) + self._readiness.update(now)
-        return self._log_limiter.admit(actions, now)
+        return self._log_throttle.admit(actions, now)
 
     def store_snapshot(self) -> ReadResult | None:
         """Return this node's copy of the store for a node that cannot reach the store."""
--- a/wingquay/forwarding/log_limiter.py
+++ b/wingquay/forwarding/log_throttle.py
@@ -31,7 +31,7 @@
     dropped_lines: int = 0
 
 
-class LogLimiter:
+class LogThrottle:
     """Drops log lines that exceed the limit of their kind."""
 
     def __init__(self) -> None:
