--- a/wingquay/ports/operator.py
+++ b/wingquay/ports/operator.py
@@ -218,11 +218,11 @@
     in_force_since_seconds
         Time since the revision came into force on the node; ``None``: none is in force.
     store_reachable
-        Whether the last call to the store succeeded; ``None``: unknown.
+        Whether the last call to the store succeeded; ``None``: there was no call yet.
     store_last_reply_seconds
         Time since the last reply of the store; ``None``: no reply yet.
     watcher
-        Whether the node watches the store for its zone.
+        Whether the node holds one of its zone's watcher assignments.
     """
 
     node_id: NodeId
