--- a/tests/platform_adapter/test_group_on_loopback.py
+++ b/tests/platform_adapter/test_group_on_loopback.py
@@ -130,11 +130,11 @@
                 machines = [node._machine for node in group.nodes]
                 while not all(item.proof.is_proven(loop.time()) for item in machines):
                     await asyncio.sleep(0.05)
-                asks = [machine._proof_manager._asks for machine in machines]
+                proof_requests = [machine._proof_manager._sent for machine in machines]
                 while not all(
-                    len(item._asked) == NODES - 1
-                    and all(asked.given_at > 0.0 for asked in item._asked.values())
-                    for item in asks
+                    len(item._peers) == NODES - 1
+                    and all(peer.answered_at > 0.0 for peer in item._peers.values())
+                    for item in proof_requests
                 ):
                     await asyncio.sleep(0.05)
                 ages = [machine._proof_manager.age_seconds(loop.time()) for machine in machines]
