--- a/tests/simulation/forwarding/test_forwarding_simulation.py
+++ b/tests/simulation/forwarding/test_forwarding_simulation.py
@@ -175,7 +175,7 @@
         self.assertIn("replicas of", self.violations(*faults, settings=SHARED, seeds=20))
 
     def test_work_of_other_nodes_for_a_caller_that_left_is_caught(self) -> None:
-        self.replace(Delegations, "closed", lambda *_: [])
+        self.replace(Delegations, "on_closed", lambda *_: [])
         faults = (callers_leave, callers_leave, shard_dark, shard_dark, shard_dark)
         self.assertIn("after its caller left", self.violations(*faults, settings=SHARED))
 
