--- a/wingquay/admission/work_item.py
+++ b/wingquay/admission/work_item.py
@@ -26,9 +26,9 @@
     ----------
     requester
         Node that the result is sent to.
-    cost_seconds
+    expected_service_seconds
         Expected service time.
-    tried
+    excluded_replicas
         Replicas already tried or to be avoided; not chosen for further attempts.
     may_have_run
         Whether any replica may have run it; never reset.
--- a/wingquay/admission/work_table.py
+++ b/wingquay/admission/work_table.py
@@ -19,7 +19,7 @@
     ----------
     shards
         Shards whose held versions and queueing delay are reported with each result.
-    attempts
+    attempt_runner
         Cancels the running attempts of a finished sub-request.
     """
 
--- a/wingquay/claims/assignment.py
+++ b/wingquay/claims/assignment.py
@@ -15,7 +15,7 @@
 
 
 class AssignmentStatus(Enum):
-    """What this node can do for a partition."""
+    """What this node can do for a claim partition."""
 
     EMPTY = "empty"
     """The node never held the assignment or has lost it; it has no claims of the partition."""
@@ -44,7 +44,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PreviousAssignments:
-    """The assignments of a partition under the previous list of zones.
+    """The assignments of a claim partition under the previous list of zones.
 
     No node votes with them any more.
     """
@@ -66,7 +66,7 @@
 class Assignment:
     """The state of one assignment at this node.
 
-    An assignment makes one node of a zone the voter for the claims of one partition. Times are in
+    An assignment makes one node of a zone the voter for one claim partition. Times are in
     seconds on this node's clock; an infinite time means that nothing is scheduled.
 
     Parameters
@@ -154,7 +154,7 @@
 
 
 class LocalAssignments:
-    """All assignments of one node, by partition.
+    """All assignments of one node, by claim partition.
 
     Parameters
     ----------
@@ -230,7 +230,7 @@
         assignment.record_epochs((AssignmentEpoch(self.identity.zone, epoch),))
 
     def start_voting(self, assignment: Assignment) -> None:
-        """Start to vote for the partition."""
+        """Start to vote for the claim partition."""
         assignment.status = AssignmentStatus.VOTING
         assignment.accepted_until = -inf
         assignment.table_sources.clear()
--- a/wingquay/claims/assignment_document.py
+++ b/wingquay/claims/assignment_document.py
@@ -60,7 +60,7 @@
     assignments: dict[ZoneName, ZoneAssignments] = Field(default_factory=dict)
 
     def assignment_epochs(self, partition: int) -> tuple[AssignmentEpoch, ...]:
-        """Return the epochs of one partition, ordered by zone."""
+        """Return the epochs of one claim partition, ordered by zone."""
         return tuple(
             AssignmentEpoch(zone, assignments.epochs[partition])
             for zone, assignments in sorted(self.assignments.items())
@@ -95,7 +95,7 @@
         new_epochs: dict[int, int],
         taker: NodeId,
     ) -> "AssignmentDocument":
-        """Return the document with the new epochs, by partition, that ``taker`` begins."""
+        """Return the document with the new epochs, by claim partition, that ``taker`` begins."""
         epochs = [self.epoch(zone, partition) for partition in range(PARTITIONS)]
         takers = [self.taker(zone, partition) for partition in range(PARTITIONS)]
         for partition, epoch in new_epochs.items():
--- a/wingquay/claims/keys.py
+++ b/wingquay/claims/keys.py
@@ -1,4 +1,4 @@
-"""Claim keys, request digests, and the partitions of claims."""
+"""Claim keys, request digests, and claim partitions."""
 
 from collections.abc import Iterable
 from hashlib import blake2b
@@ -29,7 +29,7 @@
 
 
 def partition_of(key: str) -> int:
-    """Return the partition of a claim key."""
+    """Return the claim partition of a claim key."""
     return int(key[:_PARTITION_DIGITS], base=16) % PARTITIONS
 
 
--- a/wingquay/claims/memory.py
+++ b/wingquay/claims/memory.py
@@ -40,14 +40,14 @@
 
 @dataclass(slots=True)
 class MemoryUsage:
-    """The number of stored claims and the size of their outcomes, over all partitions of a node."""
+    """Number of stored claims and size of their outcomes, over all claim partitions of a node."""
 
     records: int = 0
     outcome_bytes: int = 0
 
 
 class PartitionMemory:
-    """The stored claims of one partition."""
+    """The stored claims of one claim partition."""
 
     def __init__(self, settings: ClaimsSettings, usage: MemoryUsage) -> None:
         self._settings = settings
--- a/wingquay/claims/table_sender.py
+++ b/wingquay/claims/table_sender.py
@@ -1,4 +1,4 @@
-"""Sends tables, which contain the claims of one partition, to other voters."""
+"""Sends tables, which contain the claims of one claim partition, to other voters."""
 
 from collections.abc import Iterator
 
--- a/wingquay/claims/transfers.py
+++ b/wingquay/claims/transfers.py
@@ -161,8 +161,8 @@
     def _retry_handovers(self, now: float) -> list[Action]:
         """Request accepted assignments again if no answer has come.
 
-        The previous holder stops voting when it answers, so a lost answer would leave the partition
-        without a voter in this zone.
+        The previous holder stops voting when it answers, so a lost answer would leave the claim
+        partition without a voter in this zone.
         """
         due = [fetch for fetch in self._fetches.values() if now >= fetch.retry_at]
         actions: list[Action] = []
--- a/wingquay/forwarding/arrival/limits/distributed_limits.py
+++ b/wingquay/forwarding/arrival/limits/distributed_limits.py
@@ -61,7 +61,7 @@
     Parameters
     ----------
     settings
-        The bound on requests, and the usage at which nodes ask an owner first.
+        The bound on requests, and the usage at which nodes need a permit first.
     random_source
         Adds jitter to the retry times sent to callers.
     now
--- a/wingquay/forwarding/arrival/limits/limit_settings.py
+++ b/wingquay/forwarding/arrival/limits/limit_settings.py
@@ -3,17 +3,17 @@
 from ....model.value import value
 
 HOT_RATIO = 0.5
-"""Share of the allowance at which a tenant becomes hot. It leaves room for the requests that arrive
-before all nodes are notified."""
+"""Share of the allowance at which a tenant becomes hot. It leaves capacity for the requests that
+arrive before all nodes are notified."""
 
 ASK_FIRST_RATIO = HOT_RATIO
-"""Share of the allowance at which nodes ask an owner before they start a request; 0 means
+"""Share of the allowance at which nodes need a permit before they start a request; 0 means
 always."""
 
 
 @value
 class LimitSettings:
-    """The bound on a tenant's requests and when nodes ask an owner first.
+    """The bound on a tenant's requests and when nodes need a permit first.
 
     Parameters
     ----------
@@ -21,7 +21,7 @@
         At most ``allowance * (1 + overage) + slack`` requests of a tenant run in each window of
         this length, where the allowance follows from the tenant's limit.
     ask_first_ratio
-        Share of the allowance at which nodes ask an owner before they start a request, at most
+        Share of the allowance at which nodes need a permit before they start a request, at most
         ``HOT_RATIO``; 0 means always.
     """
 
--- a/wingquay/forwarding/arrival/limits/owner_channel.py
+++ b/wingquay/forwarding/arrival/limits/owner_channel.py
@@ -16,7 +16,7 @@
 """Time without a reply after which an owner is considered unreachable."""
 CONTACT_VALID_SECONDS = 0.3
 """Time after a reply during which requests may start before the owner has permitted them. Later, a
-node asks first; this includes nodes with few requests, which seldom report."""
+node needs a permit first; this includes nodes with few requests, which seldom report."""
 MIN_PROBE_SECONDS = 0.5
 """Time until an unreachable owner is first probed."""
 MAX_PROBE_SECONDS = 4.0
@@ -59,8 +59,8 @@
         self._is_due = False
         self._last_reply_at = float("-inf")
         self._ask_first_until = float("-inf")
-        """Time until which the owner is asked first, since it may have sent messages about hot
-        tenants while it was unreachable."""
+        """Time until which requests need a permit of the owner first, since it may have sent
+        messages about hot tenants while it was unreachable."""
         self._sequence = 0
         self._reported_at = float("-inf")
         self._reports: deque[_Report] = deque()
@@ -76,7 +76,7 @@
         return now >= self._hot_until.get(name, now)
 
     def set_hot(self, name: str, seconds: float, now: float) -> None:
-        """Store for how long this owner must be asked first for a tenant; 0 ends it."""
+        """Store for how long a tenant's requests need a permit of this owner first; 0 ends it."""
         if seconds > 0:
             self._hot_until[name] = now + seconds
         else:
--- a/wingquay/forwarding/arrival/limits/owner_channels.py
+++ b/wingquay/forwarding/arrival/limits/owner_channels.py
@@ -63,7 +63,7 @@
         return actions
 
     def on_owners_changed(self, now: float) -> list[Action]:
-        """Open connections to the owners; ask first until they reply otherwise."""
+        """Open connections to the owners; require permits first until they reply otherwise."""
         ids = {owner.node_id for owner in self._owners.all_owners}
         for node_id in [node_id for node_id in self._channels if node_id not in ids]:
             del self._channels[node_id]
@@ -77,7 +77,7 @@
         return actions
 
     def on_resumed(self) -> None:
-        """Ask first after a suspension, since messages of the owners may still be unread."""
+        """Require permits first after a suspension; messages of the owners may still be unread."""
         for channel in self._channels.values():
             channel.requires_permit = True
 
--- a/wingquay/forwarding/arrival/limits/owner_role.py
+++ b/wingquay/forwarding/arrival/limits/owner_role.py
@@ -23,7 +23,7 @@
 HOT_WINDOWS = 2.0
 """Windows for which a tenant stays hot after its usage was last above the hot threshold."""
 MAX_WAITING = 1_000
-"""Maximum number of permit requests that wait for a loan."""
+"""Maximum number of permit queries that wait for a loan."""
 
 
 class OwnerRole:
@@ -32,7 +32,7 @@
     Parameters
     ----------
     settings
-        The window, and the usage at which nodes ask first.
+        The window, and the usage at which nodes need a permit first.
     own
         This node.
     owners
@@ -59,7 +59,7 @@
         self._hot: set[str] = set()
         self._awaiting_loan: list[tuple[NodeIdentity, LimitRequest]] = []
         self._notified_requires_permit = False
-        """Whether nodes were last notified to ask before every request."""
+        """Whether nodes were last notified that every request needs a permit first."""
 
     @property
     def tenants(self) -> int:
@@ -145,7 +145,7 @@
         return permit, [refused, *self._borrow(name, usage, now)]
 
     def requires_permit(self, now: float) -> bool:
-        """Return whether nodes must ask before every request.
+        """Return whether every request needs a permit first.
 
         This is the case if the settings say so, or while this owner may have to permit less than
         the threshold at which a tenant becomes hot.
@@ -157,15 +157,15 @@
     def on_owners_changed(self, now: float) -> list[Action]:
         """Request the records of the other owners, since this node may now own other tenants.
 
-        For one window, nodes must ask first: those with an older list of owners still report to the
-        former owners.
+        For one window, nodes need a permit first: those with an older list of owners still report
+        to the former owners.
         """
         if not self.is_owner:
             return []
         return [*self.sync.on_owners_changed(now), *self._notify_all(now)]
 
     def _notify_all(self, now: float) -> list[Action]:
-        """Notify all nodes whether they must ask first; sequence 0 acknowledges no report."""
+        """Notify all nodes whether they need a permit first; sequence 0 acknowledges no report."""
         self._notified_requires_permit = self.requires_permit(now)
         notification = LimitAcknowledgement(0, self._notified_requires_permit)
         return [SendToPeer(node, notification) for node in self._reachable(now)]
@@ -181,7 +181,7 @@
         return self._retry_waiting(now)
 
     def _retry_waiting(self, now: float) -> list[Action]:
-        """Handle the permit requests that waited for a loan once more."""
+        """Handle the permit queries that waited for a loan once more."""
         waiting, self._awaiting_loan = self._awaiting_loan, []
         actions: list[Action] = []
         for sender, message in waiting:
@@ -203,7 +203,7 @@
     # Hot tenants
 
     def _mark_hot(self, name: str, usage: TenantUsage, now: float) -> list[Action]:
-        """Once a tenant is hot, notify all nodes to ask first, and borrow."""
+        """Once a tenant is hot, notify all nodes that they need a permit first, and borrow."""
         if not self._has_hot_usage(name, now):
             return []
         usage.hot_until = now + HOT_WINDOWS * self._settings.window_seconds
--- a/wingquay/forwarding/arrival/limits/requester_role.py
+++ b/wingquay/forwarding/arrival/limits/requester_role.py
@@ -1,4 +1,4 @@
-"""Decides whether a node starts a request, asks an owner for a permit first, or refuses it."""
+"""Decides whether a node starts a request, queries an owner for a permit first, or refuses it."""
 
 import random
 from collections.abc import Callable, Iterable
@@ -58,7 +58,7 @@
     Parameters
     ----------
     settings
-        The bound on requests, and the usage at which owners are asked first.
+        The bound on requests, and the usage at which nodes need a permit first.
     owners
         The owners of each tenant.
     channels
--- a/wingquay/forwarding/arrival/limits/reserve.py
+++ b/wingquay/forwarding/arrival/limits/reserve.py
@@ -14,7 +14,7 @@
 
     Parameters
     ----------
-    names
+    node_ids
         Returns the ids of all nodes listed in the store, reachable or not.
     started_at
         Start of this incarnation of the node. The reserve is empty for one window afterwards, since
--- a/wingquay/forwarding/arrival/limits/tenant_usage.py
+++ b/wingquay/forwarding/arrival/limits/tenant_usage.py
@@ -20,7 +20,7 @@
     ----------
     is_primary
         Whether it is the primary owner, else the second one.
-    knows_window
+    has_complete_records
         Whether it has the records of the last window, including its own permits.
     is_alone
         Whether there is no other owner.
@@ -71,7 +71,7 @@
         self.current_loan_requested_at = float("-inf")
         """When the request that led to the current loan was sent."""
         self.hot_until = float("-inf")
-        """Time until which nodes must ask first for this tenant."""
+        """Time until which requests of this tenant need a permit first."""
 
     @property
     def idle_from(self) -> float:
--- a/wingquay/forwarding/forwarding_machine.py
+++ b/wingquay/forwarding/forwarding_machine.py
@@ -67,9 +67,9 @@
     settings
         Time limits and budgets.
     directory
-        The replicas; updated by the owner.
+        The replicas; updated by the code that composes this machine.
     nodes
-        The number of nodes; updated by the owner.
+        The number of nodes; updated by the code that composes this machine.
     node_key, node_name
         This node's key in the store, and its name.
     random_source
@@ -102,7 +102,7 @@
         self._settlement = Settlement(self._waiting, directory, self._sender, replies)
         self._starter = CallStarter(self._sender, self._waiting, self._queue)
         self.lag = LoopLag()
-        """Lag of this node's event loop; updated by the owner."""
+        """Lag of this node's event loop; set after a suspension and by ``PeriodicWork``."""
         self.guard = CrashGuard(node_name, random_source, self.lag)
         """Keeps requests that crash replicas away from the replicas."""
         self.guard.on_held = self._end_held
@@ -131,7 +131,7 @@
             self._settlement, self._opening, self.guard, self.lag, replies
         )
         self.admission = self._arrival.admission
-        """Admits arriving requests; the owner of this machine sets what it consults."""
+        """Admits arriving requests; the code that composes this machine sets what it consults."""
         self._table: RoutingTable | None = None
         self._peers: PeerEventHandler | None = None
         self.is_stopping = False
--- a/wingquay/forwarding/knowledge/poll_schedule.py
+++ b/wingquay/forwarding/knowledge/poll_schedule.py
@@ -10,9 +10,9 @@
     Parameters
     ----------
     settings
-        The usual poll interval, timeouts and backoff.
+        The default poll interval, timeouts and backoff.
     hooks
-        Tell whether this node polls for its group.
+        Provide whether this node polls for its group.
     proof_manager
         Provides the time by which the configuration must be proven again.
     """
@@ -34,7 +34,7 @@
 
     @property
     def is_urgent(self) -> bool:
-        """Whether a shorter poll interval than usual is requested."""
+        """Whether a shorter poll interval than the default is requested."""
         return self.requested_interval_seconds < self._settings.poll_interval_seconds
 
     @property
--- a/wingquay/forwarding/knowledge/processing_lag.py
+++ b/wingquay/forwarding/knowledge/processing_lag.py
@@ -23,7 +23,7 @@
     def seconds(self, now: float) -> float:
         """Return how far this node lags behind.
 
-        A lag timer that is overdue counts as well: after a pause, messages at the sockets are
-        handled before timers, and may be as old as the pause.
+        A lag timer that is overdue counts as well: after a suspension, messages at the sockets
+        are handled before timers, and may be as old as the suspension.
         """
         return max(self.timer_lag_seconds, now - self.timer_due_at)
--- a/wingquay/forwarding/knowledge/store_follower.py
+++ b/wingquay/forwarding/knowledge/store_follower.py
@@ -86,7 +86,7 @@
         return self._copy.snapshot()
 
     def set_poll_interval(self, seconds: float | None, now: float) -> list[Action]:
-        """Set the poll interval; ``None``: the usual one."""
+        """Set the poll interval; ``None``: the default one."""
         interval_seconds = self._settings.poll_interval_seconds if seconds is None else seconds
         if interval_seconds == self._schedule.requested_interval_seconds:
             return []
@@ -149,7 +149,7 @@
 
     @property
     def usual_poll_interval_seconds(self) -> float:
-        """The usual time between two polls."""
+        """The default time between two polls."""
         return self._settings.poll_interval_seconds
 
     @property
--- a/wingquay/forwarding/peers/delegated_work.py
+++ b/wingquay/forwarding/peers/delegated_work.py
@@ -192,7 +192,7 @@
     def refuse_held(
         self, sender: NodeIdentity, message: DelegatedRequest, held_seconds: float
     ) -> list[Action]:
-        """Notify a node that its request is held because replicas crashed under it."""
+        """Notify a node that its request is held because replicas crashed during it."""
         answer = DelegatedAnswer(message.delegation_id, held_seconds=held_seconds)
         labels = (("side", "held"),)
         return [SendToPeer(sender, answer), Count("delegated_requests_total", labels=labels)]
--- a/wingquay/forwarding/peers/delegation_reports.py
+++ b/wingquay/forwarding/peers/delegation_reports.py
@@ -78,7 +78,7 @@
     ) -> list[Action]:
         """Contact the shards that the other node has returned.
 
-        It returns them if replicas may crash under this request.
+        It returns them if replicas may crash during this request.
         """
         if not message.given_back or delegation.is_lost:
             return []
--- a/wingquay/forwarding/peers/takeover_timeout.py
+++ b/wingquay/forwarding/peers/takeover_timeout.py
@@ -8,7 +8,7 @@
 
 
 class TakeoverTimeout:
-    """Adapts the takeover timeout to the usual acknowledgement time of nodes.
+    """Adapts the takeover timeout to the typical acknowledgement time of nodes.
 
     If nodes are slow on average, a silent node is given more time, so that this node does not take
     over from all of them.
--- a/wingquay/forwarding/periodic_work.py
+++ b/wingquay/forwarding/periodic_work.py
@@ -42,7 +42,8 @@
     directory
         Removes replicas whose grace period is over.
     forwarding
-        Holds exchanges while replica records are missing, and opens connections to other nodes.
+        Keeps exchanges waiting while replica records are missing, and opens connections to other
+        nodes and to replicas.
     members
         Provides whether nodes are still joining.
     follower
--- a/wingquay/forwarding/readiness/decision.py
+++ b/wingquay/forwarding/readiness/decision.py
@@ -30,7 +30,7 @@
 
     @property
     def should_leave(self) -> bool:
-        """Whether the reason requires the node to leave service."""
+        """Whether the reason requires the node to leave service (not a planned stop)."""
         return self in (DecisionReason.ZONE_CUT_OFF, DecisionReason.NODE_CUT_OFF)
 
 
--- a/wingquay/forwarding/sending/sending_quotas.py
+++ b/wingquay/forwarding/sending/sending_quotas.py
@@ -140,7 +140,7 @@
         """Return the maximum number of connections from this node to a replica.
 
         It is reduced for the first ``first_connections_seconds`` after the first call of this
-        method, because replicas may still count connections of this node's last incarnation.
+        method, because replicas may still count connections of this node's previous incarnation.
         """
         if self._reduced_since is None:
             self._reduced_since = now
--- a/wingquay/forwarding/settings.py
+++ b/wingquay/forwarding/settings.py
@@ -125,8 +125,8 @@
         Share of the objective after which the shards of a delegate that has not replied are sent
         directly.
     delegate_takeover_factor, delegate_takeover_max_ratio
-        Alternative takeover time as a multiple of the usual time until delegates acknowledge, used
-        if it is longer; limited to a share of the objective.
+        Alternative takeover timeout as a multiple of the typical time until delegates acknowledge,
+        used if it is longer; limited to a share of the objective.
     node_suspect_seconds, node_suspect_max_seconds
         First and maximum time for which a node that did not report gets no delegations.
     node_absent_seconds
--- a/wingquay/forwarding/settling/settlement.py
+++ b/wingquay/forwarding/settling/settlement.py
@@ -22,10 +22,10 @@
     waiting
         Decides whether requests that no replica can take wait or are rejected.
     directory
-        Provides the services that have usable replicas.
+        Provides the services that have unblocked replicas.
     sender
         Cancels attempts whose answer is no longer needed.
-    ending
+    replies
         Builds the replies.
     """
 
--- a/wingquay/forwarding/timers.py
+++ b/wingquay/forwarding/timers.py
@@ -55,7 +55,7 @@
 
 @value
 class PeerConnectDue(Event):
-    """Open connections to other nodes before requests need them."""
+    """Open connections to other nodes and to replicas before requests need them."""
 
 
 @value
@@ -113,7 +113,7 @@
 
 @value
 class LimitRequestDue(Event):
-    """Check whether the owner of a tenant's limit has answered a permit request."""
+    """Check whether the owner of a tenant's limit has answered a permit query."""
 
     ask_id: int
 
--- a/wingquay/membership/node_state_tracker.py
+++ b/wingquay/membership/node_state_tracker.py
@@ -193,7 +193,7 @@
             self._queue.put(update)
 
     def postpone_suspicions(self, seconds: float) -> None:
-        """Extend all suspicions by the time in which this node itself was paused."""
+        """Extend all suspicions by the time in which this node itself was suspended."""
         for suspicion in self._suspicions.values():
             suspicion.postpone(seconds)
 
--- a/wingquay/membership/suspicion.py
+++ b/wingquay/membership/suspicion.py
@@ -40,7 +40,7 @@
         return True
 
     def postpone(self, seconds: float) -> None:
-        """Extend the suspicion by ``seconds`` in which this node itself was paused."""
+        """Extend the suspicion by ``seconds`` in which this node itself was suspended."""
         self.started_at += seconds
 
     @property
--- a/wingquay/model/plan.py
+++ b/wingquay/model/plan.py
@@ -94,7 +94,7 @@
     resolved_intents
         The intents with ``top`` and ``lowest`` replaced by actual classes.
     diff
-        Changed lines, at most ``configuration.plan.MAXIMUM_DIFF_LINES``; ``diff_omitted`` counts
+        Changed lines, at most ``configuration.plan.MAX_DIFF_LINES``; ``diff_omitted`` counts
         the rest.
     change_digest
         SHA-256 of the complete diff and all effects. A plan is rebased only onto revisions where
--- a/wingquay/orchestration/stop_machine.py
+++ b/wingquay/orchestration/stop_machine.py
@@ -13,7 +13,7 @@
 
 MAX_CHECK_INTERVALS = 2.0
 """Maximum number of check intervals counted between two checks; a longer gap means that the process
-was paused."""
+was suspended."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -94,10 +94,10 @@
         return [Schedule(now + self._settings.check_seconds, StopCheckDue())]
 
     def _observe(self, now: float) -> float:
-        """Return the duration of the stop so far in seconds, without pauses of the process.
+        """Return the duration of the stop so far in seconds, without suspensions of the process.
 
-        Messages that arrived during a pause are still unread, so a pause must not count as idle
-        time.
+        Messages that arrived during a suspension are still unread, so a suspension must not count
+        as idle time.
         """
         max_step_seconds = self._settings.check_seconds * MAX_CHECK_INTERVALS
         self._observed_seconds += min(now - self._checked_at, max_step_seconds)
--- a/wingquay/ports/crash_messages.py
+++ b/wingquay/ports/crash_messages.py
@@ -26,7 +26,7 @@
 
 @value
 class CrashReport(PeerMessage):
-    """Replica crashes observed under one request, and whether the request is held back.
+    """Replica crashes observed during a request, and whether the request is held back.
 
     Parameters
     ----------
--- a/wingquay/ports/delegation.py
+++ b/wingquay/ports/delegation.py
@@ -68,7 +68,7 @@
         Positions of shards for which the receiver has no replica; it sends nothing for them.
     given_back
         Positions of shards that the receiver stops working on, because connections to replicas
-        ended under the request and no replica has answered it.
+        ended during the request and no replica has answered it.
     arrivals
         For each shard in ``given_back``: number of replicas that may have received the request.
     held_seconds
--- a/wingquay/ports/peer.py
+++ b/wingquay/ports/peer.py
@@ -59,6 +59,7 @@
 
     SERVING = "serving"
     LEAVING = "leaving"
+    """Same state of a replica as ``ReplicaRecord.is_draining``."""
     GONE = "gone"
 
 
@@ -107,7 +108,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PingRequest(MembershipMessage):
-    """Indirect probe: asks the receiver to probe ``subject`` for the sender."""
+    """Indirect probe: requests that the receiver probe ``subject`` for the sender."""
 
     sequence: int
     subject: NodeIdentity
--- a/wingquay/ports/peer_claims.py
+++ b/wingquay/ports/peer_claims.py
@@ -1,7 +1,7 @@
 """Messages between nodes about claims on unrepeatable requests; see also ``peer.py``.
 
-Claim keys are divided into partitions. Each zone assigns each partition to one of its nodes, which
-votes on claims.
+Claim keys are divided into claim partitions. Each zone assigns each partition to one of
+its nodes, which votes on claims.
 """
 
 from dataclasses import dataclass
