--- a/tests/claims/test_real_nodes.py
+++ b/tests/claims/test_real_nodes.py
@@ -1,4 +1,4 @@
-"""Real nodes on loopback: one edit runs once, through every node and past planned stops."""
+"""Real nodes on loopback: an edit runs once, through every node and across planned stops."""
 
 import asyncio
 from collections.abc import Coroutine
@@ -40,7 +40,7 @@
 
 
 class SmallSystem:
-    """Four nodes in two zones, set up, with a caller."""
+    """A deployment of four nodes in two zones, with a caller."""
 
     def __init__(self) -> None:
         self.deployment = DemoDeployment(1, PROFILE, TWO_NODES_A_ZONE)
@@ -64,8 +64,8 @@
         keys = (self.deployment.dataset.keys[3],)
         return Question("intake", "edit", keys, idempotency_key=key, body=body)
 
-    async def ask_until_run(self, node_index: int, question: Question) -> Reply:
-        """Ask until the voters have come to vote after the start."""
+    async def retry_until_run(self, node_index: int, question: Question) -> Reply:
+        """Repeat the question until the voters are ready after the start."""
         while True:
             reply = await self.caller.ask(node_index, question)
             if reply.outcome is Outcome.COMPLETE:
@@ -88,7 +88,7 @@
         async def scenario() -> None:
             async with SmallSystem() as system:
                 first = system.edit("edit-1", "move the corner")
-                answer = await system.ask_until_run(0, first)
+                answer = await system.retry_until_run(0, first)
                 replies = [await system.caller.ask(index, first) for index in range(4)]
                 for reply in replies:
                     self.assertEqual(answer.document["rows"], reply.document["rows"])
@@ -96,22 +96,22 @@
                 reused = await system.caller.ask(3, other)
                 self.assertEqual(Outcome.INVALID, reused.outcome)
 
-                raced = system.edit("edit-2", "join two plots")
-                while not system.times_run(raced):
-                    asked = [system.caller.ask(index, raced) for index in range(4)]
-                    outcomes = {reply.outcome for reply in await asyncio.gather(*asked)}
-                    # The voters of this key may still be coming to vote after the start: then it
-                    # has not run, and nobody is told anything else.
-                    has_run = bool(system.times_run(raced))
+                concurrent = system.edit("edit-2", "join two plots")
+                while not system.times_run(concurrent):
+                    calls = [system.caller.ask(index, concurrent) for index in range(4)]
+                    outcomes = {reply.outcome for reply in await asyncio.gather(*calls)}
+                    # Until the voters of this key are ready after the start, the edit has not run
+                    # and every reply is UNKNOWN.
+                    has_run = bool(system.times_run(concurrent))
                     self.assertTrue(has_run or outcomes == {Outcome.UNKNOWN}, outcomes)
-                self.assertEqual(1, system.times_run(raced))
+                self.assertEqual(1, system.times_run(concurrent))
 
                 for node in system.deployment.nodes[:2]:
                     node.request_stop()
                     await node.exited()
                     await node.close()
-                for question in (first, raced):
-                    repeat = await system.ask_until_run(2, question)
+                for question in (first, concurrent):
+                    repeat = await system.retry_until_run(2, question)
                     self.assertEqual(answer.document["covered"], repeat.document["covered"])
                     self.assertEqual(1, system.times_run(question))
                 self.assertEqual(0, system.times_run(other))
--- a/tests/configuration/test_configuration_stateful.py
+++ b/tests/configuration/test_configuration_stateful.py
@@ -1,8 +1,8 @@
-"""Stateful fuzzing of intents and confirms under faults, against a simple oracle.
+"""Stateful fuzzing of intents and confirms under faults, checked by a simple oracle.
 
-The oracle knows what each plan showed and what each confirm was answered. From the store's
-documents it checks that every revision differs from the one before by exactly what its plan
-showed, that no plan took effect twice, and that none did that was refused everywhere.
+The oracle records the diff of each plan and the reply to each confirm. From the store's documents
+it checks that each revision from 2 on differs from the previous one by the diff of its plan, that
+no plan took effect twice, and that no plan took effect whose confirms all failed.
 """
 
 from hypothesis import HealthCheck, Phase, settings
@@ -18,7 +18,7 @@
 from testtools import TestCase
 
 from tests.configuration.examples import assign, price
-from tests.configuration.fleet import check_history, founded
+from tests.configuration.fleet import check_history, configured_cluster
 from wingquay.configuration.diff import document_diff
 from wingquay.configuration.document import (
     EMPTY_DOCUMENT,
@@ -58,7 +58,7 @@
 
 
 def stored_documents(cluster: ConfigurationCluster) -> list[ConfigurationDocument]:
-    """Return every revision that the store holds, from the empty one on."""
+    """Return all revisions in the store in order, starting with the empty document."""
     entries = cluster.store.state.read(prefix_span("wingquay/configuration/history/"))
     values = [entry.value for entry in entries]
     values += [entry.value for entry in cluster.store.state.read(prefix_span(CURRENT_KEY))]
@@ -71,15 +71,17 @@
 
 
 class ConfigurationFuzz(RuleBasedStateMachine):
-    """Operators and faults, in any order."""
+    """Commands of operators and faults of store, nodes and network, in any order."""
 
     plans = Bundle("plans")
 
-    @initialize(seed=st.integers(0, 10_000), lost_share=st.sampled_from((0.0, 0.1, 0.3)))
-    def found(self, seed: int, lost_share: float) -> None:
-        self.cluster = founded(seed, settings=StoreSettings(rate_per_second=100.0))
-        self.cluster.store.faults = type(self.cluster.store.faults)(lost_share, self.cluster.random)
-        self.shown: dict[str, tuple[str, ...]] = {}
+    @initialize(seed=st.integers(0, 10_000), lost_reply_share=st.sampled_from((0.0, 0.1, 0.3)))
+    def configure(self, seed: int, lost_reply_share: float) -> None:
+        self.cluster = configured_cluster(seed, settings=StoreSettings(rate_per_second=100.0))
+        self.cluster.store.faults = type(self.cluster.store.faults)(
+            lost_reply_share, self.cluster.random
+        )
+        self.plan_diffs: dict[str, tuple[str, ...]] = {}
         self.confirms: dict[str, list[str]] = {}
 
     def node(self, index: int) -> HollowNode:
@@ -93,7 +95,7 @@
         result = self.cluster.replies.get(exchange)
         if not isinstance(result, PlanResult):
             return None
-        self.shown[result.plan.plan_id] = result.plan.diff
+        self.plan_diffs[result.plan.plan_id] = result.plan.diff
         return result.plan.plan_id
 
     @rule(plan=plans, index=NODES, wait=st.sampled_from((0.0, 0.005, 0.013, 0.02, 1.0)))
@@ -120,6 +122,7 @@
     ) -> None:
         if plan is None:
             return
+        # The first swap copies the base to the history; the second writes the change.
         swaps = self.cluster.counts["store_CompareAndSwap"] + 2
         self.begin_confirm(plan, index)
         self.cluster.run_until(
@@ -168,12 +171,12 @@
         self.cluster.message_loss = 0.0
 
     @invariant()
-    def no_node_went_back_and_no_revision_is_ambiguous(self) -> None:
+    def history_is_consistent(self) -> None:
         if hasattr(self, "cluster"):
             check_history(self.cluster)
 
     @invariant()
-    def every_revision_is_what_its_plan_showed(self) -> None:
+    def every_revision_matches_the_diff_of_its_plan(self) -> None:
         if not hasattr(self, "cluster"):
             return
         documents = stored_documents(self.cluster)
@@ -181,37 +184,37 @@
         assert numbers == list(range(len(documents))), f"revisions are missing: {numbers}"
         for before, after in zip(documents[1:], documents[2:], strict=False):
             confirm_id = after.configuration.confirm_id
-            assert tuple(document_diff(before, after)) == self.shown[confirm_id]
+            assert tuple(document_diff(before, after)) == self.plan_diffs[confirm_id]
 
     def teardown(self) -> None:
         if not hasattr(self, "cluster"):
             return
         self.heal()
         self.cluster.run(SETTLING_SECONDS)
-        self.every_revision_is_what_its_plan_showed()
+        self.every_revision_matches_the_diff_of_its_plan()
         check_history(self.cluster)
         stored = stored_documents(self.cluster)[-1]
         revisions = {node.machine.revision for node in self.cluster.nodes}
         assert revisions == {stored.revision}, f"{revisions} instead of {stored.revision}"
         for plan, exchanges in self.confirms.items():
-            self.check_answers(stored, plan, exchanges)
-
-    def check_answers(self, stored: ConfigurationDocument, plan: str, exchanges: list[str]) -> None:
-        """Check that what operators were told about a plan is true."""
-        answers = [answer for e in exchanges if (answer := self.cluster.replies.get(e)) is not None]
-        record = stored.record_of(plan)
-        for answer in answers:
-            if isinstance(answer, ConfirmResult):
-                assert record is not None and record.revision == answer.revision
-        kinds = {answer.kind for answer in answers if isinstance(answer, Failure)}
-        certain = len(answers) == len(exchanges)
-        if certain and len(kinds) and OperatorFailureKind.NOT_KNOWN_YET not in kinds:
-            said_landed = any(isinstance(answer, ConfirmResult) for answer in answers)
-            assert said_landed == (record is not None), f"{plan}: {answers}"
+            self.check_replies(stored, plan, exchanges)
+
+    def check_replies(self, stored: ConfigurationDocument, plan: str, exchanges: list[str]) -> None:
+        """Check the replies to confirms of a plan against the stored audit records."""
+        replies = [reply for e in exchanges if (reply := self.cluster.replies.get(e)) is not None]
+        record = stored.find_record(plan)
+        for reply in replies:
+            if isinstance(reply, ConfirmResult):
+                assert record is not None and record.revision == reply.revision
+        kinds = {reply.kind for reply in replies if isinstance(reply, Failure)}
+        all_replied = len(replies) == len(exchanges)
+        if all_replied and len(kinds) and OperatorFailureKind.NOT_KNOWN_YET not in kinds:
+            reported_landed = any(isinstance(reply, ConfirmResult) for reply in replies)
+            assert reported_landed == (record is not None), f"{plan}: {replies}"
 
 
 class ConfigurationFuzzTest(TestCase):
-    """Runs the fuzzing with a bounded number of histories."""
+    """Runs the state machine with a limited number of histories."""
 
     def test_operators_and_faults_in_any_order(self) -> None:
         run_state_machine_as_test(
@@ -221,7 +224,7 @@
                 stateful_step_count=30,
                 deadline=None,
                 derandomize=True,
-                # The first failing history is reported as it is: shrinking one takes minutes.
+                # Skips shrinking, which takes minutes.
                 phases=(Phase.generate,),
                 suppress_health_check=list(HealthCheck),
             ),
--- a/tests/forwarding/choice/test_single_replica_loads.py
+++ b/tests/forwarding/choice/test_single_service_loads.py
@@ -1,14 +1,14 @@
-"""Many nodes send to few replicas of few slots, each by what it sees itself."""
+"""Many nodes share a few replicas without overloading any of them."""
 
 import random
 from dataclasses import dataclass, replace
 
 from testtools import TestCase
 
-from tests.forwarding.choice.replayed_nodes import ReplayedLoad, replayed_route
-from tests.forwarding.choice.replayed_replicas import ReplayedReplica, VirtualClock
+from tests.forwarding.choice.load_simulation import LoadSimulation, simulated_route
+from tests.forwarding.choice.virtual_replicas import VirtualClock, VirtualReplica
 from tests.forwarding.one_node import replica, table
-from wingquay.forwarding.settings import ChoiceWay
+from wingquay.forwarding.settings import ChoiceStrategy
 from wingquay.model.routing_table import WeightedService
 from wingquay.ports.forwarding import ReplyFailure
 
@@ -18,7 +18,7 @@
 
 @dataclass(frozen=True)
 class Load:
-    """A service of few replicas and those who ask it."""
+    """A service with few replicas, and the request rate of its callers."""
 
     nodes: int
     replicas: int
@@ -32,14 +32,18 @@
 FEWER_NODES = Load(25, 4, 6, 0.090, 0.347, 5.29)
 
 
-def played(
-    load: Load, way: ChoiceWay, seed: int, lost_share: float = 0.0, is_repeatable: bool = True
-) -> ReplayedLoad:
-    """Return what became of ten usual seconds, fifteen of a burst and five usual ones."""
+def simulate(
+    load: Load,
+    strategy: ChoiceStrategy,
+    seed: int,
+    lost_share: float = 0.0,
+    is_repeatable: bool = True,
+) -> LoadSimulation:
+    """Simulate ten seconds of normal load, fifteen of a burst and five of normal load."""
     source = random.Random(seed)
     clock = VirtualClock()
     replicas = [
-        ReplayedReplica(
+        VirtualReplica(
             replace(replica(f"r{number}", "one", "abcd"[number % 4]), slots=load.slots),
             clock,
             random.Random(source.getrandbits(32)),
@@ -49,7 +53,7 @@
         )
         for number in range(load.replicas)
     ]
-    route = replayed_route(
+    route = simulated_route(
         "/one/",
         services=(WeightedService("one", 1.0),),
         objective_seconds=load.objective_seconds,
@@ -58,8 +62,10 @@
     )
     work = {"/one/": load.work_seconds}
     retries = 1 if is_repeatable else 0
-    result = ReplayedLoad(replicas, clock, work, source, spread=0.5, retries=retries)
-    result.add_nodes(load.nodes, "abcd", table(1, route), retry_slack=180.0, choice_way=way)
+    result = LoadSimulation(replicas, clock, work, source, work_spread=0.5, retries=retries)
+    result.add_nodes(
+        load.nodes, "abcd", table(1, route), retry_slack=180.0, choice_strategy=strategy
+    )
     result.requests("/one/", load.per_second, 0.0, 10.0)
     result.requests("/one/", load.per_second * BURST, 10.0, 15.0)
     result.requests("/one/", load.per_second, 25.0, 5.0)
@@ -67,30 +73,30 @@
     return result
 
 
-def mean_quantile(loads: list[ReplayedLoad], share: float) -> float:
-    """Return the mean of a quantile over several replays."""
+def mean_quantile(loads: list[LoadSimulation], share: float) -> float:
+    """Return the mean of a quantile over several simulations."""
     return sum(load.quantile("/one/", share) for load in loads) / len(loads)
 
 
 class EvenLoadTest(TestCase):
-    def test_a_burst_is_served_within_the_objective_and_evenly(self) -> None:
+    def test_a_burst_is_served_in_time_and_spread_evenly(self) -> None:
         for load in (MANY_NODES, FEWER_NODES):
-            for way in ChoiceWay:
-                loads = [played(load, way, seed) for seed in SEEDS]
+            for strategy in ChoiceStrategy:
+                loads = [simulate(load, strategy, seed) for seed in SEEDS]
                 self.assertLess(mean_quantile(loads, 0.99), load.objective_seconds, load)
-                busiest = sum(item.busiest() for item in loads) / len(loads)
-                self.assertLess(busiest, 1.45, load)
+                max_to_mean_runs = sum(item.max_to_mean_runs() for item in loads) / len(loads)
+                self.assertLess(max_to_mean_runs, 1.45, load)
 
-    def test_answers_that_are_lost_leave_the_rest_within_the_objective(self) -> None:
+    def test_lost_answers_do_not_delay_other_requests(self) -> None:
         for load in (MANY_NODES, FEWER_NODES):
-            loads = [played(load, ChoiceWay.COMPLETION, seed, 0.08) for seed in SEEDS]
+            loads = [simulate(load, ChoiceStrategy.COMPLETION, seed, 0.08) for seed in SEEDS]
             self.assertLess(mean_quantile(loads, 0.95), load.objective_seconds, load)
             self.assertEqual([], [item for one in loads for item in one.ended if item.failure])
 
 
 class OnceOnlyTest(TestCase):
-    def test_what_may_have_run_is_not_sent_again(self) -> None:
-        load = played(MANY_NODES, ChoiceWay.COMPLETION, 1, 0.4, is_repeatable=False)
+    def test_a_non_repeatable_request_that_may_have_run_is_not_sent_again(self) -> None:
+        load = simulate(MANY_NODES, ChoiceStrategy.COMPLETION, 1, 0.4, is_repeatable=False)
         self.assertEqual(len(load.ended), load.sent)
         lost = [item for item in load.ended if item.kind is ReplyFailure]
         self.assertGreater(len(lost), 0)
--- a/tests/forwarding/readiness/zone_fleet.py
+++ b/tests/forwarding/readiness/zone_fleet.py
@@ -1,4 +1,4 @@
-"""Nodes and replicas in several zones on a virtual clock, and cuts between them."""
+"""Test fleet: nodes and replicas in several zones on a virtual clock, with packet loss."""
 
 import heapq
 import random
@@ -67,11 +67,11 @@
 WORK_SECONDS = 0.01
 CONNECT_SECONDS = 0.04
 STORE = "store"
-"""The place of the store."""
+"""The name of the store in ``ZoneFleet.is_lost``."""
 
 
-class CutKind(Enum):
-    """What becomes of packets at a cut."""
+class PartitionFailure(Enum):
+    """How a connection across a partition fails."""
 
     SILENT = "silent"
     RESET = "reset"
@@ -79,7 +79,7 @@
 
 
 class FleetNode:
-    """One node of the fleet; time is the fleet's."""
+    """One node of the fleet, on the fleet's clock."""
 
     def __init__(self, fleet: "ZoneFleet", name: str, zone: str, **settings: object) -> None:
         self.fleet = fleet
@@ -90,11 +90,11 @@
         self.answers_close = False
         self.idle_closed_at: list[float] = []
         self.changes: list[tuple[float, bool]] = []
-        """When it became ready or stopped being so."""
+        """The times at which the readiness changed, with the new readiness."""
         self.actions: list[Action] = []
         self.replies: dict[int, ReplyUnchanged | ReplyMerged | ReplyFailure] = {}
-        self._kept: set[str] = set()
-        """Replicas to which a connection is kept."""
+        self._connected: set[str] = set()
+        """Replicas with an open connection."""
         self._sends: dict[int, SendToReplica] = {}
         formats = StoreFormats(
             CONFIGURATION_KEY,
@@ -113,20 +113,20 @@
         seed = sum(name.encode())
         self.machine = ForwardingNode(
             name,
-            ForwardingSettings(zone=zone, delegate_least_shards=10, **settings),  # type: ignore[arg-type]
+            ForwardingSettings(zone=zone, delegate_min_shards=10, **settings),  # type: ignore[arg-type]
             FollowerSettings(),
             formats,
             random.Random(seed),
         )
 
     def emit(self, event: Event) -> None:
-        """Hand an event to the decisions and perform what they decide."""
+        """Handle an event and perform the resulting actions."""
         for action in self.machine.handle(event, self.fleet.now):
             self.actions.append(action)
             self._perform(action)
 
     def logs(self, message: str) -> list[dict[str, object]]:
-        """Return the fields of the log lines with that message."""
+        """Return the fields of the log lines with a message."""
         lines = [item for item in self.actions if isinstance(item, Log)]
         return [dict(line.fields) for line in lines if line.message == message]
 
@@ -140,15 +140,15 @@
             case CancelSend():
                 sent = self._sends.pop(action.attempt_id, None)
                 if sent is not None:
-                    self._kept.discard(sent.replica.replica_id)
+                    self._connected.discard(sent.replica.replica_id)
             case OpenConnection():
                 self._open(action.replica)
             case ReplyUnchanged() | ReplyMerged() | ReplyFailure():
                 self.replies[action.exchange_id] = action
             case SetForwarding():
-                self._set(action)
+                self._set_forwarding(action)
             case SendToPeer():
-                fleet.carry(self, action)
+                fleet.deliver(self, action)
             case _:
                 self._perform_on_store(action)
 
@@ -156,13 +156,13 @@
         fleet = self.fleet
         match action:
             case StoreRequest():
-                fleet.ask_store(self, action)
+                fleet.send_to_store(self, action)
             case StartWatch():
                 fleet.watch_store(self, action)
             case StopWatch():
                 fleet.stopped_watches.add((self.name, action.watch_id))
 
-    def _set(self, action: SetForwarding) -> None:
+    def _set_forwarding(self, action: SetForwarding) -> None:
         if action.is_ready != self.is_ready:
             self.changes.append((self.fleet.now, action.is_ready))
         self.is_ready = action.is_ready
@@ -173,22 +173,22 @@
     def _send(self, action: SendToReplica) -> None:
         fleet = self.fleet
         record = action.replica
-        is_kept = record.replica_id in self._kept
+        is_connected = record.replica_id in self._connected
         self._sends[action.attempt_id] = action
         failure = fleet.failure_to(self, record)
         if failure is None:
-            self._kept.add(record.replica_id)
+            self._connected.add(record.replica_id)
             answer = ReplicaAnswer(200, (), b"", f"{record.replica_id}.{action.request_id}")
             event = ReplicaAnswered(action.attempt_id, answer)
             seconds = 2 * NETWORK_SECONDS + WORK_SECONDS
             seconds += 2 * fleet.delay(self.name, record.replica_id)
             fleet.after(seconds, self._outcome, event)
             return
-        if is_kept and failure is CutKind.SILENT:
+        if is_connected and failure is PartitionFailure.SILENT:
             return
-        kind = SendFailureKind.BROKEN if is_kept else SendFailureKind.NOT_SENT
-        seconds = CONNECT_SECONDS if failure is CutKind.SILENT else NETWORK_SECONDS
-        self._kept.discard(record.replica_id)
+        kind = SendFailureKind.BROKEN if is_connected else SendFailureKind.NOT_SENT
+        seconds = CONNECT_SECONDS if failure is PartitionFailure.SILENT else NETWORK_SECONDS
+        self._connected.discard(record.replica_id)
         fleet.after(seconds, self._outcome, SendFailed(action.attempt_id, kind, failure.value))
 
     def _outcome(self, event: ReplicaAnswered | SendFailed) -> None:
@@ -204,30 +204,24 @@
         failure = self.fleet.failure_to(self, record)
         seconds = 2 * (NETWORK_SECONDS + self.fleet.delay(self.name, record.replica_id))
         if failure is None and seconds >= CONNECT_SECONDS:
-            failure = CutKind.SILENT
+            failure = PartitionFailure.SILENT
         if failure is None:
-            self._kept.add(record.replica_id)
+            self._connected.add(record.replica_id)
             self.fleet.after(seconds, self.emit, ConnectionTried(record.replica_id))
             return
-        seconds = CONNECT_SECONDS if failure is CutKind.SILENT else NETWORK_SECONDS
-        is_refused = failure is CutKind.REFUSED
+        seconds = CONNECT_SECONDS if failure is PartitionFailure.SILENT else NETWORK_SECONDS
+        is_refused = failure is PartitionFailure.REFUSED
         event = ConnectionTried(record.replica_id, failure.value, is_refused)
         self.fleet.after(seconds, self.emit, event)
 
 
 class ZoneFleet:
-    """All nodes, replicas and the store between which packets may be lost.
-
-    Parameters
-    ----------
-    records
-        The replicas.
-    """
+    """Nodes, replicas and a store, between which packets may be lost."""
 
     def __init__(
         self,
         zones: Iterable[str],
-        nodes_a_zone: int,
+        nodes_per_zone: int,
         configuration: RoutingTable,
         records: list[ReplicaRecord],
         **settings: object,
@@ -236,18 +230,18 @@
         self.configuration = configuration
         self.records = records
         self.dead: set[str] = set()
-        """Replicas that have ended, by id: nothing listens at their addresses."""
-        self.kind = CutKind.SILENT
-        self.loses: Callable[[str, str], bool] = _loses_nothing
-        """Whether packets from one place to another are lost; places are names of nodes, ids of
-        replicas, and the store."""
+        """Ids of crashed replicas: nothing listens at their addresses."""
+        self.partition_failure = PartitionFailure.SILENT
+        self.is_lost: Callable[[str, str], bool] = _never_lost
+        """Returns whether packets from one place to another are lost. Places are node names,
+        replica ids and the store."""
         self.delay: Callable[[str, str], float] = _no_delay
-        """Time that packets take longer between two places."""
+        """Returns the additional one-way delay between two places, in seconds."""
         self.stopped_watches: set[tuple[str, str]] = set()
         self.opened: list[tuple[float, str, str]] = []
         self._table_value = b"table"
         self._values = {repr(record).encode(): record for record in records}
-        self._due: list[tuple[float, int, Callable[..., None], tuple[object, ...]]] = []
+        self._events: list[tuple[float, int, Callable[..., None], tuple[object, ...]]] = []
         self._numbers = count(1)
         self._requests = count(1)
         self._changed: list[StoredValue] = []
@@ -256,25 +250,25 @@
         self.nodes = [
             FleetNode(self, f"{zone}-{number}", zone, **settings)
             for zone in zones
-            for number in range(nodes_a_zone)
+            for number in range(nodes_per_zone)
         ]
         self.zone_of.update({node.name: node.zone for node in self.nodes})
 
     # Time
 
     def at(self, at_seconds: float, call: Callable[..., None], *arguments: object) -> None:
-        """Do something at a time."""
-        heapq.heappush(self._due, (at_seconds, next(self._numbers), call, arguments))
+        """Schedule a call at a time."""
+        heapq.heappush(self._events, (at_seconds, next(self._numbers), call, arguments))
 
     def after(self, seconds: float, call: Callable[..., None], *arguments: object) -> None:
-        """Do something later."""
+        """Schedule a call after a delay."""
         self.at(self.now + seconds, call, *arguments)
 
     def advance(self, seconds: float) -> None:
-        """Let time pass."""
+        """Advance the clock and run the calls that are due."""
         end = self.now + seconds
-        while self._due and self._due[0][0] <= end:
-            due_at, _, call, arguments = heapq.heappop(self._due)
+        while self._events and self._events[0][0] <= end:
+            due_at, _, call, arguments = heapq.heappop(self._events)
             self.now = max(self.now, due_at)
             call(*arguments)
         self.now = end
@@ -282,7 +276,7 @@
     # Nodes and callers
 
     def start(self) -> None:
-        """Start all nodes and let them know each other."""
+        """Start all nodes and open their links."""
         for node in self.nodes:
             node.emit(Start())
         self.advance(0.1)
@@ -290,52 +284,52 @@
             node.emit(PeerLinkOpened(node.identity))
         self.advance(0.1)
 
-    def of(self, zone: str) -> list[FleetNode]:
+    def nodes_in(self, zone: str) -> list[FleetNode]:
         """Return the nodes of a zone."""
         return [node for node in self.nodes if node.zone == zone]
 
     def ready(self, zone: str) -> int:
-        """Return how many nodes of a zone are ready."""
-        return sum(node.is_ready for node in self.of(zone))
+        """Return the number of ready nodes of a zone."""
+        return sum(node.is_ready for node in self.nodes_in(zone))
 
     def request(self, node: FleetNode, path: str) -> tuple[FleetNode, int]:
-        """Let a caller send a request to a node."""
+        """Send a caller's request to a node."""
         number = next(self._requests)
         opaque = OpaqueRequest(b"GET", path.encode(), ())
         node.emit(ForwardRequested(number, f"id-{number}", HOST, path, opaque, 2.0))
         return node, number
 
     def evacuate(self, zone: str) -> None:
-        """Write the key of an evacuated zone."""
+        """Write the evacuation entry of a zone."""
         self._changed.append(StoredValue(EVACUATION_PREFIX + zone, b"", 2))
 
-    # The network
+    # Network
 
-    def failure_to(self, node: FleetNode, record: ReplicaRecord) -> CutKind | None:
-        """Return how a connection to a replica fails; ``None``: it does not."""
-        there = self.loses(node.name, record.replica_id)
-        back = self.loses(record.replica_id, node.name)
+    def failure_to(self, node: FleetNode, record: ReplicaRecord) -> PartitionFailure | None:
+        """Return how a connection to a replica fails; ``None``: it succeeds."""
+        there = self.is_lost(node.name, record.replica_id)
+        back = self.is_lost(record.replica_id, node.name)
         if there or back:
-            return self.kind
-        return CutKind.REFUSED if record.replica_id in self.dead else None
+            return self.partition_failure
+        return PartitionFailure.REFUSED if record.replica_id in self.dead else None
 
-    def carry(self, sender: FleetNode, action: SendToPeer) -> None:
-        """Carry a message between nodes."""
+    def deliver(self, sender: FleetNode, action: SendToPeer) -> None:
+        """Deliver a message to another node, unless it is lost."""
         target = next(node for node in self.nodes if node.name == action.to.node_id)
-        if self.loses(sender.name, target.name) or self.loses(target.name, sender.name):
-            if self.kind is not CutKind.SILENT:
-                event = PeerLinkBroken(action.to.node_id, self.kind.value)
+        if self.is_lost(sender.name, target.name) or self.is_lost(target.name, sender.name):
+            if self.partition_failure is not PartitionFailure.SILENT:
+                event = PeerLinkBroken(action.to.node_id, self.partition_failure.value)
                 self.after(NETWORK_SECONDS, sender.emit, event)
             return
         received = PeerReceived(sender.identity, action.message)
         seconds = NETWORK_SECONDS + self.delay(sender.name, target.name)
         self.after(seconds, target.emit, received)
 
-    # The store
+    # Store
 
-    def ask_store(self, node: FleetNode, request: StoreRequest) -> None:
-        """Answer a request of a node."""
-        if self.loses(node.name, STORE):
+    def send_to_store(self, node: FleetNode, request: StoreRequest) -> None:
+        """Answer a node's store request, or let it time out."""
+        if self.is_lost(node.name, STORE):
             failure = Failure(StoreFailureKind.LOST_REPLY, "cut")
             event = StoreResponse(request.operation_id, failure)
             self.after(request.timeout_seconds, node.emit, event)
@@ -346,21 +340,21 @@
         self.after(NETWORK_SECONDS, node.emit, StoreResponse(request.operation_id, result))
 
     def watch_store(self, node: FleetNode, watch: StartWatch) -> None:
-        """Let a look of a node tell what has changed, or be lost."""
-        self.after(watch.pause_seconds, self._look, node, watch, self.now + watch.pause_seconds)
+        """Start to answer a node's polls."""
+        self.after(watch.pause_seconds, self._poll, node, watch, self.now + watch.pause_seconds)
 
-    def _look(self, node: FleetNode, watch: StartWatch, begun_at: float) -> None:
+    def _poll(self, node: FleetNode, watch: StartWatch, begun_at: float) -> None:
         if (node.name, watch.watch_id) in self.stopped_watches:
             return
-        if self.loses(node.name, STORE):
+        if self.is_lost(node.name, STORE):
             if self.now - begun_at >= watch.timeout_seconds:
                 node.emit(WatchBroken(watch.watch_id, "silent"))
             else:
-                self.after(watch.timeout_seconds, self._look, node, watch, begun_at)
+                self.after(watch.timeout_seconds, self._poll, node, watch, begun_at)
             return
         event = WatchChanged(watch.watch_id, tuple(self._changed), tuple(self._deleted), 2)
         node.emit(event)
-        self.after(max(watch.gather_seconds, 0.5), self._look, node, watch, self.now)
+        self.after(max(watch.poll_interval_seconds, 0.5), self._poll, node, watch, self.now)
 
     def _listing(self) -> list[StoredValue]:
         nodes = [
@@ -389,7 +383,7 @@
 def spread_replicas(
     services: Iterable[str], zones: tuple[str, ...], copies: int
 ) -> list[ReplicaRecord]:
-    """Return replicas of services in some of the zones each, evenly."""
+    """Return replicas of the services, each in ``copies`` zones, spread evenly."""
     records = []
     for number, service in enumerate(services):
         for copy in range(copies):
@@ -398,21 +392,23 @@
     return records
 
 
-def cut_zone(fleet: ZoneFleet, zone: str, with_store: bool = False) -> Callable[[str, str], bool]:
-    """Return what a zone that is cut off loses; the store may be on its side of the cut."""
+def partition_zone(
+    fleet: ZoneFleet, zone: str, with_store: bool = False
+) -> Callable[[str, str], bool]:
+    """Return the packet loss of a partitioned zone; ``with_store``: the store is on its side."""
 
-    def loses(sender: str, receiver: str) -> bool:
+    def is_lost(sender: str, receiver: str) -> bool:
         if STORE in (sender, receiver):
             is_inside = fleet.zone_of.get(sender) == zone or fleet.zone_of.get(receiver) == zone
             return is_inside is not with_store
         return (fleet.zone_of[sender] == zone) is not (fleet.zone_of[receiver] == zone)
 
-    return loses
+    return is_lost
 
 
 def _no_delay(_sender: str, _receiver: str) -> float:
     return 0.0
 
 
-def _loses_nothing(_sender: str, _receiver: str) -> bool:
+def _never_lost(_sender: str, _receiver: str) -> bool:
     return False
--- a/tests/membership/hollow_cluster.py
+++ b/tests/membership/simulated_cluster.py
@@ -8,7 +8,12 @@
 from wingquay.membership.membership_machine import MembershipMachine
 from wingquay.membership.replica_evidence import ReplicaEvidenceSettings
 from wingquay.membership.settings import MembershipSettings, SeedAddress
-from wingquay.ports.internal import ConfigurationInForce, MembershipChanged, Notify, ReplicaBelief
+from wingquay.ports.internal import (
+    ConfigurationInForce,
+    MembershipChanged,
+    Notify,
+    ReplicaStateChanged,
+)
 from wingquay.ports.machine import Action, Count, Event, Log, Schedule, Start
 from wingquay.ports.machine_directory import MachineListRead, ReadMachineList
 from wingquay.ports.peer import (
@@ -27,8 +32,8 @@
 MessageWatcher = Callable[[NodeIdentity, NodeIdentity, PeerMessage], None]
 
 
-class HollowNode:
-    """One process: its machine, and what it was last told."""
+class SimulatedNode:
+    """One node process: its machine and the notifications from it."""
 
     def __init__(self, identity: NodeIdentity, machine: MembershipMachine) -> None:
         self.identity = identity
@@ -41,8 +46,8 @@
         self.counts: Counter[str] = Counter()
 
 
-class HollowCluster:
-    """Starts, stops, pauses and cuts off nodes, and runs the clock."""
+class SimulatedCluster:
+    """Starts, stops, pauses and cuts off nodes, and advances the clock."""
 
     def __init__(
         self,
@@ -54,22 +59,22 @@
         self.random = random.Random(seed)
         self.settings = settings or MembershipSettings()
         self.replica_settings = ReplicaEvidenceSettings()
-        self.nodes: dict[str, HollowNode] = {}
+        self.nodes: dict[str, SimulatedNode] = {}
         self.loss = 0.0
         self.lost_from: set[str] = set()
         self.lost_to: set[str] = set()
         self.cut_zones: set[frozenset[str]] = set()
         self.machine_list: MachineListRead | None = None
-        self.on_notify: Callable[[HollowNode, Event], None] | None = None
-        self.on_log: Callable[[HollowNode, Log], None] | None = None
+        self.on_notify: Callable[[SimulatedNode, Event], None] | None = None
+        self.on_log: Callable[[SimulatedNode, Log], None] | None = None
         self._watcher = watcher
-        self._by_address: dict[tuple[str, int], HollowNode] = {}
-        self._heap: list[tuple[float, int, HollowNode, Event]] = []
+        self._by_address: dict[tuple[str, int], SimulatedNode] = {}
+        self._heap: list[tuple[float, int, SimulatedNode, Event]] = []
         self._order = 0
         self._starts = 0
 
-    def start_node(self, index: int) -> HollowNode:
-        """Start a process at address ``index``; a new id each time."""
+    def start_node(self, index: int) -> SimulatedNode:
+        """Start a process at address ``index``, with a new node id each time."""
         self._starts += 1
         host = f"10.0.{index // 250}.{index % 250 + 1}"
         zone = ZONES[index % len(ZONES)]
@@ -78,35 +83,35 @@
         seeds = [SeedAddress(f"10.0.0.{number + 1}", 7000) for number in range(SEED_COUNT)]
         source = random.Random(self.random.getrandbits(64))
         machine = MembershipMachine(identity, seeds, self.settings, self.replica_settings, source)
-        node = HollowNode(identity, machine)
+        node = SimulatedNode(identity, machine)
         self.nodes[node_id] = node
         self._by_address[(host, 7000)] = node
-        self.give(node, Start())
+        self.deliver(node, Start())
         return node
 
-    def start_nodes(self, count: int) -> list[HollowNode]:
+    def start_nodes(self, count: int) -> list[SimulatedNode]:
         return [self.start_node(index) for index in range(count)]
 
-    def kill(self, node: HollowNode) -> None:
-        """End a process without a word."""
+    def crash(self, node: SimulatedNode) -> None:
+        """Stop a process without notifying the other nodes."""
         node.is_running = False
         self.nodes.pop(node.identity.node_id, None)
 
-    def pause(self, node: HollowNode, seconds: float) -> None:
-        """Stop a process; what arrives meanwhile is handled afterwards."""
+    def pause(self, node: SimulatedNode, seconds: float) -> None:
+        """Pause a process; messages that arrive meanwhile are handled afterwards."""
         node.paused_until = self.now + seconds
 
-    def give(self, node: HollowNode, event: Event) -> None:
-        """Hand an event to a node now and perform what it decides."""
+    def deliver(self, node: SimulatedNode, event: Event) -> None:
+        """Deliver an event to a node now and perform the resulting actions."""
         for action in self.decide(node, event):
             self._perform(node, action)
 
-    def decide(self, node: HollowNode, event: Event) -> list[Action]:
-        """Let the machine take in an event."""
+    def decide(self, node: SimulatedNode, event: Event) -> list[Action]:
+        """Return the actions of the node's machine for an event."""
         return node.machine.handle(event, self.now)
 
     def run(self, seconds: float) -> None:
-        """Let time pass."""
+        """Advance the clock by ``seconds``."""
         end = self.now + seconds
         while self._heap and self._heap[0][0] <= end:
             self.now, _, node, event = heapq.heappop(self._heap)
@@ -115,35 +120,35 @@
             if node.paused_until > self.now:
                 self._push(node.paused_until, node, event)
                 continue
-            self.give(node, event)
+            self.deliver(node, event)
         self.now = end
 
     def run_until(self, condition: Callable[[], bool], limit_seconds: float) -> float:
-        """Let time pass until ``condition`` holds; return the seconds that it took."""
-        begun = self.now
+        """Advance the clock until ``condition`` holds; return the virtual seconds that passed."""
+        started_at = self.now
         while not condition():
-            if self.now - begun > limit_seconds:
-                raise AssertionError(f"still not so after {limit_seconds} virtual seconds")
+            if self.now - started_at > limit_seconds:
+                raise AssertionError(f"condition not met after {limit_seconds} virtual seconds")
             self.run(self.settings.tick_seconds / 2)
-        return self.now - begun
+        return self.now - started_at
 
     def is_settled(self) -> bool:
-        """Whether every node sees exactly the running nodes."""
-        everyone = frozenset(self.nodes)
-        return all(node.available | node.leaving == everyone for node in self.nodes.values())
+        """Whether the nodes in every node's view are exactly the running ones."""
+        running = frozenset(self.nodes)
+        return all(node.available | node.leaving == running for node in self.nodes.values())
 
     def total(self, name: str) -> int:
         return sum(node.counts[name] for node in self.nodes.values())
 
-    def knows(self, node_id: str) -> int:
-        """How many of the other nodes believe that ``node_id`` is there."""
+    def count_seeing(self, node_id: str) -> int:
+        """Return how many other nodes have ``node_id`` as available."""
         return sum(
             node_id in node.available
             for node in self.nodes.values()
             if node.identity.node_id != node_id
         )
 
-    def _perform(self, node: HollowNode, action: Action) -> None:
+    def _perform(self, node: SimulatedNode, action: Action) -> None:
         match action:
             case Schedule():
                 self._push(max(action.at_seconds, self.now), node, action.event)
@@ -159,16 +164,16 @@
                 if self.machine_list is not None:
                     self._push(self.now + ONE_WAY_SECONDS, node, self.machine_list)
 
-    def _notify(self, node: HollowNode, event: Event) -> None:
+    def _notify(self, node: SimulatedNode, event: Event) -> None:
         if isinstance(event, MembershipChanged):
             node.available = frozenset(identity.node_id for identity in event.available)
             node.leaving = frozenset(identity.node_id for identity in event.leaving)
-        elif isinstance(event, ReplicaBelief | ConfigurationInForce):
+        elif isinstance(event, ReplicaStateChanged | ConfigurationInForce):
             node.notified.append(event)
         if self.on_notify is not None:
             self.on_notify(node, event)
 
-    def _send(self, node: HollowNode, action: SendToPeer) -> None:
+    def _send(self, node: SimulatedNode, action: SendToPeer) -> None:
         if self._watcher is not None:
             self._watcher(node.identity, action.to, action.message)
         receiver = self._by_address.get((action.to.host, action.to.port))
@@ -184,25 +189,25 @@
             broken = PeerLinkBroken(action.to.node_id, "unreachable")
             self._push(self.now + 2 * ONE_WAY_SECONDS, node, broken)
 
-    def _passes(self, sender: HollowNode, receiver: HollowNode, is_datagram: bool) -> bool:
+    def _passes(self, sender: SimulatedNode, receiver: SimulatedNode, is_datagram: bool) -> bool:
         zones = frozenset((sender.identity.zone, receiver.identity.zone))
         if len(zones) > 1 and zones in self.cut_zones:
             return False
-        ends = (
+        losses = (
             sender.identity.node_id in self.lost_from,
             receiver.identity.node_id in self.lost_to,
         )
-        if any(ends):
+        if any(losses):
             return False
         return not is_datagram or self.random.random() >= self.loss
 
     def cut_off(self, zone: str) -> None:
-        """Let nothing pass between ``zone`` and the others."""
+        """Drop all messages between ``zone`` and the others."""
         self.cut_zones |= {frozenset((zone, other)) for other in ZONES if other != zone}
 
     def heal(self) -> None:
         self.cut_zones.clear()
 
-    def _push(self, at: float, node: HollowNode, event: Event) -> None:
+    def _push(self, at: float, node: SimulatedNode, event: Event) -> None:
         self._order += 1
         heapq.heappush(self._heap, (at, self._order, node, event))
--- a/tests/membership/test_membership_faults.py
+++ b/tests/membership/test_membership_faults.py
@@ -1,8 +1,10 @@
+"""Random sequences of faults must not leave nodes with wrong membership views."""
+
 from hypothesis import settings
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, initialize, invariant, rule
 
-from tests.membership.hollow_cluster import SEED_COUNT, ZONES, HollowCluster
+from tests.membership.simulated_cluster import SEED_COUNT, ZONES, SimulatedCluster
 from wingquay.ports.internal import LeavingStarted
 
 ADDRESSES = 9
@@ -10,23 +12,23 @@
 
 
 class MembershipFaults(RuleBasedStateMachine):
-    """Whatever happens, afterwards every node sees exactly the nodes that run."""
+    """After any sequence of faults has ended, every node sees exactly the running nodes."""
 
     @initialize(seed=st.integers(0, 2**32))
     def begin(self, seed):
-        self.cluster = HollowCluster(seed)
+        self.cluster = SimulatedCluster(seed)
         self.running = dict(enumerate(self.cluster.start_nodes(ADDRESSES)))
         self.cluster.run_until(self.cluster.is_settled, 60)
 
     @rule(index=INDEXES)
-    def kill(self, index):
+    def crash(self, index):
         node = self.running.pop(index, None)
         if node is not None:
-            self.cluster.kill(node)
+            self.cluster.crash(node)
 
     @rule(index=INDEXES)
     def restart(self, index):
-        self.kill(index)
+        self.crash(index)
         self.running[index] = self.cluster.start_node(index)
 
     @rule(index=INDEXES, seconds=st.floats(0.1, 30))
@@ -37,7 +39,7 @@
     @rule(index=INDEXES)
     def leave(self, index):
         if index in self.running:
-            self.cluster.give(self.running[index], LeavingStarted())
+            self.cluster.deliver(self.running[index], LeavingStarted())
 
     @rule(zone=st.sampled_from(ZONES))
     def cut_off(self, zone):
@@ -51,14 +53,14 @@
     def lose_datagrams(self, loss):
         self.cluster.loss = loss
 
-    @rule(index=INDEXES, deaf=st.booleans())
-    def lose_one_way(self, index, deaf):
+    @rule(index=INDEXES, incoming=st.booleans())
+    def lose_one_way(self, index, incoming):
         if index in self.running:
-            lost = self.cluster.lost_to if deaf else self.cluster.lost_from
+            lost = self.cluster.lost_to if incoming else self.cluster.lost_from
             lost.add(self.running[index].identity.node_id)
 
     @rule()
-    def hear_all(self):
+    def restore_links(self):
         self.cluster.lost_from.clear()
         self.cluster.lost_to.clear()
 
@@ -67,14 +69,14 @@
         self.cluster.run(seconds)
 
     @invariant()
-    def nodes_know_themselves(self):
+    def nodes_see_themselves(self):
         for node_id, node in self.cluster.nodes.items():
             assert node_id in node.available | node.leaving
             assert not node.available & node.leaving
 
     def teardown(self):
         self.heal()
-        self.hear_all()
+        self.restore_links()
         self.lose_datagrams(0.0)
         for index in range(SEED_COUNT):
             if index not in self.running:
--- a/tests/membership/test_over_sockets.py
+++ b/tests/membership/test_over_sockets.py
@@ -1,3 +1,5 @@
+"""Membership works over real peer links on loopback."""
+
 import asyncio
 import random
 
@@ -14,7 +16,7 @@
 from wingquay.runtime import NodeRuntime
 
 KEY = b"a key of the cluster that is long enough"
-PATIENCE_SECONDS = 60.0
+TIMEOUT_SECONDS = 60.0
 FAST = MembershipSettings(
     tick_seconds=0.05,
     probe_interval_seconds=0.4,
@@ -27,7 +29,7 @@
 
 
 class SocketNode:
-    """A membership machine behind a real peer link."""
+    """A membership machine with a real peer link."""
 
     def __init__(self, node_id):
         identity = NodeIdentity(node_id, "ro-nord", "dej", "127.0.0.1", 0)
@@ -57,21 +59,21 @@
 
 
 class MembershipOverSocketsTest(testtools.TestCase):
-    def test_nodes_join_and_one_that_goes_is_missed(self):
+    def test_nodes_join_and_a_stopped_node_is_removed(self):
         async def scenario():
             nodes = {name: SocketNode(name) for name in ("a", "b", "c", "d")}
             seed = await nodes["a"].start([])
             for name in ("b", "c", "d"):
                 await nodes[name].start([seed])
-            await self.everybody_sees(nodes)
+            await self.wait_until_all_see(nodes)
             await nodes.pop("d").stop()
-            await self.everybody_sees(nodes)
+            await self.wait_until_all_see(nodes)
             for node in nodes.values():
                 await node.stop()
 
         asyncio.run(scenario())
 
-    async def everybody_sees(self, nodes):
-        async with asyncio.timeout(PATIENCE_SECONDS):
+    async def wait_until_all_see(self, nodes):
+        async with asyncio.timeout(TIMEOUT_SECONDS):
             while any(node.available != set(nodes) for node in nodes.values()):
                 await asyncio.sleep(0.02)
--- a/tests/simulation/forwarding/test_forwarding_simulation.py
+++ b/tests/simulation/forwarding/test_forwarding_simulation.py
@@ -9,12 +9,12 @@
 from wingquay.forwarding.forwarding_machine import ForwardingMachine
 from wingquay.forwarding.peers.delegated_work import DelegatedWork
 from wingquay.forwarding.peers.delegation import Delegations
-from wingquay.forwarding.sending.arrival_budget import ArrivalBudget
 from wingquay.forwarding.sending.attempts import AttemptSender
 from wingquay.forwarding.sending.call_starter import CallStarter
+from wingquay.forwarding.sending.extra_request_budget import ExtraRequestBudget
 from wingquay.forwarding.sending.latencies import RouteLatencies
-from wingquay.forwarding.settling import ending
-from wingquay.forwarding.settling.ending import ExchangeEnding
+from wingquay.forwarding.settling import reply_builder
+from wingquay.forwarding.settling.reply_builder import ReplyBuilder
 from wingquay.forwarding.settling.settlement import Settlement
 from wingquay.model.routing_table import RoutingTable
 from wingquay.ports.delegation import DelegatedRequest
@@ -41,14 +41,14 @@
 
 SHORT = SimulationSettings(seconds=6.0, requests_per_second=50.0)
 SHARED = SimulationSettings(
-    nodes=6, copies=3, seconds=6.0, requests_per_second=50.0, delegate_least_shards=4
+    nodes=6, copies=3, seconds=6.0, requests_per_second=50.0, delegate_min_shards=4
 )
 """Nodes ask each other for most shards."""
 APART = SimulationSettings(nodes=6, zones=3, seconds=6.0, requests_per_second=50.0)
 """A third of the nodes have no replica in their zone and ask nodes of the other zones."""
 
 SPREAD = SimulationSettings(
-    nodes=9, zones=3, seconds=6.0, requests_per_second=50.0, delegate_least_shards=4
+    nodes=9, zones=3, seconds=6.0, requests_per_second=50.0, delegate_min_shards=4
 )
 """Owners of shards are in other zones than a third of the nodes that ask them."""
 
@@ -149,12 +149,12 @@
         self.addCleanup(setattr, owner, name, original)
 
     def test_work_for_a_draining_replica_is_caught(self) -> None:
-        self.replace(ReplicaDirectory, "vanish", lambda *_: None)
+        self.replace(ReplicaDirectory, "mark_vanished", lambda *_: None)
         self.replace(ReplicaDirectory, "put", _put_without_drain)
         self.assertIn("after it drained", self.violations(replica_drains))
 
     def test_work_in_an_evacuated_zone_is_caught(self) -> None:
-        self.replace(ReplicaDirectory, "evacuate", lambda *_: None)
+        self.replace(ReplicaDirectory, "set_evacuated_zones", lambda *_: None)
         self.assertIn("which is evacuated", self.violations(zone_evacuated))
 
     def test_work_for_a_caller_that_left_is_caught(self) -> None:
@@ -175,7 +175,7 @@
         self.assertIn("replicas of", self.violations(*faults, settings=SHARED, seeds=20))
 
     def test_work_of_other_nodes_for_a_caller_that_left_is_caught(self) -> None:
-        self.replace(Delegations, "closed", lambda *_: [])
+        self.replace(Delegations, "on_closed", lambda *_: [])
         faults = (callers_leave, callers_leave, shard_dark, shard_dark, shard_dark)
         self.assertIn("after its caller left", self.violations(*faults, settings=SHARED))
 
@@ -184,21 +184,21 @@
         self.assertIn("unrepeatable", self.violations(replica_refuses))
 
     def test_a_refusal_of_what_may_have_run_is_caught(self) -> None:
-        self.replace(ExchangeEnding, "failed", _refuse_instead)
+        self.replace(ReplyBuilder, "reply_failed", _refuse_instead)
         self.assertIn("refused as not run, but it ran", self.violations(replica_refuses))
 
     def test_a_merged_answer_that_leaves_records_out_is_caught(self) -> None:
-        self.replace_in(ending, "merge_greatest", lambda bodies, most: b"")
+        self.replace_in(reply_builder, "merge_top_records", lambda bodies, most: b"")
         self.assertIn("not the greatest records", self.violations(replica_slow))
 
     def test_extra_arrivals_beyond_the_budget_are_caught(self) -> None:
-        self.replace(ArrivalBudget, "spend", lambda *_: True)
+        self.replace(ExtraRequestBudget, "spend", lambda *_: True)
         self.replace(RouteLatencies, "hedge_seconds", lambda *_: 0.001)
         self.assertIn("extra arrivals", self.violations(replica_slow))
 
     def test_a_request_without_a_reply_is_caught(self) -> None:
-        self.replace(Settlement, "out_of_time", lambda *_: [])
-        self.replace(CallStarter, "start", lambda *_: [])
+        self.replace(Settlement, "end_timed_out", lambda *_: [])
+        self.replace(CallStarter, "send_or_queue", lambda *_: [])
         self.assertIn("no reply by its time limit", self.violations(replica_slow))
 
     def test_an_old_configuration_is_caught(self) -> None:
@@ -224,9 +224,9 @@
 
 
 def _refuse_instead(
-    ending: ExchangeEnding, exchange: Exchange, _call: object, now: float
+    ending: ReplyBuilder, exchange: Exchange, _call: object, now: float
 ) -> list[Action]:
-    return ending.refuse(exchange, "test", 0.1, now)
+    return ending.reject_not_run(exchange, "test", 0.1, now)
 
 
 _accept = DelegatedWork.accept
--- a/tests/simulation/forwarding/test_tenants.py
+++ b/tests/simulation/forwarding/test_tenants.py
@@ -18,7 +18,7 @@
     shards=8,
     seconds=20.0,
     requests_per_second=60.0,
-    delegate_least_shards=4,
+    delegate_min_shards=4,
     tenants=5,
 )
 FAULTS_OF_A_RUN = 8
@@ -50,7 +50,7 @@
         self.assertTrue([text for text in violations if words in text], violations[:3])
 
     def test_a_key_that_is_passed_on(self) -> None:
-        self.patch(request_arrival, "bare_event", _unchanged)
+        self.patch(request_arrival, "strip_credentials", _unchanged)
         self.assert_seen("passed on what says who calls")
 
     def test_an_unknown_key_that_is_served(self) -> None:
@@ -58,7 +58,7 @@
         self.assert_seen("which the key did not stand for")
 
     def test_a_node_that_forgets_for_whom_it_was_asked(self) -> None:
-        self.patch(delegated_work, "tenant_of", lambda _message: None)
+        self.patch(delegated_work, "build_tenant", lambda _message: None)
         self.assert_seen("told '', which the key did not stand for")
 
     def test_a_known_key_that_is_called_unknown(self) -> None:
@@ -71,7 +71,7 @@
 
 
 def _anybody(key: str, tenants: TenantDirectory) -> Tenant:
-    return tenants.holder(key) or tenants.tenants[0]
+    return tenants.find_by_key(key) or tenants.tenants[0]
 
 
 def _nobody(_key: str, _tenants: TenantDirectory) -> object:
--- a/wingquay/admission/requesters.py
+++ b/wingquay/admission/requesters.py
@@ -1,4 +1,4 @@
-"""The nodes that wait for results, and when each was last sent something."""
+"""Nodes that wait for results, with the time of the last message to each."""
 
 from dataclasses import dataclass
 
@@ -6,32 +6,32 @@
 
 
 @dataclass(slots=True)
-class _Waiting:
+class _WaitingNode:
     identity: NodeIdentity
     outstanding: int
     last_sent_at: float
 
 
 class Requesters:
-    """Outstanding sub-requests by the node that asked."""
+    """Number of outstanding sub-requests by requesting node."""
 
     def __init__(self) -> None:
-        self._waiting: dict[str, _Waiting] = {}
+        self._waiting: dict[str, _WaitingNode] = {}
 
     def __bool__(self) -> bool:
-        """Whether any node waits."""
+        """Return whether any node waits for results."""
         return bool(self._waiting)
 
-    def on_accepted(self, requester: NodeIdentity, now: float) -> None:
-        """Count one more sub-request of ``requester``."""
+    def on_received(self, requester: NodeIdentity, now: float) -> None:
+        """Count a new sub-request of ``requester``."""
         waiting = self._waiting.get(requester.node_id)
         if waiting is None:
-            waiting = _Waiting(requester, 0, now)
+            waiting = _WaitingNode(requester, 0, now)
             self._waiting[requester.node_id] = waiting
         waiting.outstanding += 1
 
-    def on_ended(self, requester: NodeIdentity, now: float) -> None:
-        """Count one fewer sub-request of ``requester``."""
+    def on_finished(self, requester: NodeIdentity, now: float) -> None:
+        """Subtract a finished sub-request of ``requester`` from its count."""
         waiting = self._waiting.get(requester.node_id)
         if waiting is None:
             return
@@ -40,9 +40,9 @@
         if waiting.outstanding <= 0:
             del self._waiting[requester.node_id]
 
-    def silent_since(self, before: float, now: float) -> list[NodeIdentity]:
-        """Return the nodes that were sent nothing since ``before``, and count them as sent."""
-        silent = [waiting for waiting in self._waiting.values() if waiting.last_sent_at <= before]
-        for waiting in silent:
+    def take_unsent_since(self, before: float, now: float) -> list[NodeIdentity]:
+        """Return the nodes sent no message after ``before``; set their last send time to now."""
+        idle = [waiting for waiting in self._waiting.values() if waiting.last_sent_at <= before]
+        for waiting in idle:
             waiting.last_sent_at = now
-        return [waiting.identity for waiting in silent]
+        return [waiting.identity for waiting in idle]
--- a/wingquay/admission/shard_lane.py
+++ b/wingquay/admission/shard_state.py
@@ -1,4 +1,4 @@
-"""One shard at its owner: its replicas, the queue for their slots, the line of hedges."""
+"""State of one shard at its owner: replicas, queued sub-requests and queued hedges."""
 
 from collections import deque
 from dataclasses import dataclass, field
@@ -7,52 +7,58 @@
 from ..model.configuration import Service, Shard
 from ..model.request import SubRequest
 from ..routing.replica_tracker import ReplicaTracker
-from .class_line import ClassLine
-from .work import Work
+from .class_queue import ClassQueue
+from .work_item import WorkItem
 
 
 @dataclass(slots=True)
-class ShardLane:
+class ShardState:
     """State of one shard.
 
     Parameters
     ----------
+    trackers, tracker_list
+        Trackers of the replicas by replica id, and the same as a list.
+    queue
+        Sub-requests that wait for a free slot.
+    hedge_queue
+        Sub-requests that wait for a free slot for a hedge.
     shedding_until
-        While now is before it, the pool has refused work lately and gets no hedges.
+        Time until which no hedges are queued because a replica has shed a request.
     """
 
     service: Service
     shard: Shard
     trackers: dict[str, ReplicaTracker]
-    queue: ClassLine
+    queue: ClassQueue
     tracker_list: list[ReplicaTracker] = field(default_factory=list)
-    hedge_line: deque[Work] = field(default_factory=deque)
+    hedge_queue: deque[WorkItem] = field(default_factory=deque)
     shedding_until: float = 0.0
 
     def parallelism(self) -> int:
-        """Return how many sub-requests all staying replicas together work on at a time."""
+        """Return the total number of slots of the replicas in service."""
         staying = [tracker for tracker in self.tracker_list if not tracker.leaving]
         return sum(tracker.replica.slots for tracker in staying)
 
     def class_delay_seconds(self, sub_request: SubRequest, now: float) -> float:
-        """Return how long a new sub-request of this class is expected to wait for a slot."""
+        """Return the expected queueing delay of a new sub-request of the same class."""
         if not self.queue:
             return 0.0
         return self.queue.class_delay_seconds(sub_request, self.parallelism(), now)
 
     def held(self) -> tuple[HeldVersions, ...]:
-        """Return the versions that the staying replicas hold, as far as known."""
+        """Return the known versions held by the replicas in service."""
         return tuple(
             tracker.held
             for tracker in self.tracker_list
             if tracker.held is not None and not tracker.leaving
         )
 
-    def next_hedge(self) -> Work | None:
-        """Return the first sub-request that still wants a hedge; it stays in line."""
-        while self.hedge_line:
-            work = self.hedge_line[0]
-            if not work.is_finished and work.wants_hedge:
+    def next_hedge(self) -> WorkItem | None:
+        """Return the first sub-request that awaits a hedge, without removing it."""
+        while self.hedge_queue:
+            work = self.hedge_queue[0]
+            if not work.is_finished and work.awaits_hedge:
                 return work
-            self.hedge_line.popleft()
+            self.hedge_queue.popleft()
         return None
--- a/wingquay/claims/claimant.py
+++ b/wingquay/claims/claimant.py
@@ -1,4 +1,4 @@
-"""The node that received an unrepeatable request: asks the voters, tells them the outcome."""
+"""The claimant: requests votes for unrepeatable requests of this node and reports the outcomes."""
 
 import random
 from dataclasses import dataclass
@@ -17,32 +17,39 @@
 from ..ports.peer_claims import ClaimOutcome, ClaimRequest, ClaimVote, VoteKind
 from .directory import AssignmentDirectory
 from .keys import claim_key, partition_of, request_digest
-from .pending_claim import ClaimStage, PendingClaim
 from .settings import ClaimsSettings
+from .submitted_claim import ClaimStage, SubmittedClaim
 
-QUICK_ASKS = 4
-"""Times that a submission asks at short intervals before the intervals double."""
+SHORT_INTERVAL_VOTE_REQUESTS = 4
+"""Number of vote requests sent at the short interval before the interval doubles."""
 
-MOST_DOUBLINGS = 6
+MAX_DOUBLINGS = 6
 
 
 @dataclass(frozen=True, slots=True)
-class ClaimAskDue(Event):
-    """It is time to look at a submission's votes, and to ask again what is missing."""
+class VoteRequestDue(Event):
+    """The timer for the next vote request of a submission has expired.
+
+    Stale unless ``timer_sequence`` is the submission's current one.
+    """
 
     request_id: RequestId
-    ask_sequence: int
+    timer_sequence: int
 
 
 @dataclass(frozen=True, slots=True)
-class ClaimTellDue(Event):
-    """An outcome may have been lost with a connection: tell it again."""
+class OutcomeResendDue(Event):
+    """The timer for resending an outcome that may have been lost with a connection has expired."""
 
     request_id: RequestId
 
 
 class Claimant:
-    """All submissions of this node."""
+    """The claims of all submissions that this node received.
+
+    A submission collects the votes of the zones. If a majority grants it, the request may run, and
+    its outcome is sent to the voters afterwards; otherwise the grants are released.
+    """
 
     def __init__(
         self,
@@ -54,22 +61,22 @@
         self._directory = directory
         self._random = random_source
         self._configuration = Configuration()
-        self._claims: dict[RequestId, PendingClaim] = {}
+        self._claims: dict[RequestId, SubmittedClaim] = {}
         self._deployments: dict[RequestId, DeploymentName] = {}
 
     def set_configuration(self, configuration: Configuration) -> None:
-        """Take in the configuration in force."""
+        """Use ``configuration`` from now on."""
         self._configuration = configuration
 
     def begin(self, event: ClaimWanted, now: float) -> list[Action]:
-        """Ask the voters about a new submission."""
+        """Request the votes for a new submission."""
         request = event.request
         service = self._configuration.service(request.service)
         zones = () if service is None else deployment_zones(self._configuration, service.deployment)
         if service is None or not zones or request.idempotency_key is None:
-            return _notify(request.request_id, ClaimDecisionKind.CANNOT_TELL, None)
+            return _notify(request.request_id, ClaimDecisionKind.UNDECIDED, None)
         key = claim_key(request.caller, request.service, request.idempotency_key)
-        claim = PendingClaim(
+        claim = SubmittedClaim(
             claim_key=key,
             request_digest=request_digest(request),
             request_id=request.request_id,
@@ -79,16 +86,18 @@
         )
         self._claims[request.request_id] = claim
         self._deployments[request.request_id] = service.deployment
-        return self._ask(claim, now)
+        return self._request_votes(claim, now)
 
-    def receive(self, sender: NodeIdentity, vote: ClaimVote, now: float) -> list[Action]:
-        """Take in a vote."""
+    def handle_vote(self, sender: NodeIdentity, vote: ClaimVote, now: float) -> list[Action]:
+        """Record a vote, and decide the submission if the votes suffice."""
         claim = self._claims.get(vote.request_id)
         if claim is None or sender.deployment != self._deployments[vote.request_id]:
             return []
-        current = claim.stage is ClaimStage.ASKING and vote.round_number == claim.round_number
+        current = (
+            claim.stage is ClaimStage.COLLECTING_VOTES and vote.round_number == claim.round_number
+        )
         if not current:
-            return self._answer_late(claim, sender, vote)
+            return self._release_late_grant(claim, sender, vote)
         if sender.zone not in claim.zones:
             return []
         claim.record(sender.zone, vote)
@@ -97,77 +106,80 @@
         decision = claim.decision(self._settings)
         if decision is not None:
             return self._decide(claim, decision, now)
-        if claim.is_blocked() and claim.gives_way():
-            return self._give_way(claim, now)
+        if claim.is_blocked() and claim.must_yield():
+            return self._yield_to_rival(claim, now)
         return []
 
-    def ask_due(self, event: ClaimAskDue, now: float) -> list[Action]:
-        """Give up, give way to a rival, or ask again."""
+    def vote_request_due(self, event: VoteRequestDue, now: float) -> list[Action]:
+        """Give up, yield to a rival submission, or request the missing votes again."""
         claim = self._claims.get(event.request_id)
-        if claim is None or claim.stage is not ClaimStage.ASKING:
+        if claim is None or claim.stage is not ClaimStage.COLLECTING_VOTES:
             return []
-        if event.ask_sequence != claim.ask_sequence:
+        if event.timer_sequence != claim.timer_sequence:
             return []
         if now >= claim.decide_by:
             return self._give_up(claim, now)
-        if not claim.gives_way():
-            return self._ask(claim, now)
-        return self._give_way(claim, now)
+        if not claim.must_yield():
+            return self._request_votes(claim, now)
+        return self._yield_to_rival(claim, now)
 
-    def _give_way(self, claim: PendingClaim, now: float) -> list[Action]:
-        """Give the grants back, and ask again once the rival has had time to."""
-        actions = self._tell(claim, self._listeners(claim), None)
+    def _yield_to_rival(self, claim: SubmittedClaim, now: float) -> list[Action]:
+        """Release the grants, and start a new round after a delay that leaves the rival time."""
+        actions = self._send_outcome(claim, self._outcome_recipients(claim), None)
         claim.begin_round()
-        delay = self._settings.ask_retry_seconds * 2.0 ** min(claim.round_number, MOST_DOUBLINGS)
-        return actions + self._schedule_ask(claim, now, delay)
+        delay = self._settings.ask_retry_seconds * 2.0 ** min(claim.round_number, MAX_DOUBLINGS)
+        return actions + self._schedule_vote_request(claim, now, delay)
 
     def finish(self, event: ClaimFinished, now: float) -> list[Action]:
-        """Tell the voters what came of a granted request."""
+        """Send the outcome of a granted request to the voters."""
         claim = self._claims.get(event.request_id)
         if claim is None or claim.stage is not ClaimStage.GRANTED:
             return []
         self._close(claim, ClaimStage.NOT_RUN if event.outcome is None else ClaimStage.DONE, now)
         claim.outcome = event.outcome
-        return self._tell(claim, self._listeners(claim), event.outcome)
+        return self._send_outcome(claim, self._outcome_recipients(claim), event.outcome)
 
     def link_broken(self, node_id: NodeId, now: float) -> list[Action]:
-        """Tell again what this node may not have received."""
+        """Schedule resending of the outcomes that the peer ``node_id`` may not have received.
+
+        Each resend timer of a claim doubles the delay of its next one.
+        """
         actions: list[Action] = []
         for claim in self._claims.values():
-            zones = {node.zone for node in claim.told if node.node_id == node_id}
+            zones = {node.zone for node in claim.last_recipients if node.node_id == node_id}
             if not zones or claim.stage not in (ClaimStage.NOT_RUN, ClaimStage.DONE):
                 continue
-            if not claim.tell_again:
-                due = ClaimTellDue(claim.request_id)
-                actions.append(Schedule(now + claim.tell_delay_seconds, due))
-                claim.tell_delay_seconds *= 2.0
-            claim.tell_again |= zones
+            if not claim.resend_zones:
+                due = OutcomeResendDue(claim.request_id)
+                actions.append(Schedule(now + claim.resend_delay_seconds, due))
+                claim.resend_delay_seconds *= 2.0
+            claim.resend_zones |= zones
         return actions
 
-    def tell_due(self, event: ClaimTellDue) -> list[Action]:
-        """Tell the present voters of the zones that may not know the outcome."""
+    def resend_due(self, event: OutcomeResendDue) -> list[Action]:
+        """Resend the outcome to the current voters of the zones that may not have received it."""
         claim = self._claims.get(event.request_id)
         if claim is None:
             return []
-        zones, claim.tell_again = claim.tell_again, set()
-        present = self._holders(claim)
-        nodes = tuple(node for node in present.values() if node.zone in zones)
-        return self._tell(claim, nodes, claim.outcome)
+        zones, claim.resend_zones = claim.resend_zones, set()
+        holders = self._holders(claim)
+        nodes = tuple(node for node in holders.values() if node.zone in zones)
+        return self._send_outcome(claim, nodes, claim.outcome)
 
     def tick(self, now: float) -> None:
-        """Forget submissions that were closed long ago."""
-        over = [
+        """Forget closed submissions once their keep time is over."""
+        closed = [
             claim.request_id
             for claim in self._claims.values()
             if claim.stage in (ClaimStage.NOT_RUN, ClaimStage.DONE) and now >= claim.keep_until
         ]
-        for request_id in over:
+        for request_id in closed:
             del self._claims[request_id]
             del self._deployments[request_id]
 
-    def _ask(self, claim: PendingClaim, now: float) -> list[Action]:
+    def _request_votes(self, claim: SubmittedClaim, now: float) -> list[Action]:
         assignment_epochs = claim.assignment_epochs()
-        counted = claim.granted_zones(self._settings)
+        granted = claim.granted_zones(self._settings)
         request = ClaimRequest(
             claim_key=claim.claim_key,
             request_digest=claim.request_digest,
@@ -176,45 +188,49 @@
             zones=claim.zones,
             assignment_epochs=assignment_epochs,
         )
-        claim.forget_refusals()
+        claim.discard_refusals()
         actions: list[Action] = []
         for zone, holder in self._holders(claim).items():
-            if zone not in counted:
-                claim.asked[zone] = holder
+            if zone not in granted:
+                claim.requested_nodes[zone] = holder
                 actions.append(SendToPeer(holder, request))
-        claim.asks += 1
-        doublings = min(max(claim.asks - QUICK_ASKS, 0), MOST_DOUBLINGS)
+        claim.vote_requests_sent += 1
+        doublings = min(
+            max(claim.vote_requests_sent - SHORT_INTERVAL_VOTE_REQUESTS, 0), MAX_DOUBLINGS
+        )
         delay = self._settings.ask_retry_seconds * 2.0**doublings
-        return actions + self._schedule_ask(claim, now, delay)
+        return actions + self._schedule_vote_request(claim, now, delay)
 
-    def _schedule_ask(self, claim: PendingClaim, now: float, delay: float) -> list[Action]:
-        claim.ask_sequence += 1
-        due = ClaimAskDue(claim.request_id, claim.ask_sequence)
+    def _schedule_vote_request(
+        self, claim: SubmittedClaim, now: float, delay: float
+    ) -> list[Action]:
+        claim.timer_sequence += 1
+        due = VoteRequestDue(claim.request_id, claim.timer_sequence)
         jittered = delay * self._random.uniform(0.5, 1.0)
         return [Schedule(min(now + jittered, claim.decide_by), due)]
 
-    def _holders(self, claim: PendingClaim) -> dict[ZoneName, NodeIdentity]:
+    def _holders(self, claim: SubmittedClaim) -> dict[ZoneName, NodeIdentity]:
         deployment = self._deployments[claim.request_id]
         holders: dict[ZoneName, NodeIdentity] = {}
         for zone in claim.zones:
-            holder = self._directory.holder(deployment, zone, claim.partition)
+            holder = self._directory.designated_holder(deployment, zone, claim.partition)
             if holder is not None:
                 holders[zone] = holder
         return holders
 
-    def _listeners(self, claim: PendingClaim) -> tuple[NodeIdentity, ...]:
-        """Return who may remember the submission: the voters asked, and those of now."""
-        nodes = {node.node_id: node for node in claim.asked.values()}
+    def _outcome_recipients(self, claim: SubmittedClaim) -> tuple[NodeIdentity, ...]:
+        """Return the nodes that may store the submission: the voters requested before and now."""
+        nodes = {node.node_id: node for node in claim.requested_nodes.values()}
         nodes.update((node.node_id, node) for node in self._holders(claim).values())
         return tuple(nodes.values())
 
-    def _give_up(self, claim: PendingClaim, now: float) -> list[Action]:
-        kind = ClaimDecisionKind.IN_PROGRESS if claim.met_holder else ClaimDecisionKind.CANNOT_TELL
+    def _give_up(self, claim: SubmittedClaim, now: float) -> list[Action]:
+        kind = ClaimDecisionKind.IN_PROGRESS if claim.saw_rival else ClaimDecisionKind.UNDECIDED
         return self._decide(claim, kind, now)
 
     def _decide(
         self,
-        claim: PendingClaim,
+        claim: SubmittedClaim,
         decision: ClaimDecisionKind,
         now: float,
     ) -> list[Action]:
@@ -225,22 +241,22 @@
             claim.stage = ClaimStage.GRANTED
         else:
             self._close(claim, ClaimStage.NOT_RUN, now)
-            actions += self._tell(claim, self._listeners(claim), None)
+            actions += self._send_outcome(claim, self._outcome_recipients(claim), None)
         if decision is ClaimDecisionKind.ALREADY_DONE:
             outcome = claim.stored_outcome()
         return actions + _notify(claim.request_id, decision, outcome)
 
-    def _close(self, claim: PendingClaim, stage: ClaimStage, now: float) -> None:
+    def _close(self, claim: SubmittedClaim, stage: ClaimStage, now: float) -> None:
         claim.stage = stage
         claim.keep_until = now + self._settings.closed_keep_seconds
 
-    def _answer_late(
+    def _release_late_grant(
         self,
-        claim: PendingClaim,
+        claim: SubmittedClaim,
         sender: NodeIdentity,
         vote: ClaimVote,
     ) -> list[Action]:
-        """Give back a grant of an earlier round or of a submission that will not run."""
+        """Release a grant of an earlier round or of a submission that will not run."""
         if vote.vote is not VoteKind.GRANTED:
             return []
         earlier_round = vote.round_number < claim.round_number
@@ -248,13 +264,13 @@
             return []
         return [SendToPeer(sender, _outcome(claim, vote.round_number, None))]
 
-    def _tell(
+    def _send_outcome(
         self,
-        claim: PendingClaim,
+        claim: SubmittedClaim,
         nodes: tuple[NodeIdentity, ...],
         outcome: bytes | None,
     ) -> list[Action]:
-        claim.told = nodes
+        claim.last_recipients = nodes
         message = _outcome(claim, claim.round_number, outcome)
         return [SendToPeer(node, message) for node in nodes]
 
@@ -263,14 +279,14 @@
     configuration: Configuration,
     name: DeploymentName,
 ) -> tuple[ZoneName, ...]:
-    """Return the sorted zones of a deployment; none if it is unknown."""
+    """Return the sorted zones of a deployment; empty if it is unknown."""
     for deployment in configuration.deployments:
         if deployment.name == name:
             return tuple(sorted(deployment.zones))
     return ()
 
 
-def _outcome(claim: PendingClaim, round_number: int, outcome: bytes | None) -> ClaimOutcome:
+def _outcome(claim: SubmittedClaim, round_number: int, outcome: bytes | None) -> ClaimOutcome:
     return ClaimOutcome(
         claim_key=claim.claim_key,
         request_digest=claim.request_digest,
--- a/wingquay/claims/machine.py
+++ b/wingquay/claims/machine.py
@@ -1,4 +1,4 @@
-"""The claims machine of one node: routes events to voter, claimant, keeper and transfers."""
+"""The claims machine of one node: dispatches events to the voter, claimant and assignments."""
 
 import random
 from dataclasses import dataclass
@@ -24,11 +24,12 @@
     ClaimVote,
 )
 from ..ports.store import StoreResponse
-from .assignment import AssignmentStatus, AssignmentTable
+from .assignment import AssignmentStatus, LocalAssignments
+from .assignment_manager import AssignmentManager
 from .claimant import (
     Claimant,
-    ClaimAskDue,
-    ClaimTellDue,
+    OutcomeResendDue,
+    VoteRequestDue,
     deployment_zones,
 )
 from .directory import AssignmentDirectory
@@ -36,7 +37,6 @@
 from .offers import AssignmentOffers
 from .settings import ClaimsSettings
 from .table_sender import TableSender
-from .takeover import AssignmentKeeper
 from .takeover_timing import TakeoverTiming
 from .transfers import TableTransfers
 from .voter import Voter
@@ -44,7 +44,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ClaimsTick(Event):
-    """It is time to look at the timers of assignments."""
+    """The periodic timer of the claims machine has expired."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -63,9 +63,9 @@
     Parameters
     ----------
     identity
-        This node; its assignments are those of its deployment and zone.
+        This node; it holds assignments of its own deployment and zone.
     random_source
-        Seeded by the surroundings.
+        Source of jitter, seeded by the caller.
     """
 
     EVENTS: ClassVar[tuple[type[Event], ...]] = (
@@ -73,8 +73,8 @@
         ClaimsTick,
         ClaimWanted,
         ClaimFinished,
-        ClaimAskDue,
-        ClaimTellDue,
+        VoteRequestDue,
+        OutcomeResendDue,
         PeerLinkBroken,
         StoreResponse,
         MembershipChanged,
@@ -99,18 +99,18 @@
         self._settings = settings
         self._identity = identity
         self._directory = AssignmentDirectory()
-        self._assignments = AssignmentTable(settings, identity)
+        self._assignments = LocalAssignments(settings, identity)
         self._voter = Voter(self._assignments)
         self._sender = TableSender(settings, self._assignments)
         self._offers = AssignmentOffers(settings, self._assignments, self._directory)
         self._transfers = TableTransfers(settings, self._assignments, self._directory)
         self._timing = TakeoverTiming(settings, self._assignments, self._directory)
-        self._keeper = AssignmentKeeper(settings, self._assignments, self._timing, random_source)
+        self._manager = AssignmentManager(settings, self._assignments, self._timing, random_source)
         self._claimant = Claimant(settings, self._directory, random_source)
-        self._expired_partition = 0
+        self._next_expiry_partition = 0
 
     def handle(self, event: Event, now: float) -> list[Action]:
-        """Take in ``event`` at time ``now`` (seconds); other machines' events are ignored."""
+        """Handle ``event`` at time ``now`` (seconds); events of other machines are ignored."""
         match event:
             case PeerReceived():
                 return self._receive(event, now)
@@ -120,35 +120,35 @@
                 return self._claimant.begin(event, now)
             case ClaimFinished():
                 return self._claimant.finish(event, now)
-            case ClaimAskDue():
-                return self._claimant.ask_due(event, now)
-            case ClaimTellDue():
-                return self._claimant.tell_due(event)
+            case VoteRequestDue():
+                return self._claimant.vote_request_due(event, now)
+            case OutcomeResendDue():
+                return self._claimant.resend_due(event)
             case _:
-                return self._take_in_change(event, now)
+                return self._handle_infrequent(event, now)
 
     @property
     def assignments_to_hand_over(self) -> int:
-        """Assignments that wait for their next holder to fetch them.
+        """Number of assignments that their next holder has not fetched yet.
 
-        A planned stop waits for these.
+        A planned stop waits until it is 0.
         """
         return self._offers.assignments_to_hand_over()
 
-    def holder(self, zone: ZoneName, partition: int) -> NodeIdentity | None:
-        """Return the node that this node would ask for the vote of ``zone``."""
-        return self._directory.holder(self._identity.deployment, zone, partition)
+    def designated_holder(self, zone: ZoneName, partition: int) -> NodeIdentity | None:
+        """Return the node to which this node would send a vote request for ``zone``."""
+        return self._directory.designated_holder(self._identity.deployment, zone, partition)
 
     def report(self) -> ClaimsReport:
-        """Return how much is remembered and how many assignments answer."""
+        """Return the number of stored claims and of assignments by status."""
         return ClaimsReport(
-            records=self._assignments.use.records,
-            outcome_bytes=self._assignments.use.outcome_bytes,
+            records=self._assignments.usage.records,
+            outcome_bytes=self._assignments.usage.outcome_bytes,
             assignments_voting=len(self._assignments.with_status(AssignmentStatus.VOTING)),
             assignments_rebuilding=len(self._assignments.with_status(AssignmentStatus.REBUILDING)),
         )
 
-    def _take_in_change(self, event: Event, now: float) -> list[Action]:
+    def _handle_infrequent(self, event: Event, now: float) -> list[Action]:
         match event:
             case Start():
                 return [self._next_tick(now)]
@@ -156,31 +156,31 @@
                 self._offers.link_broken(event.node_id)
                 return self._claimant.link_broken(event.node_id, now)
             case StoreResponse():
-                # A node whose swap came too late reads again at once, not at the next tick.
-                return self._keeper.respond(event, now) + self._keeper.tick(now)
+                # After a failed swap, read again at once instead of at the next tick.
+                return self._manager.handle_response(event, now) + self._manager.tick(now)
             case MembershipChanged():
                 self._directory.update(event.available, event.leaving)
-                self._timing.review(now)
-                self._transfers.on_membership(now)
-                self._offers.on_membership()
-                return self._keeper.tick(now)
+                self._timing.reevaluate(now)
+                self._transfers.membership_changed(now)
+                self._offers.membership_changed()
+                return self._manager.tick(now)
             case ConfigurationInForce():
-                self._take_in_configuration(event.configuration, now)
-                return self._keeper.tick(now)
+                self._apply_configuration(event.configuration, now)
+                return self._manager.tick(now)
             case LeavingStarted():
-                self._timing.stop()
-                self._transfers.stop_accepting()
+                self._timing.begin_leaving()
+                self._transfers.begin_leaving()
                 self._offers.begin_leaving()
                 return self._offers.tick(now)
         return []
 
-    def _take_in_configuration(self, configuration: Configuration, now: float) -> None:
+    def _apply_configuration(self, configuration: Configuration, now: float) -> None:
         zones = deployment_zones(configuration, self._identity.deployment)
         self._claimant.set_configuration(configuration)
         self._transfers.set_zones(zones)
         self._timing.set_zones(zones)
-        self._keeper.set_zones(zones, configuration.revision)
-        self._timing.review(now)
+        self._manager.set_zones(zones, configuration.revision)
+        self._timing.reevaluate(now)
 
     def _receive(self, event: PeerReceived, now: float) -> list[Action]:
         sender = event.sender
@@ -188,28 +188,28 @@
             case ClaimRequest() as request:
                 return [SendToPeer(sender, self._voter.vote(request, now))]
             case ClaimVote() as vote:
-                return self._claimant.receive(sender, vote, now)
+                return self._claimant.handle_vote(sender, vote, now)
             case ClaimOutcome() as outcome:
                 self._voter.record_outcome(outcome, now)
                 return []
             case ClaimAssignmentOffer() as offer:
-                self._timing.hear_from(sender.node_id)
+                self._timing.record_offer_from(sender.node_id)
                 return self._transfers.accept_offer(sender, offer, now)
             case ClaimTableRequest() as request:
-                return self._sender.give(sender, request, now)
+                return self._sender.send_table(sender, request, now)
             case ClaimTable() as table:
-                return self._transfers.receive(sender, table, now)
+                return self._transfers.handle_table(sender, table, now)
             case _:
                 return []
 
     def _tick(self, now: float) -> list[Action]:
-        self._assignments.assignments[self._expired_partition].memory.expire(now)
-        self._expired_partition = (self._expired_partition + 1) % PARTITIONS
+        self._assignments.by_partition[self._next_expiry_partition].memory.expire(now)
+        self._next_expiry_partition = (self._next_expiry_partition + 1) % PARTITIONS
         self._claimant.tick(now)
         return [
             *self._transfers.tick(now),
             *self._offers.tick(now),
-            *self._keeper.tick(now),
+            *self._manager.tick(now),
             self._next_tick(now),
         ]
 
--- a/wingquay/configuration/configuration_finder.py
+++ b/wingquay/configuration/configuration_finder.py
@@ -1,79 +1,88 @@
-"""Finds the configuration when a node starts: from any peer, else from the store."""
+"""Obtains the configuration when a node starts, from a peer or from the store."""
 
 from ..ports.caller import SetReady
 from ..ports.machine import Action
 from ..ports.peer import ConfigurationFetch, SendToPeer
-from .current_key import CurrentKey, StoredDocument
+from .current_document import CurrentDocumentReader, StoredDocument
 from .dissemination import Dissemination
-from .in_force import InForce
+from .in_force import InForceConfiguration
 from .node_view import NodeView
 from .script import Script, pause, perform
 from .store_schedule import (
-    CROWD_REQUESTS_PER_SECOND,
+    CLUSTER_REQUESTS_PER_SECOND,
     FullJitterBackoff,
-    takes_turn,
+    is_selected,
 )
 
-FIRST_LOOK_SECONDS = 0.5
-"""The first look is spread over this time, so that a fleet that starts at once does not knock."""
+START_SPREAD_SECONDS = 0.5
+"""The first poll is delayed at random by up to this time, to spread nodes that start together."""
 
-LOOK_PAUSE_SECONDS = 1.0
-"""Mean pause between looks."""
+POLL_INTERVAL_SECONDS = 1.0
+"""Mean time between polls."""
 
-PEERS_ASKED = 2
+PEERS_PER_POLL = 2
+"""Random peers that each poll sends a fetch to."""
 
 
 class ConfigurationFinder:
-    """Looks for a configuration until there is one; meanwhile the node is not ready."""
+    """Polls peers and the store until a configuration is in force.
+
+    The node is not ready until then. In each interval only a random subset of the nodes reads
+    the store, so that all nodes together stay within ``CLUSTER_REQUESTS_PER_SECOND``.
+    """
 
     def __init__(
         self,
         view: NodeView,
-        in_force: InForce,
+        in_force: InForceConfiguration,
         dissemination: Dissemination,
-        current_key: CurrentKey,
+        document_reader: CurrentDocumentReader,
     ) -> None:
         self._view = view
         self._in_force = in_force
         self._dissemination = dissemination
-        self._current_key = current_key
-        self.nothing_confirmed = False
-        """Whether the store itself said that it holds no configuration yet."""
+        self._document_reader = document_reader
+        self.store_is_empty = False
+        """Whether the store has replied that it holds no configuration yet."""
 
-    def look(self) -> Script[list[Action]]:
-        """Look among peers and, as few nodes at a time, in the store."""
+    def run(self) -> Script[list[Action]]:
+        """Poll peers, and the store if this node is selected, until a configuration is in force."""
         random = self._view.random
         backoff = FullJitterBackoff(random)
-        yield from perform(SetReady(False, "no configuration is known yet"))
-        now = yield from pause(random.uniform(0.0, FIRST_LOOK_SECONDS))
-        store_not_before = now
+        yield from perform(SetReady(False, "no configuration received yet"))
+        now = yield from pause(random.uniform(0.0, START_SPREAD_SECONDS))
+        next_store_read_at = now
         while self._in_force.document is None:
-            yield from perform(*self._ask_peers())
-            now = yield from pause(LOOK_PAUSE_SECONDS * random.uniform(0.25, 0.75))
-            crowd = self._view.node_count
-            turn = takes_turn(random, crowd, CROWD_REQUESTS_PER_SECOND * LOOK_PAUSE_SECONDS)
-            if self._in_force.document is None and now >= store_not_before and turn:
-                found = yield from self._current_key.read()
-                now = yield from self._take(found)
+            yield from perform(*self._fetch_from_peers())
+            now = yield from pause(POLL_INTERVAL_SECONDS * random.uniform(0.25, 0.75))
+            node_count = self._view.node_count
+            selected = is_selected(
+                random, node_count, CLUSTER_REQUESTS_PER_SECOND * POLL_INTERVAL_SECONDS
+            )
+            if self._in_force.document is None and now >= next_store_read_at and selected:
+                found = yield from self._document_reader.read()
+                now = yield from self._apply(found)
                 if isinstance(found, StoredDocument):
-                    backoff.succeeded()
+                    backoff.reset()
                 else:
-                    store_not_before = now + backoff.delay_seconds(crowd)
-            yield from pause(LOOK_PAUSE_SECONDS * random.uniform(0.25, 0.75))
+                    next_store_read_at = now + backoff.next_delay_seconds(node_count)
+            yield from pause(POLL_INTERVAL_SECONDS * random.uniform(0.25, 0.75))
         return []
 
-    def _ask_peers(self) -> list[Action]:
-        nodes = self._view.sample(self._view.peers, PEERS_ASKED)
+    def _fetch_from_peers(self) -> list[Action]:
+        nodes = self._view.sample(self._view.peers, PEERS_PER_POLL)
         return [SendToPeer(node, ConfigurationFetch(self._in_force.revision)) for node in nodes]
 
-    def _take(self, found: object) -> Script[float]:
+    def _apply(self, found: object) -> Script[float]:
         now = yield from perform()
         if not isinstance(found, StoredDocument):
             return now
         if found.modified_at == 0:
-            self.nothing_confirmed = True
+            self.store_is_empty = True
             yield from perform(SetReady(False, "no configuration has been confirmed yet"))
             return now
-        actions = self._dissemination.take(found.document, now, "store", from_store=True)
+        actions = self._dissemination.apply_and_announce(
+            found.document, now, "store", from_store=True
+        )
         yield from perform(*actions)
         return now
--- a/wingquay/configuration/script.py
+++ b/wingquay/configuration/script.py
@@ -1,8 +1,7 @@
-"""Runs procedures that wait: for a reply of the store, for time to pass.
+"""Runs scripts: procedures that wait for replies of the store or for time to pass.
 
-A script is a generator. It yields a step, is resumed when the step is done, and so reads from
-top to bottom although many events pass meanwhile. It does no I/O and reads no clock: the runner
-turns its steps into actions and resumes it with the events that answer them.
+A script is a generator that yields steps. The runner turns each step into actions and resumes the
+script with the event that completes the step. A script does no I/O and reads no clock.
 """
 
 from collections.abc import Generator
@@ -24,21 +23,21 @@
 
 @dataclass(frozen=True, slots=True)
 class CallStore:
-    """Step: perform an operation and wait for its outcome."""
+    """Step: send an operation to the store and wait for its outcome."""
 
     operation: StoreOperation
 
 
 @dataclass(frozen=True, slots=True)
 class Pause:
-    """Step: wait."""
+    """Step: wait for ``seconds``."""
 
     seconds: float
 
 
 @dataclass(frozen=True, slots=True)
 class Perform:
-    """Step: hand out actions and go on at once."""
+    """Step: emit actions and continue without waiting."""
 
     actions: tuple[Action, ...]
 
@@ -47,99 +46,101 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Resumed:
-    """What a script is resumed with: the time, and the store's outcome if it asked for one."""
+class Resumption:
+    """Value sent to a script on resumption; ``outcome`` is set only after ``CallStore``."""
 
     now: float
     outcome: StoreOutcome | None = None
 
 
 Value = TypeVar("Value")
-Script = Generator[Step, Resumed, Value]
+Script = Generator[Step, Resumption, Value]
+"""A generator that yields steps and finally returns ``Value``."""
 
 
 @dataclass(frozen=True, slots=True)
 class StoreReply:
-    """The outcome of a store operation and when it came."""
+    """The outcome of a store operation and the time of its arrival."""
 
     now: float
     outcome: StoreOutcome
 
 
 def call_store(operation: StoreOperation) -> Script[StoreReply]:
-    """Perform ``operation`` and return its outcome."""
+    """Send ``operation`` to the store and return its outcome."""
     resumed = yield CallStore(operation)
     assert resumed.outcome is not None
     return StoreReply(resumed.now, resumed.outcome)
 
 
 def pause(seconds: float) -> Script[float]:
-    """Wait and return the time then."""
+    """Wait for ``seconds`` and return the time afterwards."""
     resumed = yield Pause(seconds)
     return resumed.now
 
 
 def perform(*actions: Action) -> Script[float]:
-    """Hand out actions at once and return the time."""
+    """Emit actions and return the current time; without actions, only read the time."""
     resumed = yield Perform(actions)
     return resumed.now
 
 
 @dataclass(frozen=True, slots=True)
 class ScriptTimer(Event):
-    """A pause of the configuration machine's script ``number`` is over."""
+    """The pause ``number`` of a script of the configuration machine is over."""
 
     number: int
 
 
 class StoreHealth:
-    """What the replies say of the store."""
+    """Availability of the store as observed from its replies."""
 
     def __init__(self) -> None:
         self.reachable: bool | None = None
-        """Whether the last operation was answered; ``None`` before the first."""
+        """Whether the last operation succeeded; ``None`` before the first."""
         self.last_reply_at: float | None = None
+        """Time of the last successful operation; ``None`` before the first."""
 
-    def note(self, outcome: StoreOutcome, now: float) -> None:
-        """Take in the outcome of an operation."""
+    def record(self, outcome: StoreOutcome, now: float) -> None:
+        """Record the outcome of an operation."""
         self.reachable = not isinstance(outcome, Failure)
         if self.reachable:
             self.last_reply_at = now
 
 
 class ScriptRunner:
-    """Runs scripts, each to its end, interleaved by the events they wait for.
+    """Runs scripts concurrently; each is resumed by the events that it waits for.
 
     Parameters
     ----------
     operation_prefix
-        Begins the ids of this runner's store operations, which are unique on the node.
+        Prefix of the ids of this runner's store operations, unique among the node's runners.
     """
 
     def __init__(self, operation_prefix: str) -> None:
         self.store_health = StoreHealth()
-        self._prefix = operation_prefix
-        self._number = 0
+        self._operation_prefix = operation_prefix
+        self._last_number = 0
         self._waiting_for_store: dict[str, Script[list[Action]]] = {}
-        self._pausing: dict[int, Script[list[Action]]] = {}
+        self._paused: dict[int, Script[list[Action]]] = {}
 
     def start(self, script: Script[list[Action]], now: float) -> list[Action]:
-        """Begin a script; the actions that it returns at its end are handed out too."""
+        """Run a script up to its first wait and return the actions emitted so far."""
         return self._advance(script, None, now)
 
     def handle(self, event: StoreResponse | ScriptTimer, now: float) -> list[Action]:
-        """Resume the script that waits for ``event``; others' events are ignored."""
+        """Resume the script that waits for ``event``; ignore unknown events."""
         if isinstance(event, ScriptTimer):
-            pausing = self._pausing.pop(event.number, None)
-            return [] if pausing is None else self._advance(pausing, Resumed(now), now)
+            paused = self._paused.pop(event.number, None)
+            return [] if paused is None else self._advance(paused, Resumption(now), now)
         waiting = self._waiting_for_store.pop(event.operation_id, None)
         if waiting is None:
             return []
-        self.store_health.note(event.result, now)
-        return self._advance(waiting, Resumed(now, event.result), now)
+        self.store_health.record(event.result, now)
+        return self._advance(waiting, Resumption(now, event.result), now)
 
     def _advance(
-        self, script: Script[list[Action]], resumed: Resumed | None, now: float
+        self, script: Script[list[Action]], resumed: Resumption | None, now: float
     ) -> list[Action]:
         actions: list[Action] = []
         while True:
@@ -150,16 +151,16 @@
             if not isinstance(step, Perform):
                 return actions + self._wait(script, step, now)
             actions += step.actions
-            resumed = Resumed(now)
+            resumed = Resumption(now)
 
     def _wait(
         self, script: Script[list[Action]], step: CallStore | Pause, now: float
     ) -> list[Action]:
-        self._number += 1
+        self._last_number += 1
         if isinstance(step, Pause):
-            self._pausing[self._number] = script
-            return [Schedule(now + step.seconds, ScriptTimer(self._number))]
-        operation_id = f"{self._prefix}-{self._number}"
+            self._paused[self._last_number] = script
+            return [Schedule(now + step.seconds, ScriptTimer(self._last_number))]
+        operation_id = f"{self._operation_prefix}-{self._last_number}"
         self._waiting_for_store[operation_id] = script
         name = type(step.operation).__name__
         return [
--- a/wingquay/configuration/watcher.py
+++ b/wingquay/configuration/watcher.py
@@ -1,9 +1,9 @@
-"""Holds one of the zone's watcher assignments, and while holding it watches the store.
+"""Acquires one of the zone's watcher assignments and watches the store while holding it.
 
-An assignment is a key written with a lease. A holder may have been paused past its lease and not
-know: so it counts the lease from the moment it *asked* for it, by its own clock, and looks at that
-before every step. What it passes on carries the revision, which is the fencing token: nobody
-goes back to a smaller one, whoever sends it.
+An assignment is a key written with a lease. A holder may be suspended until its lease has
+expired, so it measures the lease on its own clock from the time of the request and checks it
+before each step. A message that it sends too late is harmless, because nodes ignore revisions
+lower than the one in force.
 """
 
 import json
@@ -24,245 +24,268 @@
     WatchBroken,
     WatchChanged,
 )
-from .current_key import CurrentKey, StoredDocument
+from .current_document import CurrentDocumentReader, StoredDocument
 from .dissemination import Dissemination
-from .in_force import InForce
+from .in_force import InForceConfiguration
 from .keys import CURRENT_KEY, assignment_key, assignments_prefix
 from .node_view import NodeView
 from .script import Script, ScriptRunner, call_store, pause, perform
-from .store_schedule import FullJitterBackoff, takes_turn
+from .store_schedule import FullJitterBackoff, is_selected
 
-ASSIGNMENTS_IN_EACH_ZONE = 2
+ASSIGNMENTS_PER_ZONE = 2
+"""Nodes of each zone that watch the store."""
 
 LEASE_SECONDS = 10
 """Time to live of an assignment's lease."""
 
-LEASE_MARGIN_SECONDS = 1.0
-"""A holder stops acting this long before its lease may lapse: clocks do not run alike."""
+LEASE_SAFETY_MARGIN_SECONDS = 1.0
+"""A holder stops acting this long before its lease expires, to allow for clock drift."""
 
-RENEWAL_SECONDS = 3.0
-"""Pause between renewals of the lease."""
+RENEWAL_INTERVAL_SECONDS = 3.0
+"""Time between renewals of the lease."""
 
-ASSIGNMENT_CHECK_SECONDS = 2.5
-"""Mean pause between looks at a zone's assignments, by all nodes of the zone together."""
+ASSIGNMENT_CHECK_INTERVAL_SECONDS = 2.5
+"""Mean time between checks; on average one node of the zone reads the assignments each time."""
 
-LASTING_WATCH_SECONDS = 10.0
-"""A watch that lasted so long shows that the store is well again."""
+STABLE_WATCH_SECONDS = 10.0
+"""Duration of a watch after which the backoff between watches is reset."""
 
-POLL_SECONDS = 10.0
-"""Mean pause between reads that notice what the watch skipped."""
+POLL_INTERVAL_SECONDS = 10.0
+"""Mean time between reads that detect revisions skipped by the watch."""
 
 
 @dataclass(slots=True)
-class _Tenure:
-    """One time of holding an assignment."""
+class _WatcherAssignment:
+    """An assignment that this node holds, with its lease and its watch."""
 
-    assignment: int
+    assignment_index: int
     lease_id: int
-    fence: int
-    """The store's revision of the write that took the assignment."""
-    valid_until: float
+    fencing_token: int
+    """Store revision of the write that acquired the assignment."""
+    lease_valid_until: float
     watch_id: str
     backoff: FullJitterBackoff
-    """Between the watches of the tenure, so that one that breaks at once is not hurried."""
+    """Delays between watches, so that watches that break at once are not restarted too fast."""
     watching: bool = False
     watching_since: float = 0.0
 
 
 class Watcher:
-    """Takes a vacant assignment of the zone, watches while holding it, and gives it up cleanly."""
+    """Acquires a vacant assignment of the zone, watches the store and releases the assignment."""
 
     def __init__(
         self,
         view: NodeView,
         runner: ScriptRunner,
-        in_force: InForce,
+        in_force: InForceConfiguration,
         dissemination: Dissemination,
-        current_key: CurrentKey,
+        document_reader: CurrentDocumentReader,
     ) -> None:
         self._view = view
         self._runner = runner
         self._in_force = in_force
         self._dissemination = dissemination
-        self._current_key = current_key
-        self._tenure: _Tenure | None = None
+        self._document_reader = document_reader
+        self._assignment: _WatcherAssignment | None = None
 
     @property
     def holds_assignment(self) -> bool:
-        """Whether the node believes to hold an assignment; acting on it checks the lease first."""
-        return self._tenure is not None
+        """Whether this node holds an assignment; its lease may have expired unnoticed."""
+        return self._assignment is not None
 
     def start(self, now: float) -> list[Action]:
-        """Begin to look for a vacant assignment now and then."""
-        return self._runner.start(self._look_for_assignments(), now)
+        """Start the periodic search for a vacant assignment."""
+        return self._runner.start(self._acquire_assignments(), now)
 
-    def give_up(self, now: float) -> list[Action]:
-        """Give the assignment back at once (a planned stop), so that another node takes it."""
-        tenure = self._tenure
-        if tenure is None:
+    def release_assignment(self, now: float) -> list[Action]:
+        """Release the assignment on a planned stop, so that another node can acquire it at once."""
+        assignment = self._assignment
+        if assignment is None:
             return []
-        return self._end(tenure, "given up") + self._runner.start(_revoke(tenure.lease_id), now)
+        return self._end_assignment(assignment, "released") + self._runner.start(
+            _revoke(assignment.lease_id), now
+        )
 
-    def watch_changed(self, event: WatchChanged, now: float) -> list[Action]:
-        """Take in what the watch saw, if the assignment is still held."""
-        tenure = self._tenure
-        if tenure is None or event.watch_id != tenure.watch_id:
+    def handle_watch_changed(self, event: WatchChanged, now: float) -> list[Action]:
+        """Apply the documents that the watch reported, if the lease is still valid."""
+        assignment = self._assignment
+        if assignment is None or event.watch_id != assignment.watch_id:
             return []
-        if not self._holds(tenure, now):
-            return self._end(tenure, "lease lapsed")
+        if not self._lease_is_valid(assignment, now):
+            return self._end_assignment(assignment, "lease expired")
         actions: list[Action] = []
         for value in event.changed:
             if value.key == CURRENT_KEY:
-                actions += self._take(self._current_key.take(value, event.store_revision), now)
+                actions += self._apply(
+                    self._document_reader.parse(value, event.store_revision), now
+                )
         return actions
 
-    def watch_broken(self, event: WatchBroken, now: float) -> list[Action]:
-        """Read and watch anew after a pause: what happened meanwhile may have been missed."""
-        tenure = self._tenure
-        if tenure is None or event.watch_id != tenure.watch_id:
+    def handle_watch_broken(self, event: WatchBroken, now: float) -> list[Action]:
+        """After a delay, read the document, in case changes were missed, and restart the watch."""
+        assignment = self._assignment
+        if assignment is None or event.watch_id != assignment.watch_id:
             return []
-        tenure.watching = False
-        if now - tenure.watching_since > LASTING_WATCH_SECONDS:
-            tenure.backoff.succeeded()
-        return self._runner.start(self._watch(tenure, restarted=True), now)
-
-    def _holds(self, tenure: _Tenure, now: float) -> bool:
-        """Whether the tenure has not ended and its lease cannot have lapsed yet."""
-        return self._tenure is tenure and now < tenure.valid_until - LEASE_MARGIN_SECONDS
+        assignment.watching = False
+        if now - assignment.watching_since > STABLE_WATCH_SECONDS:
+            assignment.backoff.reset()
+        return self._runner.start(self._watch(assignment, restarted=True), now)
+
+    def _lease_is_valid(self, assignment: _WatcherAssignment, now: float) -> bool:
+        """Whether the assignment is still held and its lease cannot have expired yet."""
+        return (
+            self._assignment is assignment
+            and now < assignment.lease_valid_until - LEASE_SAFETY_MARGIN_SECONDS
+        )
 
-    def _end(self, tenure: _Tenure, reason: str) -> list[Action]:
-        if self._tenure is not tenure:
+    def _end_assignment(self, assignment: _WatcherAssignment, reason: str) -> list[Action]:
+        if self._assignment is not assignment:
             return []
-        self._tenure = None
-        fields = (("assignment", tenure.assignment), ("fence", tenure.fence), ("reason", reason))
+        self._assignment = None
+        fields = (
+            ("assignment", assignment.assignment_index),
+            ("fencing_token", assignment.fencing_token),
+            ("reason", reason),
+        )
         actions: list[Action] = [Log("watcher_assignment_ended", fields=fields)]
-        if tenure.watching:
-            actions.append(StopWatch(tenure.watch_id))
+        if assignment.watching:
+            actions.append(StopWatch(assignment.watch_id))
         return actions
 
-    def _look_for_assignments(self) -> Script[list[Action]]:
+    def _acquire_assignments(self) -> Script[list[Action]]:
         random = self._view.random
         backoff = FullJitterBackoff(random)
-        not_before = 0.0
-        while not self._view.leaving:
-            now = yield from pause(ASSIGNMENT_CHECK_SECONDS * random.uniform(0.5, 1.5))
-            crowd = self._view.zone_node_count
-            if self.holds_assignment or now < not_before or self._view.leaving:
+        next_check_at = 0.0
+        while not self._view.is_stopping:
+            now = yield from pause(ASSIGNMENT_CHECK_INTERVAL_SECONDS * random.uniform(0.5, 1.5))
+            node_count = self._view.zone_node_count
+            if self.holds_assignment or now < next_check_at or self._view.is_stopping:
                 continue
-            if not takes_turn(random, crowd, expected_turns=1.0):
+            if not is_selected(random, node_count, expected_nodes=1.0):
                 continue
-            answered = yield from self._try_assignment()
+            store_answered = yield from self._try_acquire()
             now = yield from perform()
-            if answered:
-                backoff.succeeded()
+            if store_answered:
+                backoff.reset()
             else:
-                not_before = now + backoff.delay_seconds(crowd)
+                next_check_at = now + backoff.next_delay_seconds(node_count)
         return []
 
-    def _try_assignment(self) -> Script[bool]:
-        """Take a vacant assignment if there is one; return whether the store answered."""
+    def _try_acquire(self) -> Script[bool]:
+        """Acquire a vacant assignment if there is one; return whether the store answered."""
         zone = self._view.identity.zone
         seen = (yield from call_store(Read(assignments_prefix(zone), prefix=True))).outcome
         if not isinstance(seen, ReadResult):
             return False
-        taken = {value.key for value in seen.values}
+        held_keys = {value.key for value in seen.values}
         vacant = [
-            s for s in range(ASSIGNMENTS_IN_EACH_ZONE) if assignment_key(zone, s) not in taken
+            index
+            for index in range(ASSIGNMENTS_PER_ZONE)
+            if assignment_key(zone, index) not in held_keys
         ]
         if not vacant:
             return True
-        assignment = self._view.random.choice(vacant)
-        asked_at = yield from perform()
+        assignment_index = self._view.random.choice(vacant)
+        requested_at = yield from perform()
         lease = (yield from call_store(GrantLease(LEASE_SECONDS))).outcome
         if not isinstance(lease, LeaseState):
             return False
-        return (yield from self._claim(assignment, lease, asked_at))
+        return (yield from self._write_assignment(assignment_index, lease, requested_at))
 
-    def _claim(self, assignment: int, lease: LeaseState, asked_at: float) -> Script[bool]:
+    def _write_assignment(
+        self, assignment_index: int, lease: LeaseState, requested_at: float
+    ) -> Script[bool]:
         identity = self._view.identity
         value = json.dumps({"node_id": identity.node_id, "address": identity.host}).encode()
         operation = CompareAndSwap(
-            assignment_key(identity.zone, assignment), 0, value, lease.lease_id
+            assignment_key(identity.zone, assignment_index), 0, value, lease.lease_id
         )
         reply = yield from call_store(operation)
         swap = reply.outcome
-        if not isinstance(swap, SwapResult) or not swap.succeeded or self._view.leaving:
-            # After a lost reply the assignment may be ours: ending the lease vacates it for
-            # certain.
+        if not isinstance(swap, SwapResult) or not swap.succeeded or self._view.is_stopping:
+            # The write may have succeeded although its reply was lost. Revoking the lease
+            # releases the assignment in any case.
             yield from call_store(RevokeLease(lease.lease_id))
             return isinstance(swap, SwapResult)
-        tenure = _Tenure(
-            assignment=assignment,
+        assignment = _WatcherAssignment(
+            assignment_index=assignment_index,
             lease_id=lease.lease_id,
-            fence=swap.store_revision,
-            valid_until=asked_at + LEASE_SECONDS,
+            fencing_token=swap.store_revision,
+            lease_valid_until=requested_at + LEASE_SECONDS,
             watch_id=f"configuration-watch-{lease.lease_id}-0",
             backoff=FullJitterBackoff(self._view.random),
         )
-        self._tenure = tenure
-        fields = (("assignment", assignment), ("fence", tenure.fence))
-        begin: list[Action] = [Log("watcher_assignment_taken", fields=fields)]
-        for script in (self._keep(tenure), self._watch(tenure), self._poll(tenure)):
-            begin += self._runner.start(script, reply.now)
-        yield from perform(*begin)
+        self._assignment = assignment
+        fields = (("assignment", assignment_index), ("fencing_token", assignment.fencing_token))
+        actions: list[Action] = [Log("watcher_assignment_taken", fields=fields)]
+        for script in (
+            self._renew_lease(assignment),
+            self._watch(assignment),
+            self._poll(assignment),
+        ):
+            actions += self._runner.start(script, reply.now)
+        yield from perform(*actions)
         return True
 
-    def _keep(self, tenure: _Tenure) -> Script[list[Action]]:
-        """Renew the lease until the tenure ends."""
+    def _renew_lease(self, assignment: _WatcherAssignment) -> Script[list[Action]]:
+        """Renew the lease until the assignment ends."""
         while True:
-            now = yield from pause(RENEWAL_SECONDS * self._view.random.uniform(0.8, 1.0))
-            if not self._holds(tenure, now):
-                return self._end(tenure, "lease lapsed")
-            reply = yield from call_store(KeepLeaseAlive(tenure.lease_id))
+            now = yield from pause(RENEWAL_INTERVAL_SECONDS * self._view.random.uniform(0.8, 1.0))
+            if not self._lease_is_valid(assignment, now):
+                return self._end_assignment(assignment, "lease expired")
+            reply = yield from call_store(KeepLeaseAlive(assignment.lease_id))
             state = reply.outcome
             if not isinstance(state, LeaseState):
                 continue
             if state.time_to_live_seconds <= 0:
-                return self._end(tenure, "lease lapsed in the store")
-            tenure.valid_until = now + min(LEASE_SECONDS, state.time_to_live_seconds)
+                return self._end_assignment(assignment, "lease expired in the store")
+            assignment.lease_valid_until = now + min(LEASE_SECONDS, state.time_to_live_seconds)
 
-    def _watch(self, tenure: _Tenure, restarted: bool = False) -> Script[list[Action]]:
-        """Read, then watch from just after what was read."""
+    def _watch(
+        self, assignment: _WatcherAssignment, restarted: bool = False
+    ) -> Script[list[Action]]:
+        """Read the document, then watch from the store revision that follows the read."""
         if restarted:
-            yield from pause(tenure.backoff.delay_seconds())
+            yield from pause(assignment.backoff.next_delay_seconds())
         while True:
             now = yield from perform()
-            if not self._holds(tenure, now):
-                return self._end(tenure, "lease lapsed")
-            found = yield from self._current_key.read()
+            if not self._lease_is_valid(assignment, now):
+                return self._end_assignment(assignment, "lease expired")
+            found = yield from self._document_reader.read()
             now = yield from perform()
-            if not self._holds(tenure, now):
-                return self._end(tenure, "lease lapsed")
+            if not self._lease_is_valid(assignment, now):
+                return self._end_assignment(assignment, "lease expired")
             if isinstance(found, StoredDocument):
                 break
-            yield from pause(tenure.backoff.delay_seconds())
-        if tenure.watching:
+            yield from pause(assignment.backoff.next_delay_seconds())
+        if assignment.watching:
+            # Another script has restarted the watch in the meantime.
             return []
-        stem, _, count = tenure.watch_id.rpartition("-")
-        tenure.watch_id = f"{stem}-{int(count) + 1}"
-        tenure.watching = True
-        tenure.watching_since = now
-        watch = StartWatch(tenure.watch_id, CURRENT_KEY, found.store_revision + 1)
-        return [*self._take(found, now), watch]
-
-    def _poll(self, tenure: _Tenure) -> Script[list[Action]]:
-        """Look again now and then: a watch may skip revisions without breaking."""
+        stem, _, count = assignment.watch_id.rpartition("-")
+        assignment.watch_id = f"{stem}-{int(count) + 1}"
+        assignment.watching = True
+        assignment.watching_since = now
+        watch = StartWatch(assignment.watch_id, CURRENT_KEY, found.store_revision + 1)
+        return [*self._apply(found, now), watch]
+
+    def _poll(self, assignment: _WatcherAssignment) -> Script[list[Action]]:
+        """Read the document periodically, since a watch may skip revisions without breaking."""
         while True:
-            now = yield from pause(POLL_SECONDS * self._view.random.uniform(0.5, 1.5))
-            if not self._holds(tenure, now):
-                return self._end(tenure, "lease lapsed")
+            now = yield from pause(POLL_INTERVAL_SECONDS * self._view.random.uniform(0.5, 1.5))
+            if not self._lease_is_valid(assignment, now):
+                return self._end_assignment(assignment, "lease expired")
             before = self._in_force.revision
-            found = yield from self._current_key.read()
+            found = yield from self._document_reader.read()
             now = yield from perform()
-            if not self._holds(tenure, now):
-                return self._end(tenure, "lease lapsed")
+            if not self._lease_is_valid(assignment, now):
+                return self._end_assignment(assignment, "lease expired")
             if not isinstance(found, StoredDocument):
                 continue
             if found.document.revision > max(before, self._in_force.revision):
                 yield from perform(Count("configuration_watch_skips_total"))
-            yield from perform(*self._take(found, now))
+            yield from perform(*self._apply(found, now))
 
-    def _take(self, found: object, now: float) -> list[Action]:
+    def _apply(self, found: object, now: float) -> list[Action]:
         if not isinstance(found, StoredDocument):
             reason = getattr(found, "reason", "")
             return [Log("configuration_unreadable", LogLevel.ERROR, (("reason", reason),))]
@@ -270,7 +293,7 @@
         if found.document.revision < own:
             fields = (("stored", int(found.document.revision)), ("in_force", int(own)))
             return [Log("store_behind", LogLevel.WARNING, fields)]
-        return self._dissemination.take(found.document, now, "store", from_store=True)
+        return self._dissemination.apply_and_announce(found.document, now, "store", from_store=True)
 
 
 def _revoke(lease_id: int) -> Script[list[Action]]:
--- a/wingquay/forwarding/choice/completion.py
+++ b/wingquay/forwarding/choice/completion.py
@@ -1,91 +1,99 @@
-"""When a replica is expected to have answered: the time that one choice costs, in seconds.
+"""Estimates the cost of sending a request to a replica, in seconds until its completion.
 
-Every term is a time that the caller feels or, for what it does not feel, the part of its objective
-that this is worth. So a near replica that is slower but still early enough goes before a far one,
-which a product of factors cannot tell: there a replica at twice the usual work is as bad for an
-objective of ten usual times as for one of three.
+The cost is the expected response time plus penalties for risks that the response time doesn't
+show, each a fraction of the request's latency objective. A slower replica of the same zone is
+therefore preferred over one of another zone as long as it meets the objective.
 """
 
 from ...model.value import value
 
-UNKNOWN_WORK_SHARE = 0.1
-"""Usual time as a part of the objective while nothing is known of the route: objectives are some
-three to twelve usual times."""
-FAR_SHARE = 0.2
-"""Part of the objective that a replica of another zone must be faster by. Two such delays in a row
-leave a caller time for a second attempt."""
-OWNED_FAR_SHARE = 0.35
-"""The same for an owner of the shard."""
-TROUBLE_SHARE = 3.0
-"""Part of the objective that an attempt costs that brings nothing: its shard is lost to the answer
-whenever the second attempt fails, too."""
-OVERDUE_SHARE = 0.5
-"""Part of the objective that is lost, at least, at a replica that has not answered in time."""
-UNPROVEN_SHARE = 0.05
-"""Part of the objective that a proven replica may be slower by, where a request runs once only."""
-SPREAD_SHARE = 0.5
-"""Part of its work by which a replica counts as slower for each slot in use, of all slots: what
-other nodes have sent meanwhile is not known yet."""
+DEFAULT_TYPICAL_RATIO = 0.1
+"""Typical latency, as a fraction of the objective, of a route without measurements."""
+OTHER_ZONE_PENALTY_RATIO = 0.2
+"""Penalty for a replica in another zone, as a fraction of the objective."""
+OWNED_OTHER_ZONE_PENALTY_RATIO = 0.35
+"""Penalty for a replica in another zone when this node owns the shard."""
+FAILURE_PENALTY_RATIO = 3.0
+"""Penalty for a failed attempt, as a multiple of the objective: the shard is missing from the
+answer if the second attempt fails too."""
+OVERDUE_PENALTY_RATIO = 0.5
+"""Penalty for a replica with an overdue attempt, as a fraction of the objective."""
+UNRELIABLE_PENALTY_RATIO = 0.05
+"""Penalty for a replica that isn't reliable, as a fraction of the objective, for requests that must
+not run twice."""
+IN_FLIGHT_SLOWDOWN_RATIO = 0.5
+"""Slowdown with all slots in use, as a fraction of the work time. It accounts for requests that
+other nodes have sent since the last load report."""
 
 
 @value
-class Task:
-    """What of a request matters to the choice of its replica.
+class LatencyTarget:
+    """Latency objective of a request and the typical latency of its route.
 
     Parameters
     ----------
     objective_seconds
-        Time within which an answer is worth its full price.
-    usual_seconds
-        The usual latency of its attempts; ``None``: not known yet.
+        Time within which an answer has its full value.
+    typical_seconds
+        Median latency of the route's attempts; ``None``: not known yet.
     """
 
     objective_seconds: float
-    usual_seconds: float | None = None
+    typical_seconds: float | None = None
 
 
 @value
-class Prospect:
-    """What is known of one replica at a moment.
+class ReplicaEstimate:
+    """Performance that is expected of one replica now.
 
     Parameters
     ----------
-    pace
-        How long work takes there, in usual times.
-    ahead
-        Requests that run or wait there, as far as known.
-    trouble
-        Share of attempts that fail there.
+    slowdown
+        Work time relative to the typical latency of the route; 1 is typical.
+    outstanding
+        Requests in flight from this node, plus those that the replica last reported.
+    slots
+        Requests that the replica processes concurrently.
+    failure_rate
+        Fraction of attempts that fail, 0 to 1.
+    is_overdue
+        Whether an attempt at the replica has exceeded its hedge delay.
+    is_in_other_zone
+        Whether the replica is in another zone than this node.
+    counts_as_unreliable
+        Whether reliable replicas are preferred and this one isn't reliable.
     """
 
-    pace: float
-    ahead: float
+    slowdown: float
+    outstanding: float
     slots: int
-    trouble: float
+    failure_rate: float
     is_overdue: bool
-    is_far: bool
-    is_unproven: bool
+    is_in_other_zone: bool
+    counts_as_unreliable: bool
 
 
-def expected_seconds(task: Task, prospect: Prospect, is_owned: bool) -> float:
-    """Return the time after which an answer is expected, and what else the choice costs.
+def completion_cost_seconds(
+    target: LatencyTarget, estimate: ReplicaEstimate, is_owned: bool
+) -> float:
+    """Return the expected response time plus the penalties, in seconds.
 
     Parameters
     ----------
     is_owned
-        Whether the nodes of a group leave the replica's service to this node.
+        Whether this node owns the replica's service on behalf of a group of nodes.
     """
-    objective = task.objective_seconds
-    usual = task.usual_seconds or objective * UNKNOWN_WORK_SHARE
-    work = usual * prospect.pace
-    waits = max(0.0, prospect.ahead + 1.0 - prospect.slots)
-    spread = min(prospect.ahead, prospect.slots) * SPREAD_SHARE
-    seconds = work * (1.0 + (waits + spread) / prospect.slots)
-    lost_share = prospect.trouble * TROUBLE_SHARE
-    if prospect.is_overdue:
-        lost_share += OVERDUE_SHARE
-    if prospect.is_far:
-        lost_share += OWNED_FAR_SHARE if is_owned else FAR_SHARE
-    if prospect.is_unproven:
-        lost_share += UNPROVEN_SHARE
-    return seconds + objective * lost_share
+    objective = target.objective_seconds
+    typical = target.typical_seconds or objective * DEFAULT_TYPICAL_RATIO
+    work = typical * estimate.slowdown
+    queued = max(0.0, estimate.outstanding + 1.0 - estimate.slots)
+    slowed_by = min(estimate.outstanding, estimate.slots) * IN_FLIGHT_SLOWDOWN_RATIO
+    seconds = work * (1.0 + (queued + slowed_by) / estimate.slots)
+    penalty_ratio = estimate.failure_rate * FAILURE_PENALTY_RATIO
+    if estimate.is_overdue:
+        penalty_ratio += OVERDUE_PENALTY_RATIO
+    if estimate.is_in_other_zone:
+        penalty_ratio += OWNED_OTHER_ZONE_PENALTY_RATIO if is_owned else OTHER_ZONE_PENALTY_RATIO
+    if estimate.counts_as_unreliable:
+        penalty_ratio += UNRELIABLE_PENALTY_RATIO
+    return seconds + objective * penalty_ratio
--- a/wingquay/forwarding/choice/known_lives.py
+++ b/wingquay/forwarding/choice/current_replicas.py
@@ -1,4 +1,4 @@
-"""The lives of replicas that are known, by id and by service: which record of each holds."""
+"""Stores the state of the current incarnation of each replica, by id and by service."""
 
 from collections.abc import Collection, Iterator
 from dataclasses import replace
@@ -7,72 +7,75 @@
 from .replica_state import ReplicaState
 
 
-class KnownLives:
-    """Takes in records; the store's revision orders those of one replica."""
+class CurrentReplicas:
+    """Applies replica records, ordered by the revisions of the store."""
 
     def __init__(self) -> None:
         self._states: dict[str, ReplicaState] = {}
         self._by_service: dict[str, dict[str, ReplicaState]] = {}
-        self._renewed_at: dict[str, float] = {}
-        """When a replica of a service last started again under its id."""
+        self._restarted_at: dict[str, float] = {}
+        """Time of the last restart of any replica, by service."""
 
     def __len__(self) -> int:
-        """Return the number of replicas known."""
+        """Return the number of replicas."""
         return len(self._states)
 
     def __iter__(self) -> Iterator[ReplicaState]:
-        """Return all states as they are now; they may be removed meanwhile."""
+        """Iterate over a copy of all states, so that they may be removed meanwhile."""
         return iter(tuple(self._states.values()))
 
     def get(self, replica_id: str) -> ReplicaState | None:
         """Return the state of a replica."""
         return self._states.get(replica_id)
 
-    def of_life(self, life: str) -> ReplicaState | None:
-        """Return the state of a life of a replica; ``None``: it is not known, or over."""
-        state = self._states.get(life.partition(" ")[0])
-        return state if state is not None and state.life == life else None
+    def get_incarnation(self, incarnation: str) -> ReplicaState | None:
+        """Return the state of the incarnation of that name; ``None`` if unknown or superseded.
+
+        The name is the replica's id, followed by a space and the start time if that is stated.
+        """
+        state = self._states.get(incarnation.partition(" ")[0])
+        return state if state is not None and state.incarnation == incarnation else None
 
     def services(self) -> Collection[str]:
-        """Return the services of which a replica is known."""
+        """Return the services that have a replica."""
         return self._by_service.keys()
 
-    def of_service(self, service: str) -> Collection[ReplicaState]:
+    def get_by_service(self, service: str) -> Collection[ReplicaState]:
         """Return the replicas of a service."""
         found = self._by_service.get(service)
         return () if found is None else found.values()
 
-    def is_renewed_since(self, service: str, moment: float) -> bool:
-        """Whether a replica of the service has started again since a moment."""
-        return self._renewed_at.get(service, float("-inf")) >= moment
+    def has_restarted_since(self, service: str, moment: float) -> bool:
+        """Whether a replica of the service has restarted since a moment."""
+        return self._restarted_at.get(service, float("-inf")) >= moment
 
     def put(self, record: ReplicaRecord, now: float, revision: int) -> ReplicaState | None:
-        """Take in a record, new or changed; return the life that is over by it.
+        """Apply a new or changed record; return the state of the incarnation that it supersedes.
 
-        A record that is older than what is known is passed over, and a later one holds whenever it
-        says that its life began. One that does not say so is of the life that is known.
+        A record with an older revision is ignored. A newer one applies whatever start time it
+        states; one without a start time belongs to the current incarnation.
         """
         state = self._states.get(record.replica_id)
         if state is None:
-            self._begin(record, now, revision)
+            self._add(record, now, revision)
             return None
         if revision < state.revision:
             return None
         if record.born is None and state.record.born is not None:
-            # It says nothing of lives: the one that is known goes on.
+            # A record without a start time belongs to the current incarnation.
             record = replace(record, born=state.record.born)
-        if state.life != record.life:
+        if state.incarnation != record.incarnation:
             self.remove(state)
-            state.is_over = True
-            self._renewed_at[state.record.service] = now
-            self._begin(record, now, revision)
+            state.is_superseded = True
+            self._restarted_at[state.record.service] = now
+            self._add(record, now, revision)
             return state
-        self._change(state, record, now)
+        self._update(state, record, now)
         state.revision = revision
         return None
 
-    def vanish(self, replica_id: str, now: float, revision: int | None) -> None:
-        """Take in that a record is gone; ``revision`` ``None``: it is gone now."""
+    def mark_vanished(self, replica_id: str, now: float, revision: int | None) -> None:
+        """Record that a replica's record was deleted; ``revision`` ``None``: deleted just now."""
         state = self._states.get(replica_id)
         if state is None or (revision is not None and revision < state.revision):
             return
@@ -81,29 +84,29 @@
             state.vanished_at = now
 
     def remove(self, state: ReplicaState) -> None:
-        """Forget a life, unless it is over already."""
+        """Remove an incarnation unless it is already superseded."""
         replica_id = state.record.replica_id
         if self._states.get(replica_id) is state:
             del self._states[replica_id]
-            self._take_out(state)
+            self._remove_from_service(state)
 
-    def _begin(self, record: ReplicaRecord, now: float, revision: int) -> None:
+    def _add(self, record: ReplicaRecord, now: float, revision: int) -> None:
         state = ReplicaState(record, now, revision)
         self._states[record.replica_id] = state
         self._by_service.setdefault(record.service, {})[record.replica_id] = state
 
-    def _change(self, state: ReplicaState, record: ReplicaRecord, now: float) -> None:
+    def _update(self, state: ReplicaState, record: ReplicaRecord, now: float) -> None:
         if state.record.service != record.service:
-            self._take_out(state)
+            self._remove_from_service(state)
             self._by_service.setdefault(record.service, {})[record.replica_id] = state
         if state.record.cold_seconds != record.cold_seconds:
             state.recorded_at = now
         state.record = record
         state.vanished_at = None
 
-    def _take_out(self, state: ReplicaState) -> None:
+    def _remove_from_service(self, state: ReplicaState) -> None:
         service = state.record.service
         del self._by_service[service][state.record.replica_id]
         if not self._by_service[service]:
             del self._by_service[service]
-            self._renewed_at.pop(service, None)
+            self._restarted_at.pop(service, None)
--- a/wingquay/forwarding/forwarding_machine.py
+++ b/wingquay/forwarding/forwarding_machine.py
@@ -1,81 +1,81 @@
-"""Passes requests on to replicas: one replica, or one of each shard with a merged answer."""
+"""Forwards requests to one replica, or to one replica of each shard with a merged answer."""
 
 import random
 from typing import TYPE_CHECKING
 
 from ..model.routing_table import RoutingTable
-from ..ports.crash_news import CrashNews
+from ..ports.crash_messages import CrashReport
 from ..ports.forwarding import (
-    CallerLeft,
+    CallerDisconnected,
     ConnectionTried,
     ForwardRequested,
     ReplicaAnswered,
     SendFailed,
 )
-from ..ports.machine import Action, Event, Woken
+from ..ports.machine import Action, Event, ProcessResumed
 from ..ports.peer_link import PeerLinkBroken, PeerReceived
 from .arrival.admission import Admitted, Rejected
 from .choice.replica_directory import ReplicaDirectory
 from .choice.replica_state import ReplicaState
-from .crashing.careful_sending import CarefulSending
 from .crashing.guard import CrashGuard
+from .crashing.sequential_sending import SequentialSending
 from .exchange import Exchange
 from .exchange_opening import ExchangeOpening
 from .knowledge.loop_lag import LoopLag
 from .knowledge.presence import NodeCount
-from .knowledge.reach_evidence import ReachEvidence
+from .knowledge.reachability_evidence import ReachabilityEvidence
 from .request_arrival import RequestArrival
 from .sending.attempts import AttemptSender
-from .sending.call_line import CallLine
+from .sending.call_queue import CallQueue
 from .sending.call_starter import CallStarter
 from .sending.latencies import RouteLatencies
-from .sending.shares import SendingShares
-from .sending.waiting import Waiting
+from .sending.sending_quotas import SendingQuotas
+from .sending.waiting_policy import WaitingPolicy
 from .sending.waiting_settings import DEFAULT_WAITING, WaitingSettings
 from .settings import ForwardingSettings
-from .settling.ending import ExchangeEnding
+from .settling.attempt_outcomes import AttemptOutcomeHandler
 from .settling.hedging import Hedging
-from .settling.replica_outcomes import ReplicaOutcomes
+from .settling.reply_builder import ReplyBuilder
 from .settling.settlement import Settlement
 from .timers import (
     AbandonDue,
     BeginDue,
-    CrashNewsDue,
+    CrashReportDue,
     CutoffDue,
     DelegationDue,
     ExchangeEndDue,
-    GreetingDue,
     HedgeDue,
-    ReachDue,
+    PeerConnectDue,
+    ReconnectDue,
     ReportDue,
     RetryDue,
 )
 
 if TYPE_CHECKING:
     from .knowledge.node_groups import NodeGroups
-    from .peers.peer_work import PeerWork
+    from .peers.peer_event_handler import PeerEventHandler
 
 DELEGATION_ID_BITS = 62
-"""Size of the first number of what is asked of other nodes: no two lives of a node share one."""
+"""Size of the random first delegation id, so that ids differ between incarnations of a node."""
 
 
 class ForwardingMachine:
-    """Decides what happens to each request.
+    """State machine that handles the requests of one node, from arrival to reply.
 
     Parameters
     ----------
     settings
-        Times and budgets.
+        Time limits and budgets.
     directory
-        The replicas; kept up to date by another machine.
+        The replicas; updated by the code that composes this machine.
     nodes
-        How many nodes there are; kept up to date by another machine.
-    key, name
+        The number of nodes; updated by the code that composes this machine.
+    node_key, node_name
         This node's key in the store, and its name.
     random_source
-        Starts the rounds of weighted routes and the numbers of what is asked of other nodes.
+        Sets the starting points of weighted routes and of delegation ids.
     waiting
-        How requests wait.
+        Settings of waiting requests.
     """
 
     def __init__(
@@ -84,39 +84,39 @@
         directory: ReplicaDirectory,
         nodes: NodeCount,
         random_source: random.Random,
-        key: str = "",
-        name: str = "",
+        node_key: str = "",
+        node_name: str = "",
         waiting: WaitingSettings = DEFAULT_WAITING,
     ) -> None:
         self._settings = settings
         self._directory = directory
         self._latencies = RouteLatencies(settings)
-        self._limits = SendingShares(settings, directory, nodes, key, waiting)
-        self._sender = AttemptSender(settings, directory, self._latencies, self._limits)
+        self._quotas = SendingQuotas(settings, directory, nodes, node_key, waiting)
+        self._sender = AttemptSender(settings, directory, self._latencies, self._quotas)
         self._random = random_source
-        ending = ExchangeEnding(random_source)
-        self._line = CallLine(self._latencies)
-        self._waiting = Waiting(
-            waiting, settings, directory, self._latencies, self._limits, self._line
+        replies = ReplyBuilder(random_source)
+        self._queue = CallQueue(self._latencies)
+        self._waiting = WaitingPolicy(
+            waiting, settings, directory, self._latencies, self._quotas, self._queue
         )
-        self._settlement = Settlement(self._waiting, directory, self._sender, ending)
-        self._starter = CallStarter(self._sender, self._waiting, self._line)
+        self._settlement = Settlement(self._waiting, directory, self._sender, replies)
+        self._starter = CallStarter(self._sender, self._waiting, self._queue)
         self.lag = LoopLag()
-        """How late this node is; kept up to date by its owner."""
-        self.guard = CrashGuard(name, random_source, self.lag)
-        """Keeps requests that end replicas from replicas."""
+        """Lag of this node's event loop; set after a suspension and by ``PeriodicWork``."""
+        self.guard = CrashGuard(node_name, random_source, self.lag)
+        """Keeps requests that crash replicas away from the replicas."""
         self.guard.on_held = self._end_held
-        careful = CarefulSending(self._starter)
-        self._careful = careful
-        self._hedging = Hedging(self._latencies, self._sender, self._settlement, careful)
-        self._outcomes = ReplicaOutcomes(
+        sequential = SequentialSending(self._starter)
+        self._sequential = sequential
+        self._hedging = Hedging(self._latencies, self._sender, self._settlement, sequential)
+        self._outcomes = AttemptOutcomeHandler(
             settings,
             directory,
             self._sender,
             self._starter,
             self._settlement,
             self.guard,
-            careful,
+            sequential,
         )
         self._opening = ExchangeOpening(
             settings,
@@ -124,43 +124,43 @@
             self._latencies,
             self._settlement,
             self._starter,
-            careful,
+            sequential,
             random_source,
         )
         self._arrival = RequestArrival(
-            self._settlement, self._opening, self.guard, self.lag, ending
+            self._settlement, self._opening, self.guard, self.lag, replies
         )
         self.admission = self._arrival.admission
-        """Asks whether requests may be begun; who composes the node gives it who answers."""
+        """Admits arriving requests; the code that composes this machine sets what it consults."""
         self._table: RoutingTable | None = None
-        self._peers: PeerWork | None = None
+        self._peers: PeerEventHandler | None = None
         self.is_stopping = False
-        """Whether work of other nodes is rejected."""
+        """Whether delegated requests are rejected because this node is stopping."""
 
     @property
-    def is_asked(self) -> bool:
-        """Whether a request has arrived."""
-        return self._arrival.is_asked
+    def has_received_request(self) -> bool:
+        """Whether a request has arrived since the start."""
+        return self._arrival.has_received_request
 
     @property
     def open_exchanges(self) -> int:
-        """The number of requests without an answer."""
-        return len(self._settlement) + self._arrival.kept
+        """Number of requests without a reply, including those that wait for a tenant's limit."""
+        return len(self._settlement) + self._arrival.pending_count
 
     @property
-    def held_exchanges(self) -> int:
-        """The number of requests that are held for missing records of replicas."""
-        return self._opening.held
+    def exchanges_awaiting_records(self) -> int:
+        """Number of exchanges that wait for missing replica records."""
+        return self._opening.awaiting_records_count
 
     @property
-    def evidence(self) -> ReachEvidence:
-        """Which replicas and nodes failed lately."""
+    def evidence(self) -> ReachabilityEvidence:
+        """Recent failures of replicas and nodes."""
         return self._sender.evidence
 
     def enable_peers(self, groups: "NodeGroups") -> None:
-        """Ask other nodes for shards, and be asked by them, from now on."""
+        """Start to delegate calls to other nodes and to accept delegated requests."""
         from .peers.delegation import Delegations
-        from .peers.peer_work import PeerWork
+        from .peers.peer_event_handler import PeerEventHandler
 
         delegations = Delegations(
             self._settings,
@@ -169,10 +169,10 @@
             self._starter,
             self._settlement,
             self.guard,
-            self._careful,
+            self._sequential,
             self._random.getrandbits(DELEGATION_ID_BITS),
         )
-        self._peers = PeerWork(
+        self._peers = PeerEventHandler(
             self._settings,
             delegations,
             self._directory,
@@ -180,59 +180,63 @@
             self.lag,
             self.guard,
         )
-        self._limits.placement = delegations.placement
-        self._careful.begin_all = delegations.start
-        self._opening.ask_nodes = delegations.start
-        self.guard.peers = groups.reachable
+        self._quotas.placement = delegations.placement
+        self._sequential.begin_calls = delegations.start
+        self._opening.delegate_calls = delegations.start
+        self.guard.peers = groups.usable_others
         groups.evidence = self._sender.evidence
 
     def set_table(self, table: RoutingTable) -> None:
-        """Use a configuration for requests that arrive from now on."""
+        """Apply a configuration to requests that arrive from now on."""
         self._table = table
         self._arrival.set_table(table)
         self._opening.set_table(table)
         self._latencies.keep_only(table.routes)
-        self._line.keep_only(table.services)
+        self._queue.keep_only(table.services)
 
     def handle(self, event: Event, now: float) -> list[Action]:
-        """Take in an event and return what is to be done."""
+        """Handle an event and return the resulting actions."""
         match event:
             case ReplicaAnswered():
-                return self._outcomes.answered(event, now)
+                return self._outcomes.on_answered(event, now)
             case ForwardRequested():
-                return self._arrival.requested(event, now)
+                return self._arrival.on_requested(event, now)
             case HedgeDue():
-                return self._hedging.due(event, now)
+                return self._hedging.on_hedge_due(event, now)
             case SendFailed():
-                return self._outcomes.send_failed(event, now)
-            case AbandonDue() | ReachDue() | ConnectionTried():
+                return self._outcomes.on_send_failed(event, now)
+            case AbandonDue() | ReconnectDue() | ConnectionTried():
                 return self._replica_event(event, now)
             case (
                 BeginDue()
                 | CutoffDue()
                 | ExchangeEndDue()
                 | RetryDue()
-                | CallerLeft()
+                | CallerDisconnected()
                 | ReportDue()
             ):
                 return self._exchange_event(event, now)
             case (
-                GreetingDue() | DelegationDue() | CrashNewsDue() | PeerReceived() | PeerLinkBroken()
+                PeerConnectDue()
+                | DelegationDue()
+                | CrashReportDue()
+                | PeerReceived()
+                | PeerLinkBroken()
             ):
                 return self._peer_event(event, now)
-        return self._arrival.kept_event(event, now)
+        return self._arrival.on_pending_event(event, now)
 
-    def woken(self, event: Woken, now: float) -> list[Action]:
-        """End what is too late after a suspension; attempts are as old as before it."""
+    def on_resumed(self, event: ProcessResumed, now: float) -> list[Action]:
+        """Handle a suspension: end overdue exchanges; it does not count in the age of attempts."""
         self.lag.seconds = event.seconds
-        self._sender.suspended(event.seconds)
-        return self._settlement.end_overdue(now)
+        self._sender.on_suspended(event.seconds)
+        return self._settlement.end_expired(now)
 
-    def limit_answered(
+    def on_limit_answered(
         self, exchange_id: int, answer: Admitted | Rejected, now: float
     ) -> list[Action]:
-        """Go on with a request that waited for word on its tenant's limit."""
-        return self._arrival.limit_answered(exchange_id, answer, now)
+        """Continue a request that was waiting for the answer on its tenant's limit."""
+        return self._arrival.on_limit_answered(exchange_id, answer, now)
 
     def _end_held(self, identity: bytes, now: float) -> list[Action]:
         held_seconds = self.guard.held_seconds(identity, now)
@@ -240,51 +244,51 @@
 
     def _peer_event(
         self,
-        event: GreetingDue | DelegationDue | CrashNewsDue | PeerReceived | PeerLinkBroken,
+        event: PeerConnectDue | DelegationDue | CrashReportDue | PeerReceived | PeerLinkBroken,
         now: float,
     ) -> list[Action]:
         match event:
-            case CrashNewsDue():
-                return self.guard.tell_due(event, now)
-            case PeerReceived(sender=sender, message=CrashNews() as news):
-                return self.guard.news(sender, news, now)
+            case CrashReportDue():
+                return self.guard.on_report_due(event, now)
+            case PeerReceived(sender=sender, message=CrashReport() as report):
+                return self.guard.handle_report(sender, report, now)
         if self._peers is None:
             return []
         table = None if self.is_stopping else self._table
         return self._peers.handle(event, table, now)
 
-    # Time
+    # Replicas and exchanges
 
     def _replica_event(
-        self, event: AbandonDue | ReachDue | ConnectionTried, now: float
+        self, event: AbandonDue | ReconnectDue | ConnectionTried, now: float
     ) -> list[Action]:
         match event:
             case AbandonDue():
                 return self._abandon_due(event, now)
-            case ReachDue():
-                return self._sender.reach_due(event, now)
+            case ReconnectDue():
+                return self._sender.on_reconnect_due(event, now)
             case ConnectionTried():
-                return self._outcomes.connection_tried(event, now)
+                return self._outcomes.on_connection_tried(event, now)
 
-    def life_over(self, replica: ReplicaState, now: float) -> list[Action]:
-        """Give up the work at a replica that has started again, and ask for it elsewhere."""
-        return self._outcomes.life_over(replica, now)
+    def on_replica_restarted(self, replica: ReplicaState, now: float) -> list[Action]:
+        """Abort the attempts at a replica that has restarted, and retry their calls elsewhere."""
+        return self._outcomes.on_replica_restarted(replica, now)
 
     def _abandon_due(self, event: AbandonDue, now: float) -> list[Action]:
         attempt = self._sender.get(event.attempt_id)
         if attempt is None:
             return []
         actions = self._sender.cancel(attempt, now)
-        return actions + self._starter.serve_waiting(attempt.call.service, now)
+        return actions + self._starter.send_queued(attempt.call.service, now)
 
     def _exchange_event(
         self,
-        event: BeginDue | CutoffDue | ExchangeEndDue | RetryDue | CallerLeft | ReportDue,
+        event: BeginDue | CutoffDue | ExchangeEndDue | RetryDue | CallerDisconnected | ReportDue,
         now: float,
     ) -> list[Action]:
         exchange = self._settlement.get(event.exchange_id)
         if exchange is None:
-            return self._arrival.kept_event(event, now)
+            return self._arrival.on_pending_event(event, now)
         match event:
             case BeginDue():
                 return self._begin_due(exchange, now)
@@ -294,11 +298,11 @@
                 return self._settlement.settle(exchange, now)
             case ReportDue():
                 return [] if exchange.origin is None else exchange.origin.report(exchange)
-            case CallerLeft():
-                self._opening.not_held(exchange)
-                return self._settlement.caller_left(exchange, now)
+            case CallerDisconnected():
+                self._opening.stop_awaiting_records(exchange)
+                return self._settlement.on_caller_left(exchange, now)
             case ExchangeEndDue():
-                return self._settlement.out_of_time(exchange, now)
+                return self._settlement.end_timed_out(exchange, now)
 
     def _begin_due(self, exchange: Exchange, now: float) -> list[Action]:
         if exchange.origin is not None:
@@ -310,12 +314,12 @@
         return actions + self._settlement.settle(exchange, now)
 
     def _retry_due(self, exchange: Exchange, now: float) -> list[Action]:
-        if self._opening.is_held(exchange):
-            return self._opening.begin_or_hold(exchange, now)
-        exchange.is_retry_due = False
+        if self._opening.awaits_records(exchange):
+            return self._opening.begin_or_await_records(exchange, now)
+        exchange.is_retry_scheduled = False
         actions: list[Action] = []
         for call in exchange.calls:
             if call.is_waiting and call.answer is None and not call.attempts:
-                call.refused.clear()
-                actions += self._starter.start(call, now)
+                call.refused_incarnations.clear()
+                actions += self._starter.send_or_queue(call, now)
         return actions + self._settlement.settle(exchange, now)
--- a/wingquay/forwarding/forwarding_node.py
+++ b/wingquay/forwarding/forwarding_node.py
@@ -1,4 +1,4 @@
-"""Joins the decisions of a node that passes requests on: store, replicas, requests, stop."""
+"""Composes the state machines of a forwarding node and dispatches events to them."""
 
 import random
 
@@ -11,45 +11,45 @@
     Event,
     Log,
     LogLevel,
+    ProcessResumed,
     Start,
     StopRequested,
-    Woken,
 )
 from ..ports.peer_link import PeerLinkBroken, PeerLinkOpened, PeerReceived
 from ..ports.peer_snapshot import PeerSnapshot
-from ..ports.proof_messages import AskProof, ProofGiven
+from ..ports.proof_messages import ProofReply, ProofRequest
 from ..ports.store import (
     ReadResult,
     StoreResponse,
     WatchBroken,
     WatchChanged,
 )
-from ..ports.store_news import StoreNews
+from ..ports.store_update import StoreUpdate
 from .arrival.admission import ConfigurationProof
-from .arrival.limits.limit_keeper import LimitKeeper
+from .arrival.limits.limit_manager import LimitManager
 from .arrival.limits.limit_settings import LimitSettings
 from .choice.replica_directory import ReplicaDirectory
-from .crashing.held_keys import HeldKeys
-from .crashing.suspects import Verdict
+from .crashing.held_request_keys import HeldRequestKeys
+from .crashing.suspects import SuspicionLevel
 from .forwarding_machine import ForwardingMachine
-from .knowledge.news_exchange import NewsExchange
-from .knowledge.node_lateness import NodeLateness
 from .knowledge.node_membership import NodeMembership
 from .knowledge.presence import NodeCount, Presence, PresenceDue
-from .knowledge.proof_keeper import ProofKeeper
+from .knowledge.processing_lag import ProcessingLag
+from .knowledge.proof_manager import ProofManager
 from .knowledge.store_follower import (
-    FollowAgain,
     FollowerHooks,
     FollowerSettings,
+    PollRetryDue,
     StoreFollower,
 )
-from .line_budget import LineBudget
-from .own_time import WAKING_SECONDS as WAKING_SECONDS
-from .own_time import LagDue, OwnTime, SweepDue
-from .readiness.asked_routes import AskedRoutes
+from .knowledge.update_exchange import UpdateExchange
+from .log_throttle import LogThrottle
+from .periodic_work import RESUME_SECONDS as RESUME_SECONDS
+from .periodic_work import LagDue, PeriodicWork, SweepDue
 from .readiness.departure import Departure
-from .readiness.reach import Reach
-from .readiness.taking_callers import ReadyDue, StopCheckDue, TakingCallers
+from .readiness.node_readiness import NodeReadiness, ReadyDue, StopCheckDue
+from .readiness.reachability_monitor import ReachabilityMonitor
+from .readiness.route_demand import RouteDemand
 from .sending.waiting_settings import DEFAULT_WAITING, WaitingSettings
 from .settings import ForwardingSettings
 from .store_contents import StoreContents
@@ -57,20 +57,20 @@
 from .store_formats import StoreFormats as StoreFormats
 
 CLUSTER_KEY_BYTES = 32
-ASK_NUMBER_BITS = 62
+PROOF_REQUEST_ID_BITS = 62
 
 
 class ForwardingNode:
-    """The whole decision code of one node that passes requests on.
+    """State machine of one forwarding node: takes events and returns actions, without any I/O.
 
     Parameters
     ----------
     name
-        This node's name, which no other node has.
+        This node's name, unique in the cluster.
     limits
-        What may run of tenants whose requests the configuration limits.
+        Settings of tenant limits; ``None`` if this node does not enforce them.
     waiting
-        How requests wait.
+        Settings of waiting requests.
     """
 
     def __init__(
@@ -89,11 +89,11 @@
         self._nodes = NodeCount(settings)
         key = formats.node_prefix + name
         self._presence = Presence(key, settings, random_source)
-        self._keeper = ProofKeeper(
-            follower.proving,
-            lambda: self._members.rank() * settings.news_rank_seconds,
+        self._proof_manager = ProofManager(
+            follower.proof_poll_times,
+            lambda: self._members.group_position() * settings.poll_rank_delay_seconds,
             lambda now: self._follower.next_answer_at(now),
-            random_source.getrandbits(ASK_NUMBER_BITS) if follower.proving else 0,
+            random_source.getrandbits(PROOF_REQUEST_ID_BITS) if follower.proof_poll_times else 0,
         )
         self._forwarding = ForwardingMachine(
             settings,
@@ -104,149 +104,164 @@
             name,
             waiting,
         )
-        self._forwarding.admission.proof = self._keeper.proof
+        self._forwarding.admission.proof = self._proof_manager.proof
         guard = self._forwarding.guard
-        self._held_keys = HeldKeys(formats, guard.hold, guard.lift)
-        guard.write = self._held_keys.write
+        self._held_request_keys = HeldRequestKeys(formats, guard.hold, guard.release)
+        guard.store_hold = self._held_request_keys.write
         hooks = FollowerHooks(
-            lambda values, now: self._contents.listed(values, now) + self._callers.changes(now),
+            lambda values, now: (
+                self._contents.apply_listing(values, now) + self._readiness.update(now)
+            ),
             lambda written, deleted, now: (
-                self._contents.changed(written, deleted, now) + self._callers.changes(now)
+                self._contents.apply_changes(written, deleted, now) + self._readiness.update(now)
             ),
-            self._directory.note_outage,
-            lambda news, now: self._news.told(news, now),
-            lambda: bool(self._members.listeners()),
-            lambda: self._members.rank() == 0,
-            lambda: self._callers.can_serve,
+            self._directory.on_outage,
+            lambda update, now: self._updates.send_update(update, now),
+            lambda: bool(self._members.update_recipients()),
+            lambda: self._members.group_position() == 0,
+            lambda: self._readiness.can_serve,
         )
-        self._follower = StoreFollower(follower, hooks, self._keeper)
+        self._follower = StoreFollower(follower, hooks, self._proof_manager)
         self._table: RoutingTable | None = None
-        self._told_by = ""
-        """By which way the present news of the store came: a look, a listing, or a node's id."""
-        self._lines = LineBudget()
+        self._update_source = ""
+        """Source of the store update being applied: ``poll``, ``listing`` or the id of a node."""
+        self._log_throttle = LogThrottle()
         candidate = random_source.randbytes(CLUSTER_KEY_BYTES)
         self._members = NodeMembership(
             name, settings, formats, self._nodes, self._presence, candidate
         )
-        self._limits = LimitKeeper(
-            name, limits, self._members, self._forwarding.admission, self._forwarding.limit_answered
+        self._limits = LimitManager(
+            name,
+            limits,
+            self._members,
+            self._forwarding.admission,
+            self._forwarding.on_limit_answered,
         )
-        self._lateness = NodeLateness()
-        self._time = OwnTime(
+        self._processing_lag = ProcessingLag()
+        self._periodic_work = PeriodicWork(
             settings,
             self._directory,
             self._forwarding,
             self._members,
             self._follower,
-            self._lateness,
-            self._keeper,
+            self._processing_lag,
+            self._proof_manager,
         )
-        self._news = NewsExchange(
-            settings, self._members, self._follower, self._lateness, self._keeper
+        self._updates = UpdateExchange(
+            settings, self._members, self._follower, self._processing_lag, self._proof_manager
         )
         self._contents = StoreContents(
             formats,
             self._directory,
-            self._held_keys,
+            self._held_request_keys,
             self._members,
             self._follower,
-            self._news.rewritten,
+            self._updates.rewritten_keys,
             self._configure,
-            self._forwarding.life_over,
+            self._forwarding.on_replica_restarted,
         )
         departure = Departure()
-        asked = AskedRoutes(self._directory)
-        self._callers = TakingCallers(settings, self._directory, self._forwarding, asked, departure)
-        self._reach = Reach(
-            settings, name, self._directory, self._forwarding.evidence, asked, departure
+        route_demand = RouteDemand(self._directory)
+        self._readiness = NodeReadiness(
+            settings, self._directory, self._forwarding, route_demand, departure
+        )
+        self._reachability = ReachabilityMonitor(
+            settings, name, self._directory, self._forwarding.evidence, route_demand, departure
         )
 
     @property
     def configuration_version(self) -> int:
-        """The version of the configuration that this node goes by; 0: it has none."""
+        """Version of the configuration that this node uses; 0 if it has none."""
         return 0 if self._table is None else self._table.version
 
     def handle(self, event: Event, now: float) -> list[Action]:
-        """Take in an event and return what is to be done."""
+        """Handle an event and return the resulting actions."""
         actions = self._decide(event, now)
-        actions += self._limits.after(event, self._table, now)
-        if self._reach.concerns(event, now):
-            actions = actions + self._reach.handle(event, now) + self._callers.changes(now)
-        return self._lines.admit(actions, now)
+        actions += self._limits.handle(event, self._table, now)
+        if self._reachability.observe(event, now):
+            actions = actions + self._reachability.handle(event, now) + self._readiness.update(now)
+        return self._log_throttle.admit(actions, now)
 
-    def known_of_store(self) -> ReadResult | None:
-        """Return what this node knows of the store, for a node that cannot reach it."""
-        return self._follower.known()
+    def store_snapshot(self) -> ReadResult | None:
+        """Return this node's copy of the store for a node that cannot reach the store."""
+        return self._follower.snapshot()
 
     @property
     def proof(self) -> ConfigurationProof:
-        """Whether the configuration is proven to be the one in force."""
-        return self._keeper.proof
+        """Proof that the configuration is the one in force."""
+        return self._proof_manager.proof
 
-    def verdict(self, request: OpaqueRequest, now: float) -> Verdict:
-        """Return how this node treats a request that may end replicas."""
-        return self._forwarding.guard.verdict(request, now)
+    def suspicion_level(self, request: OpaqueRequest, now: float) -> SuspicionLevel:
+        """Return whether a request is suspect or held because replicas crashed during it."""
+        return self._forwarding.guard.suspicion_level(request, now)
 
     def _decide(self, event: Event, now: float) -> list[Action]:
         match event:
-            case StoreResponse() | WatchChanged() | WatchBroken() | FollowAgain() | PeerSnapshot():
+            case StoreResponse() | WatchChanged() | WatchBroken() | PollRetryDue() | PeerSnapshot():
                 return self._store_event(event, now)
             case Start():
                 return self._start(event, now)
             case (
                 PresenceDue()
                 | PeerLinkOpened()
-                | PeerReceived(message=StoreNews() | AskProof() | ProofGiven())
+                | PeerReceived(message=StoreUpdate() | ProofRequest() | ProofReply())
             ):
                 return self._membership_event(event, now)
             case PeerLinkBroken():
-                self._keeper.link_broken(event)
-            case SweepDue() | LagDue() | Woken():
-                return self._time.handle(event, now)
+                self._proof_manager.link_broken(event)
+            case SweepDue() | LagDue() | ProcessResumed():
+                return self._periodic_work.handle(event, now)
             case StopRequested():
-                return self._callers.stop(now)
+                return self._readiness.stop(now)
             case StopCheckDue():
-                return self._callers.check_stop(now)
+                return self._readiness.check_stop(now)
             case ReadyDue():
-                return self._callers.changes(now)
+                return self._readiness.update(now)
         actions = self._forwarding.handle(event, now)
-        return actions + self._time.pace(now) if self._forwarding.held_exchanges else actions
+        return (
+            actions + self._periodic_work.adjust_poll_interval(now)
+            if self._forwarding.exchanges_awaiting_records
+            else actions
+        )
 
     def _membership_event(
         self, event: PresenceDue | PeerLinkOpened | PeerReceived, now: float
     ) -> list[Action]:
         match event:
-            case PeerReceived(sender=sender, message=StoreNews() as news):
-                self._told_by = sender.node_id
-                return [*self._news.heard(news, now), *self._keeper.news_from(sender, now)]
-            case PeerReceived(sender=sender, message=AskProof() | ProofGiven() as message):
-                return self._news.proof_message(sender, message, now)
+            case PeerReceived(sender=sender, message=StoreUpdate() as update):
+                self._update_source = sender.node_id
+                return [
+                    *self._updates.receive_update(update, now),
+                    *self._proof_manager.handle_update_from(sender, now),
+                ]
+            case PeerReceived(sender=sender, message=ProofRequest() | ProofReply() as message):
+                return self._updates.handle_proof_message(sender, message, now)
             case PresenceDue():
                 return self._presence_due(event, now)
             case PeerLinkOpened():
-                actions = self._members.link_opened(event, self._table, now)
+                actions = self._members.handle_link_opened(event, self._table, now)
                 self._forwarding.enable_peers(self._members.groups)
-                self._reach.enable_peers(self._members.groups)
-                return [*actions, *self._keeper.sweep(self._members.listeners, now)]
+                self._reachability.enable_peers(self._members.groups)
+                return [*actions, *self._proof_manager.sweep(self._members.update_recipients, now)]
         return []
 
     def _store_event(self, event: Event, now: float) -> list[Action]:
-        if isinstance(event, StoreResponse) and self._members.is_mine(event):
-            return self._members.answered(event, now)
-        if isinstance(event, StoreResponse) and self._held_keys.is_answer(event):
-            return self._held_keys.answered(event)
-        self._told_by = "look" if isinstance(event, WatchChanged) else "listing"
+        if isinstance(event, StoreResponse) and self._members.handles(event):
+            return self._members.handle_response(event, now)
+        if isinstance(event, StoreResponse) and self._held_request_keys.handles_response(event):
+            return self._held_request_keys.handle_response(event)
+        self._update_source = "poll" if isinstance(event, WatchChanged) else "listing"
         return self._follower.handle(event, now)
 
     def _start(self, event: Start, now: float) -> list[Action]:
         return [
             *self._follower.handle(event, now),
             *self._presence.handle(event, now),
-            *self._time.start(now),
+            *self._periodic_work.start(now),
         ]
 
     def _presence_due(self, event: PresenceDue, now: float) -> list[Action]:
-        return self._members.presence_due(event, self._table, now)
+        return self._members.handle_presence_due(event, self._table, now)
 
     # The store
 
@@ -258,18 +273,18 @@
         if self._table is not None and table.version <= self._table.version:
             return []
         self._table = table
-        self._callers.set_table(table)
-        self._reach.set_table(table)
+        self._readiness.set_table(table)
+        self._reachability.set_table(table)
         self._forwarding.set_table(table)
         self._members.configure(table)
-        self._keeper.configure(table)
-        line = (
+        self._proof_manager.configure(table)
+        adopted_fields = (
             ("version", table.version),
             ("routes", len(table.routes)),
-            ("told_by", self._told_by),
+            ("source", self._update_source),
         )
         return [
-            Log("configuration_adopted", LogLevel.INFO, line),
+            Log("configuration_adopted", LogLevel.INFO, adopted_fields),
             Count("configurations_adopted_total"),
-            self._callers.state(),
+            self._readiness.current_forwarding(),
         ]
--- a/wingquay/forwarding/knowledge/node_membership.py
+++ b/wingquay/forwarding/knowledge/node_membership.py
@@ -1,4 +1,4 @@
-"""The nodes as their keys in the store tell, and this node's own key among them."""
+"""The nodes by their entries in the store, and this node's own entry."""
 
 from typing import TYPE_CHECKING
 
@@ -8,35 +8,35 @@
 from ...ports.store import StoredValue, StoreResponse
 from ..settings import ForwardingSettings
 from ..store_formats import StoreFormats
-from .peer_setup import PeerSetup, widest_route
+from .peer_setup import PeerSetup, count_max_shards
 from .presence import NodeCount, Presence, PresenceDue
 
 if TYPE_CHECKING:
     from .node_groups import NodeGroups
 
 LINK_WAIT_SECONDS = 0.4
-"""Time between two looks whether the link to other nodes is open."""
+"""Time between two checks whether the link to other nodes is open."""
 TABLE_WAIT_SECONDS = 0.03
-"""Time between two looks whether a configuration tells how wide routes are."""
-MOST_TABLE_WAITS = 50
-"""Looks after which the node's key is written all the same: a node counts without the link, too."""
-MOST_LINK_WAITS = 7
-"""Looks after which the node's key is written without an address."""
+"""Time between two checks whether a configuration has arrived."""
+MAX_TABLE_WAITS = 50
+"""Checks for a configuration after which the entry is written without one."""
+MAX_LINK_WAITS = 7
+"""Checks for the link after which the entry is written without an address."""
 
 
 class NodeMembership:
-    """Counts the nodes, and knows where each listens once the link to them is open.
+    """Counts the nodes and, once the link to them is open, tracks their addresses.
 
     Parameters
     ----------
     name
         This node's name.
     nodes
-        Counts the keys of nodes.
+        Counts the node entries.
     presence
-        Keeps this node's own key.
-    candidate
-        The cluster's key to write if there is none.
+        Maintains this node's own entry.
+    new_cluster_key
+        The cluster key to write if the store has none.
     """
 
     def __init__(
@@ -46,18 +46,18 @@
         formats: StoreFormats,
         nodes: NodeCount,
         presence: Presence,
-        candidate: bytes,
+        new_cluster_key: bytes,
     ) -> None:
         self._name = name
         self._settings = settings
         self._formats = formats
         self._nodes = nodes
         self._presence = presence
-        self._setup = PeerSetup(settings, formats.cluster_key, candidate)
+        self._setup = PeerSetup(settings, formats.cluster_key, new_cluster_key)
         self._link_waits = 0
         self._table_waits = 0
-        self._is_early = True
-        """Whether the first moment at which the key may be written has yet to come."""
+        self._needs_initial_delay = True
+        """Whether the delay before the first write of the entry has not been scheduled yet."""
         self._opened_at = float("-inf")
         self._known_at_opening = 0
         self._records: dict[str, NodeRecord | None] = {}
@@ -65,60 +65,65 @@
 
     @property
     def groups(self) -> "NodeGroups":
-        """The groups of nodes; only once the link is open."""
+        """The groups of nodes; available only after the link was opened."""
         assert self._groups is not None
         return self._groups
 
-    def is_mine(self, event: StoreResponse) -> bool:
-        """Whether the store's answer is to a request of this part."""
-        return self._presence.is_mine(event) or self._setup.is_mine(event)
+    def handles(self, event: StoreResponse) -> bool:
+        """Whether a store response answers a request of this class."""
+        return self._presence.handles(event) or self._setup.handles(event)
 
-    def answered(self, event: StoreResponse, now: float) -> list[Action]:
-        """Take in the store's answer."""
-        if self._presence.is_mine(event):
+    def handle_response(self, event: StoreResponse, now: float) -> list[Action]:
+        """Handle a store response."""
+        if self._presence.handles(event):
             return self._presence.handle(event, now)
-        return self._setup.answered(event.result)
+        return self._setup.handle_result(event.result)
 
-    def presence_due(
+    def handle_presence_due(
         self, event: PresenceDue, table: RoutingTable | None, now: float
     ) -> list[Action]:
-        """Write the node's key, but open the link before: the key tells where it listens.
+        """Open the link to other nodes, then write this node's entry with its address.
 
-        Every node opens it, however narrow its routes are: nodes have to tell each other under
-        which requests replicas end, also while the store is away.
+        The link is opened even if all routes have few shards, because nodes also use it to report
+        requests that crash replicas, even during a store outage.
         """
         is_open = self._groups is not None
-        if table is None and self._table_waits < MOST_TABLE_WAITS:
+        if table is None and self._table_waits < MAX_TABLE_WAITS:
             self._table_waits += 1
             return [Schedule(now + TABLE_WAIT_SECONDS, event)]
         if table is None:
-            return self._without_link(event, now)
-        if self._is_early and not self._setup.is_wanted_early(table):
+            return self._write_without_address(event, now)
+        if self._needs_initial_delay and not self._setup.needs_early_link(table):
             settings = self._settings
-            return self._later(settings.join_delay_seconds, event, now)
+            return self._schedule_first_write(settings.join_delay_seconds, event, now)
         if is_open:
             return self._presence.handle(event, now)
         self._link_waits += 1
-        if self._link_waits > MOST_LINK_WAITS:
+        if self._link_waits > MAX_LINK_WAITS:
             return self._presence.handle(event, now)
-        return [*self._setup.step(), Schedule(now + LINK_WAIT_SECONDS, event)]
+        return [*self._setup.request_link(), Schedule(now + LINK_WAIT_SECONDS, event)]
 
-    def _without_link(self, event: PresenceDue, now: float) -> list[Action]:
-        """Write the key of a node without a configuration, which other nodes cannot reach yet."""
-        if self._is_early:
-            return self._later(self._settings.presence_delay_seconds, event, now)
+    def _write_without_address(self, event: PresenceDue, now: float) -> list[Action]:
+        """Write the entry of a node without a configuration, after the initial delay."""
+        if self._needs_initial_delay:
+            return self._schedule_first_write(self._settings.presence_delay_seconds, event, now)
         return self._presence.handle(event, now)
 
-    def _later(self, delay_seconds: float, event: PresenceDue, now: float) -> list[Action]:
-        """Wait until so long after the start, once."""
-        self._is_early = False
-        wait_seconds = delay_seconds - self._settings.join_wide_delay_seconds
-        return [Schedule(now + max(0.0, wait_seconds), event)]
+    def _schedule_first_write(
+        self, delay_seconds: float, event: PresenceDue, now: float
+    ) -> list[Action]:
+        """Schedule the first write ``delay_seconds`` after the start.
+
+        The timer that led here already fired ``join_wide_delay_seconds`` after the start.
+        """
+        self._needs_initial_delay = False
+        delay_left_seconds = delay_seconds - self._settings.join_wide_delay_seconds
+        return [Schedule(now + max(0.0, delay_left_seconds), event)]
 
-    def link_opened(
+    def handle_link_opened(
         self, event: PeerLinkOpened, table: RoutingTable | None, now: float
     ) -> list[Action]:
-        """Say where this node listens, and group the nodes from now on."""
+        """Set this node's address in its entry and start grouping the nodes."""
         from .node_groups import NodeGroups
 
         self._opened_at = now
@@ -135,53 +140,53 @@
         return [Log("peer_link_opened", LogLevel.INFO, fields)]
 
     def is_listed(self, now: float) -> bool:
-        """Whether this node's key is sure to stand in the store."""
+        """Whether this node's entry is certain to be in the store."""
         return self._presence.is_listed(now)
 
-    def has_stood(self) -> bool:
-        """Whether this node's key stood in the store, as it is now, before this life wrote it."""
-        return self._presence.has_stood
+    def reused_key(self) -> bool:
+        """Whether the entry of this node's previous incarnation was found unchanged and reused."""
+        return self._presence.reused_key
 
-    def listeners(self) -> list[NodeIdentity]:
-        """Return the nodes that are told what this one reads of the store."""
-        return [] if self._groups is None else self._groups.listeners()
+    def update_recipients(self) -> list[NodeIdentity]:
+        """Return the nodes to which this node sends store updates."""
+        return [] if self._groups is None else self._groups.update_recipients()
 
-    def rank(self) -> int:
-        """Return this node's place among the nodes that tell each other of the store."""
-        return 0 if self._groups is None else self._groups.rank()
+    def group_position(self) -> int:
+        """Return this node's position among the nodes that share store updates, from 0."""
+        return 0 if self._groups is None else self._groups.group_position()
 
     def is_joining(self, now: float) -> bool:
-        """Whether keys of nodes that started together with this one may soon appear.
+        """Whether entries of nodes that started together with this one may still appear.
 
-        Where enough keys stood there already, nodes know each other by these: a node keeps its id
-        and its address when it starts again.
+        They are not waited for if enough entries were present when the link opened, because a node
+        keeps its id and address when it restarts.
         """
-        if self._known_at_opening >= self._settings.news_least_nodes:
+        if self._known_at_opening >= self._settings.update_group_min_nodes:
             return False
         return now - self._opened_at < self._settings.join_seconds
 
     def configure(self, table: RoutingTable) -> None:
-        """Take in a configuration."""
+        """Apply a configuration."""
         if self._groups is not None:
-            self._groups.set_fan_out(widest_route(table))
+            self._groups.set_max_shard_count(count_max_shards(table))
 
-    def learn_cluster_key(self, cluster_key: bytes) -> None:
-        """Take in the key that stands in the store."""
-        self._setup.learn(cluster_key)
+    def set_cluster_key(self, cluster_key: bytes) -> None:
+        """Record the cluster key found in the store."""
+        self._setup.set_cluster_key(cluster_key)
 
     def put(self, item: StoredValue) -> None:
-        """Take in the key of a node."""
+        """Apply a node's entry."""
         self._nodes.put(item.key)
         name = item.key.removeprefix(self._formats.node_prefix)
         record = self._formats.parse_node(item.value)
         self._records[name] = record
         if name == self._name:
-            self._presence.learn(item)
+            self._presence.set_stored(item)
         if self._groups is not None and name != self._name:
             self._groups.put(name, record)
 
     def remove(self, key: str) -> None:
-        """Take in that the key of a node is gone."""
+        """Remove a node whose entry is gone."""
         self._nodes.remove(key)
         name = key.removeprefix(self._formats.node_prefix)
         self._records.pop(name, None)
@@ -189,7 +194,7 @@
             self._groups.remove(name)
 
     def keep_only(self, keys: set[str]) -> None:
-        """Take in a whole listing: nodes that are not in it are gone."""
+        """Apply a complete listing: remove the nodes that are not in it."""
         self._nodes.keep_only(keys)
         prefix = self._formats.node_prefix
         names = {key.removeprefix(prefix) for key in keys}
--- a/wingquay/forwarding/knowledge/presence.py
+++ b/wingquay/forwarding/knowledge/presence.py
@@ -1,8 +1,8 @@
-"""Keeps this node's key in the store, under a lease, and counts the keys of all nodes.
+"""Maintains this node's entry in the store, under a lease, and counts all nodes.
 
-What nodes share without talking to each other, connections to replicas and the slack of the
-budget, is divided by their number. A node that ends leaves its key until the lease lapses, so the
-count errs on the side of too many.
+The allowed connections to replicas and the fixed part of the extra-request budget are divided by
+the number of nodes. The entry of a node that stopped remains until its lease expires, so the count
+tends to be too high.
 """
 
 import random
@@ -29,28 +29,27 @@
 OPERATION_PREFIX = "presence-"
 TIMEOUT_SECONDS = 2.0
 RENEWAL_SHARE = 0.5
-"""Share of the lease's time after which it is renewed: calls are priced, and what is left
-is time for several tries."""
+"""Share of the lease time after which the lease is renewed; the rest allows several attempts."""
 NO_ADDRESS = b"1"
-"""The value of a node that other nodes cannot reach."""
+"""The value of the entry of a node that other nodes cannot reach."""
 
 
 @value
 class PresenceDue(Event):
-    """Take the next step of keeping the key."""
+    """Take the next step of maintaining the entry."""
 
     step: int
 
 
 class Presence:
-    """Keeps one key alive.
+    """Writes one entry under a lease and renews it.
 
     Parameters
     ----------
     key
-        This node's key.
+        The key of this node's entry.
     settings
-        The lease's time and the pauses.
+        The lease time and the pauses.
     random_source
         Spreads the calls of nodes that start together.
     """
@@ -66,56 +65,56 @@
         self._expected_revision = 0
         self._is_written = False
         self._value = NO_ADDRESS
-        self._standing: StoredValue | None = None
-        """The key as the last life of this node has left it."""
-        self._asked_at = float("-inf")
-        self._lease_asked_at = float("-inf")
-        """When the lease's present time was asked for."""
+        self._stored: StoredValue | None = None
+        """The entry that the previous incarnation of this node left."""
+        self._sent_at = float("-inf")
+        self._lease_sent_at = float("-inf")
+        """When the request was sent that set the lease's current expiry."""
         self._listed_until = float("-inf")
-        self._has_stood = False
+        self._reused_key = False
 
     def set_value(self, value: bytes) -> None:
-        """Say something else of this node, from the next writing of the key on."""
+        """Change the value that the next write of the entry stores."""
         self._value = value
         self._is_written = False
         self._listed_until = float("-inf")
 
     def is_listed(self, now: float) -> bool:
-        """Whether the key is sure to stand in the store, as far as nobody takes it away.
+        """Whether the entry is certain to be in the store, unless someone deleted it.
 
-        A lease is counted from when its renewal was asked for, so that it lapses in the store later
-        than here.
+        The lease time is counted from the sending of the renewal, so the lease expires in the store
+        later than here.
         """
         return now < self._listed_until
 
     @property
-    def has_stood(self) -> bool:
-        """Whether the key stood there before this life and was renewed, not written."""
-        return self._has_stood
+    def reused_key(self) -> bool:
+        """Whether the entry of the previous incarnation is renewed instead of written anew."""
+        return self._reused_key
 
-    def learn(self, standing: StoredValue) -> None:
-        """Take in the key as it stands in the store, before this life has written it.
+    def set_stored(self, stored: StoredValue) -> None:
+        """Record the entry found in the store before this incarnation wrote one.
 
-        If it says what this life says as well, its lease is renewed instead of another one: a tenth
-        of a call in place of three.
+        If it has the value that this incarnation would write, its lease is renewed, which saves the
+        calls for a new lease and a write.
         """
         if self._lease_id is None:
-            self._standing = standing
-            self._expected_revision = standing.modified_at
+            self._stored = stored
+            self._expected_revision = stored.modified_at
 
     def handle(self, event: Event, now: float) -> list[Action]:
-        """Take in an event of the store or a timer."""
+        """Handle a store response or a timer."""
         if isinstance(event, Start):
-            return self._after(self._settings.join_wide_delay_seconds, now)
+            return self._schedule_next_step(self._settings.join_wide_delay_seconds, now)
         if isinstance(event, PresenceDue) and event.step == self._step:
-            self._asked_at = now
+            self._sent_at = now
             return [self._request(self._next_operation())]
         if isinstance(event, StoreResponse) and event.operation_id == self._operation_id:
-            return self._done(event.result, now)
+            return self._handle_result(event.result, now)
         return []
 
-    def is_mine(self, event: StoreResponse) -> bool:
-        """Whether the answer is to one of this machine's requests."""
+    def handles(self, event: StoreResponse) -> bool:
+        """Whether a store response answers a request of this class."""
         return event.operation_id.startswith(OPERATION_PREFIX)
 
     @property
@@ -123,109 +122,116 @@
         return f"{OPERATION_PREFIX}{self._step}"
 
     def _next_operation(self) -> StoreOperation:
-        if self._lease_id is None and self._can_go_on():
-            assert self._standing is not None
-            self._lease_id = self._standing.lease_id
+        if self._lease_id is None and self._can_reuse_stored():
+            assert self._stored is not None
+            self._lease_id = self._stored.lease_id
             self._is_written = True
-            self._has_stood = True
+            self._reused_key = True
         if self._lease_id is None:
             return GrantLease(int(self._settings.presence_lease_seconds))
         if not self._is_written:
             return CompareAndSwap(self._key, self._expected_revision, self._value, self._lease_id)
         return KeepLeaseAlive(self._lease_id)
 
-    def _can_go_on(self) -> bool:
-        """Whether the last life's key stands there and says what this life says."""
-        standing = self._standing
-        return standing is not None and standing.lease_id > 0 and standing.value == self._value
+    def _can_reuse_stored(self) -> bool:
+        """Whether the previous incarnation's entry exists and has the value to write."""
+        stored = self._stored
+        return stored is not None and stored.lease_id > 0 and stored.value == self._value
 
     def _request(self, operation: StoreOperation) -> StoreRequest:
         return StoreRequest(self._operation_id, operation, TIMEOUT_SECONDS)
 
-    def _done(self, result: StoreResult | Failure[StoreFailureKind], now: float) -> list[Action]:
+    def _handle_result(
+        self, result: StoreResult | Failure[StoreFailureKind], now: float
+    ) -> list[Action]:
         if isinstance(result, LeaseState):
-            return self._lease_told(result, now)
+            return self._handle_lease(result, now)
         if isinstance(result, SwapResult):
-            return self._swapped(result, now)
-        # The lease may be gone, or the key written: a new lease settles both.
+            return self._handle_swap(result, now)
+        # The outcome of the write is unknown: get a new lease and write again.
         if not self._is_written:
             self._lease_id = None
-        return self._after(self._settings.presence_retry_seconds, now)
+        return self._schedule_next_step(self._settings.presence_retry_seconds, now)
 
-    def _lease_told(self, lease: LeaseState, now: float) -> list[Action]:
+    def _handle_lease(self, lease: LeaseState, now: float) -> list[Action]:
         if not lease.time_to_live_seconds:
             self._lease_id = None
-            self._standing = None
+            self._stored = None
             self._is_written = False
-            self._has_stood = False
-            return self._after(0.0, now)
+            self._reused_key = False
+            return self._schedule_next_step(0.0, now)
         if self._lease_id is None:
             self._lease_id = lease.lease_id
-            self._lease_asked_at = self._asked_at
-            return self._after(0.0, now)
-        self._lease_asked_at = self._asked_at
-        self._listed_until = self._lease_asked_at + self._settings.presence_lease_seconds
-        return self._after(self._settings.presence_lease_seconds * RENEWAL_SHARE, now)
+            self._lease_sent_at = self._sent_at
+            return self._schedule_next_step(0.0, now)
+        self._lease_sent_at = self._sent_at
+        self._listed_until = self._lease_sent_at + self._settings.presence_lease_seconds
+        return self._schedule_next_step(self._settings.presence_lease_seconds * RENEWAL_SHARE, now)
 
-    def _swapped(self, result: SwapResult, now: float) -> list[Action]:
+    def _handle_swap(self, result: SwapResult, now: float) -> list[Action]:
         if result.succeeded:
             self._is_written = True
-            self._listed_until = self._lease_asked_at + self._settings.presence_lease_seconds
-            return self._after(self._settings.presence_lease_seconds * RENEWAL_SHARE, now)
+            self._listed_until = self._lease_sent_at + self._settings.presence_lease_seconds
+            return self._schedule_next_step(
+                self._settings.presence_lease_seconds * RENEWAL_SHARE, now
+            )
         current = result.current
         self._expected_revision = 0 if current is None else current.modified_at
-        return self._after(0.0, now)
+        return self._schedule_next_step(0.0, now)
 
-    def _after(self, seconds: float, now: float) -> list[Action]:
+    def _schedule_next_step(self, seconds: float, now: float) -> list[Action]:
         self._step += 1
         due_at = now + seconds * self._random.uniform(0.8, 1.2)
         return [Schedule(due_at, PresenceDue(self._step))]
 
 
 class NodeCount:
-    """How many nodes there are, as their keys tell.
+    """Counts the nodes by their entries in the store.
 
     Parameters
     ----------
     settings
-        What to assume while nothing is known, and how long a greater count is remembered.
+        The counts to assume without data, and how long a higher count is kept.
     """
 
     def __init__(self, settings: ForwardingSettings) -> None:
         self._settings = settings
-        self._names: set[str] = set()
-        self._greatest = 0
-        self._greatest_at = float("-inf")
+        self._keys: set[str] = set()
+        self._max_count = 0
+        self._max_count_at = float("-inf")
 
-    def put(self, name: str) -> None:
-        """Take in a node's key."""
-        self._names.add(name)
+    def put(self, key: str) -> None:
+        """Add a node."""
+        self._keys.add(key)
 
-    def remove(self, name: str) -> None:
-        """Take in that a node's key is gone."""
-        self._names.discard(name)
+    def remove(self, key: str) -> None:
+        """Remove a node."""
+        self._keys.discard(key)
 
-    def rank(self, name: str, salt: str) -> int | None:
-        """Return a node's place among all, in an order of its own for each salt.
+    def hashed_position(self, key: str, salt: str) -> int | None:
+        """Return the position of a node's key in an order of all keys that depends on the salt.
 
-        ``None``: the node's key is not there.
+        ``None``: the node has no entry.
         """
-        if name not in self._names:
+        if key not in self._keys:
             return None
-        own = (zlib.crc32((salt + name).encode()), name)
-        return sum((zlib.crc32((salt + other).encode()), other) < own for other in self._names)
+        own = (zlib.crc32((salt + key).encode()), key)
+        return sum((zlib.crc32((salt + other).encode()), other) < own for other in self._keys)
 
-    def keep_only(self, names: set[str]) -> None:
-        """Take in a whole listing."""
-        self._names = names
+    def keep_only(self, keys: set[str]) -> None:
+        """Apply a complete listing."""
+        self._keys = keys
 
     def get(self, now: float) -> int:
-        """Return the greatest recent number of nodes."""
-        present = len(self._names)
-        is_old = now - self._greatest_at > self._settings.node_count_memory_seconds
-        if present >= self._greatest or is_old:
-            self._greatest = present
-            self._greatest_at = now
-        # Nodes that have just started have no key yet.
-        fewest = self._settings.fewest_nodes if present else self._settings.most_nodes
-        return max(self._greatest, fewest)
+        """Return the recent maximum of the number of nodes, at least the minimum in the settings.
+
+        Without any entries it is at least ``max_nodes``.
+        """
+        present = len(self._keys)
+        is_old = now - self._max_count_at > self._settings.node_count_memory_seconds
+        if present >= self._max_count or is_old:
+            self._max_count = present
+            self._max_count_at = now
+        # Nodes that have just started have no entry yet.
+        min_count = self._settings.min_nodes if present else self._settings.max_nodes
+        return max(self._max_count, min_count)
