--- /dev/null
+++ b/wingquay/forwarding/knowledge/proof_manager.py
@@ -0,0 +1,186 @@
+"""Maintains the proof that the configuration is fresh and requests proofs from other nodes."""
+
+from collections.abc import Callable, Collection
+
+from ...model.routing_table import RoutingTable
+from ...ports.machine import Action, Count, Log, LogLevel, Observe
+from ...ports.peer_link import NodeIdentity, PeerLinkBroken, SendToPeer
+from ...ports.proof_messages import ProofReply, ProofRequest
+from .configuration_proof import AlwaysProven, TimedProof
+from .proof_poll_times import MAX_POLL_SPREAD_SECONDS, ProofPollTimes
+from .proof_requests import ReceivedProofRequests, SentProofRequests
+
+NO_POLL_REASON = "no poll was answered and no proof received"
+
+
+class ProofManager:
+    """Extends the configuration proof by this node's polls and by proofs of other nodes.
+
+    Without a revocation bound, or while the configuration has no tenants, it sends no proof
+    requests and requires no additional polls.
+
+    Parameters
+    ----------
+    proof_poll_times
+        The bound and the polls that keep it; ``None``: no bound is stated.
+    poll_delay_seconds
+        Returns the delay of this node's own polls, which grows with its position in the group.
+    next_answer_at
+        Returns, for a time, when the store may answer the next poll.
+    first_number
+        Number of the first proof request; random, so that no two incarnations of a node share one.
+    """
+
+    def __init__(
+        self,
+        proof_poll_times: ProofPollTimes | None,
+        poll_delay_seconds: Callable[[], float],
+        next_answer_at: Callable[[float], float],
+        first_number: int = 0,
+    ) -> None:
+        self._proof_poll_times = proof_poll_times
+        self._poll_delay_seconds = poll_delay_seconds
+        self._timed = (
+            None
+            if proof_poll_times is None
+            else TimedProof(proof_poll_times.bound_seconds, next_answer_at)
+        )
+        self._sent = SentProofRequests(first_number)
+        self._received = ReceivedProofRequests()
+        self._has_tenants = False
+        self._lost_at: float | None = None
+        """When the proof was found to be too old; ``None``: the configuration is proven."""
+        self._reason = "no poll answered yet"
+
+    @property
+    def proof(self) -> AlwaysProven | TimedProof:
+        """The proof by which arriving requests are admitted."""
+        return self._timed or AlwaysProven()
+
+    @property
+    def proof_poll_times(self) -> ProofPollTimes | None:
+        """The polls that keep the bound; ``None``: no proof is required."""
+        return self._proof_poll_times if self._has_tenants else None
+
+    def configure(self, table: RoutingTable) -> None:
+        """Apply a configuration."""
+        self._has_tenants = table.tenants is not None
+
+    def poll_deadline(self) -> float:
+        """Return by when the next poll must start, or end its hold time, to allow a retry."""
+        if self._timed is None or self.proof_poll_times is None:
+            return float("inf")
+        poll_delay_seconds = min(self._poll_delay_seconds(), MAX_POLL_SPREAD_SECONDS)
+        return (
+            self._timed.proven_as_of
+            + self.proof_poll_times.poll_at_age_seconds
+            + poll_delay_seconds
+        )
+
+    def handle_poll_answer(
+        self, begun_at: float | None, store_revision: int, now: float
+    ) -> list[Action]:
+        """Handle an answered poll of this node.
+
+        Parameters
+        ----------
+        begun_at
+            When the poll started; ``None``: it proves nothing.
+        store_revision
+            The revision up to which the answer is complete.
+        """
+        if self._timed is None or begun_at is None:
+            return []
+        answers = self._received.answers(begun_at, store_revision, now)
+        return [*self._extend_proof(self._timed, begun_at, now), *answers]
+
+    def poll_failed(self, reason: str) -> None:
+        """Record why the proof may not be extended for a while."""
+        self._reason = reason
+
+    def sweep(self, recipients: Callable[[], Collection[NodeIdentity]], now: float) -> list[Action]:
+        """Request proofs from other nodes and log whether the proof was lost.
+
+        Parameters
+        ----------
+        recipients
+            Returns the nodes that share store updates.
+        """
+        if self.proof_poll_times is None:
+            return []
+        return [*self.check(now), *self._sent.send_requests(recipients(), now)]
+
+    def handle_update_from(self, sender: NodeIdentity, now: float) -> list[Action]:
+        """Handle the arrival of another node's store update."""
+        return [] if self.proof_poll_times is None else self._sent.handle_update_from(sender, now)
+
+    def handle_request(
+        self, sender: NodeIdentity, request: ProofRequest, known_revision: int | None, now: float
+    ) -> list[Action]:
+        """Handle a proof request: record it, and answer at once if the configuration is proven."""
+        if self._timed is None:
+            return []
+        self._received.record(sender, request, now)
+        if known_revision is None or not self._timed.is_proven(now):
+            return []
+        held_seconds = self._timed.proven_as_of - now
+        return [SendToPeer(sender, ProofReply(request.number, held_seconds, known_revision))]
+
+    def handle_proof(
+        self, sender: NodeIdentity, proof: ProofReply, known_revision: int | None, now: float
+    ) -> list[Action]:
+        """Extend the proof by another node's poll, if this node has all its changes."""
+        as_of = self._sent.proven_as_of(sender, proof, now)
+        is_known = known_revision is not None and known_revision >= proof.store_revision
+        if self._timed is None or as_of is None or not is_known:
+            return []
+        return self._extend_proof(self._timed, as_of, now)
+
+    def link_broken(self, event: PeerLinkBroken) -> None:
+        """Discard the requests that may be lost because a link broke."""
+        if event.was_open:
+            self._sent.link_broken(event.node_id)
+            self._received.link_broken(event.node_id)
+
+    def age_seconds(self, now: float) -> float:
+        """Return the age of the proof."""
+        return float("inf") if self._timed is None else now - self._timed.proven_as_of
+
+    def _extend_proof(self, timed: TimedProof, as_of: float, now: float) -> list[Action]:
+        age_seconds = now - timed.proven_as_of
+        if not timed.extend(as_of, now):
+            return []
+        logs = self.check(now)
+        self._reason = NO_POLL_REASON
+        if self.proof_poll_times is None or age_seconds == float("inf"):
+            return logs
+        return [*logs, Observe("configuration_proof_age_seconds", age_seconds)]
+
+    def check(self, now: float) -> list[Action]:
+        """Log and count when the configuration becomes unproven or proven again."""
+        if self._timed is None or self.proof_poll_times is None:
+            return []
+        if self._timed.is_proven(now):
+            return self._proof_regained(now)
+        return self._proof_lost(self._timed, now) if self._lost_at is None else []
+
+    def _proof_regained(self, now: float) -> list[Action]:
+        lost_at, self._lost_at = self._lost_at, None
+        if lost_at is None:
+            return []
+        fields = (("unproven_ms", _milliseconds(now - lost_at)),)
+        return [Log("configuration_proven", LogLevel.INFO, fields)]
+
+    def _proof_lost(self, timed: TimedProof, now: float) -> list[Action]:
+        self._lost_at = now
+        age_seconds = now - timed.proven_as_of
+        age_ms = -1 if age_seconds == float("inf") else _milliseconds(age_seconds)
+        fields = (("age_ms", age_ms), ("reason", self._reason))
+        return [
+            Log("configuration_unproven", LogLevel.WARNING, fields),
+            Count("configuration_unproven_total"),
+        ]
+
+
+def _milliseconds(seconds: float) -> int:
+    return round(seconds * 1000.0)
--- a/wingquay/forwarding/line_budget.py
+++ b/wingquay/forwarding/log_throttle.py
@@ -1,7 +1,7 @@
-"""Bounds the log lines of one node, each kind by itself.
+"""Limits the rate of a node's log lines, separately for each kind of line.
 
-A kind that has used up its lines of a second is left out; its next line says how many lines were.
-Kinds that explain requests that were not served have the most.
+Lines above the limit of their kind are dropped; the next line of the kind states how many. Lines
+that explain failed requests have the highest limits.
 """
 
 from dataclasses import dataclass
@@ -19,26 +19,26 @@
     "unknown_caller": 10,
     "over_limit": 10,
 }
-"""Lines a second for requests by outcome."""
+"""Limits for lines on requests, by outcome."""
 OTHER_LINES_PER_SECOND = 5
 OUTCOME_FIELD = "outcome"
 
 
 @dataclass(slots=True)
-class _Kind:
+class _KindCounter:
     second: int = -1
     lines: int = 0
-    left_out: int = 0
+    dropped_lines: int = 0
 
 
-class LineBudget:
-    """Lets log lines through within their budgets."""
+class LogThrottle:
+    """Drops log lines that exceed the limit of their kind."""
 
     def __init__(self) -> None:
-        self._kinds: dict[str, _Kind] = {}
+        self._kinds: dict[str, _KindCounter] = {}
 
     def admit(self, actions: list[Action], now: float) -> list[Action]:
-        """Return the actions without the log lines that are too many."""
+        """Return the actions, with a counter in place of each log line above its limit."""
         if not any(isinstance(action, Log) for action in actions):
             return actions
         return [self._admitted(action, now) for action in actions]
@@ -49,17 +49,17 @@
         name = next(
             (str(text) for field, text in action.fields if field == OUTCOME_FIELD), action.message
         )
-        kind = self._kinds.setdefault(name, _Kind())
+        kind = self._kinds.setdefault(name, _KindCounter())
         second = int(now)
         if second != kind.second:
             kind.second = second
             kind.lines = 0
         kind.lines += 1
         if kind.lines > LINES_PER_SECOND.get(name, OTHER_LINES_PER_SECOND):
-            kind.left_out += 1
+            kind.dropped_lines += 1
             return Count("log_lines_left_out_total", labels=(("kind", name),))
-        if not kind.left_out:
+        if not kind.dropped_lines:
             return action
-        fields = (*action.fields, ("lines_left_out", kind.left_out))
-        kind.left_out = 0
+        fields = (*action.fields, ("lines_left_out", kind.dropped_lines))
+        kind.dropped_lines = 0
         return Log(action.message, action.level, fields)
--- a/wingquay/forwarding/peers/delegation_asking.py
+++ b/wingquay/forwarding/peers/delegation_dispatcher.py
@@ -1,4 +1,4 @@
-"""Divides the calls of a request among this node and others, and asks those for their shares."""
+"""Divides the calls of a request between this node and others, and sends the delegations."""
 
 from collections.abc import Mapping
 
@@ -14,18 +14,18 @@
 from .relays import Relays
 from .request_rate import RequestRate
 from .shard_placement import ShardPlacement
-from .takeover_time import TakeoverTime
+from .takeover_timeout import TakeoverTimeout
 
 
-class DelegationAsking:
-    """Asks other nodes for shards.
+class DelegationDispatcher:
+    """Sends delegations to other nodes.
 
     Parameters
     ----------
     open_delegations
-        Keeps what was asked for.
-    takeover
-        Tells when a node that has said nothing counts as lost.
+        Stores the delegations.
+    takeover_timeout
+        Determines when a node that has not replied is considered lost.
     """
 
     def __init__(
@@ -34,37 +34,37 @@
         groups: NodeGroups,
         directory: ReplicaDirectory,
         open_delegations: OpenDelegations,
-        takeover: TakeoverTime,
+        takeover_timeout: TakeoverTimeout,
     ) -> None:
         self._settings = settings
         self._open = open_delegations
-        self._takeover = takeover
-        self._relays = Relays(settings, groups, directory, open_delegations.count_at)
+        self._takeover_timeout = takeover_timeout
+        self._relays = Relays(settings, groups, directory, open_delegations.count_for_node)
         self._rate = RequestRate()
         self.placement = ShardPlacement(settings, groups, directory, self._rate)
-        """Which node owns which shard."""
+        """The owners of shards."""
 
     def is_wide(self, shards: tuple[str, ...]) -> bool:
-        """Whether a route has so many shards that their owners are asked."""
-        return len(shards) >= self._settings.delegate_least_shards
+        """Return whether a route has enough shards for delegation to their owners."""
+        return len(shards) >= self._settings.delegate_min_shards
 
     def count(self, shards: tuple[str, ...], now: float) -> None:
-        """Take in a request: the rate of wide ones decides how many nodes own a shard."""
+        """Count a wide request: their rate determines the number of owners per shard."""
         if self.is_wide(shards):
             self._rate.count(now)
 
-    def divide(
+    def dispatch(
         self, exchange: Exchange, calls: list[ServiceCall], now: float
     ) -> tuple[list[ServiceCall], list[Action]]:
-        """Ask other nodes for calls; return those that are left to this one, too."""
+        """Delegate calls to other nodes; return the remaining calls and the actions."""
         shards = exchange.route.shards
         is_wide = self.is_wide(shards)
         owners: Mapping[str, NodeIdentity | None]
         if is_wide:
             owners = self.placement.owners(shards, now)
         else:
-            owners = self._relays.owners(shards, now)
-        shares: dict[str, list[ServiceCall]] = {}
+            owners = self._relays.choose(shards, now)
+        calls_by_node: dict[str, list[ServiceCall]] = {}
         nodes: dict[str, NodeIdentity] = {}
         own: list[ServiceCall] = []
         for call in calls:
@@ -73,12 +73,12 @@
                 own.append(call)
                 continue
             nodes[owner.node_id] = owner
-            shares.setdefault(owner.node_id, []).append(call)
+            calls_by_node.setdefault(owner.node_id, []).append(call)
         actions: list[Action] = []
-        for node_id, share in shares.items():
-            actions += self._delegate(exchange, nodes[node_id], share, is_wide, now)
+        for node_id, node_calls in calls_by_node.items():
+            actions += self._delegate(exchange, nodes[node_id], node_calls, is_wide, now)
         for call in own:
-            call.is_owned = is_wide and call.service in owners
+            call.is_owned_by_this_node = is_wide and call.service in owners
         return own, actions
 
     def _delegate(
@@ -86,7 +86,7 @@
         exchange: Exchange,
         node: NodeIdentity,
         calls: list[ServiceCall],
-        is_group_share: bool,
+        is_wide: bool,
         now: float,
     ) -> list[Action]:
         settings = self._settings
@@ -95,9 +95,9 @@
         for call in calls:
             call.is_begun = True
             call.delegated_attempts = 1
-            call.arrivals += 1
-            call.history.append(f"asked through {node.node_id}")
-        in_time_seconds = exchange.in_time_at - now - settings.delegate_return_seconds
+            call.send_count += 1
+            call.history.append(f"delegated to {node.node_id}")
+        in_time_seconds = exchange.cutoff_at - now - settings.delegate_return_seconds
         message = DelegatedRequest(
             delegation_id=delegation.delegation_id,
             request_id=exchange.event.request_id,
@@ -107,12 +107,12 @@
             merged_records=route.merged_records,
             priority=route.priority,
             objective_seconds=route.objective_seconds,
-            in_time_seconds=max(in_time_seconds, 0.0),
+            cutoff_seconds=max(in_time_seconds, 0.0),
             remaining_seconds=max(exchange.ends_at - now, 0.001),
-            is_group_share=is_group_share,
+            is_group_share=is_wide,
             tenant=exchange.tenant_name,
         )
-        due_at = now + self._takeover.seconds(exchange.route)
+        due_at = now + self._takeover_timeout.seconds(exchange.route)
         return [
             SendToPeer(node, message),
             Count("delegated_requests_total", labels=(("side", "sent"),)),
--- a/wingquay/forwarding/peers/peer_work.py
+++ b/wingquay/forwarding/peers/peer_event_handler.py
@@ -1,6 +1,6 @@
-"""What forwarding nodes do for each other: joins both sides of delegation.
+"""Combines both sides of delegation: outgoing delegations and work for other nodes.
 
-Loaded when the link to other nodes opens; a node serves before that.
+Imported when the link to other nodes opens, while the node already serves requests.
 """
 
 from ...model.routing_table import RoutingTable
@@ -12,26 +12,26 @@
 )
 from ...ports.machine import Action, Schedule
 from ...ports.peer_link import NodeIdentity, PeerLinkBroken, PeerMessage, PeerReceived
-from ..arrival.request_identity import identity_of
+from ..arrival.request_identity import compute_identity
 from ..choice.replica_directory import ReplicaDirectory
 from ..crashing.guard import CrashGuard
-from ..crashing.suspects import Verdict
+from ..crashing.suspects import SuspicionLevel
 from ..knowledge.loop_lag import LoopLag
 from ..settings import ForwardingSettings
 from ..settling.settlement import Settlement
-from ..timers import BeginDue, DelegationDue, GreetingDue, ReportDue
-from .connections_ahead import ConnectionsAhead
+from ..timers import BeginDue, DelegationDue, PeerConnectDue, ReportDue
+from .connection_prewarmer import ConnectionPrewarmer
 from .delegated_work import DelegatedWork
 from .delegation import Delegations
 
 
-class PeerWork:
+class PeerEventHandler:
     """Handles the messages of other nodes.
 
     Parameters
     ----------
     delegations
-        What this node asks of others.
+        The delegations of this node to others.
     """
 
     def __init__(
@@ -46,37 +46,37 @@
         self._settings = settings
         self._guard = guard
         self.delegations = delegations
-        self._ahead = ConnectionsAhead(settings, directory, delegations.placement)
+        self._prewarmer = ConnectionPrewarmer(settings, directory, delegations.placement)
         self._work = DelegatedWork(directory, settlement, lag)
-        settlement.on_closed = self.delegations.closed
+        settlement.on_closed = self.delegations.on_closed
 
     def handle(
         self,
-        event: GreetingDue | DelegationDue | PeerReceived | PeerLinkBroken,
+        event: PeerConnectDue | DelegationDue | PeerReceived | PeerLinkBroken,
         table: RoutingTable | None,
         now: float,
     ) -> list[Action]:
-        """Take in an event.
+        """Handle an event.
 
         Parameters
         ----------
         table
-            The configuration for work of other nodes; ``None``: none is taken.
+            The configuration for delegated work; ``None`` if such work is rejected.
         """
         match event:
-            case GreetingDue():
-                return [] if table is None else self._prepare(table, now)
+            case PeerConnectDue():
+                return [] if table is None else self._open_connections(table, now)
             case DelegationDue():
-                return self.delegations.due(event, now)
+                return self.delegations.on_due(event, now)
             case PeerLinkBroken():
-                actions = self._work.link_broken(event.node_id, now)
-                return actions + self.delegations.link_broken(event, now)
+                actions = self._work.on_link_broken(event.node_id, now)
+                return actions + self.delegations.on_link_broken(event, now)
             case PeerReceived(sender, message):
                 return self._received(sender, message, table, now)
 
-    def _prepare(self, table: RoutingTable, now: float) -> list[Action]:
+    def _open_connections(self, table: RoutingTable, now: float) -> list[Action]:
         """Open connections that requests will need, to other nodes and to replicas."""
-        return [*self.delegations.greet(table, now), *self._ahead.due(table, now)]
+        return [*self.delegations.prewarm_peers(table, now), *self._prewarmer.on_due(table, now)]
 
     def _received(
         self, sender: NodeIdentity, message: PeerMessage, table: RoutingTable | None, now: float
@@ -85,11 +85,11 @@
             case DelegatedRequest():
                 return self._requested(sender, message, table, now)
             case DelegatedAnswer():
-                return self.delegations.answered(sender, message, now)
+                return self.delegations.on_answer(sender, message, now)
             case AllowAttempts():
-                return self._work.allowed(sender, message, now)
+                return self._work.on_attempts_allowed(sender, message, now)
             case CancelDelegation():
-                return self._work.cancelled(sender, message, now)
+                return self._work.on_cancelled(sender, message, now)
             case _:
                 return []
 
@@ -102,16 +102,16 @@
     ) -> list[Action]:
         if table is None:
             return self._work.reject(sender, message)
-        if self._guard.verdict(message.request, now, message.tenant) is Verdict.HELD:
-            identity = identity_of(message.request, message.tenant)
+        if self._guard.suspicion_level(message.request, now, message.tenant) is SuspicionLevel.HELD:
+            identity = compute_identity(message.request, message.tenant)
             held_seconds = self._guard.held_seconds(identity, now)
             return self._work.refuse_held(sender, message, held_seconds)
-        declined = self._work.unknown(message, now)
+        declined = self._work.shards_without_replicas(message, now)
         if len(declined) == len(message.shards):
             return self._work.reject(sender, message)
         exchange = self._work.accept(sender, message, table, declined, now)
-        taken = self._work.acknowledge(sender, message, declined)
-        report_at = now + message.in_time_seconds * self._settings.delegate_report_ratio
+        acknowledgement = self._work.acknowledge(sender, message, declined)
+        report_at = now + message.cutoff_seconds * self._settings.delegate_report_ratio
         reporting = Schedule(report_at, ReportDue(exchange.exchange_id))
         beginning = Schedule(now, BeginDue(exchange.exchange_id))
-        return [*taken, beginning, reporting]
+        return [*acknowledgement, beginning, reporting]
--- a/wingquay/forwarding/peers/relays.py
+++ b/wingquay/forwarding/peers/relays.py
@@ -1,9 +1,8 @@
-"""Which nodes of other zones are asked for the shards that have no replica in this node's zone.
+"""Chooses relays: nodes of other zones for the shards without a replica in this zone.
 
-Asked directly, every shard sends its own records, signature and headers between the zones: some 1.4
-kB for a shard of 1 kB, so 40 kB for a sweep of 30 shards, of which 2 kB are left once they are
-merged. So one node of a zone that holds the replicas asks them and sends what it merged. It is the
-one with the least work of this node under way, so that a slow one gets less.
+If this node contacted each shard directly, the records, signatures and headers of all shards would
+cross between zones. A relay in the other zone contacts them and sends the merged records only. The
+relay with the fewest open delegations from this node is chosen, so that a slow one receives fewer.
 """
 
 from collections.abc import Callable
@@ -15,33 +14,33 @@
 from ..settings import ForwardingSettings
 
 ZONES_VALID_SECONDS = 0.25
-"""Time for which the zones of a route's replicas are not looked up again."""
+"""Time for which the zones of a route's replicas are cached."""
 
-MOST_SHARD_SETS = 8
-"""Sets of shards that are remembered; old configurations name others."""
+MAX_SHARD_SETS = 8
+"""Maximum number of cached sets of shards."""
 
 
 @value
-class _FarShards:
-    """The shards of a route that have replicas in other zones only, with these zones."""
+class _RemoteShards:
+    """The shards of a route with replicas in other zones only, and those zones."""
 
     valid_until: float
     zones: dict[str, set[str]]
 
 
 class Relays:
-    """Chooses who is asked for far shards.
+    """Chooses relays for shards in other zones.
 
     Parameters
     ----------
     settings
-        The zone of this node and from how many shards on a relay is worth it.
+        The zone of this node, and the minimum number of shards for a relay.
     groups
-        The nodes that can be reached.
+        The reachable nodes.
     directory
-        Tells where replicas are.
-    open_requests
-        Returns how many requests of this node are under way at another one.
+        The zones of replicas.
+    open_delegation_count
+        Returns the number of open delegations from this node to another one.
     """
 
     def __init__(
@@ -49,51 +48,56 @@
         settings: ForwardingSettings,
         groups: NodeGroups,
         directory: ReplicaDirectory,
-        open_requests: Callable[[NodeIdentity], int],
+        open_delegation_count: Callable[[NodeIdentity], int],
     ) -> None:
         self._settings = settings
         self._groups = groups
         self._directory = directory
-        self._open_requests = open_requests
-        self._far: dict[tuple[str, ...], _FarShards] = {}
-        self._turn = 0
-
-    def owners(self, shards: tuple[str, ...], now: float) -> dict[str, NodeIdentity]:
-        """Return who asks the far ones among ``shards``; what is missing is asked directly."""
-        far = dict(self._far_zones(shards, now))
-        owners: dict[str, NodeIdentity] = {}
-        nodes = self._groups.reachable(now) if far else []
-        while nodes and len(far) >= self._settings.relay_least_shards:
-            relay = self._best(nodes, far)
-            near = [shard for shard, zones in far.items() if relay.zone in zones]
-            if len(near) < self._settings.relay_least_shards:
+        self._open_delegation_count = open_delegation_count
+        self._remote: dict[tuple[str, ...], _RemoteShards] = {}
+        self._rotation = 0
+
+    def choose(self, shards: tuple[str, ...], now: float) -> dict[str, NodeIdentity]:
+        """Return the relay of each remote shard; shards left out are contacted directly."""
+        remote = dict(self._remote_zones(shards, now))
+        relays: dict[str, NodeIdentity] = {}
+        nodes = self._groups.usable_others(now) if remote else []
+        while nodes and len(remote) >= self._settings.relay_min_shards:
+            relay = self._best(nodes, remote)
+            served = [shard for shard, zones in remote.items() if relay.zone in zones]
+            if len(served) < self._settings.relay_min_shards:
                 break
-            for shard in near:
-                owners[shard] = relay
-                del far[shard]
-        return owners
-
-    def _far_zones(self, shards: tuple[str, ...], now: float) -> dict[str, set[str]]:
-        known = self._far.get(shards)
-        if known is None or now >= known.valid_until:
-            if len(self._far) >= MOST_SHARD_SETS:
-                self._far.clear()
-            known = _FarShards(now + ZONES_VALID_SECONDS, self._look_up(shards, now))
-            self._far[shards] = known
-        return known.zones
-
-    def _look_up(self, shards: tuple[str, ...], now: float) -> dict[str, set[str]]:
+            for shard in served:
+                relays[shard] = relay
+                del remote[shard]
+        return relays
+
+    def _remote_zones(self, shards: tuple[str, ...], now: float) -> dict[str, set[str]]:
+        cached = self._remote.get(shards)
+        if cached is None or now >= cached.valid_until:
+            if len(self._remote) >= MAX_SHARD_SETS:
+                self._remote.clear()
+            cached = _RemoteShards(now + ZONES_VALID_SECONDS, self._find_remote(shards, now))
+            self._remote[shards] = cached
+        return cached.zones
+
+    def _find_remote(self, shards: tuple[str, ...], now: float) -> dict[str, set[str]]:
         found = {shard: self._directory.zones_of(shard, now) for shard in shards}
         own_zone = self._settings.zone
         return {shard: zones for shard, zones in found.items() if zones and own_zone not in zones}
 
-    def _best(self, nodes: list[NodeIdentity], far: dict[str, set[str]]) -> NodeIdentity:
-        """Return the node whose zone holds most, and of several the least busy one, in turn."""
-        self._turn += 1
-        start = self._turn % len(nodes)
-        in_turn = nodes[start:] + nodes[:start]
+    def _best(self, nodes: list[NodeIdentity], remote: dict[str, set[str]]) -> NodeIdentity:
+        """Return a node of the zone with most shards, with the fewest open delegations.
+
+        Ties are resolved in rotation.
+        """
+        self._rotation += 1
+        start = self._rotation % len(nodes)
+        rotated = nodes[start:] + nodes[:start]
         covered = {
-            zone: sum(zone in zones for zones in far.values())
+            zone: sum(zone in zones for zones in remote.values())
             for zone in {node.zone for node in nodes}
         }
-        return min(in_turn, key=lambda node: (-covered[node.zone], self._open_requests(node)))
+        return min(
+            rotated, key=lambda node: (-covered[node.zone], self._open_delegation_count(node))
+        )
--- a/wingquay/forwarding/peers/shard_placement.py
+++ b/wingquay/forwarding/peers/shard_placement.py
@@ -1,16 +1,15 @@
-"""Which node asks which shard of a wide request.
-
-A few nodes of each zone own the shards that have a replica there: as many as share out the coding
-of one request, and more only when the requests of all nodes need it. So whoever asks a shard does
-so for many nodes: its connections are open, it knows the replicas' latencies, and the budget of
-extra arrivals is divided among few. A request goes to owners in as few zones as hold all its
-shards, the node's own zone first, and each owner merges what it has before that crosses between
-zones.
-
-Within a zone the strongest nodes are owners, and every shard belongs to one of them by rendezvous
-hashing with bounded loads (Mirrokni, Thorup and Zadimoghaddam, "Consistent hashing with bounded
-loads", 2018), so that nobody has much more to do than the others and few shards move when a node is
-lost. Views of nodes may differ: any node takes any shard.
+"""Assigns the shards of wide requests to owner nodes.
+
+A few nodes of each zone own the shards with a replica there: enough to share the work of one
+request, and more only if the total request rate requires it. An owner contacts its shards for many
+nodes, so its connections are open, it has recent latencies of the replicas, and the budget of extra
+requests is divided among few nodes. A request goes to owners in as few zones as possible,
+preferably in the node's own zone. Each owner merges its records before they cross between zones.
+
+Within a zone the nodes with the fastest processors are owners. Shards are assigned to them by
+rendezvous hashing with bounded loads (Mirrokni, Thorup and Zadimoghaddam, "Consistent hashing with
+bounded loads", 2018), which balances the load and moves few shards when a node is lost. Nodes may
+have different views of the group: any node accepts any shard.
 """
 
 import math
@@ -26,22 +25,22 @@
 from .request_rate import RequestRate
 from .zone_choice import choose_zones, spread_zones
 
-VALID_SECONDS = 2.0
-"""Time for which a placement stands while nodes stay the same: owners decline shards that moved."""
-MOST_PLACEMENTS = 8
-"""Sets of shards whose placement is remembered; old configurations name others."""
+PLACEMENT_VALID_SECONDS = 2.0
+"""Time for which a placement is cached while the nodes stay the same."""
+MAX_PLACEMENTS = 8
+"""Maximum number of cached placements, one per set of shards."""
 ROUNDING_TOLERANCE = 1e-9
-"""Part of a shard by which the sum of weights may be off."""
-CODING_SECONDS = 0.0005
-"""Processor time of asking one shard, on a whole core (docs/design/delegation.md)."""
-OWNER_LOAD = 0.2
-"""Part of a core that the coding of shards may take at an owner before there are more owners: the
-weakest machines of the deployments have half a core, so they are two fifths busy then."""
+"""Tolerance for rounding errors in the sum of weights, in shards."""
+SHARD_CPU_SECONDS = 0.0005
+"""Processor time to contact one shard, on a whole core (docs/design/delegation.md)."""
+MAX_OWNER_LOAD = 0.2
+"""Maximum load of an owner by contacting shards, as a share of a core. Above it there are more
+owners."""
 
 
 @value
 class _Placement:
-    """Who asks each shard, for as long as the nodes are the same."""
+    """The owner of each shard while the nodes stay the same."""
 
     nodes_version: int
     valid_until: float
@@ -49,18 +48,18 @@
 
 
 class ShardPlacement:
-    """Chooses the owners of the shards of wide requests.
+    """Chooses the shard owners for wide requests.
 
     Parameters
     ----------
     settings
-        The zone of this node and when other nodes are asked at all.
+        The zone of this node, and the minimum number of nodes for delegation.
     groups
-        The nodes that can be reached.
+        The reachable nodes.
     directory
-        Tells where replicas are.
+        The zones of replicas.
     rate
-        How many wide requests arrive at this node.
+        The rate of wide requests at this node.
     """
 
     def __init__(
@@ -77,43 +76,49 @@
         self._placements: dict[tuple[str, ...], _Placement] = {}
 
     def owners(self, shards: tuple[str, ...], now: float) -> Mapping[str, NodeIdentity | None]:
-        """Return who asks each shard.
+        """Return the owner of each shard.
 
-        ``None`` stands for this node, which also asks the shards that are missing.
+        ``None`` stands for this node, which also contacts the shards left out.
         """
-        known = self._placements.get(shards)
+        cached = self._placements.get(shards)
         version = self._groups.version(now)
-        if known is None or known.nodes_version != version or now >= known.valid_until:
-            if len(self._placements) >= MOST_PLACEMENTS:
+        if cached is None or cached.nodes_version != version or now >= cached.valid_until:
+            if len(self._placements) >= MAX_PLACEMENTS:
                 self._placements.clear()
-            known = _Placement(version, now + VALID_SECONDS, self._place(shards, now))
-            self._placements[shards] = known
-        return known.owners
-
-    def contacts(self, shards: tuple[str, ...], now: float) -> list[NodeIdentity]:
-        """Return the nodes that a request over these shards would be sent to."""
+            cached = _Placement(
+                version, now + PLACEMENT_VALID_SECONDS, self._compute_owners(shards, now)
+            )
+            self._placements[shards] = cached
+        return cached.owners
+
+    def owner_nodes(self, shards: tuple[str, ...], now: float) -> list[NodeIdentity]:
+        """Return the other nodes that a request over these shards would be delegated to."""
         owners = {owner.node_id: owner for owner in self.owners(shards, now).values() if owner}
         return list(owners.values())
 
     def sharing_nodes(self, shard: str, now: float) -> int:
-        """Return how many nodes usually ask a shard."""
+        """Return the number of nodes that usually contact a shard."""
         zones = len(self._directory.zones_of(shard, now)) or 1
-        return zones * self._teams(now)
+        return zones * self._owner_set_count(now)
 
-    def _place(self, shards: tuple[str, ...], now: float) -> dict[str, NodeIdentity | None]:
+    def _compute_owners(
+        self, shards: tuple[str, ...], now: float
+    ) -> dict[str, NodeIdentity | None]:
         nodes = self._groups.usable_by_zone(now)
-        if sum(map(len, nodes.values())) < self._settings.delegate_least_nodes:
+        if sum(map(len, nodes.values())) < self._settings.delegate_min_nodes:
             return {}
-        held = {shard: self._directory.zones_of(shard, now) & nodes.keys() for shard in shards}
-        few = choose_zones(self._settings.zone, sorted(nodes), held)
-        members = {zone: len(found) for zone, found in nodes.items()}
-        zones = spread_zones(self._settings.zone, members, held, few)
+        replica_zones = {
+            shard: self._directory.zones_of(shard, now) & nodes.keys() for shard in shards
+        }
+        fewest_zones = choose_zones(self._settings.zone, sorted(nodes), replica_zones)
+        nodes_per_zone = {zone: len(found) for zone, found in nodes.items()}
+        zones = spread_zones(self._settings.zone, nodes_per_zone, replica_zones, fewest_zones)
         owners: dict[str, NodeIdentity | None] = {}
         for zone in set(zones.values()):
-            # Sorted: the same set of shards has the same owners in whatever order it is named.
-            held_there = tuple(sorted(shard for shard in shards if zone in held[shard]))
-            assigned = self._assign(nodes[zone], held_there, len(shards), now)
-            for shard in held_there:
+            # Sorted, so that the owners do not depend on the order of the shards.
+            zone_shards = tuple(sorted(shard for shard in shards if zone in replica_zones[shard]))
+            assigned = self._assign(nodes[zone], zone_shards, len(shards), now)
+            for shard in zone_shards:
                 if zones[shard] == zone:
                     owners[shard] = self._identity(assigned[shard])
         return owners
@@ -122,60 +127,62 @@
         return None if node.name == self._groups.name else node.record.identity
 
     def _assign(
-        self, nodes: list[GroupNode], held: tuple[str, ...], shards: int, now: float
+        self, nodes: list[GroupNode], zone_shards: tuple[str, ...], shard_count: int, now: float
     ) -> dict[str, GroupNode]:
-        """Return which of a zone's nodes asks each shard that has a replica there."""
-        size = max(1, round(len(held) / math.sqrt(shards)))
-        teams = self._teams(now)
-        members = strongest(nodes, size * teams)
-        own_team = members[_team(self._groups.name, teams) :: teams] or members
-        by_name = {node.name: node for node in own_team}
+        """Return the owner of each shard with a replica in the zone."""
+        size = max(1, round(len(zone_shards) / math.sqrt(shard_count)))
+        owner_set_count = self._owner_set_count(now)
+        selected = fastest_nodes(nodes, size * owner_set_count)
+        own_set = (
+            selected[_set_index(self._groups.name, owner_set_count) :: owner_set_count] or selected
+        )
+        by_name = {node.name: node for node in own_set}
         weights = {name: node.record.processor for name, node in sorted(by_name.items())}
-        assigned = assign_bounded(weights, held)
+        assigned = assign_bounded(weights, zone_shards)
         return {shard: by_name[name] for shard, name in assigned.items()}
 
-    def _teams(self, now: float) -> int:
-        """Return how many sets of owners the requests of all nodes need."""
-        shards = self._groups.fan_out
-        zones = max(1, self._groups.zones)
-        requests_per_second = self._rate.per_second(now) * self._groups.size
-        coding = requests_per_second * CODING_SECONDS * shards / zones
+    def _owner_set_count(self, now: float) -> int:
+        """Return the number of owner sets that the total request rate requires."""
+        shards = self._groups.max_shard_count
+        zones = max(1, self._groups.zone_count)
+        requests_per_second = self._rate.per_second(now) * self._groups.node_count
+        cpu_load = requests_per_second * SHARD_CPU_SECONDS * shards / zones
         owners = max(1.0, math.sqrt(shards) / zones)
-        return max(1, math.ceil(coding / (owners * OWNER_LOAD)))
+        return max(1, math.ceil(cpu_load / (owners * MAX_OWNER_LOAD)))
 
 
-def strongest(nodes: Collection[GroupNode], count: int) -> list[GroupNode]:
-    """Return the nodes with the fastest processors; of equal ones the same on every node."""
+def fastest_nodes(nodes: Collection[GroupNode], count: int) -> list[GroupNode]:
+    """Return the nodes with the fastest processors; ties are resolved alike on all nodes."""
 
-    def rank(node: GroupNode) -> tuple[float, int]:
+    def speed_key(node: GroupNode) -> tuple[float, int]:
         return -node.record.processor, xxhash.xxh64_intdigest(node.name.encode())
 
-    return sorted(nodes, key=rank)[:count]
+    return sorted(nodes, key=speed_key)[:count]
 
 
 def assign_bounded(weights: Mapping[str, float], shards: tuple[str, ...]) -> dict[str, str]:
-    """Return a name for each shard; nobody gets more than its share by weight, rounded up.
+    """Assign shards to names; the load of each is bounded by its weight, rounded up.
 
     Parameters
     ----------
     weights
-        How much of the work each name can take: all of them are done at about the same time.
+        Relative capacity of each name.
     """
-    whole = sum(weights.values())
+    total = sum(weights.values())
     capacity = {
-        name: math.ceil(len(shards) * part / whole - ROUNDING_TOLERANCE)
-        for name, part in weights.items()
+        name: math.ceil(len(shards) * weight / total - ROUNDING_TOLERANCE)
+        for name, weight in weights.items()
     }
-    taken = dict.fromkeys(weights, 0)
+    assigned_counts = dict.fromkeys(weights, 0)
     assigned: dict[str, str] = {}
     for shard in shards:
         suffix = f"\0{shard}"
-        free = [name for name in weights if taken[name] < capacity[name]]
+        free = [name for name in weights if assigned_counts[name] < capacity[name]]
         chosen = max(free, key=lambda name: xxhash.xxh64_intdigest((name + suffix).encode()))
-        taken[chosen] += 1
+        assigned_counts[chosen] += 1
         assigned[shard] = chosen
     return assigned
 
 
-def _team(name: str, teams: int) -> int:
-    return xxhash.xxh64_intdigest(name.encode()) % teams
+def _set_index(name: str, owner_set_count: int) -> int:
+    return xxhash.xxh64_intdigest(name.encode()) % owner_set_count
--- a/wingquay/forwarding/sending/call_starter.py
+++ b/wingquay/forwarding/sending/call_starter.py
@@ -1,4 +1,4 @@
-"""Sends calls to replicas, or lets them stand in line until one can be asked."""
+"""Sends calls to replicas, or queues them until a replica has capacity."""
 
 from collections.abc import Iterable
 
@@ -6,91 +6,96 @@
 from ..exchange import ServiceCall
 from ..timers import RetryDue
 from .attempts import AttemptSender
-from .call_line import CallLine
-from .waiting import Waiting
+from .call_queue import CallQueue
+from .waiting_policy import WaitingPolicy
 
-TELL_SECONDS = 1.0
-"""Seconds between two lines about what waits: callers of a node wait a few seconds at most, and an
-operator who reads the lines of many nodes sees each wave of them once."""
+LOG_INTERVAL_SECONDS = 1.0
+"""Minimum time between two log lines about waiting calls."""
 MILLISECONDS_PER_SECOND = 1000.0
 
 
 class CallStarter:
-    """Starts calls, in the order of their line where they have to wait."""
+    """Sends calls, in the order of the queue where calls have to wait."""
 
-    def __init__(self, sender: AttemptSender, waiting: Waiting, line: CallLine) -> None:
+    def __init__(self, sender: AttemptSender, waiting: WaitingPolicy, queue: CallQueue) -> None:
         self._sender = sender
         self._waiting = waiting
-        self._line = line
-        self._tell_at = float("-inf")
+        self._queue = queue
+        self._next_log_at = float("-inf")
 
     def begin(self, call: ServiceCall, now: float) -> list[Action]:
-        """Start a call for the first time: the request earns extra arrivals at its service."""
+        """Send or queue a new call, which earns extra requests for its service."""
         self._sender.earn(call.service, now)
         call.is_begun = True
-        return self.start(call, now)
+        return self.send_or_queue(call, now)
 
-    def start(self, call: ServiceCall, now: float) -> list[Action]:
-        """Send the call, or let it wait; those that wait already go by their order."""
-        if self._line.has_any(call.service):
-            return self._wait(call, now) + self.serve_waiting(call.service, now)
+    def send_or_queue(self, call: ServiceCall, now: float) -> list[Action]:
+        """Send the call if a replica has capacity and no other call waits; otherwise queue it."""
+        if self._queue.has_waiting(call.service):
+            return self._enqueue(call, now) + self.send_queued(call.service, now)
         actions = self._try_send(call, now)
         if not actions:
-            return self._wait(call, now)
-        self._line.charge(call, now)
+            return self._enqueue(call, now)
+        self._queue.charge(call, now)
         return actions
 
-    def serve_waiting(self, service: str, now: float) -> list[Action]:
-        """Send calls that wait for a replica of the service, in their order, while they can be."""
+    def send_queued(self, service: str, now: float) -> list[Action]:
+        """Send the waiting calls of a service in queue order, as long as there is capacity.
+
+        ``pop_first`` removes a call from the queue only if it was sent.
+        """
         actions: list[Action] = []
 
-        def can_be_sent(call: ServiceCall) -> bool:
+        def try_send_call(call: ServiceCall) -> bool:
             sent = self._try_send(call, now)
             actions.extend(sent)
             return bool(sent)
 
-        while (call := self._line.first(service, can_be_sent, now)) is not None:
+        while (call := self._queue.pop_first(service, try_send_call, now)) is not None:
             seconds = now - call.exchange.arrived_at
             priority = str(call.exchange.route.priority)
             actions.append(Observe("forwarded_wait_seconds", seconds, (("priority", priority),)))
         return actions
 
     def _try_send(self, call: ServiceCall, now: float) -> list[Action]:
-        return self._sender.try_send(call, now, self._may_ask_blocked(call, now))
+        return self._sender.try_send(call, now, self._may_use_blocked(call, now))
 
     def begin_all(self, calls: Iterable[ServiceCall], now: float) -> list[Action]:
-        """Start calls for the first time."""
+        """Send or queue new calls."""
         return [action for call in calls for action in self.begin(call, now)]
 
-    def start_all(self, calls: Iterable[ServiceCall], now: float) -> list[Action]:
-        """Send calls, or let them wait for replicas."""
-        return [action for call in calls for action in self.start(call, now)]
+    def send_or_queue_all(self, calls: Iterable[ServiceCall], now: float) -> list[Action]:
+        """Send or queue several calls."""
+        return [action for call in calls for action in self.send_or_queue(call, now)]
 
-    def _may_ask_blocked(self, call: ServiceCall, now: float) -> bool:
-        """Whether replicas that just failed are better than none.
+    def _may_use_blocked(self, call: ServiceCall, now: float) -> bool:
+        """Whether a call may be sent to a blocked replica when there is no other.
 
-        A merged answer does without a shard whose replicas are all out of reach, as long as it
-        can be in time.
+        Until its cutoff, a merged answer rather omits a shard whose replicas are all blocked.
         """
         exchange = call.exchange
-        return not exchange.route.shards or now >= exchange.in_time_at
+        return not exchange.route.shards or now >= exchange.cutoff_at
 
-    def _wait(self, call: ServiceCall, now: float) -> list[Action]:
+    def _enqueue(self, call: ServiceCall, now: float) -> list[Action]:
         exchange = call.exchange
         call.is_waiting = True
-        self._line.add(call, now)
-        actions = self._tell(call, now)
-        if exchange.is_retry_due:
+        self._queue.add(call, now)
+        actions = self._log_waiting(call, now)
+        if exchange.is_retry_scheduled:
             return actions
-        exchange.is_retry_due = True
-        due_at = self._waiting.look_at(exchange, now)
+        exchange.is_retry_scheduled = True
+        due_at = self._waiting.recheck_at(exchange, now)
         return [*actions, Schedule(due_at, RetryDue(exchange.exchange_id))]
 
-    def _tell(self, call: ServiceCall, now: float) -> list[Action]:
-        """Say now and then how much waits, for as long as something does."""
-        if now < self._tell_at:
+    def _log_waiting(self, call: ServiceCall, now: float) -> list[Action]:
+        """Return a log line about the waiting calls, at most one per interval."""
+        if now < self._next_log_at:
             return []
-        self._tell_at = now + TELL_SECONDS
-        oldest_ms = round(self._line.oldest_seconds(now) * MILLISECONDS_PER_SECOND)
-        fields = (("waiting", len(self._line)), ("oldest_ms", oldest_ms), ("last", call.service))
-        return [Log("calls_wait", LogLevel.INFO, fields)]
+        self._next_log_at = now + LOG_INTERVAL_SECONDS
+        oldest_ms = round(self._queue.oldest_wait_seconds(now) * MILLISECONDS_PER_SECOND)
+        fields = (
+            ("waiting", len(self._queue)),
+            ("oldest_ms", oldest_ms),
+            ("service", call.service),
+        )
+        return [Log("calls_waiting", LogLevel.INFO, fields)]
--- a/wingquay/forwarding/sending/decision.py
+++ b/wingquay/forwarding/sending/decision.py
@@ -1,79 +1,89 @@
-"""The one decision on a request that is not under way: send it, let it wait, or reject it.
+"""Decides whether a request without attempts in flight is sent, waits, or is rejected.
 
-It weighs what the caller gains by each. A caller that is rejected early comes back, most often to
-another node, and loses little; one that is held and then gets nothing has lost everything. So
-nobody waits for room that is not expected in the time in which an answer is still worth more than
-coming back, and what may have run is never called not run: that is said by the one who ends it.
+A caller that is rejected early has time to retry at another node; one whose request waits and then
+fails hasn't. A request therefore waits only if capacity is expected while an answer is still worth
+more than a retry. A request that may have run is never reported as not run.
 """
 
 from ...model.value import value
-from .room import NEVER, Room
+from .capacity import NEVER, ExpectedCapacity
 from .waiting_settings import WaitingRule, WaitingSettings
 
 NO_REPLICA_REASON = "no replica can be asked"
-NO_ROOM_REASON = "its replicas have no room soon enough"
-NO_REPEAT_REASON = "it may not be sent again soon enough"
-RAN_REASON = "no other replica may run it"
+NO_CAPACITY_REASON = "its replicas have no room soon enough"
+NO_EXTRA_REQUEST_REASON = "it may not be sent again soon enough"
+NOT_REPEATABLE_REASON = "no other replica may run it"
 
 
 @value
 class WaitingRequest:
-    """What is known of a request that is not under way.
+    """State of a request without attempts in flight.
 
     Parameters
     ----------
-    arrived_at, in_time_at, ends_at
-        When it came, until when an answer is in time for the caller, and when it is given up on.
+    arrived_at
+        When the request arrived.
+    cutoff_at
+        Latest time at which an answer meets the caller's objective.
+    ends_at
+        When the request times out.
     objective_seconds
-        Time within which an answer is worth its full price.
-    has_usable
-        Whether a replica of its services may be asked and was not just out of reach.
-    may_records_come_back
-        Whether records of replicas may be missing that come back by themselves.
+        Time within which an answer has its full value.
+    has_unblocked
+        Whether its services have a replica that is not blocked.
+    is_settling
+        Whether replica records may still be missing.
     may_have_run
-        Whether a replica may have run it.
+        Whether a replica may have run the request.
     may_run_again
-        Whether it may be sent once more.
+        Whether the request may be sent again, as to its route and its number of attempts.
     is_merged
-        Whether its answer is merged from several services: late, it is worth little.
-    repeat_at
-        When the budget of extra arrivals allows to send it once more.
+        Whether its answer is merged from several services; such an answer is worth little when
+        late.
+    extra_request_at
+        When the budget allows an extra request; minus infinity: none is needed.
     """
 
     arrived_at: float
-    in_time_at: float
+    cutoff_at: float
     ends_at: float
     objective_seconds: float
-    has_usable: bool
-    may_records_come_back: bool = False
+    has_unblocked: bool
+    is_settling: bool = False
     may_have_run: bool = False
     may_run_again: bool = True
     is_merged: bool = False
-    repeat_at: float = float("-inf")
+    extra_request_at: float = float("-inf")
 
 
 @value
 class SendNow:
-    """Send it: this replica has room, or enough shards have for a merged answer (no id)."""
+    """Send the request now.
 
-    replica_id: str = ""
+    Parameters
+    ----------
+    incarnation
+        Incarnation that has capacity; empty for a merged answer, where enough shards have.
+    """
+
+    incarnation: str = ""
 
 
 @value
 class WaitUntil:
-    """Let it wait, and look again then unless something happens before."""
+    """Keep the request waiting, and decide again at ``when`` or after an earlier event."""
 
     when: float
 
 
 @value
 class Reject:
-    """End it now.
+    """Reject the request now.
 
     Parameters
     ----------
     retry_after_seconds
-        When there will be room for this caller; infinity: not known.
+        Time until capacity or an extra request is expected to be available; infinity: not known.
     """
 
     retry_after_seconds: float
@@ -83,60 +93,66 @@
 Decision = SendNow | WaitUntil | Reject
 
 
-def decide(request: WaitingRequest, room: Room, settings: WaitingSettings, now: float) -> Decision:
-    """Return what is best for the caller of a request that is not under way.
+def decide(
+    request: WaitingRequest, expected: ExpectedCapacity, settings: WaitingSettings, now: float
+) -> Decision:
+    """Return the best decision for the caller of a request without attempts in flight.
 
     Parameters
     ----------
-    room
-        When its services will have room for it, after all that goes before it.
+    expected
+        When its services will have capacity for it, after all requests queued before it.
     """
     if request.may_have_run and not request.may_run_again:
-        return Reject(NEVER, RAN_REASON)
-    begins_at = max(room.at, request.repeat_at)
-    if begins_at <= now:
-        return SendNow(room.replica_id)
-    latest = _latest(request, room, settings, now)
-    if request.may_records_come_back and not request.has_usable:
-        # Nothing tells when a record comes back; it is looked for as long as it may.
-        begins_at = min(begins_at, now + settings.look_seconds)
-    if begins_at == NEVER:
-        return Reject(NEVER, _reason(request, room))
-    is_worth_it = begins_at <= latest
+        return Reject(NEVER, NOT_REPEATABLE_REASON)
+    starts_at = max(expected.at, request.extra_request_at)
+    if starts_at <= now:
+        return SendNow(expected.incarnation)
+    wait_limit_at = _wait_limit(request, expected, settings, now)
+    if request.is_settling and not request.has_unblocked:
+        # The time at which a record reappears is unknown, so check again soon.
+        starts_at = min(starts_at, now + settings.recheck_seconds)
+    if starts_at == NEVER:
+        return Reject(NEVER, _reason(request, expected))
+    is_wait_worthwhile = starts_at <= wait_limit_at
     if settings.rule is WaitingRule.FIXED_SHARES:
-        is_worth_it = now + settings.look_seconds < latest
-    if not is_worth_it:
-        return Reject(begins_at - now, _reason(request, room))
-    return WaitUntil(_next_look(begins_at, latest, settings, now))
-
-
-def _latest(request: WaitingRequest, room: Room, settings: WaitingSettings, now: float) -> float:
-    """Return until when waiting is better for the caller than coming back."""
-    whole_seconds = request.ends_at - request.arrived_at
-    held_until = request.arrived_at + whole_seconds * settings.hold_ratio
+        is_wait_worthwhile = now + settings.recheck_seconds < wait_limit_at
+    if not is_wait_worthwhile:
+        return Reject(starts_at - now, _reason(request, expected))
+    return WaitUntil(_next_recheck(starts_at, wait_limit_at, settings, now))
+
+
+def _wait_limit(
+    request: WaitingRequest, expected: ExpectedCapacity, settings: WaitingSettings, now: float
+) -> float:
+    """Return the time until which waiting is better for the caller than to retry elsewhere."""
+    limit_seconds = request.ends_at - request.arrived_at
+    hold_ends_at = request.arrived_at + limit_seconds * settings.hold_ratio
     if request.may_have_run:
-        if request.may_records_come_back:
+        if request.is_settling:
             return request.ends_at
-        if room.at <= now:
+        if expected.at <= now:
             return now + request.objective_seconds * settings.repeat_ratio
-    if request.has_usable or request.may_have_run:
+    if request.has_unblocked or request.may_have_run:
         ratio = settings.hold_ratio
         if settings.rule is WaitingRule.ESTIMATE and not request.is_merged:
-            ratio = settings.line_ratio
-        return max(request.in_time_at, request.arrived_at + whole_seconds * ratio)
-    if request.may_records_come_back:
-        return held_until
-    return request.arrived_at + request.objective_seconds * settings.offer_ratio
+            ratio = settings.queue_ratio
+        return max(request.cutoff_at, request.arrived_at + limit_seconds * ratio)
+    if request.is_settling:
+        return hold_ends_at
+    return request.arrived_at + request.objective_seconds * settings.blocked_ratio
 
 
-def _next_look(begins_at: float, latest: float, settings: WaitingSettings, now: float) -> float:
+def _next_recheck(
+    starts_at: float, wait_limit_at: float, settings: WaitingSettings, now: float
+) -> float:
     if settings.rule is WaitingRule.FIXED_SHARES:
-        return now + settings.look_seconds
-    at = min(begins_at, latest, now + settings.longest_look_seconds)
-    return max(at, now + min(settings.look_seconds, latest - now))
+        return now + settings.recheck_seconds
+    at = min(starts_at, wait_limit_at, now + settings.max_recheck_seconds)
+    return max(at, now + min(settings.recheck_seconds, wait_limit_at - now))
 
 
-def _reason(request: WaitingRequest, room: Room) -> str:
-    if room.at < request.repeat_at:
-        return NO_REPEAT_REASON
-    return NO_ROOM_REASON if request.has_usable else NO_REPLICA_REASON
+def _reason(request: WaitingRequest, expected: ExpectedCapacity) -> str:
+    if expected.at < request.extra_request_at:
+        return NO_EXTRA_REQUEST_REASON
+    return NO_CAPACITY_REASON if request.has_unblocked else NO_REPLICA_REASON
--- a/wingquay/membership/prober.py
+++ b/wingquay/membership/prober.py
@@ -1,4 +1,4 @@
-"""Probes other nodes, and on behalf of others."""
+"""Sends probes to other nodes, for this node and on behalf of others."""
 
 import random
 from dataclasses import dataclass
@@ -12,29 +12,36 @@
     PingRequest,
 )
 from .member_table import MemberTable
-from .message_sender import NO_ANSWER_WANTED, MessageSender
-from .node_beliefs import NodeBeliefs
+from .message_sender import NO_ACK_SEQUENCE, MessageSender
+from .node_state_tracker import NodeStateTracker
 from .probing import Probe, ProbeOrder, ProbeStep, new_probe
 from .settings import MembershipSettings
 
-MAXIMUM_RELAYED_PROBES = 1_000
-"""Probes on behalf of others that are remembered at once."""
+MAX_RELAYED_PROBES = 1_000
+"""Maximum number of unanswered probes on behalf of others."""
 
 FIRST_SEQUENCE_BITS = 32
 
 
 @dataclass(frozen=True, slots=True)
 class _RelayedProbe:
-    """A probe on behalf of ``requester``, who waits under ``requester_sequence``."""
+    """A probe on behalf of ``requester``, whose own probe has the number ``requester_sequence``.
+
+    If it is still unanswered at ``nack_at`` (seconds), the requester gets a nack.
+    """
 
     requester: NodeIdentity
     requester_sequence: int
     subject: NodeId
-    refuse_at: float
+    nack_at: float
 
 
 class Prober:
-    """Drives the probe that is under way and the probes on behalf of others."""
+    """Runs one probe of this node at a time, and the probes on behalf of others.
+
+    A relay that gets no answer sends a nack to the node that requested the probe. Source:
+    Lifeguard.
+    """
 
     def __init__(
         self,
@@ -42,7 +49,7 @@
         settings: MembershipSettings,
         table: MemberTable,
         order: ProbeOrder,
-        beliefs: NodeBeliefs,
+        tracker: NodeStateTracker,
         messages: MessageSender,
         random_source: random.Random,
     ) -> None:
@@ -50,7 +57,7 @@
         self._settings = settings
         self._table = table
         self._order = order
-        self._beliefs = beliefs
+        self._tracker = tracker
         self._messages = messages
         self._random = random_source
         self._sequence = random_source.getrandbits(FIRST_SEQUENCE_BITS)
@@ -59,24 +66,24 @@
         self._relayed: dict[int, _RelayedProbe] = {}
 
     def next_sequence(self) -> int:
-        """Return a number that no probe of this node has had."""
+        """Return an unused sequence number."""
         self._sequence += 1
         return self._sequence
 
     def cancel(self) -> None:
-        """Give up the probe under way without a verdict."""
+        """Abort the current probe without a result."""
         self._probe = None
 
     def tick(self, now: float) -> None:
-        """Go on with the probe under way, or start the next one when it is time."""
+        """Advance the current probe, or start the next one if it is due."""
         if self._probe is not None:
             self._continue(self._probe, now)
         if self._probe is None and now >= self._next_probe_at:
             self._start(now)
-        self._refuse_relayed(now)
+        self._send_nacks(now)
 
     def _start(self, now: float) -> None:
-        multiplier = self._beliefs.health.multiplier
+        multiplier = self._tracker.health.multiplier
         self._next_probe_at = now + self._settings.probe_interval_seconds * multiplier
         target = self._order.next_target()
         if target is None:
@@ -87,18 +94,18 @@
 
     def _continue(self, probe: Probe, now: float) -> None:
         match probe.next_step(now):
-            case ProbeStep.SEND_AGAIN:
+            case ProbeStep.RESEND:
                 self._messages.ping(probe.target, probe.sequence)
-            case ProbeStep.ASK_OTHERS:
-                self._ask_others(probe)
+            case ProbeStep.PROBE_INDIRECTLY:
+                self._probe_indirectly(probe)
             case ProbeStep.GIVE_UP:
                 self._give_up(probe, now)
 
-    def _ask_others(self, probe: Probe) -> None:
+    def _probe_indirectly(self, probe: Probe) -> None:
         self._messages.ping(probe.target, probe.sequence)
         others = [
             member.identity
-            for member in self._table.reachable()
+            for member in self._table.not_dead()
             if member.state is NodeState.ALIVE and member.identity != probe.target
         ]
         relays = self._random.sample(others, min(self._settings.indirect_probes, len(others)))
@@ -107,20 +114,24 @@
 
     def _give_up(self, probe: Probe, now: float) -> None:
         self._probe = None
-        if probe.refusals == 0:
-            # Not even the relays answer: perhaps it is this node that is not heard.
-            self._beliefs.health.worsen()
-        self._beliefs.suspect(probe.target.node_id, now)
+        if probe.nacks == 0:
+            # No relay has answered either: this node itself may be unreachable.
+            self._tracker.health.worsen()
+        self._tracker.suspect(probe.target.node_id, now)
 
     def on_ping(self, sender: NodeIdentity, message: Ping) -> None:
         """Answer a probe."""
-        if message.sequence != NO_ANSWER_WANTED:
+        if message.sequence != NO_ACK_SEQUENCE:
             self._messages.acknowledge(sender, message.sequence, self._own_id)
 
     def on_acknowledgement(
         self, sender: NodeIdentity, message: Acknowledgement, now: float
     ) -> None:
-        """Take in an answer to a probe of ours, or to one on behalf of another node."""
+        """Handle an answer to a probe of this node, or to one on behalf of another node.
+
+        If its subject is not the probe's target, it is a nack from a relay, or, if it comes from
+        the target's address, shows that a new process has replaced the target.
+        """
         relayed = self._relayed.pop(message.sequence, None)
         if relayed is not None:
             if message.subject == relayed.subject:
@@ -132,31 +143,35 @@
             return
         if message.subject == probe.target.node_id:
             self._probe = None
-            self._beliefs.health.improve()
-            self._beliefs.answered(probe.target.node_id, now)
+            self._tracker.health.improve()
+            self._tracker.record_answer(probe.target.node_id, now)
         elif (sender.host, sender.port) == (probe.target.host, probe.target.port):
             self._probe = None
-            self._beliefs.found_other_process(probe.target.node_id, now)
+            self._tracker.record_replaced_process(probe.target.node_id, now)
         else:
-            probe.refusals += 1
+            probe.nacks += 1
 
     def on_ping_request(self, sender: NodeIdentity, message: PingRequest, now: float) -> None:
-        """Probe on behalf of ``sender``."""
+        """Probe a node on behalf of ``sender``."""
         if message.subject.node_id == self._own_id:
             self._messages.acknowledge(sender, message.sequence, self._own_id)
             return
-        if len(self._relayed) >= MAXIMUM_RELAYED_PROBES:
+        if len(self._relayed) >= MAX_RELAYED_PROBES:
             return
         sequence = self.next_sequence()
-        refuse_at = now + self._settings.probe_resend_seconds
+        nack_at = now + self._settings.probe_resend_seconds
         subject = message.subject.node_id
-        self._relayed[sequence] = _RelayedProbe(sender, message.sequence, subject, refuse_at)
+        self._relayed[sequence] = _RelayedProbe(sender, message.sequence, subject, nack_at)
         self._messages.ping(message.subject, sequence)
 
-    def _refuse_relayed(self, now: float) -> None:
-        """Tell those who asked that there was no answer; it shows them that they are heard."""
+    def _send_nacks(self, now: float) -> None:
+        """Send a nack for each unanswered relayed probe.
+
+        The nack shows the requester that its own messages get through.
+        """
         for sequence, relayed in list(self._relayed.items()):
-            if now >= relayed.refuse_at:
+            if now >= relayed.nack_at:
                 del self._relayed[sequence]
                 requester, requester_sequence = relayed.requester, relayed.requester_sequence
+                # An acknowledgement with the relay itself as subject is a nack.
                 self._messages.acknowledge(requester, requester_sequence, self._own_id)
--- a/wingquay/membership/probing.py
+++ b/wingquay/membership/probing.py
@@ -1,7 +1,7 @@
-"""Which node is probed next, and the probe that is under way.
+"""The steps of one probe, and the order in which nodes are probed.
 
-Source: SWIM (2002), sections 3.1 and 4.3: randomized round robin bounds the time until any node
-is probed; an unanswered probe is repeated through others before it counts.
+Source: SWIM (2002), sections 3.1 and 4.3: randomized round robin bounds the time until any node is
+probed, and an unanswered probe is repeated through other nodes before it fails.
 """
 
 import random
@@ -15,11 +15,11 @@
 
 
 class ProbeStep(Enum):
-    """What is to be done about the probe that is under way."""
+    """The next step of the current probe."""
 
     WAIT = "wait"
-    SEND_AGAIN = "send_again"
-    ASK_OTHERS = "ask_others"
+    RESEND = "resend"
+    PROBE_INDIRECTLY = "probe_indirectly"
     GIVE_UP = "give_up"
 
 
@@ -29,31 +29,31 @@
 
     Parameters
     ----------
-    again_at, indirect_at, ends_at
-        When to repeat it, to ask others, to give up (seconds).
-    refusals
-        How many of the others that were asked said that they had no answer either.
+    resend_at, indirect_at, give_up_at
+        When to repeat it, to probe through other nodes, and to give up (seconds).
+    nacks
+        Number of relays that reported that they got no answer either.
     """
 
     target: NodeIdentity
     sequence: int
-    again_at: float
+    resend_at: float
     indirect_at: float
-    ends_at: float
-    sent_again: bool = False
-    has_asked_others: bool = False
-    refusals: int = 0
+    give_up_at: float
+    was_resent: bool = False
+    has_probed_indirectly: bool = False
+    nacks: int = 0
 
     def next_step(self, now: float) -> ProbeStep:
-        """Return what is due ``now``; each step is returned once."""
-        if now >= self.ends_at:
+        """Return the step that is due ``now``; each step is returned once."""
+        if now >= self.give_up_at:
             return ProbeStep.GIVE_UP
-        if now >= self.indirect_at and not self.has_asked_others:
-            self.has_asked_others = True
-            return ProbeStep.ASK_OTHERS
-        if now >= self.again_at and not self.sent_again:
-            self.sent_again = True
-            return ProbeStep.SEND_AGAIN
+        if now >= self.indirect_at and not self.has_probed_indirectly:
+            self.has_probed_indirectly = True
+            return ProbeStep.PROBE_INDIRECTLY
+        if now >= self.resend_at and not self.was_resent:
+            self.was_resent = True
+            return ProbeStep.RESEND
         return ProbeStep.WAIT
 
 
@@ -64,18 +64,18 @@
     health_multiplier: int,
     now: float,
 ) -> Probe:
-    """Return a probe that starts ``now``, with times for this node's own health."""
+    """Return a probe that starts ``now``, with timeouts scaled by this node's health."""
     return Probe(
         target=target,
         sequence=sequence,
-        again_at=now + settings.probe_resend_seconds * health_multiplier,
+        resend_at=now + settings.probe_resend_seconds * health_multiplier,
         indirect_at=now + settings.probe_indirect_seconds * health_multiplier,
-        ends_at=now + settings.probe_interval_seconds * health_multiplier,
+        give_up_at=now + settings.probe_interval_seconds * health_multiplier,
     )
 
 
 class ProbeOrder:
-    """Goes through all nodes in a random order, then in another one."""
+    """Returns all nodes in a random order, which changes every round."""
 
     def __init__(self, table: MemberTable, random_source: random.Random) -> None:
         self._table = table
@@ -84,11 +84,11 @@
         self._preferred: dict[NodeId, None] = {}
 
     def prefer(self, node_id: NodeId) -> None:
-        """Probe this node next."""
+        """Probe the node ``node_id`` before all others."""
         self._preferred[node_id] = None
 
     def next_target(self) -> Member | None:
-        """Return the node to probe now, or ``None`` if there is no other."""
+        """Return the node to probe now, or ``None`` if there is no other node."""
         while self._preferred:
             member = self._probeable(self._preferred.popitem()[0])
             if member is not None:
@@ -98,12 +98,12 @@
                 member = self._probeable(self._remaining.pop())
                 if member is not None:
                     return member
-            self._remaining = [entry.identity.node_id for entry in self._table.reachable()]
+            self._remaining = [entry.identity.node_id for entry in self._table.not_dead()]
             self._random.shuffle(self._remaining)
         return None
 
     def insert(self, node_id: NodeId) -> None:
-        """Give a new node a random place in the present round."""
+        """Insert a new node at a random position of the current round."""
         self._remaining.insert(self._random.randint(0, len(self._remaining)), node_id)
 
     def _probeable(self, node_id: NodeId) -> Member | None:
--- a/wingquay/model/configuration_check.py
+++ b/wingquay/model/configuration_check.py
@@ -1,4 +1,4 @@
-"""Checks that the parts of a configuration refer to each other correctly."""
+"""Validation of a configuration: names, references, addresses and key ranges."""
 
 import functools
 import ipaddress
@@ -17,7 +17,7 @@
 
 
 class ConfigurationContents(Protocol):
-    """What of a configuration is checked."""
+    """The parts of a configuration that are validated."""
 
     @property
     def deployments(self) -> tuple[Deployment, ...]:
@@ -41,24 +41,24 @@
 
     @property
     def attachments(self) -> tuple[Attachment, ...]:
-        """Which class a caller's requests get."""
+        """The assignments of callers' request kinds to classes."""
         ...
 
     def service(self, name: ServiceName) -> Service | None:
-        """Return a service by name."""
+        """Return the service with a name, or ``None``."""
         ...
 
     def priority_class(self, name: ClassName) -> PriorityClass | None:
-        """Return a class by name."""
+        """Return the class with a name, or ``None``."""
         ...
 
 
-ADDRESSES_REMEMBERED = 8_192
-"""Checked addresses that are remembered: each new revision names the same ones again."""
+MAX_CACHED_ADDRESSES = 8_192
+"""Size of the cache of validated addresses, most of which reappear in each revision."""
 
 
 def reference_errors(configuration: ConfigurationContents) -> list[str]:
-    """Return one line for each wrong reference, naming field, value and what is allowed."""
+    """Return one line per error in the configuration, with the item and its value."""
     errors = _duplicate_errors(configuration)
     for service in configuration.services:
         errors += _service_errors(configuration, service)
@@ -109,17 +109,17 @@
                     f"replica {replica.replica_id!r}: zone {replica.zone!r} "
                     f"is not one of {list(deployment.zones)}"
                 )
-    return errors + _partition_errors(service)
+    return errors + _overlap_errors(service)
 
 
 def _address_errors(replica_id: str, host: str) -> list[str]:
-    if _is_ip_number(host):
+    if _is_ip_address(host):
         return []
-    return [f"replica {replica_id!r}: host {host!r} must be an IP number"]
+    return [f"replica {replica_id!r}: host {host!r} must be an IP address"]
 
 
-@functools.lru_cache(maxsize=ADDRESSES_REMEMBERED)
-def _is_ip_number(host: str) -> bool:
+@functools.lru_cache(maxsize=MAX_CACHED_ADDRESSES)
+def _is_ip_address(host: str) -> bool:
     try:
         ipaddress.ip_address(host)
     except ValueError:
@@ -127,7 +127,7 @@
     return True
 
 
-def _partition_errors(service: Service) -> list[str]:
+def _overlap_errors(service: Service) -> list[str]:
     errors: list[str] = []
     ordered = sorted(service.shards, key=lambda shard: shard.start)
     for left, right in zip(ordered, ordered[1:], strict=False):
--- a/wingquay/orchestration/node_machine.py
+++ b/wingquay/orchestration/node_machine.py
@@ -1,8 +1,8 @@
-"""All decision code of one node, as one machine.
+"""All decision logic of one node as a single state machine.
 
-Events are routed by type to the machines that take them; what a machine notifies the others of,
-and what a node sends to itself, is handled at once. The asyncio runtime and the simulator both
-drive exactly this class.
+Events are routed by type to the machines that handle them. Notifications between machines and
+messages of a node to itself are handled immediately. Both the asyncio runtime and the simulator
+drive this class.
 """
 
 import random
@@ -21,7 +21,7 @@
 from ..ports.machine import Action, Event
 from ..ports.peer import NodeIdentity, PeerMessage, PeerReceived, SendToPeer
 from ..query.coordinator import Coordinator
-from ..query.owner_links import OwnerLinks
+from ..query.owner_selector import OwnerSelector
 from .caller_access import CallerAccess
 from .load_machine import LoadMachine
 from .settings import NodeMachineSettings
@@ -30,30 +30,30 @@
 SEED_BITS = 64
 
 
-class RoutedMachine(Protocol):
-    """A machine that says which events and peer messages it takes."""
+class SubscribedMachine(Protocol):
+    """A machine that declares the events and peer messages it handles."""
 
     EVENTS: ClassVar[tuple[type[Event], ...]]
     PEER_MESSAGES: ClassVar[tuple[type[PeerMessage], ...]]
 
     def handle(self, event: Event, now: float) -> list[Action]:
-        """Take in one event."""
+        """Handle one event."""
         ...
 
 
 class NodeMachine:
-    """The machines of one node and the routes between them.
+    """The machines of one node and the events and messages that each of them handles.
 
     Parameters
     ----------
     identity
-        Who this node is.
+        Identity of this node.
     seeds
-        Addresses of peers that are asked at the start.
+        Addresses of peers that are contacted at the start.
     listeners
-        Further machines that take events, after all others.
+        Further machines, which handle events after all others.
     random_source
-        Seeds each machine's own source, so that one machine's draws do not shift another's.
+        Creates a separate source for each machine, so that their random values are independent.
     """
 
     def __init__(
@@ -62,31 +62,37 @@
         settings: NodeMachineSettings,
         random_source: random.Random,
         seeds: Iterable[SeedAddress] = (),
-        listeners: Iterable[RoutedMachine] = (),
+        listeners: Iterable[SubscribedMachine] = (),
     ) -> None:
         self._identity = identity
         self._settings = settings
         self._owner = OwnerMachine(
-            identity, settings.routing, settings.admission, _child(random_source), settings.disabled
+            identity,
+            settings.routing,
+            settings.admission,
+            _child_source(random_source),
+            settings.disabled,
+        )
+        owner_selector = OwnerSelector(
+            identity, settings.routing.owners_per_shard, _child_source(random_source)
         )
-        links = OwnerLinks(identity, settings.routing.owners_per_shard, _child(random_source))
-        self._coordinator = Coordinator(identity, settings.query, links, settings.disabled)
+        self._coordinator = Coordinator(identity, settings.query, owner_selector, settings.disabled)
         self._configuration = ConfigurationMachine(
-            identity, _child(random_source), settings.disabled
+            identity, _child_source(random_source), settings.disabled
         )
         membership = MembershipMachine(
             identity,
             seeds,
             settings.membership,
             settings.replica_evidence,
-            _child(random_source),
+            _child_source(random_source),
         )
         claims_settings = replace(settings.claims, disabled=settings.disabled)
-        self._claims = ClaimsMachine(claims_settings, identity, _child(random_source))
+        self._claims = ClaimsMachine(claims_settings, identity, _child_source(random_source))
         self._stop = StopMachine(
             settings.stop, self.in_flight, self.assignments_to_hand_over, settings.disabled
         )
-        machines: list[RoutedMachine] = [
+        machines: list[SubscribedMachine] = [
             membership,
             self._configuration,
             self._claims,
@@ -97,12 +103,12 @@
             CallerAccess(),
             *listeners,
         ]
-        self._by_event: dict[type[Event], list[RoutedMachine]] = {}
-        self._by_message: dict[type[PeerMessage], list[RoutedMachine]] = {}
+        self._by_event: dict[type[Event], list[SubscribedMachine]] = {}
+        self._by_message: dict[type[PeerMessage], list[SubscribedMachine]] = {}
         for machine in machines:
-            self._add_routes(machine)
+            self._subscribe(machine)
 
-    def _add_routes(self, machine: RoutedMachine) -> None:
+    def _subscribe(self, machine: SubscribedMachine) -> None:
         for event_type in machine.EVENTS:
             self._by_event.setdefault(event_type, []).append(machine)
         for message_type in machine.PEER_MESSAGES:
@@ -110,7 +116,7 @@
 
     @property
     def identity(self) -> NodeIdentity:
-        """Who this node is."""
+        """The identity of this node."""
         return self._identity
 
     @property
@@ -124,37 +130,37 @@
         return self._configuration.revision
 
     def in_flight(self) -> int:
-        """Return how many requests and sub-requests have not ended here."""
+        """Return the number of open requests and sub-requests."""
         return self._coordinator.in_flight + self._owner.in_flight
 
     def assignments_to_hand_over(self) -> int:
-        """Return how many assignments with remembered claims wait for their next holder."""
+        """Return the number of assignments whose claims no other node has taken over yet."""
         return self._claims.assignments_to_hand_over
 
     def handle(self, event: Event, now: float) -> list[Action]:
-        """Take in ``event`` at ``now`` and return what the surroundings must do, in order."""
-        outward: list[Action] = []
-        waiting: deque[Event] = deque((event,))
-        while waiting:
-            current = waiting.popleft()
+        """Handle ``event`` at ``now``; return the actions for the environment, in order."""
+        external: list[Action] = []
+        pending: deque[Event] = deque((event,))
+        while pending:
+            current = pending.popleft()
             for machine in self._machines_for(current):
                 for action in machine.handle(current, now):
-                    self._place(action, waiting, outward)
-        return outward
+                    self._dispatch(action, pending, external)
+        return external
 
-    def _machines_for(self, event: Event) -> list[RoutedMachine]:
+    def _machines_for(self, event: Event) -> list[SubscribedMachine]:
         if isinstance(event, PeerReceived):
             return self._by_message.get(type(event.message), [])
         return self._by_event.get(type(event), [])
 
-    def _place(self, action: Action, waiting: deque[Event], outward: list[Action]) -> None:
+    def _dispatch(self, action: Action, pending: deque[Event], external: list[Action]) -> None:
         if isinstance(action, Notify):
-            waiting.append(action.event)
+            pending.append(action.event)
         elif isinstance(action, SendToPeer) and action.to.node_id == self._identity.node_id:
-            waiting.append(PeerReceived(self._identity, action.message))
+            pending.append(PeerReceived(self._identity, action.message))
         else:
-            outward.append(action)
+            external.append(action)
 
 
-def _child(random_source: random.Random) -> random.Random:
+def _child_source(random_source: random.Random) -> random.Random:
     return random.Random(random_source.getrandbits(SEED_BITS))
--- a/wingquay/orchestration/stop_machine.py
+++ b/wingquay/orchestration/stop_machine.py
@@ -1,7 +1,4 @@
-"""The planned stop: announce, take nothing new, finish everything in flight, exit.
-
-Source: brief, "A planned stop cuts off no request that is in flight".
-"""
+"""Planned stop: announces it, accepts no new work, drains requests in flight, then exits."""
 
 from collections.abc import Callable
 from dataclasses import dataclass
@@ -14,24 +11,25 @@
 from ..ports.peer import PeerMessage
 from .settings import StopSettings
 
-LONGEST_CHECK_GAP = 2.0
-"""Between two checks at most this many check intervals count; more is a pause of the process."""
+MAX_CHECK_INTERVALS = 2.0
+"""Maximum number of check intervals counted between two checks; a longer gap means that the process
+was suspended."""
 
 
 @dataclass(frozen=True, slots=True)
 class StopCheckDue(Event):
-    """It is time to see whether anything is still in flight."""
+    """Scheduled event that checks whether work is still in flight."""
 
 
 class StopMachine:
-    """Readiness and the planned stop.
+    """Controls readiness and the planned stop.
 
     Parameters
     ----------
     in_flight
-        Returns how many requests and sub-requests this node still has.
+        Returns the number of open requests and sub-requests of this node.
     assignments_to_hand_over
-        Returns how many assignments with remembered claims wait for their next holder.
+        Returns the number of assignments whose claims no other node has taken over yet.
     """
 
     EVENTS: ClassVar[tuple[type[Event], ...]] = (ConfigurationInForce, StopRequested, StopCheckDue)
@@ -47,7 +45,7 @@
         self._settings = settings
         self._in_flight = in_flight
         self._assignments_to_hand_over = assignments_to_hand_over
-        self._waits = Mechanism.PLANNED_STOP_DRAIN not in disabled
+        self._drains = Mechanism.PLANNED_STOP_DRAIN not in disabled
         self._started_at: float | None = None
         self._checked_at = 0.0
         self._observed_seconds = 0.0
@@ -55,7 +53,7 @@
         self._has_exited = False
 
     def handle(self, event: Event, now: float) -> list[Action]:
-        """Take in one event."""
+        """Handle one event."""
         match event:
             case ConfigurationInForce():
                 return self._on_configuration()
@@ -89,20 +87,20 @@
         elapsed = self._observe(now)
         in_flight = self._in_flight()
         is_drained = in_flight == 0 and self._assignments_to_hand_over() == 0
-        if elapsed >= self._settings.least_seconds and (is_drained or not self._waits):
+        if elapsed >= self._settings.least_seconds and (is_drained or not self._drains):
             return self._exit(in_flight)
         if elapsed >= self._settings.most_seconds:
             return self._exit(in_flight)
         return [Schedule(now + self._settings.check_seconds, StopCheckDue())]
 
     def _observe(self, now: float) -> float:
-        """Return for how long the stop has gone on, pauses of the process left out.
+        """Return the duration of the stop so far in seconds, without suspensions of the process.
 
-        After a pause, what came meanwhile is still unread: time in which nothing could be read
-        does not count as time in which nothing came.
+        Messages that arrived during a suspension are still unread, so a suspension must not count
+        as idle time.
         """
-        longest = self._settings.check_seconds * LONGEST_CHECK_GAP
-        self._observed_seconds += min(now - self._checked_at, longest)
+        max_step_seconds = self._settings.check_seconds * MAX_CHECK_INTERVALS
+        self._observed_seconds += min(now - self._checked_at, max_step_seconds)
         self._checked_at = now
         return self._observed_seconds
 
--- a/wingquay/platform/node.py
+++ b/wingquay/platform/node.py
@@ -22,13 +22,13 @@
 from ..adapters.replica_client import CONNECT_SECONDS, ReplicaClient
 from ..forwarding.arrival.limits.limit_settings import LimitSettings
 from ..forwarding.forwarding_node import ForwardingNode, StoreFormats
-from ..forwarding.knowledge.look_times import (
-    DEFAULT_CONTACT_SECONDS,
-    gather_seconds_within,
-    lapse_grace_seconds,
-    look_times_within,
+from ..forwarding.knowledge.poll_times import (
+    DEFAULT_RECOVERY_SECONDS,
+    expiry_grace_seconds,
+    poll_interval_within,
+    poll_times_within,
 )
-from ..forwarding.knowledge.proving_looks import proving_looks_within
+from ..forwarding.knowledge.proof_poll_times import proof_poll_times_within
 from ..forwarding.knowledge.store_follower import FollowerSettings
 from ..forwarding.settings import ForwardingSettings
 from ..ports.forwarding import (
@@ -40,9 +40,19 @@
     SendToReplica,
     SetForwarding,
 )
-from ..ports.machine import Action, Count, Event, Exit, Log, Observe, Start, StopRequested, Woken
+from ..ports.machine import (
+    Action,
+    Count,
+    Event,
+    Exit,
+    Log,
+    Observe,
+    ProcessResumed,
+    Start,
+    StopRequested,
+)
 from ..ports.peer_link import OpenPeerLink, SendToPeer
-from ..ports.peer_snapshot import AskPeers
+from ..ports.peer_snapshot import RequestPeerSnapshot
 from ..ports.store import StartWatch, StopWatch, StoreRequest
 from ..runtime import NodeRuntime
 from .caller_dialect import PlatformCallerDialect
@@ -106,7 +116,7 @@
             settings.configuration_seconds,
             settings.evacuation_seconds or settings.configuration_seconds,
         )
-        gather_seconds = gather_seconds_within(bound_seconds)
+        gather_seconds = poll_interval_within(bound_seconds)
         machine = ForwardingNode(
             settings.node,
             ForwardingSettings(
@@ -119,11 +129,11 @@
                 retry_ratio=settings.retry_ratio * BUDGET_SHARE,
                 retry_slack=settings.retry_slack,
                 retry_window_seconds=settings.retry_window_seconds,
-                vanished_outage_grace_seconds=lapse_grace_seconds(
+                vanished_outage_grace_seconds=expiry_grace_seconds(
                     gather_seconds, settings.drain_seconds
                 ),
-                unready_stop_seconds=settings.grace_seconds * UNREADY_STOP_SHARE,
-                most_stop_seconds=most_stop_seconds(settings.grace_seconds),
+                idle_close_seconds=settings.grace_seconds * UNREADY_STOP_SHARE,
+                max_stop_seconds=most_stop_seconds(settings.grace_seconds),
             ),
             _follower_settings(settings, gather_seconds),
             _store_formats(),
@@ -138,7 +148,7 @@
         self._readiness = HttpServer(self._answer_readiness)
         self._page = HttpServer(self._answer_metrics)
         seeds = [(seed.host, seed.port) for seed in settings.seeds if seed != settings.peers]
-        self.peers = PeerSnapshots(seeds, machine.known_of_store, self.emit)
+        self.peers = PeerSnapshots(seeds, machine.store_snapshot, self.emit)
         self._peer_server = HttpServer(self.peers.answer)
         self._link = self._peer_link()
         count = self._metrics.count
@@ -203,7 +213,7 @@
         self._runtime.emit(event)
 
     def _woken(self, seconds: float) -> None:
-        self.emit(Woken(seconds))
+        self.emit(ProcessResumed(seconds))
 
     def perform(self, action: Action) -> None:
         """Perform an action that was decided."""
@@ -223,7 +233,7 @@
         runtime.register(StoreRequest, self._store.perform)
         runtime.register(StartWatch, self._store.start_watch)
         runtime.register(StopWatch, self._store.stop_watch)
-        runtime.register(AskPeers, self.peers.ask)
+        runtime.register(RequestPeerSnapshot, self.peers.ask)
         runtime.register(OpenPeerLink, self._open_link)
         runtime.register(SendToPeer, self._send_to_peer)
         runtime.register(SetForwarding, self._set_forwarding)
@@ -272,14 +282,16 @@
 
 def _follower_settings(settings: PlatformSettings, gather_seconds: float) -> FollowerSettings:
     """Return how the store is followed, by the strict bound where there is one."""
-    look = look_times_within(settings.contact_seconds or DEFAULT_CONTACT_SECONDS)
-    usual = FollowerSettings(gather_seconds=gather_seconds, look=look)
+    look = poll_times_within(settings.contact_seconds or DEFAULT_RECOVERY_SECONDS)
+    usual = FollowerSettings(poll_interval_seconds=gather_seconds, poll_times=look)
     if settings.revocation_seconds is None:
         return usual
-    proving = proving_looks_within(
-        settings.revocation_seconds, settings.proving_way, look, usual.shared_gather_seconds
+    proving = proof_poll_times_within(
+        settings.revocation_seconds, settings.proving_way, look, usual.shared_poll_interval_seconds
+    )
+    return FollowerSettings(
+        poll_interval_seconds=gather_seconds, poll_times=look, proof_poll_times=proving
     )
-    return FollowerSettings(gather_seconds=gather_seconds, look=look, proving=proving)
 
 
 def _store_formats() -> StoreFormats:
--- a/wingquay/ports/reach_news.py
+++ b/wingquay/ports/reach_news.py
@@ -1,24 +1,24 @@
-"""The message by which nodes tell each other which zones they reach."""
+"""Messages by which nodes report which zones they can reach."""
 
 from ..model.value import value
 from .peer_link import PeerMessage
 
 
 @value
-class ReachNews(PeerMessage):
-    """What a node that is in doubt finds out about the other zones.
+class ReachabilityReport(PeerMessage):
+    """Reachability of other zones, sent by a node that is checking it.
 
     Parameters
     ----------
-    out_zones
-        Zones that it reached before and reaches no more.
-    in_zones
-        Zones of which something answered just now.
-    is_question
-        Whether the receiver is to say at once that it is there, and, in the same zone, what it
-        reaches itself.
+    unreachable_zones
+        Zones that the sender reached earlier and cannot reach any more.
+    reachable_zones
+        Zones from which the sender has just received a reply.
+    wants_reply
+        Whether the receiver should confirm at once that it is up and, if it is in the sender's
+        zone, report which zones it reaches itself.
     """
 
-    out_zones: tuple[str, ...] = ()
-    in_zones: tuple[str, ...] = ()
-    is_question: bool = False
+    unreachable_zones: tuple[str, ...] = ()
+    reachable_zones: tuple[str, ...] = ()
+    wants_reply: bool = False
--- a/wingquay/query/coordinator.py
+++ b/wingquay/query/coordinator.py
@@ -1,7 +1,7 @@
-"""The coordinator: takes requests from callers and sees them to their answers.
+"""The coordinator: receives requests from callers and answers them.
 
-Free of I/O; see ``ports/machine.py``. Sub-requests travel to the owners of their shards as
-``SubRequestBatch`` messages, to this node's own owner machine in the same way.
+Performs no I/O; see ``ports/machine.py``. Sends sub-requests to the owners of their shards in
+``SubRequestBatch`` messages, also to the owner machine of its own node.
 """
 
 from typing import ClassVar
@@ -18,7 +18,7 @@
     LeavingStarted,
     MembershipChanged,
     Notify,
-    ReplicaBelief,
+    ReplicaStateChanged,
 )
 from ..ports.machine import Action, Count, Event, EventLoopLag, Schedule
 from ..ports.peer import (
@@ -30,29 +30,32 @@
     SubResultBatch,
 )
 from .admission_gate import AdmissionGate
-from .claim_flow import ClaimFlow
-from .conclusion import invalid, refusal, unknown
-from .coordinator_events import AnswerDue, OwnerCheckDue, PieceRetryDue, PromiseDue
+from .answer_builders import invalid_answer, refused_answer, unknown_answer
+from .claim_decision_handler import ClaimDecisionHandler
+from .coordinator_events import AnswerDue, OwnerCheckDue, PromiseDue, SubRequestRetryDue
 from .merge import AnswerMerge
-from .owner_links import OwnerLinks
-from .owner_watch import OwnerWatch
-from .piece_sender import PieceSender
-from .query_ending import QueryEnding
-from .query_planning import QueryPlanning
+from .owner_failover import OwnerFailover
+from .owner_selector import OwnerSelector
+from .query_completion import QueryCompletion
+from .query_planner import QueryPlanner
 from .query_state import QueryState, ResolvedRequest
 from .query_table import QueryTable
-from .request_check import QueryFailureKind, resolve
+from .request_check import QueryFailureKind, resolve_request
 from .settings import QuerySettings
-from .sub_result_intake import SubResultIntake
+from .sub_request_sender import SubRequestSender
+from .sub_result_handler import SubResultHandler
 
 
 class Coordinator:
-    """Answers callers' requests.
+    """State machine that answers the requests of callers.
+
+    Checks and admits each request, plans its sub-requests, sends them to owners and merges
+    their results. Unrepeatable requests wait for a claim first.
 
     Parameters
     ----------
-    links
-        Chooses owners.
+    owner_selector
+        Chooses the owners that sub-requests are sent to.
     """
 
     EVENTS: ClassVar[tuple[type[Event], ...]] = (
@@ -61,13 +64,13 @@
         ClaimDecided,
         ConfigurationInForce,
         MembershipChanged,
-        ReplicaBelief,
+        ReplicaStateChanged,
         LeavingStarted,
         PeerLinkBroken,
         EventLoopLag,
         AnswerDue,
         PromiseDue,
-        PieceRetryDue,
+        SubRequestRetryDue,
         OwnerCheckDue,
     )
     PEER_MESSAGES: ClassVar[tuple[type[PeerMessage], ...]] = (SubResultBatch,)
@@ -76,56 +79,58 @@
         self,
         identity: NodeIdentity,
         settings: QuerySettings,
-        links: OwnerLinks,
+        owner_selector: OwnerSelector,
         disabled: frozenset[Mechanism] = frozenset(),
     ) -> None:
         self._settings = settings
-        self._links = links
+        self._owner_selector = owner_selector
         self._table = QueryTable(cancels=Mechanism.CANCEL_LOSERS not in disabled)
-        self._sender = PieceSender(links, self._table)
+        self._sender = SubRequestSender(owner_selector, self._table)
         refuses_early = Mechanism.EARLY_REFUSAL not in disabled
         self._gate = AdmissionGate(settings, self._sender, enabled=refuses_early)
         retry_after = settings.retry_after_seconds
-        self._ending = QueryEnding(self._table, retry_after)
-        self.kind_statistics = self._ending.kind_statistics
-        """Rates and latencies of what was answered lately."""
-        self._planning = QueryPlanning(
+        self._completion = QueryCompletion(self._table, retry_after)
+        self.kind_statistics = self._completion.kind_statistics
+        """Rates and latencies of recently answered requests."""
+        self._planner = QueryPlanner(
             settings,
             self._table,
             self._sender,
-            self._ending,
+            self._completion,
             checks_snapshot=Mechanism.SNAPSHOT_PINNING not in disabled,
         )
-        self._results = SubResultIntake(
+        self._results = SubResultHandler(
             self._table,
-            self._planning,
+            self._planner,
             self._sender,
-            self._ending,
+            self._completion,
             self._gate,
             filters_duplicates=Mechanism.DUPLICATE_RESULT_FILTER not in disabled,
         )
-        self._owner_watch = OwnerWatch(
+        self._owner_failover = OwnerFailover(
             identity,
             self._table,
-            links,
+            owner_selector,
             self._sender,
-            self._ending,
+            self._completion,
             settings.owner_silence_seconds,
             enabled=Mechanism.OWNER_FAILOVER not in disabled,
         )
-        self._claims = ClaimFlow(self._table, self._planning, self._ending, self._gate, retry_after)
+        self._claims = ClaimDecisionHandler(
+            self._table, self._planner, self._completion, self._gate, retry_after
+        )
 
     @property
     def in_flight(self) -> int:
-        """Requests that wait for their answer."""
+        """Number of requests without an answer."""
         return len(self._table)
 
     def handle(self, event: Event, now: float) -> list[Action]:
-        """Take in one event."""
-        actions = self._route(event, now)
-        return actions + self._owner_watch.schedule_check(now)
+        """Handle one event and return the resulting actions."""
+        actions = self._handle_frequent_event(event, now)
+        return actions + self._owner_failover.schedule_check(now)
 
-    def _route(self, event: Event, now: float) -> list[Action]:
+    def _handle_frequent_event(self, event: Event, now: float) -> list[Action]:
         match event:
             case PeerReceived():
                 return self._on_peer(event, now)
@@ -133,58 +138,58 @@
                 return self._on_request(event, now)
             case AnswerDue():
                 state = self._table.state(event.request_id)
-                return [] if state is None else self._ending.finish(state, now)
+                return [] if state is None else self._completion.finish(state, now)
             case PromiseDue():
                 return self._on_promise_due(event, now)
-            case PieceRetryDue():
-                return self._planning.on_piece_retry(event, now)
+            case SubRequestRetryDue():
+                return self._planner.on_retry_due(event, now)
             case OwnerCheckDue():
-                return self._owner_watch.on_check(now)
+                return self._owner_failover.on_check_due(now)
             case _:
-                return self._route_rare(event, now)
+                return self._handle_rare_event(event, now)
 
-    def _route_rare(self, event: Event, now: float) -> list[Action]:
+    def _handle_rare_event(self, event: Event, now: float) -> list[Action]:
         match event:
             case CallerGone():
                 return self._on_caller_gone(event)
             case ClaimDecided():
                 return self._claims.on_decided(event, now)
             case ConfigurationInForce():
-                self._planning.apply(event.configuration)
+                self._planner.apply(event.configuration)
                 self._gate.pressure.apply(event.configuration)
             case MembershipChanged():
-                self._links.on_membership(event)
-                return self._owner_watch.on_membership(event, now)
-            case ReplicaBelief():
-                self._on_replica_belief(event)
+                self._owner_selector.on_membership(event)
+                return self._owner_failover.on_membership(event, now)
+            case ReplicaStateChanged():
+                self._on_replica_state_changed(event)
             case LeavingStarted():
-                self._gate.start_leaving(now)
+                self._gate.start_stopping(now)
             case EventLoopLag():
                 self._gate.pressure.on_lag(event.lag_seconds)
             case PeerLinkBroken():
-                return self._owner_watch.fail_over(event.node_id, now)
+                return self._owner_failover.fail_over(event.node_id, now)
         return []
 
     def _on_peer(self, event: PeerReceived, now: float) -> list[Action]:
         if not isinstance(event.message, SubResultBatch):
             return []
-        self._links.on_heard(event.sender.node_id, now)
+        self._owner_selector.on_message_from(event.sender.node_id, now)
         actions: list[Action] = []
         for result in event.message.results:
-            actions += self._results.take(result, now)
+            actions += self._results.handle(result, now)
         return actions
 
-    def _on_replica_belief(self, event: ReplicaBelief) -> None:
-        left_out = event.state is not ReplicaState.SERVING
-        self._planning.versions.set_left_out(event.replica_id, left_out)
+    def _on_replica_state_changed(self, event: ReplicaStateChanged) -> None:
+        excluded = event.state is not ReplicaState.SERVING
+        self._planner.versions.set_excluded(event.replica_id, excluded)
         if event.held is not None:
-            self._planning.versions.learn(event.held)
+            self._planner.versions.record(event.held)
 
     # Arrival -----------------------------------------------------------------------------
 
     def _on_request(self, event: CallerRequest, now: float) -> list[Action]:
         request = event.request
-        resolved = resolve(request, self._planning.configuration)
+        resolved = resolve_request(request, self._planner.configuration)
         if isinstance(resolved, Failure):
             return [self._answer_failure(request, resolved)]
         if resolved.repeatable:
@@ -195,15 +200,15 @@
         self._table.add(state)
         actions: list[Action] = [Schedule(state.answer_at, AnswerDue(request.request_id))]
         if not resolved.repeatable:
-            # Whether it is refused is decided once the claim is granted: before that, nobody
-            # can say that an earlier submission of it did not run.
-            state.awaits_claim = True
+            # A refusal states that the request did not run. Until the claim is decided, an
+            # earlier submission may have run, so the admission check waits for the claim.
+            state.needs_claim = True
             return [*actions, Notify(ClaimWanted(request, state.remaining_seconds(now)))]
         if resolved.coverage_preference is CoveragePreference.LATENCY_FIRST:
             promise_at = now + resolved.priority_class.promise_seconds
             if promise_at < state.answer_at:
                 actions.append(Schedule(promise_at, PromiseDue(request.request_id)))
-        return actions + self._planning.run(state, now)
+        return actions + self._planner.start(state, now)
 
     def _new_state(self, resolved: ResolvedRequest, now: float) -> QueryState:
         deadline = resolved.deadline_seconds
@@ -215,21 +220,21 @@
         self, request: QueryRequest, failure: Failure[QueryFailureKind]
     ) -> AnswerCaller:
         if failure.kind is QueryFailureKind.INVALID:
-            return AnswerCaller(invalid(request.request_id, failure.reason))
+            return AnswerCaller(invalid_answer(request.request_id, failure.reason))
         retry_after = self._settings.retry_after_seconds
         if request.idempotency_key is not None:
-            # An earlier submission with this key may have run through another node.
-            return AnswerCaller(unknown(request.request_id, failure.reason, retry_after))
-        return AnswerCaller(refusal(request.request_id, failure.reason, retry_after))
+            # An earlier submission with this key may have run at another node.
+            return AnswerCaller(unknown_answer(request.request_id, failure.reason, retry_after))
+        return AnswerCaller(refused_answer(request.request_id, failure.reason, retry_after))
 
-    # Before the end ----------------------------------------------------------------------
+    # Before the deadline -----------------------------------------------------------------
 
     def _on_promise_due(self, event: PromiseDue, now: float) -> list[Action]:
         state = self._table.state(event.request_id)
         if state is None:
             return []
-        state.answers_on_first = True
-        return self._ending.settle(state, now)
+        state.answers_on_first_result = True
+        return self._completion.finish_if_done(state, now)
 
     def _on_caller_gone(self, event: CallerGone) -> list[Action]:
         state = self._table.state(event.request_id)
@@ -237,6 +242,6 @@
             return []
         state.caller_gone = True
         if not state.resolved.repeatable:
-            # It goes on, so that a repeat can be told what came of it.
+            # The request continues, so that a repeat receives its stored answer.
             return []
-        return [Count("wingquay_callers_gone_total"), *self._table.forget(state)]
+        return [Count("wingquay_callers_gone_total"), *self._table.remove(state)]
--- a/wingquay/query/query_state.py
+++ b/wingquay/query/query_state.py
@@ -1,4 +1,4 @@
-"""The state of one request at its coordinator."""
+"""State of a request at its coordinator, from arrival to answer."""
 
 from dataclasses import dataclass, field
 
@@ -18,7 +18,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ResolvedRequest:
-    """A request checked against the configuration, with every default filled in."""
+    """A valid request with defaults filled in from the configuration."""
 
     request: QueryRequest
     service: Service
@@ -30,80 +30,96 @@
 
 
 @dataclass(slots=True)
-class Piece:
-    """A sub-request that has no result yet, and the owner that was asked."""
+class PendingSubRequest:
+    """A sub-request without a result and the owner it was sent to.
+
+    Parameters
+    ----------
+    retry_number
+        Number of earlier sub-requests for the same keys that failed; 0 for the first one.
+    owners_tried
+        Owners that the sub-request was sent to before ``owner``.
+    """
 
     sub_request: SubRequest
     owner: NodeIdentity
     sent_at: float
-    retries: int = 0
+    retry_number: int = 0
     owners_tried: tuple[str, ...] = ()
 
 
 @dataclass(slots=True)
 class QueryState:
-    """One request from arrival to answer.
+    """State of one request.
 
     Parameters
     ----------
     answer_at
-        When the answer leaves at the latest (before the caller's deadline).
-    may_have_run
-        Whether any back end may have run any part of it.
-    answers_on_first
-        Whether the promise has passed and the first coverage ends the wait.
-    waiting_retries
-        Pieces whose retry is scheduled.
+        Latest time to send the answer; a margin before the caller's deadline.
     answered
-        Pieces with a result; kept only when the duplicate filter is taken out.
+        Sub-requests with a result; used only if the duplicate filter is disabled.
+    plan_number
+        Number of plans made so far; distinguishes the retries of the current plan.
+    replan_count
+        Number of restarts with another snapshot version.
+    scheduled_retry_count
+        Number of retries that wait for their timer.
+    may_have_run
+        Whether any replica may have run any part of it.
+    answers_on_first_result
+        Whether the promise has passed, so that the first covered keys complete the request.
+    needs_claim, is_claimed
+        Whether the request needs a claim, and whether the claim was granted.
+    reason
+        Latest failure, for the answer.
     """
 
     resolved: ResolvedRequest
     arrived_at: float
     answer_at: float
     merge: AnswerMerge
-    outstanding: dict[SubRequestId, Piece] = field(default_factory=dict)
-    answered: dict[SubRequestId, Piece] = field(default_factory=dict)
-    generation: int = 0
-    sub_requests: int = 0
-    attempts: int = 0
-    replans: int = 0
-    waiting_retries: int = 0
+    pending_sub_requests: dict[SubRequestId, PendingSubRequest] = field(default_factory=dict)
+    answered: dict[SubRequestId, PendingSubRequest] = field(default_factory=dict)
+    plan_number: int = 0
+    sub_request_count: int = 0
+    attempt_count: int = 0
+    replan_count: int = 0
+    scheduled_retry_count: int = 0
     may_have_run: bool = False
-    answers_on_first: bool = False
+    answers_on_first_result: bool = False
     is_claimed: bool = False
-    awaits_claim: bool = False
+    needs_claim: bool = False
     caller_gone: bool = False
     reason: str = ""
     timings: Timings = field(default_factory=Timings)
 
     @property
     def request_id(self) -> RequestId:
-        """The request's id."""
+        """Request id."""
         return self.resolved.request.request_id
 
-    def open_piece(self, sub_request_id: SubRequestId) -> Piece:
-        """Return an open sub-request.
+    def get_pending(self, sub_request_id: SubRequestId) -> PendingSubRequest:
+        """Return a pending sub-request, or an answered one if duplicates are not filtered.
 
         Raises
         ------
         KeyError
-            If it is not one of this request's open sub-requests.
+            If the request has no such sub-request.
         """
-        piece = self.outstanding.get(sub_request_id)
-        return self.answered[sub_request_id] if piece is None else piece
+        pending = self.pending_sub_requests.get(sub_request_id)
+        return self.answered[sub_request_id] if pending is None else pending
 
     def remaining_seconds(self, now: float) -> float:
-        """Return the time left for sub-requests."""
+        """Return the time left until the answer must be sent; never negative."""
         return max(0.0, self.answer_at - now)
 
-    def learn_timing(self, queue_seconds: float, service_seconds: float) -> None:
-        """Keep the parts of the slowest sub-request."""
+    def record_timing(self, queue_seconds: float, service_seconds: float) -> None:
+        """Record the timing of a sub-request; only the slowest one is kept."""
         slowest = self.timings.queue_seconds + self.timings.service_seconds
         if queue_seconds + service_seconds > slowest:
             self.timings = Timings(0.0, queue_seconds, service_seconds)
 
     @property
-    def wanted(self) -> tuple[KeyRange, ...]:
-        """The keys that were asked for."""
+    def requested_keys(self) -> tuple[KeyRange, ...]:
+        """Requested key ranges."""
         return self.resolved.request.key_ranges
--- a/wingquay/routing/ownership.py
+++ b/wingquay/routing/ownership.py
@@ -1,8 +1,9 @@
-"""Which nodes own a shard: they queue for its replicas' slots and hold its connections.
+"""Determines which nodes own a shard.
 
-The table keeps a short ranked list for each shard and changes only the lists that a joining or
-leaving node touches, since ranking all nodes for all shards at each change of membership would
-hold up the event loop at the target size (1,400 shards, 470 nodes).
+The owners of a shard queue its sub-requests and hold the connections to its replicas. The table
+keeps a short ranked list of nodes for each shard. When a node joins or leaves, only the lists that
+it affects are changed, since ranking all nodes for all shards would block the event loop in large
+deployments.
 """
 
 from collections.abc import Iterable
@@ -10,24 +11,24 @@
 from ..ports.peer import NodeIdentity
 from .rendezvous import best, rank, score, spread_over_zones
 
-KEPT_CANDIDATES = 12
-"""Best nodes remembered for each shard."""
+MAX_CANDIDATES = 12
+"""Maximum length of the ranked list of a shard."""
 
-FEWEST_CANDIDATES = 4
-"""A list that has shrunk below this is ranked anew."""
+MIN_CANDIDATES = 4
+"""Length of a ranked list below which it is rebuilt."""
 
-HANDOFF_OWNERS = 2
-"""Nodes after the owners that take over when all of those cannot be reached."""
+HANDOFF_NODES = 2
+"""Number of handoff nodes, which take over when all owners are unreachable."""
 
 
 class OwnerTable:
-    """Owners and handoff nodes of shards, for the nodes of one deployment."""
+    """Owners and handoff nodes of shards among the nodes of one deployment."""
 
     def __init__(self, owners_per_shard: int) -> None:
         self._owners_per_shard = owners_per_shard
         self._nodes: dict[str, NodeIdentity] = {}
-        self._candidates: dict[str, list[NodeIdentity]] = {}
-        self._chosen: dict[str, tuple[NodeIdentity, ...]] = {}
+        self._ranked_nodes: dict[str, list[NodeIdentity]] = {}
+        self._owners_and_handoff: dict[str, tuple[NodeIdentity, ...]] = {}
 
     def set_nodes(self, nodes: Iterable[NodeIdentity]) -> None:
         """Replace the set of nodes that may own shards."""
@@ -35,41 +36,42 @@
         removed = [node_id for node_id in self._nodes if node_id not in fresh]
         added = [node for node_id, node in fresh.items() if node_id not in self._nodes]
         self._nodes = dict(sorted(fresh.items()))
-        for shard_id in list(self._candidates):
+        for shard_id in list(self._ranked_nodes):
             self._update(shard_id, removed, added)
 
     def _update(self, shard_id: str, removed: list[str], added: list[NodeIdentity]) -> None:
-        candidates = self._candidates[shard_id]
-        kept = [node for node in candidates if node.node_id not in removed]
-        if len(kept) < min(FEWEST_CANDIDATES, len(self._nodes)):
-            del self._candidates[shard_id]
-            self._chosen.pop(shard_id, None)
+        ranked = self._ranked_nodes[shard_id]
+        remaining = [node for node in ranked if node.node_id not in removed]
+        if len(remaining) < min(MIN_CANDIDATES, len(self._nodes)):
+            del self._ranked_nodes[shard_id]
+            self._owners_and_handoff.pop(shard_id, None)
             return
-        merged = rank([*kept, *added], shard_id)[:KEPT_CANDIDATES]
-        if added and len(kept) < len(candidates):
-            # A node that was not kept may rank above an added one: never trust the tail.
-            lowest_kept = score(kept[-1].node_id, shard_id)
-            merged = [node for node in merged if score(node.node_id, shard_id) >= lowest_kept]
-        if merged != candidates:
-            self._candidates[shard_id] = merged
-            self._chosen.pop(shard_id, None)
+        merged = rank([*remaining, *added], shard_id)[:MAX_CANDIDATES]
+        if added and len(remaining) < len(ranked):
+            # Nodes outside the list may rank above an added node that ranks below all remaining
+            # ones, so such nodes are not added.
+            lowest_remaining = score(remaining[-1].node_id, shard_id)
+            merged = [node for node in merged if score(node.node_id, shard_id) >= lowest_remaining]
+        if merged != ranked:
+            self._ranked_nodes[shard_id] = merged
+            self._owners_and_handoff.pop(shard_id, None)
 
     def nodes_for(self, shard_id: str) -> tuple[NodeIdentity, ...]:
-        """Return the shard's owners, then its handoff nodes; empty only without any node."""
-        chosen = self._chosen.get(shard_id)
+        """Return the shard's owners, then its handoff nodes; empty if there are no nodes."""
+        chosen = self._owners_and_handoff.get(shard_id)
         if chosen is None:
             chosen = self._choose(shard_id)
-            self._chosen[shard_id] = chosen
+            self._owners_and_handoff[shard_id] = chosen
         return chosen
 
     def _choose(self, shard_id: str) -> tuple[NodeIdentity, ...]:
-        candidates = self._candidates.get(shard_id)
-        if candidates is None:
-            candidates = best(self._nodes.values(), shard_id, KEPT_CANDIDATES)
-            self._candidates[shard_id] = candidates
-        count = max(1, self._owners_per_shard) + HANDOFF_OWNERS
-        return tuple(spread_over_zones(candidates, count))
+        ranked = self._ranked_nodes.get(shard_id)
+        if ranked is None:
+            ranked = best(self._nodes.values(), shard_id, MAX_CANDIDATES)
+            self._ranked_nodes[shard_id] = ranked
+        count = max(1, self._owners_per_shard) + HANDOFF_NODES
+        return tuple(spread_over_zones(ranked, count))
 
     def owners_of(self, shard_id: str) -> tuple[NodeIdentity, ...]:
-        """Return the shard's owners alone."""
+        """Return the shard's owners without its handoff nodes."""
         return self.nodes_for(shard_id)[: max(1, self._owners_per_shard)]
